--- a/internal/crossing/crossing.go
+++ b/internal/crossing/crossing.go
@@ -1,29 +1,29 @@
-// Package crossing is the rule on what leaves its region: requests, and the memory of prompts.
-// It is pure: what a place offers is estimated by those who ask.
+// Package crossing decides whether a request, or the KV cache of a prompt, leaves its region. It is
+// pure: callers estimate what the replicas on each side of the border offer.
 package crossing
 
 import "time"
 
-// Outcome is what a request may expect of a place, the best first.
+// Outcome is the expected result of placing a request, from best to worst.
 type Outcome uint8
 
 // Outcomes.
 const (
-	// InTime: it is expected to be served within its objective.
+	// InTime means that the request is expected to be served within its objective.
 	InTime Outcome = iota
-	// Late: it is expected to be served after its objective.
+	// Late means that the request is expected to be served after its objective.
 	Late
-	// Full: there is no room for it.
+	// Full means that there is no capacity for the request.
 	Full
-	// Nowhere: there is no place at all.
+	// Nowhere means that there is no replica for the request.
 	Nowhere
 )
 
-// Offer is the best that one side of a region's border has for a request.
+// Offer is the best that the replicas on one side of a region's border offer for a request.
 type Offer struct {
 	Outcome Outcome
-	// Takes is the time until the request is served there, its ways included. It only counts
-	// where both sides serve in time.
+	// Takes is the time until the request is served there, including the network paths. It only
+	// matters for offers that are InTime.
 	Takes time.Duration
 }
 
@@ -32,38 +32,40 @@
 
 // Reasons.
 const (
-	// Stays: it does not leave.
+	// Stays means that the request doesn't leave its region.
 	Stays Reason = ""
-	// NoPlace: its region has no place for such a request.
+	// NoPlace means that its region has no replica for such a request.
 	NoPlace Reason = "no_place"
-	// NoStage: its region lacks the replicas of a stage, so that all regions were compared.
+	// NoStage means that its region lacks the replicas of a stage, so that all regions were
+	// compared.
 	NoStage Reason = "no_stage"
-	// NoRoom: all places of its region are full.
+	// NoRoom means that all replicas of its region are full.
 	NoRoom Reason = "no_room"
-	// MissesObjective: its region would serve it late.
+	// MissesObjective means that its region would serve it late.
 	MissesObjective Reason = "misses_objective"
-	// Faster: its region would serve it in time, and another one far sooner.
+	// Faster means that its region would serve it in time, but another one far sooner.
 	Faster Reason = "faster"
 )
 
-// worthwhileShare of the objective is what leaving has to save where both sides serve in time. A
-// request's bytes cross the border with it, and so do those of each one that it displaces there;
-// the share also keeps regions from sending each other work for what estimates are off by.
-const worthwhileShare = 0.25
+// minimumSavingShare is the share of the objective that leaving has to save if both sides serve in
+// time. The request's bytes cross the border, and so do those of each request that it displaces
+// there. The threshold also keeps regions from sending each other work because of errors in the
+// estimates.
+const minimumSavingShare = 0.25
 
-// Stay reports whether an offer of the own region is good enough for the other side not to be
-// asked.
+// Stay reports whether an offer of the request's own region is good enough that the other side
+// needn't be considered.
 func Stay(inside Offer, objective time.Duration) bool {
-	return inside.Outcome == InTime && inside.Takes <= worthwhile(objective)
+	return inside.Outcome == InTime && inside.Takes <= minimumSaving(objective)
 }
 
-// Leave says why a request with an objective leaves its region; Stays if it does not. It leaves
-// for a better outcome, or to be served far sooner. So what leaves is only what the region can't
-// serve, and it stays again once the region can.
+// Leave returns why a request with an objective leaves its region, Stays if it doesn't. It leaves
+// for a better outcome, or to be served far sooner. Apart from the latter, only requests that the
+// region can't serve in time leave, and they stay again once it can.
 func Leave(inside, outside Offer, objective time.Duration) Reason {
 	switch {
 	case inside.Outcome == InTime && outside.Outcome == InTime:
-		if inside.Takes-outside.Takes > worthwhile(objective) {
+		if inside.Takes-outside.Takes > minimumSaving(objective) {
 			return Faster
 		}
 		return Stays
@@ -78,8 +80,8 @@
 	}
 }
 
-func worthwhile(objective time.Duration) time.Duration {
-	return time.Duration(worthwhileShare * float64(objective))
+func minimumSaving(objective time.Duration) time.Duration {
+	return time.Duration(minimumSavingShare * float64(objective))
 }
 
 // String names an outcome for logs.
