--- a/internal/activeset/doc.go
+++ b/internal/activeset/doc.go
@@ -1,7 +1,7 @@
-// Package activeset decides which replicas of a large fleet take work. The others stand by: they are
-// listed, and cost nothing until they are needed. It is a pure state machine: Step takes what is known
-// and returns a change, and never acts itself.
+// Package activeset decides which replicas of a large fleet are active, that is, take work. The others are
+// on standby: they are listed, and cost nothing until they are needed. It is a pure state machine: Step
+// returns a change for the given state, and never applies it.
 //
-// Whatever a process knows of a replica, asks it or keeps open to it then grows with the load, and not
-// with the fleet.
+// The state, queries and connections that a process keeps for replicas therefore grow with the load, and
+// not with the fleet.
 package activeset
--- a/internal/activeset/planner.go
+++ b/internal/activeset/planner.go
@@ -9,88 +9,91 @@
 	"time"
 )
 
-// DefaultLeast is the number of replicas of a service and region that are active whatever the load is. A
-// process can ask, weigh and be connected to as many at any time: a list of them takes 30 KB.
+// DefaultLeast is the minimum number of active replicas of a service and region, whatever the load is. A
+// process can query, score and be connected to that many at any time: a list of them takes 30 KB.
 const DefaultLeast = 256
 
 const (
-	// readingTarget is the wanted utilisation of readers and occupancyTarget the wanted share of slots in
-	// use: at these a replica is found at once that has nothing to do, and three times the load is borne
+	// readingTarget is the target utilisation of prefill replicas, and occupancyTarget the target share of
+	// slots in use. At these an idle replica is found at once, and three times the load can be handled
 	// until more replicas are active.
 	readingTarget   = 0.25
 	occupancyTarget = 0.25
-	// demandMemory is the time constant with which a peak of the demand fades. Replicas that stand by have
-	// to read prefixes anew that they kept, so that they are not sent to do so between two waves of load.
-	demandMemory = 30 * time.Second
-	// surplus is by how much the active replicas have to exceed those that are wanted before some are sent
-	// to stand by, and restShare the share of the excess that is sent in one step.
-	surplus   = 2.0
-	restShare = 1.0 / 8
+	// demandDecay is the time constant with which a peak of the demand decays. Replicas on standby would
+	// have to prefill their cached prefixes again, so none should be sent to standby between two waves of
+	// load.
+	demandDecay = 30 * time.Second
+	// deactivationRatio is the ratio of active to wanted replicas above which some are sent to standby, and
+	// deactivationShare the share of the excess that is sent in one step.
+	deactivationRatio = 2.0
+	deactivationShare = 1.0 / 8
 )
 
-// Demand is what callers need of a group.
+// Demand is the load that callers put on a group.
 type Demand struct {
-	// Reading is the number of replicas that the prompts to be read keep busy.
+	// Reading is the number of replicas that are kept busy by prompts to prefill.
 	Reading float64
-	// Generating is the number of answers that are being generated.
+	// Generating is the number of answers being generated.
 	Generating float64
 	// Running is the number of requests at replicas that are not model engines.
 	Running float64
 }
 
-// Input is what Step decides on.
+// Input is the state that Step decides on.
 type Input struct {
 	Replicas []Replica
 	Demand   map[Group]Demand
 }
 
-// Change says which replicas take work from now on, and which stand by, by their ids.
+// Change lists the ids of the replicas to activate and of those to send to standby.
 type Change struct {
 	Activate, Rest []string
 }
 
-// Empty reports whether nothing changes.
+// Empty reports whether the change contains no replicas.
 func (c *Change) Empty() bool { return len(c.Activate)+len(c.Rest) == 0 }
 
-// Planner plans for all services. Least is DefaultLeast, or what the settings say.
+// Planner plans the active replicas of all services. Least is the minimum number of active replicas of a
+// service and region: DefaultLeast or the configured value.
 type Planner struct {
 	Least int
 
-	at time.Duration
-	// peaks are the demand of late, which fades; knownFrom is when it was first told.
-	peaks     map[Group]Demand
-	knownFrom map[Group]time.Duration
+	lastStep time.Duration
+	// peaks are the decaying peaks of recent demand; firstReportedAt is when a group's demand was first
+	// reported.
+	peaks           map[Group]Demand
+	firstReportedAt map[Group]time.Duration
 }
 
-// Step takes the input in and returns the change to be made now. What is short is activated at once;
-// replicas are sent to stand by slowly, and only after the demand has been watched for a time.
+// Step returns the change to be made now. Missing replicas are activated at once; excess replicas are sent
+// to standby gradually, and only once the demand has been observed for demandDecay.
 func (p *Planner) Step(now time.Duration, input Input) Change {
 	p.observe(now, input.Demand)
-	groups, pools := divide(input.Replicas)
+	groups, pools := groupByPool(input.Replicas)
 	var change Change
-	for _, at := range slices.SortedFunc(maps.Keys(pools), comparePools) {
-		p.stepPool(now, at, groups[at.group], pools[at], &change)
+	for _, key := range slices.SortedFunc(maps.Keys(pools), comparePools) {
+		p.stepPool(now, key, groups[key.group], pools[key], &change)
 	}
 	return change
 }
 
-// divide sorts the replicas into pools, and counts those of each group.
-func divide(replicas []Replica) (map[Group]int, map[pool]*members) {
+// groupByPool groups the replicas by pool, and counts those of each group.
+func groupByPool(replicas []Replica) (map[Group]int, map[poolKey]*poolMembers) {
 	groups := map[Group]int{}
-	pools := map[pool]*members{}
+	pools := map[poolKey]*poolMembers{}
 	for index := range replicas {
 		replica := &replicas[index]
 		groups[replica.Group]++
-		at := pool{replica.Group, replica.Role}
-		if pools[at] == nil {
-			pools[at] = newMembers()
+		key := poolKey{replica.Group, replica.Role}
+		if pools[key] == nil {
+			pools[key] = newPoolMembers()
 		}
-		pools[at].add(replica)
+		pools[key].add(replica)
 	}
 	return groups, pools
 }
 
-func comparePools(a, b pool) int {
+func comparePools(a, b poolKey) int {
 	return cmp.Or(
 		strings.Compare(a.group.Service, b.group.Service),
 		strings.Compare(a.group.Region, b.group.Region),
@@ -98,37 +101,37 @@
 	)
 }
 
-// stepPool changes one pool.
-func (p *Planner) stepPool(now time.Duration, at pool, total int, found *members, change *Change) {
-	wanted := p.wanted(at, total, found)
-	if found.active < wanted {
-		found.sort()
+// stepPool adds the changes of one pool to change.
+func (p *Planner) stepPool(now time.Duration, key poolKey, total int, members *poolMembers, change *Change) {
+	wanted := p.wanted(key, total, members)
+	if members.activeCount < wanted {
+		members.sort()
 	}
-	for found.active < wanted {
-		id, more := found.take()
+	for members.activeCount < wanted {
+		id, more := members.activateNext()
 		if !more {
 			return
 		}
 		change.Activate = append(change.Activate, id)
 	}
-	from, known := p.knownFrom[at.group]
-	if !known || now-from < demandMemory || float64(found.active) <= surplus*float64(wanted) {
+	from, known := p.firstReportedAt[key.group]
+	if !known || now-from < demandDecay || float64(members.activeCount) <= deactivationRatio*float64(wanted) {
 		return
 	}
-	found.sort()
-	for range int(math.Ceil(restShare * float64(found.active-wanted))) {
-		change.Rest = append(change.Rest, found.give())
+	members.sort()
+	for range int(math.Ceil(deactivationShare * float64(members.activeCount-wanted))) {
+		change.Rest = append(change.Rest, members.deactivateLast())
 	}
 }
 
-// wanted is the number of replicas of a pool that should be active.
-func (p *Planner) wanted(at pool, total int, found *members) int {
+// wanted returns the number of replicas of a pool that should be active.
+func (p *Planner) wanted(key poolKey, total int, members *poolMembers) int {
 	if total <= p.Least {
 		return total
 	}
-	demand := p.peaks[at.group]
-	slots := float64(max(found.slots, 1))
-	switch at.role {
+	demand := p.peaks[key.group]
+	slots := float64(max(members.maximumSlots, 1))
+	switch key.role {
 	case Reader:
 		return max(p.Least/2, int(math.Ceil(demand.Reading/readingTarget)))
 	case Generator:
@@ -138,26 +141,26 @@
 	}
 }
 
-// observe keeps the peaks of the demand, which fade.
+// observe updates the decaying peaks of the demand.
 func (p *Planner) observe(now time.Duration, demand map[Group]Demand) {
 	if p.peaks == nil {
 		p.peaks = map[Group]Demand{}
-		p.knownFrom = map[Group]time.Duration{}
+		p.firstReportedAt = map[Group]time.Duration{}
 	}
-	fade := math.Exp(-(now - p.at).Seconds() / demandMemory.Seconds())
-	p.at = now
+	decay := math.Exp(-(now - p.lastStep).Seconds() / demandDecay.Seconds())
+	p.lastStep = now
 	for group, peak := range p.peaks {
-		p.peaks[group] = Demand{Reading: peak.Reading * fade, Generating: peak.Generating * fade, Running: peak.Running * fade}
+		p.peaks[group] = Demand{Reading: peak.Reading * decay, Generating: peak.Generating * decay, Running: peak.Running * decay}
 	}
-	for group, told := range demand {
+	for group, reported := range demand {
 		peak := p.peaks[group]
 		p.peaks[group] = Demand{
-			Reading:    max(peak.Reading, told.Reading),
-			Generating: max(peak.Generating, told.Generating),
-			Running:    max(peak.Running, told.Running),
+			Reading:    max(peak.Reading, reported.Reading),
+			Generating: max(peak.Generating, reported.Generating),
+			Running:    max(peak.Running, reported.Running),
 		}
-		if _, known := p.knownFrom[group]; !known {
-			p.knownFrom[group] = now
+		if _, known := p.firstReportedAt[group]; !known {
+			p.firstReportedAt[group] = now
 		}
 	}
 }
--- a/internal/activeset/planner_test.go
+++ b/internal/activeset/planner_test.go
@@ -12,7 +12,7 @@
 
 var model = Group{Service: "model"}
 
-// fleetOf is a fleet of model replicas over zones, two fifths of which read prompts.
+// fleetOf returns a fleet of model replicas over zones, two fifths of which are prefill replicas.
 func fleetOf(count, zones int) []Replica {
 	replicas := make([]Replica, count)
 	for index := range replicas {
@@ -28,7 +28,7 @@
 	return replicas
 }
 
-// apply carries a change out, and returns how many replicas are active and sound, by role and zone.
+// apply applies a change, and returns how many replicas are active and sound, by role and zone.
 func apply(replicas []Replica, change Change) (roles map[Role]int, zones map[string]int) {
 	active := map[string]bool{}
 	for _, id := range change.Activate {
@@ -50,9 +50,10 @@
 	return roles, zones
 }
 
-// TestTheActiveReplicasDoNotGrowWithTheFleet: every process asked, listed and weighed all of 10,000 replicas for a load
-// that a hundred bear. The same load has the same number active at three sizes.
-func TestTheActiveReplicasDoNotGrowWithTheFleet(t *testing.T) {
+// TestActiveReplicasDoNotGrowWithTheFleet: every process queried, listed and scored all of 10,000 replicas
+// for a load that a hundred could handle. The same load must have the same number of active replicas at
+// three fleet sizes.
+func TestActiveReplicasDoNotGrowWithTheFleet(t *testing.T) {
 	demand := map[Group]Demand{model: {Reading: 20, Generating: 60}}
 	for _, size := range []int{1_000, 3_000, 10_000} {
 		replicas := fleetOf(size, 5)
@@ -67,16 +68,16 @@
 	}
 }
 
-func TestASmallFleetIsActiveAsAWhole(t *testing.T) {
+func TestSmallFleetIsFullyActive(t *testing.T) {
 	replicas := fleetOf(DefaultLeast, 3)
 	planner := &Planner{Least: DefaultLeast}
 	roles, _ := apply(replicas, planner.Step(0, Input{Replicas: replicas}))
 	assert.Equal(t, DefaultLeast, roles[Reader]+roles[Generator])
 }
 
-// TestABurstIsMetInOneStep: the demand of ten times as many callers is told at once, and what it needs is activated with
-// it, no more.
-func TestABurstIsMetInOneStep(t *testing.T) {
+// TestBurstIsActivatedInOneStep: when the demand of ten times as many callers is reported at once, the
+// replicas that it needs are activated in the same step, and no more.
+func TestBurstIsActivatedInOneStep(t *testing.T) {
 	replicas := fleetOf(10_000, 5)
 	planner := &Planner{Least: DefaultLeast}
 	apply(replicas, planner.Step(0, Input{Replicas: replicas, Demand: map[Group]Demand{model: {Reading: 20}}}))
@@ -84,7 +85,8 @@
 	assert.Equal(t, map[Role]int{Reader: 800, Generator: 128}, roles)
 }
 
-// TestLostReplicasAreReplaced has a zone fall silent, and half of the others' replicas leave.
+// TestLostReplicasAreReplaced: all replicas of one zone stop responding, and half of the active ones
+// elsewhere leave.
 func TestLostReplicasAreReplaced(t *testing.T) {
 	replicas := fleetOf(10_000, 5)
 	planner := &Planner{Least: DefaultLeast}
@@ -99,16 +101,17 @@
 	assert.Zero(t, zones["z2"])
 }
 
-// TestAZoneWithoutReplicasIsMadeUpForByOthers has all replicas in one of two zones.
-func TestAZoneWithoutReplicasIsMadeUpForByOthers(t *testing.T) {
+// TestFleetInOneZoneIsActivated: a zone without replicas must not reduce the number of active ones.
+func TestFleetInOneZoneIsActivated(t *testing.T) {
 	replicas := fleetOf(2_000, 1)
 	planner := &Planner{Least: DefaultLeast}
 	roles, _ := apply(replicas, planner.Step(0, Input{Replicas: replicas}))
 	assert.Equal(t, map[Role]int{Reader: 128, Generator: 128}, roles)
 }
 
-// TestReplicasStandByOnlyLongAfterABurst: what they keep of prompts would be lost between two waves of load.
-func TestReplicasStandByOnlyLongAfterABurst(t *testing.T) {
+// TestReplicasAreDeactivatedOnlyAfterDemandDecays: replicas sent to standby between two waves of load would
+// lose their cached prefixes.
+func TestReplicasAreDeactivatedOnlyAfterDemandDecays(t *testing.T) {
 	replicas := fleetOf(10_000, 5)
 	planner := &Planner{Least: DefaultLeast}
 	apply(replicas, planner.Step(0, Input{Replicas: replicas, Demand: map[Group]Demand{model: {Reading: 200}}}))
@@ -127,9 +130,9 @@
 	assert.LessOrEqual(t, active, 2*128)
 }
 
-// TestAFleetThatComesAndGoesKeepsItsActiveReplicas has replicas come, leave and answer again at random: as many are active
-// as are wanted whenever there are enough, and none more is activated than is short.
-func TestAFleetThatComesAndGoesKeepsItsActiveReplicas(t *testing.T) {
+// TestChangingFleetKeepsItsActiveReplicas: replicas become unsound and sound again at random. As many as
+// wanted are active whenever there are enough, and no more are activated than are missing.
+func TestChangingFleetKeepsItsActiveReplicas(t *testing.T) {
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		replicas := fleetOf(2_000, 4)
@@ -148,7 +151,8 @@
 	}
 }
 
-// BenchmarkStep is a leader's look at the whole fleet. It grows with the replicas, once for all processes.
+// BenchmarkStep measures the leader's step over the whole fleet. Its cost grows with the number of
+// replicas, but only the leader bears it, not every process.
 func BenchmarkStep(b *testing.B) {
 	for _, size := range []int{1_000, 3_000, 10_000, 20_000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/internal/activeset/pool.go
+++ b/internal/activeset/pool.go
@@ -7,79 +7,80 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Group names replicas that can do each other's work, but for their roles: those of a service in a
-// region.
+// Group identifies the replicas of a service in a region. Apart from their roles they are interchangeable.
 type Group struct{ Service, Region string }
 
-// Role is what a replica does.
+// Role is the kind of work that a replica does.
 type Role int
 
-// Roles. Readers read prompts, Generators generate answers; Plain replicas are not model engines.
+// Roles. Readers are prefill replicas, Generators are decode replicas; Plain replicas are not model
+// engines.
 const (
 	Plain Role = iota
 	Reader
 	Generator
 )
 
-// Replica is a replica as the planner sees it.
+// Replica is the planner's view of a replica.
 type Replica struct {
 	ID    string
 	Group Group
 	Zone  string
 	Role  Role
 	Slots int
-	// Preemptible replicas may be taken away, all of a zone at once.
+	// Preemptible replicas may be reclaimed, all of a zone at once.
 	Preemptible bool
 	// Active replicas take work.
 	Active bool
-	// Sound is false for replicas that leave, change their stage, don't answer or take only a limited
-	// number of requests.
+	// Sound is false for replicas that are leaving, are changing their stage, don't respond or accept only
+	// a limited number of requests.
 	Sound bool
 }
 
-// pool is the replicas of a group with one role.
-type pool struct {
+// poolKey identifies the replicas of a group with one role.
+type poolKey struct {
 	group Group
 	role  Role
 }
 
-// members are the replicas of a pool.
-type members struct {
-	// working are active and sound; spare could be activated. Both are by zone, in the order in which
-	// they are activated.
-	working, spare map[string][]*Replica
-	// active counts working, slots are the most that one of the pool has.
-	active, slots int
+// poolMembers are the replicas of a pool.
+type poolMembers struct {
+	// activeByZone are the active and sound replicas, standbyByZone the sound ones that could be activated.
+	// Once sorted, both are in activation order.
+	activeByZone, standbyByZone map[string][]*Replica
+	// activeCount is the number of replicas in activeByZone, maximumSlots the largest number of slots of a
+	// replica of the pool.
+	activeCount, maximumSlots int
 }
 
-func newMembers() *members {
-	return &members{working: map[string][]*Replica{}, spare: map[string][]*Replica{}}
+func newPoolMembers() *poolMembers {
+	return &poolMembers{activeByZone: map[string][]*Replica{}, standbyByZone: map[string][]*Replica{}}
 }
 
-// add takes a replica in.
-func (m *members) add(replica *Replica) {
-	m.slots = max(m.slots, replica.Slots)
+// add adds a replica. If it is not sound, only its slots count.
+func (m *poolMembers) add(replica *Replica) {
+	m.maximumSlots = max(m.maximumSlots, replica.Slots)
 	switch {
 	case !replica.Sound:
 	case replica.Active:
-		m.working[replica.Zone] = append(m.working[replica.Zone], replica)
-		m.active++
+		m.activeByZone[replica.Zone] = append(m.activeByZone[replica.Zone], replica)
+		m.activeCount++
 	default:
-		m.spare[replica.Zone] = append(m.spare[replica.Zone], replica)
+		m.standbyByZone[replica.Zone] = append(m.standbyByZone[replica.Zone], replica)
 	}
 }
 
-// sort puts the replicas of each zone in the order in which they are activated: by a hash of their ids, so
-// that every leader chooses the same ones, and those last that may be taken away.
-func (m *members) sort() {
-	for _, byZone := range []map[string][]*Replica{m.working, m.spare} {
+// sort sorts the replicas of each zone in activation order: preemptible ones last, and otherwise by a hash
+// of their ids, so that every leader chooses the same ones.
+func (m *poolMembers) sort() {
+	for _, byZone := range []map[string][]*Replica{m.activeByZone, m.standbyByZone} {
 		for _, replicas := range byZone {
-			slices.SortFunc(replicas, compare)
+			slices.SortFunc(replicas, compareActivationOrder)
 		}
 	}
 }
 
-func compare(a, b *Replica) int {
+func compareActivationOrder(a, b *Replica) int {
 	if a.Preemptible != b.Preemptible {
 		if a.Preemptible {
 			return 1
@@ -89,47 +90,50 @@
 	return cmp.Compare(xxhash.Sum64String(a.ID), xxhash.Sum64String(b.ID))
 }
 
-// take activates the next replica: of the zone with the fewest working ones that has a spare one, so that a
-// zone that is lost takes no more of them than its share.
-func (m *members) take() (id string, found bool) {
+// activateNext activates the next replica on standby in the zone with the fewest active replicas, among
+// zones that have any on standby, so that the loss of a zone takes no more than its share of the active
+// ones.
+func (m *poolMembers) activateNext() (id string, found bool) {
 	zone := ""
-	for candidate, spare := range m.spare {
-		if len(spare) == 0 {
+	for candidate, standby := range m.standbyByZone {
+		if len(standby) == 0 {
 			continue
 		}
-		if !found || m.before(candidate, zone) {
+		if !found || m.precedes(candidate, zone) {
 			zone, found = candidate, true
 		}
 	}
 	if !found {
 		return "", false
 	}
-	next := m.spare[zone][0]
-	m.spare[zone] = m.spare[zone][1:]
-	m.working[zone] = append(m.working[zone], next)
-	m.active++
+	next := m.standbyByZone[zone][0]
+	m.standbyByZone[zone] = m.standbyByZone[zone][1:]
+	m.activeByZone[zone] = append(m.activeByZone[zone], next)
+	m.activeCount++
 	return next.ID, true
 }
 
-// before reports whether a zone's turn comes before another's.
-func (m *members) before(zone, other string) bool {
-	if here, there := len(m.working[zone]), len(m.working[other]); here != there {
-		return here < there
+// precedes reports whether a zone comes before another in activation: it has fewer active replicas, or as
+// many and the smaller name.
+func (m *poolMembers) precedes(zone, other string) bool {
+	if count, otherCount := len(m.activeByZone[zone]), len(m.activeByZone[other]); count != otherCount {
+		return count < otherCount
 	}
 	return zone < other
 }
 
-// give sends a replica to stand by: the last of the zone with the most working ones.
-func (m *members) give() string {
+// deactivateLast sends a replica to standby: the last one, in activation order, of the zone with the most
+// active replicas.
+func (m *poolMembers) deactivateLast() string {
 	zone := ""
-	for candidate := range m.working {
-		if zone == "" || m.before(zone, candidate) {
+	for candidate := range m.activeByZone {
+		if zone == "" || m.precedes(zone, candidate) {
 			zone = candidate
 		}
 	}
-	working := m.working[zone]
-	last := working[len(working)-1]
-	m.working[zone] = working[:len(working)-1]
-	m.active--
+	active := m.activeByZone[zone]
+	last := active[len(active)-1]
+	m.activeByZone[zone] = active[:len(active)-1]
+	m.activeCount--
 	return last.ID
 }
