--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -7,53 +7,55 @@
 
 // BudgetOptions are the settings of a Budget.
 type BudgetOptions struct {
-	// Ratio is the number of retries allowed for each request.
+	// Ratio is the number of retries allowed per request.
 	Ratio float64
-	// MinimumPerSecond lets a quiet gateway retry at all.
+	// MinimumPerSecond is the number of retries allowed per second regardless
+	// of requests, so that a gateway with little traffic can retry at all.
 	MinimumPerSecond float64
-	// Maximum bounds the retries that can be saved up.
+	// Maximum bounds the balance, in retries.
 	Maximum float64
-	// Initial is what a new budget holds.
+	// Initial is the balance of a new budget, bounded by Maximum.
 	Initial float64
-	// Memory is the time constant by which what was saved up is lost: many gateways that save up in quiet
-	// times would else spend it together. 0 loses nothing.
+	// Memory is the time constant with which the balance decays; 0 disables the
+	// decay. Without it, many gateways would accumulate retries in quiet times
+	// and spend them at the same time.
 	Memory time.Duration
 }
 
-// DefaultBudgetOptions returns the settings that the experiments use. The ratio
-// keeps total attempts below 1.1 times the requests.
+// DefaultBudgetOptions returns the default settings, which the experiments use.
+// The ratio keeps total attempts below 1.1 times the requests.
 func DefaultBudgetOptions() BudgetOptions {
 	return BudgetOptions{Ratio: 0.08, MinimumPerSecond: 0.1, Maximum: 50}
 }
 
 // Budget bounds retries and hedges over all requests of a gateway to a ratio of
-// its requests, so that a failing zone isn't buried under retries. It is the
-// token bucket of Finagle's RetryBudget.
+// its requests, so that retries don't overload a failing zone. It is the token
+// bucket of Finagle's RetryBudget.
 type Budget struct {
-	options BudgetOptions
-	balance float64
-	last    time.Duration
-	refused uint64
+	options     BudgetOptions
+	balance     float64
+	lastAdvance time.Duration
+	refused     uint64
 }
 
-// NewBudget returns a budget that holds what the options say.
+// NewBudget returns a budget with the initial balance of the options.
 func NewBudget(options BudgetOptions) *Budget {
 	return &Budget{options: options, balance: min(options.Initial, options.Maximum)}
 }
 
-// SetOptions changes the settings; what was saved up is kept as far as it may be.
+// SetOptions changes the settings. The balance is kept, up to the new Maximum.
 func (b *Budget) SetOptions(options BudgetOptions) {
 	b.options = options
 	b.balance = min(b.balance, options.Maximum)
 }
 
-// Request counts a request, not an attempt, and earns its part of a retry.
+// Request counts a request, not an attempt, and adds Ratio to the balance.
 func (b *Budget) Request(now time.Duration) {
 	b.advance(now)
 	b.add(b.options.Ratio)
 }
 
-// Withdraw takes one retry out of the budget, or reports that none is left.
+// Withdraw takes one retry out of the budget. It returns false if none is left.
 func (b *Budget) Withdraw(now time.Duration) bool {
 	b.advance(now)
 	if b.balance < 1 {
@@ -67,19 +69,19 @@
 // Refused returns the number of withdrawals that were refused.
 func (b *Budget) Refused() uint64 { return b.refused }
 
-// Balance returns the retries that are left.
+// Balance returns the number of retries left.
 func (b *Budget) Balance() float64 { return b.balance }
 
 func (b *Budget) advance(now time.Duration) {
-	if now <= b.last {
+	if now <= b.lastAdvance {
 		return
 	}
-	passed := now - b.last
+	elapsed := now - b.lastAdvance
 	if b.options.Memory > 0 {
-		b.balance *= math.Exp(-passed.Seconds() / b.options.Memory.Seconds())
+		b.balance *= math.Exp(-elapsed.Seconds() / b.options.Memory.Seconds())
 	}
-	b.add(passed.Seconds() * b.options.MinimumPerSecond)
-	b.last = now
+	b.add(elapsed.Seconds() * b.options.MinimumPerSecond)
+	b.lastAdvance = now
 }
 
 func (b *Budget) add(earned float64) {
--- a/internal/retry/hedge.go
+++ b/internal/retry/hedge.go
@@ -8,16 +8,16 @@
 
 // HedgeOptions are the settings of a Hedger.
 type HedgeOptions struct {
-	// Quantile of the first-token time after which a hedge starts, 0 to 100; 0
-	// switches hedging off.
+	// Quantile is the percentile of the first-token time, 0 to 100, after which
+	// a hedge starts; 0 disables hedging.
 	Quantile float64
-	// MinimumSamples are needed before hedging starts.
+	// MinimumSamples is the number of samples required before hedging starts.
 	MinimumSamples int64
-	// TailRatio: a hedge pays only if the 99th percentile is at least this many
-	// times the quantile plus the median, so that a second attempt is likely to
-	// come in first.
+	// TailRatio is the minimum ratio of the 99th percentile to the sum of the
+	// quantile and the median at which hedging is worthwhile, so that the
+	// second attempt is likely to finish first.
 	TailRatio float64
-	// Window is the number of samples after which the histogram starts anew.
+	// Window is the number of samples after which a new histogram is started.
 	Window int64
 }
 
@@ -27,20 +27,20 @@
 }
 
 const (
-	hedgeLowest  = int64(time.Millisecond / time.Microsecond)
-	hedgeHighest = int64(10 * time.Minute / time.Microsecond)
-	hedgeDigits  = 2
+	hedgeMinimumMicros     = int64(time.Millisecond / time.Microsecond)
+	hedgeMaximumMicros     = int64(10 * time.Minute / time.Microsecond)
+	hedgeSignificantDigits = 2
 
 	percentileMedian = 50
 	percentileTail   = 99
 )
 
-// Hedger decides from the distribution of first-token times whether a second
-// attempt beside a slow one pays (Dean and Barroso, The Tail at Scale, CACM
-// 2013).
+// Hedger decides from the distribution of first-token times whether it is
+// worthwhile to hedge a slow attempt with a second one (Dean and Barroso, The
+// Tail at Scale, CACM 2013).
 type Hedger struct {
 	options HedgeOptions
-	// current is being filled; previous is the last whole window.
+	// current is being filled; previous is the last complete window.
 	current, previous *hdrhistogram.Histogram
 }
 
@@ -50,19 +50,20 @@
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(hedgeLowest, hedgeHighest, hedgeDigits)
+	return hdrhistogram.New(hedgeMinimumMicros, hedgeMaximumMicros, hedgeSignificantDigits)
 }
 
-// Observe adds the first-token time of an attempt that wasn't hedged.
+// Observe records the first-token time of an attempt that wasn't hedged.
 func (h *Hedger) Observe(took time.Duration) {
-	value := min(max(took.Microseconds(), hedgeLowest), hedgeHighest)
+	value := min(max(took.Microseconds(), hedgeMinimumMicros), hedgeMaximumMicros)
 	_ = h.current.RecordValue(value)
 	if h.current.TotalCount() >= h.options.Window {
 		h.previous, h.current = h.current, newHistogram()
 	}
 }
 
-// After returns the wait before a hedge; ok is false if it doesn't pay.
+// After returns the delay before a hedge; ok is false if hedging isn't
+// worthwhile.
 func (h *Hedger) After() (after time.Duration, ok bool) {
 	histogram := h.current
 	if h.previous != nil {
--- a/internal/retry/retrier.go
+++ b/internal/retry/retrier.go
@@ -8,17 +8,18 @@
 // Options are the settings of a Retrier.
 type Options struct {
 	Budget BudgetOptions
-	// MaximumAttempts bounds the attempts at one request, the first included.
+	// MaximumAttempts bounds the attempts per request, including the first.
 	MaximumAttempts int
-	// BaseBackoff and MaximumBackoff bound the wait before a retry; the wait is
-	// drawn evenly between 0 and the doubled base ("full jitter", Brooker, AWS
-	// Architecture Blog 2015).
+	// BaseBackoff and MaximumBackoff bound the delay before a retry: it is
+	// drawn uniformly between 0 and BaseBackoff, which doubles with each
+	// attempt up to MaximumBackoff ("full jitter", Brooker, AWS Architecture
+	// Blog 2015).
 	BaseBackoff    time.Duration
 	MaximumBackoff time.Duration
 	Hedge          HedgeOptions
 }
 
-// DefaultOptions returns the settings that the experiments use.
+// DefaultOptions returns the default settings, which the experiments use.
 func DefaultOptions() Options {
 	return Options{
 		Budget:          DefaultBudgetOptions(),
@@ -29,7 +30,7 @@
 	}
 }
 
-// Failure is what is known of a failed attempt.
+// Failure describes a failed attempt.
 type Failure struct {
 	// Attempts is the number of attempts made so far, this one included.
 	Attempts int
@@ -37,29 +38,31 @@
 	NotRun bool
 	// Repeatable is true if the request may run more than once.
 	Repeatable bool
-	// Deadline is the time by which the answer must be there, 0 for none.
+	// Deadline is the time by which the answer is due, 0 for none.
 	Deadline time.Duration
 	// Expected is the predicted duration of a further attempt.
 	Expected time.Duration
-	// Resumes is true if the caller already has a part of the answer: giving
-	// up then wastes the work that was done.
+	// Resumes is true if the caller has already received a part of the answer,
+	// so that giving up would waste the work done.
 	Resumes bool
 }
 
-// Verdict says what to do after a failure.
+// Verdict is the decision after a failure.
 type Verdict int
 
 // Verdicts.
 const (
-	// Retry after the given wait.
+	// Retry means to retry after the returned delay.
 	Retry Verdict = iota
-	// GiveUpNotRepeatable: the attempt may have run and may not run again.
+	// GiveUpNotRepeatable means that the attempt may have run and must not run
+	// again.
 	GiveUpNotRepeatable
-	// GiveUpAttempts: the limit of attempts was reached.
+	// GiveUpAttempts means that the limit of attempts was reached.
 	GiveUpAttempts
-	// GiveUpDeadline: a further attempt would end after the deadline.
+	// GiveUpDeadline means that a further attempt would end after the deadline.
 	GiveUpDeadline
-	// GiveUpBudget: too many requests are being retried already.
+	// GiveUpBudget means that the budget is exhausted: too many requests are
+	// already being retried.
 	GiveUpBudget
 )
 
@@ -81,14 +84,15 @@
 	}
 }
 
-// Request counts a new request; call it once a request.
+// Request counts a new request. It must be called once per request.
 func (r *Retrier) Request(now time.Duration) { r.budget.Request(now) }
 
-// Budget returns the budget, for status.
+// Budget returns the budget, for status reports.
 func (r *Retrier) Budget() *Budget { return r.budget }
 
-// Failed decides what to do after a failed attempt. A Retry has been withdrawn
-// from the budget.
+// Failed decides what to do after a failed attempt, and returns the delay
+// before a retry. If the verdict is Retry, it has been withdrawn from the
+// budget.
 func (r *Retrier) Failed(now time.Duration, failed Failure) (Verdict, time.Duration) {
 	if !failed.NotRun && !failed.Repeatable {
 		return GiveUpNotRepeatable, 0
@@ -106,8 +110,9 @@
 	return Retry, wait
 }
 
-// backoff is the wait before the next attempt. A broken stream resumes at once:
-// its caller is in the middle of an answer, and another engine serves it.
+// backoff returns the delay before the next attempt. A broken stream resumes
+// without delay, because its caller is in the middle of an answer and another
+// engine serves it.
 func (r *Retrier) backoff(failed Failure) time.Duration {
 	if failed.Resumes {
 		return 0
@@ -120,15 +125,17 @@
 	return time.Duration(r.random.Int64N(int64(limit)))
 }
 
-// FirstTokenTook notes a first-token time, for hedging.
+// FirstTokenTook records a first-token time for hedging.
 func (r *Retrier) FirstTokenTook(took time.Duration) { r.hedger.Observe(took) }
 
 // HedgeAfter returns how long to wait for the first token before a second
-// attempt is worth starting; ok is false if hedging doesn't pay at present.
+// attempt is worth starting; ok is false if hedging isn't worthwhile at
+// present.
 func (r *Retrier) HedgeAfter() (after time.Duration, ok bool) { return r.hedger.After() }
 
-// Hedge asks for leave to start the second attempt now: the budget must have a
-// retry to spare and the deadline must allow it.
+// Hedge reports whether the second attempt may start now, and if so withdraws
+// it from the budget: the budget must have a retry left and the deadline must
+// allow it.
 func (r *Retrier) Hedge(now time.Duration, failed Failure) bool {
 	if !failed.Repeatable || failed.Attempts >= r.options.MaximumAttempts {
 		return false
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -14,8 +14,8 @@
 	return New(options, rand.New(rand.NewPCG(1, 2)))
 }
 
-// funded is a retrier with retries to spare.
-func funded() *Retrier {
+// retrierWithBudget returns a retrier with retries left in its budget.
+func retrierWithBudget() *Retrier {
 	retrier := newRetrier(DefaultOptions())
 	for range 1000 {
 		retrier.Request(0)
@@ -28,27 +28,27 @@
 		failed Failure
 		want   Verdict
 	}{
-		"a broken repeatable attempt":      {Failure{Attempts: 1, Repeatable: true}, Retry},
-		"one that may have run, once only": {Failure{Attempts: 1}, GiveUpNotRepeatable},
-		"one that has not run, once only":  {Failure{Attempts: 1, NotRun: true}, Retry},
-		"as many attempts as are allowed":  {Failure{Attempts: 4, Repeatable: true}, GiveUpAttempts},
-		"no time for another":              {Failure{Attempts: 1, Repeatable: true, Deadline: time.Second, Expected: time.Second}, GiveUpDeadline},
-		"time for another":                 {Failure{Attempts: 1, Repeatable: true, Deadline: time.Minute, Expected: time.Second}, Retry},
+		"a broken repeatable attempt":     {Failure{Attempts: 1, Repeatable: true}, Retry},
+		"not repeatable, may have run":    {Failure{Attempts: 1}, GiveUpNotRepeatable},
+		"not repeatable, has not run":     {Failure{Attempts: 1, NotRun: true}, Retry},
+		"attempts at the limit":           {Failure{Attempts: 4, Repeatable: true}, GiveUpAttempts},
+		"deadline before another attempt": {Failure{Attempts: 1, Repeatable: true, Deadline: time.Second, Expected: time.Second}, GiveUpDeadline},
+		"time for another attempt":        {Failure{Attempts: 1, Repeatable: true, Deadline: time.Minute, Expected: time.Second}, Retry},
 	}
 	for name, test := range cases {
-		verdict, _ := funded().Failed(0, test.failed)
+		verdict, _ := retrierWithBudget().Failed(0, test.failed)
 		assert.Equal(t, test.want, verdict, name)
 	}
 }
 
-func TestAnEmptyBudgetGivesUp(t *testing.T) {
+func TestEmptyBudgetGivesUp(t *testing.T) {
 	verdict, _ := newRetrier(DefaultOptions()).Failed(0, Failure{Attempts: 1, Repeatable: true})
 	assert.Equal(t, GiveUpBudget, verdict)
 }
 
-// TestRetriesStayWithinTheBudget: whatever fails, and however often, attempts are
-// at most 1.1 times the requests plus what was saved up.
-func TestRetriesStayWithinTheBudget(t *testing.T) {
+// TestRetriesStayWithinBudget: whatever fails, and however often, attempts are
+// at most 1.1 times the requests, plus what MinimumPerSecond adds.
+func TestRetriesStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		options := DefaultOptions()
 		retrier := newRetrier(options)
@@ -73,7 +73,7 @@
 	})
 }
 
-func TestSavedRetriesAreBounded(t *testing.T) {
+func TestBudgetBalanceIsBounded(t *testing.T) {
 	options := DefaultBudgetOptions()
 	budget := NewBudget(options)
 	for range 1_000_000 {
@@ -86,12 +86,12 @@
 	assert.EqualValues(t, 1, budget.Refused())
 }
 
-func TestABrokenStreamResumesAtOnce(t *testing.T) {
-	_, wait := funded().Failed(0, Failure{Attempts: 3, Repeatable: true, Resumes: true})
+func TestResumingStreamHasNoBackoff(t *testing.T) {
+	_, wait := retrierWithBudget().Failed(0, Failure{Attempts: 3, Repeatable: true, Resumes: true})
 	assert.Zero(t, wait)
 }
 
-func TestHedgingOnlyWhereItPays(t *testing.T) {
+func TestHedgingRequiresALongTail(t *testing.T) {
 	fill := func(quick, slow int, slowTime time.Duration) *Hedger {
 		hedger := NewHedger(DefaultHedgeOptions())
 		for index := range quick + slow {
@@ -104,19 +104,19 @@
 		return hedger
 	}
 	_, ok := fill(100, 0, 0).After()
-	assert.False(t, ok, "too little is known")
+	assert.False(t, ok, "too few samples")
 	_, ok = fill(1000, 0, 0).After()
-	assert.False(t, ok, "no tail to cut")
+	assert.False(t, ok, "no tail")
 	after, ok := fill(970, 30, 2*time.Second).After()
 	require.True(t, ok, "a long thin tail")
 	assert.InDelta(t, 100, float64(after.Milliseconds()), 2)
 	_, ok = fill(500, 500, 2*time.Second).After()
-	assert.False(t, ok, "half of all are slow: a second attempt would be, too")
+	assert.False(t, ok, "half of all attempts are slow, so a second one is likely to be slow, too")
 }
 
-func TestHedgesNeedTimeBudgetAndLeave(t *testing.T) {
-	assert.True(t, funded().Hedge(0, Failure{Attempts: 1, Repeatable: true}))
-	assert.False(t, funded().Hedge(0, Failure{Attempts: 1}), "may run once only")
-	assert.False(t, funded().Hedge(0, Failure{Attempts: 1, Repeatable: true, Deadline: time.Second, Expected: 2 * time.Second}))
-	assert.False(t, newRetrier(DefaultOptions()).Hedge(0, Failure{Attempts: 1, Repeatable: true}), "no retry to spare")
+func TestHedgeRequiresTimeBudgetAndRepeatability(t *testing.T) {
+	assert.True(t, retrierWithBudget().Hedge(0, Failure{Attempts: 1, Repeatable: true}))
+	assert.False(t, retrierWithBudget().Hedge(0, Failure{Attempts: 1}), "not repeatable")
+	assert.False(t, retrierWithBudget().Hedge(0, Failure{Attempts: 1, Repeatable: true, Deadline: time.Second, Expected: 2 * time.Second}))
+	assert.False(t, newRetrier(DefaultOptions()).Hedge(0, Failure{Attempts: 1, Repeatable: true}), "no retry left")
 }
