--- a/internal/routing/attempts.go
+++ b/internal/routing/attempts.go
@@ -2,24 +2,26 @@
 
 import "time"
 
-// Outcome is how an attempt at an engine ended, for the engine's health.
+// Outcome is how an attempt at an engine ended, as the engine's health tracking
+// sees it.
 type Outcome int
 
 // Outcomes of an attempt.
 const (
-	// OutcomeAnswered: the engine did its part.
+	// OutcomeAnswered means that the engine completed its part of the request.
 	OutcomeAnswered Outcome = iota
-	// OutcomeRefused: the engine refused before running; it lives, but its
-	// load or configuration isn't what was thought.
+	// OutcomeRefused means that the engine rejected the attempt before running
+	// it: it is alive, but its load or configuration differs from what the
+	// gateway assumed.
 	OutcomeRefused
-	// OutcomeFailed: no connection, a broken stream or a timeout.
+	// OutcomeFailed means a failed connection, a broken stream or a timeout.
 	OutcomeFailed
-	// OutcomeCancelled: this gateway or the caller ended it.
+	// OutcomeCancelled means that this gateway or the caller ended the attempt.
 	OutcomeCancelled
 )
 
-// Started notes that an attempt was handed to the engines of a choice. When the
-// choice has a prefill engine, prefillID is the attempt's id there.
+// Started records that an attempt was dispatched to the engines of a choice. If
+// the choice has a prefill engine, prefillID is the attempt's id there.
 func (r *Router) Started(now time.Duration, choice Choice, request Request, attemptID, prefillID string) {
 	if choice.Prefill == nil {
 		r.StartedAt(now, choice.Serving.ID, attemptID, choice.NewTokens, request.PromptTokens+request.OutputTokens)
@@ -29,8 +31,9 @@
 	r.StartedAt(now, choice.Serving.ID, attemptID, 0, request.PromptTokens+request.OutputTokens)
 }
 
-// StartedAt notes one attempt at one engine: prompt tokens that it must read
-// and KV cache memory that it will need, in tokens.
+// StartedAt records the start of an attempt at one engine. newTokens is the
+// number of prompt tokens to prefill there, kvTokens the KV cache memory that
+// the attempt will need, in tokens.
 func (r *Router) StartedAt(now time.Duration, engineID, attemptID string, newTokens, kvTokens int) {
 	state, found := r.engines[engineID]
 	if !found {
@@ -41,18 +44,19 @@
 		dispatchedAt:  now,
 		prefillTokens: float64(newTokens),
 		kvTokens:      float64(kvTokens),
-		tokensInFront: before.prefillTokens + float64(newTokens),
-		firstTokenAt:  notYet,
-		endedAt:       notYet,
+		tokensAhead:   before.prefillTokens + float64(newTokens),
+		firstTokenAt:  unsetTime,
+		endedAt:       unsetTime,
 	}
 	state.attempts[attemptID] = started
 	if newTokens > 0 {
-		state.readAt = now
+		state.lastPrefillAt = now
 	}
-	state.current = state.current.plus(started.loadAt(now))
+	state.ownLoad = state.ownLoad.plus(started.loadAt(now))
 }
 
-// FirstToken notes that an attempt's first token came, or that a prefill ended.
+// FirstToken records that an attempt produced its first token, or that a
+// prefill ended.
 func (r *Router) FirstToken(now time.Duration, engineID, attemptID string) {
 	state, started := r.attempt(engineID, attemptID)
 	if started == nil || started.firstTokenAt >= 0 {
@@ -62,27 +66,27 @@
 	if started.prefillTokens > 0 {
 		r.observeFirstToken(now, state, started, took)
 	}
-	state.current = state.current.minusAtLeastZero(started.loadAt(now))
+	state.ownLoad = state.ownLoad.minusClamped(started.loadAt(now))
 	started.firstTokenAt = now
-	state.current = state.current.plus(started.loadAt(now))
+	state.ownLoad = state.ownLoad.plus(started.loadAt(now))
 }
 
 func (r *Router) observeFirstToken(now time.Duration, state *engineState, started *attempt, took time.Duration) {
-	known := r.speed(state.engine)
-	predicted := known.predictFirstToken(started.tokensInFront)
-	known.observeFirstToken(started.tokensInFront, took)
+	estimator := r.latencyEstimator(state.engine)
+	predicted := estimator.predictFirstToken(started.tokensAhead)
+	estimator.observeFirstToken(started.tokensAhead, took)
 	state.health.observeSlowness(now, float64(took)/float64(max(predicted, time.Millisecond)), r.options.Ejection)
 }
 
-// Ended notes how an attempt ended.
+// Ended records how an attempt ended.
 func (r *Router) Ended(now time.Duration, engineID, attemptID string, outcome Outcome) {
 	state, ended := r.attempt(engineID, attemptID)
 	if ended == nil || ended.endedAt >= 0 {
 		return
 	}
-	state.current = state.current.minusAtLeastZero(ended.loadAt(now))
+	state.ownLoad = state.ownLoad.minusClamped(ended.loadAt(now))
 	ended.endedAt = now
-	if !state.reported {
+	if !state.hasReport {
 		delete(state.attempts, attemptID)
 	}
 	switch outcome {
@@ -93,24 +97,25 @@
 	}
 }
 
-// ProcessEnded notes that an engine's process has ended.
+// ProcessEnded records that an engine's process has ended.
 func (r *Router) ProcessEnded(now time.Duration, engineID string) {
 	if state, found := r.engines[engineID]; found {
 		state.health.processEnded(now, r.options.Ejection)
 	}
 }
 
-// KVMoved notes how long a KV cache took to move.
-func (r *Router) KVMoved(tokens int, took time.Duration) {
+// KVTransferred records how long the KV cache of a number of tokens took to transfer.
+func (r *Router) KVTransferred(tokens int, took time.Duration) {
 	if tokens <= 0 || took <= 0 {
 		return
 	}
 	sample := took / time.Duration(tokens)
-	r.transferPerToken += (sample - r.transferPerToken) / transferWeight
+	r.transferPerToken += (sample - r.transferPerToken) / transferSmoothing
 }
 
-// transferWeight is the divisor of the running mean of KV transfer times.
-const transferWeight = 10
+// transferSmoothing divides the difference between a new sample and the running
+// mean of KV transfer times.
+const transferSmoothing = 10
 
 func (r *Router) attempt(engineID, attemptID string) (*engineState, *attempt) {
 	state, found := r.engines[engineID]
@@ -127,5 +132,5 @@
 	if !found {
 		return 0
 	}
-	return int(state.current.requests)
+	return int(state.ownLoad.requests)
 }
--- a/internal/routing/batchlimit_test.go
+++ b/internal/routing/batchlimit_test.go
@@ -10,7 +10,8 @@
 	"github.com/pierhaven/pierhaven/internal/api/engineapi"
 )
 
-// reportedEngine is a router with one mixed engine that reports as a test says.
+// reportedEngine is a router with one mixed engine whose load reports a test
+// sends.
 type reportedEngine struct {
 	t        *testing.T
 	router   *Router
@@ -40,9 +41,9 @@
 	return choice.Saturated
 }
 
-// An engine counts what came during the present step as waiting; that says
-// nothing about the size of its batch.
-func TestARequestThatArrivesInMidStepIsNoSignOfAFullBatch(t *testing.T) {
+// An engine counts requests that arrive during the current step as waiting.
+// That says nothing about the size of its batch.
+func TestMidStepArrivalsDoNotIndicateFullBatch(t *testing.T) {
 	engine := newReportedEngine(t)
 	engine.report(1, 1)
 	engine.report(2, 0)
@@ -52,7 +53,7 @@
 	require.False(t, engine.saturated())
 }
 
-func TestAFullBatchIsLearnedFromRequestsThatGoOnWaiting(t *testing.T) {
+func TestBatchLimitIsLearnedFromPersistentWaiting(t *testing.T) {
 	engine := newReportedEngine(t)
 	for range 2 * fullBatchReports {
 		engine.report(8, 3)
@@ -62,31 +63,31 @@
 	require.False(t, engine.saturated(), "there is room in the batch again")
 }
 
-// A limit that is too low would keep the batches so small that no report could
-// ever show that it is.
-func TestALimitThatWasTooLowIsUnlearned(t *testing.T) {
+// With an underestimated limit the batches would stay so small that no report
+// could ever show a larger one.
+func TestUnderestimatedBatchLimitIsRaised(t *testing.T) {
 	engine := newReportedEngine(t)
 	for range 2 * fullBatchReports {
 		engine.report(1, 2)
 	}
 	engine.report(1, 0)
-	require.False(t, engine.saturated(), "one was running at the limit and none waited")
+	require.False(t, engine.saturated(), "one request ran at the limit and none waited")
 }
 
-// A gateway that replaces each answer at once always has a request that came
-// during the present step. The limit must still grow to the engine's own, and
-// hold there.
-func TestALimitGrowsUnderSteadyArrivalsToTheEnginesOwn(t *testing.T) {
-	const own = 64
+// A gateway that replaces each answer at once always has a request that arrived
+// during the current step. The limit must still grow to the engine's own, and
+// stay there.
+func TestBatchLimitConvergesUnderSteadyArrivals(t *testing.T) {
+	const engineLimit = 64
 	engine := newReportedEngine(t)
 	outstanding := 4
 	for round := range 200 {
-		running := min(outstanding-1, own)
+		running := min(outstanding-1, engineLimit)
 		engine.report(running, outstanding-running)
 		if round > 10 && !engine.saturated() {
 			outstanding++
 		}
 	}
-	require.GreaterOrEqual(t, outstanding, own)
-	require.LessOrEqual(t, outstanding, own+2*batchProbe)
+	require.GreaterOrEqual(t, outstanding, engineLimit)
+	require.LessOrEqual(t, outstanding, engineLimit+2*batchProbe)
 }
--- a/internal/routing/benchmark_test.go
+++ b/internal/routing/benchmark_test.go
@@ -9,7 +9,8 @@
 	"github.com/pierhaven/pierhaven/internal/api/engineapi"
 )
 
-// benchmarkRouter knows a zone's engines of 13 models, with a load each.
+// benchmarkRouter returns a router with a zone's engines of 13 models and a
+// load report for each.
 func benchmarkRouter(engines int) *Router {
 	const models = 13
 	router := New(DefaultOptions(), rand.New(rand.NewPCG(1, 2)))
@@ -33,7 +34,8 @@
 	return router
 }
 
-// BenchmarkSelect is one routing decision, by the engines of a zone.
+// BenchmarkSelect measures one routing decision by the number of engines in the
+// zone.
 func BenchmarkSelect(b *testing.B) {
 	for _, engines := range []int{66, 132, 264, 528} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
@@ -51,7 +53,7 @@
 	}
 }
 
-// BenchmarkMiss is the look whether any engine could take a request.
+// BenchmarkMiss measures the check whether any engine could take a request.
 func BenchmarkMiss(b *testing.B) {
 	for _, engines := range []int{66, 132, 264, 528} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
--- a/internal/routing/choice.go
+++ b/internal/routing/choice.go
@@ -8,36 +8,40 @@
 type Choice struct {
 	// Serving generates the answer.
 	Serving Engine
-	// Prefill, when not nil, reads the prompt first and hands its KV cache to
-	// Serving.
+	// Prefill, if not nil, prefills the prompt first and transfers its KV cache
+	// to Serving.
 	Prefill *Engine
 	// FirstToken and BetweenTokens are the predicted latencies.
 	FirstToken    time.Duration
 	BetweenTokens time.Duration
-	// CachedTokens is the part of the prompt that is likely cached where it
-	// will be read.
+	// CachedTokens is the number of prompt tokens that are probably cached at
+	// the engine that prefills the prompt.
 	CachedTokens int
-	// NewTokens is the prompt work that the choice causes.
+	// NewTokens is the number of prompt tokens that the choice requires to be
+	// prefilled.
 	NewTokens int
-	// Saturated is set when even the chosen engines have so much work that the
-	// request should wait at the gateway instead.
+	// Saturated is set if even the chosen engines are so loaded that the
+	// request should be queued at the gateway instead.
 	Saturated bool
 }
 
-// Miss says why Select found no engine.
+// Miss is the reason why Select found no engine.
 type Miss int
 
 // Reasons for finding no engine.
 const (
-	// MissNone: an engine was found.
+	// MissNone means that an engine was found.
 	MissNone Miss = iota
-	// MissUnknownModel: no engine of this zone has the model.
+	// MissUnknownModel means that no engine of this zone has the model, in the
+	// requested version and with the requested adapter.
 	MissUnknownModel
-	// MissNotDispatchable: engines have the model, but none takes new work or
-	// all have been tried.
+	// MissNotDispatchable means that engines have the model, but none accepts
+	// new work, or those that do were already tried or are outside the
+	// isolation set.
 	MissNotDispatchable
-	// MissNoDecode: prompts could be read, but no engine generates.
+	// MissNoDecode means that no available engine can decode, whether or not
+	// one can prefill.
 	MissNoDecode
-	// MissNoPrefill: answers could be generated, but no engine reads prompts.
+	// MissNoPrefill means that engines can decode, but none can prefill.
 	MissNoPrefill
 )
--- a/internal/routing/ejection.go
+++ b/internal/routing/ejection.go
@@ -2,74 +2,82 @@
 
 import "time"
 
-// EjectionOptions say when an engine that fails is left out, and how it comes
-// back.
+// EjectionOptions configure outlier ejection: when a failing or slow engine is
+// excluded from selection, and how it is readmitted.
 type EjectionOptions struct {
-	// ConsecutiveFailures eject an engine.
+	// ConsecutiveFailures is the number of failures in a row that ejects an
+	// engine.
 	ConsecutiveFailures int
-	// SlowRatio ejects an engine whose first tokens take this many times the
-	// prediction, on average; 0 never does.
+	// SlowRatio is the mean ratio of observed to predicted first-token time
+	// above which an engine is ejected; 0 disables this check.
 	SlowRatio float64
-	// Base is the length of the first ejection; each further one doubles it
+	// Base is the duration of the first ejection; each further one doubles it,
 	// up to Maximum.
 	Base    time.Duration
 	Maximum time.Duration
-	// Return is the time over which an engine that comes back regains its full
-	// share.
-	Return time.Duration
-	// MaximumShare bounds the part of a model's engines that may be out at the
-	// same time.
-	MaximumShare float64
+	// SlowStart is the time over which a readmitted engine regains its full
+	// share of traffic.
+	SlowStart time.Duration
+	// MaximumEjectedShare bounds the share of a model's engines that may be
+	// ejected at the same time.
+	MaximumEjectedShare float64
 }
 
-// DefaultEjectionOptions returns the settings that the experiments use.
+// DefaultEjectionOptions returns the default settings, which the experiments
+// use.
 func DefaultEjectionOptions() EjectionOptions {
 	return EjectionOptions{
 		ConsecutiveFailures: 3,
 		SlowRatio:           4,
 		Base:                2 * time.Second,
 		Maximum:             time.Minute,
-		Return:              5 * time.Second,
-		MaximumShare:        0.5,
+		SlowStart:           5 * time.Second,
+		MaximumEjectedShare: 0.5,
 	}
 }
 
 const (
-	// slownessWeight is the weight of a new sample in the mean slowness.
+	// slownessWeight is the weight of a new sample in the moving average of the
+	// slowness.
 	slownessWeight = 0.2
-	// slownessSamples are needed before slowness counts.
+	// slownessSamples is the number of samples required before slowness can
+	// eject an engine.
 	slownessSamples = 5
-	// maximumDoublings bounds the shift of the ejection time.
+	// maximumDoublings bounds the number of times that the ejection time is
+	// doubled.
 	maximumDoublings = 10
 )
 
-// health is the record of an engine's failures.
+// health tracks the failures and ejections of an engine.
 type health struct {
-	consecutive  int
-	ejections    int
-	ejectedUntil time.Duration
-	// slowness is the mean of observed over predicted first-token time.
+	consecutiveFailures int
+	ejections           int
+	ejectedUntil        time.Duration
+	// slowness is the moving average of observed over predicted first-token
+	// time.
 	slowness        float64
 	slownessSamples int
 }
 
 func (h *health) succeeded(now time.Duration, options EjectionOptions) {
-	h.consecutive = 0
-	if h.ejections > 0 && now > h.ejectedUntil+options.Return {
+	h.consecutiveFailures = 0
+	if h.ejections > 0 && now > h.ejectedUntil+options.SlowStart {
 		h.ejections--
 	}
 }
 
 func (h *health) failed(now time.Duration, options EjectionOptions) {
-	h.consecutive++
-	if h.consecutive >= options.ConsecutiveFailures {
+	h.consecutiveFailures++
+	if h.consecutiveFailures >= options.ConsecutiveFailures {
 		h.eject(now, options)
 	}
 }
 
-// processEnded notes that the engine's process has ended: it is out for the shortest ejection, while
-// it starts again, and its failures were no sign of what it is like then. An engine that one request
-// had ended a few times was left out for up to a minute.
+// processEnded records that the engine's process has ended. The engine is
+// ejected for Base only, while it restarts. Its failure counts are reset and
+// its ejections capped at 1, because they say nothing about the new process:
+// otherwise an engine that a single request had crashed a few times stayed
+// ejected for up to a minute.
 func (h *health) processEnded(now time.Duration, options EjectionOptions) {
 	*h = health{ejections: min(h.ejections, 1), ejectedUntil: now + options.Base}
 }
@@ -92,7 +100,7 @@
 	length := options.Base << min(h.ejections, maximumDoublings)
 	h.ejectedUntil = now + min(length, options.Maximum)
 	h.ejections++
-	h.consecutive = 0
+	h.consecutiveFailures = 0
 	h.slowness, h.slownessSamples = 0, 0
 }
 
@@ -100,14 +108,14 @@
 	return now < h.ejectedUntil
 }
 
-// share is the part of its work that an engine gets: 0 while ejected, then
-// rising to 1 over the return time.
-func (h *health) share(now time.Duration, options EjectionOptions) float64 {
+// trafficShare is the share of its usual traffic that an engine receives: 0
+// while ejected, then rising to 1 over the slow-start time.
+func (h *health) trafficShare(now time.Duration, options EjectionOptions) float64 {
 	if h.ejected(now) {
 		return 0
 	}
-	if h.ejections == 0 || options.Return <= 0 {
+	if h.ejections == 0 || options.SlowStart <= 0 {
 		return 1
 	}
-	return min(1, float64(now-h.ejectedUntil)/float64(options.Return))
+	return min(1, float64(now-h.ejectedUntil)/float64(options.SlowStart))
 }
--- a/internal/routing/filter.go
+++ b/internal/routing/filter.go
@@ -7,12 +7,12 @@
 	"github.com/pierhaven/pierhaven/internal/api/engineapi"
 )
 
-// filter decides whether an engine can take a request at all.
+// filter decides whether an engine is eligible for a request.
 type filter interface {
 	keep(now time.Duration, request *Request, state *engineState) bool
 }
 
-// serviceFilter keeps engines that take new work and that the request allows.
+// serviceFilter keeps engines that accept new work and that the request allows.
 type serviceFilter struct{}
 
 func (serviceFilter) keep(_ time.Duration, request *Request, state *engineState) bool {
@@ -42,7 +42,7 @@
 	return slices.Contains(f.roles, state.engine.Role)
 }
 
-// filterStates returns the states that every filter keeps.
+// filterStates returns the states that pass every filter.
 func filterStates(now time.Duration, request *Request, states []*engineState, filters ...filter) []*engineState {
 	var kept []*engineState
 	for _, state := range states {
@@ -54,16 +54,17 @@
 }
 
 func keepsAll(now time.Duration, request *Request, state *engineState, filters []filter) bool {
-	for _, each := range filters {
-		if !each.keep(now, request, state) {
+	for _, f := range filters {
+		if !f.keep(now, request, state) {
 			return false
 		}
 	}
 	return true
 }
 
-// withoutEjected drops ejected engines, but never more than the maximum share:
-// when too many look broken, the cause is likely elsewhere and all are used.
+// withoutEjected removes the ejected engines. If they exceed
+// MaximumEjectedShare it returns all engines: when so many look broken, the
+// cause is probably elsewhere.
 func withoutEjected(now time.Duration, states []*engineState, options EjectionOptions) []*engineState {
 	var healthy []*engineState
 	for _, state := range states {
@@ -72,7 +73,7 @@
 		}
 	}
 	ejected := len(states) - len(healthy)
-	if float64(ejected) > options.MaximumShare*float64(len(states)) {
+	if float64(ejected) > options.MaximumEjectedShare*float64(len(states)) {
 		return states
 	}
 	return healthy
--- a/internal/routing/fixture_test.go
+++ b/internal/routing/fixture_test.go
@@ -40,7 +40,8 @@
 	}
 }
 
-// report brings a load report with running sequences, waiting requests and a step.
+// report sends a load report with running sequences, waiting requests and a
+// step duration.
 func (f *fixture) report(engineID string, running, waiting int, step time.Duration) {
 	f.sequence++
 	f.now += reportEvery
--- a/internal/routing/idle.go
+++ b/internal/routing/idle.go
@@ -6,8 +6,9 @@
 	"github.com/pierhaven/pierhaven/internal/api/engineapi"
 )
 
-// IdleFirstToken predicts the first-token time of a request on engines that have
-// nothing else to do. Admission compares it with the deadline.
+// IdleFirstToken predicts the first-token time of a request on the fastest
+// engine for it, assuming that engine is idle. Admission compares it with the
+// deadline.
 func (r *Router) IdleFirstToken(request Request) time.Duration {
 	best := time.Duration(-1)
 	for _, id := range r.ids {
@@ -15,10 +16,10 @@
 		if state.engine.Model != request.Model || state.engine.Role == engineapi.RoleDecode {
 			continue
 		}
-		known := r.speed(state.engine)
-		predicted := known.predictFirstToken(float64(request.PromptTokens))
+		estimator := r.latencyEstimator(state.engine)
+		predicted := estimator.predictFirstToken(float64(request.PromptTokens))
 		if state.engine.Role == engineapi.RolePrefill {
-			predicted += r.transferTime(&request) + known.predictStep(1)
+			predicted += r.transferTime(&request) + estimator.predictStep(1)
 		}
 		if best < 0 || predicted < best {
 			best = predicted
--- a/internal/routing/linear.go
+++ b/internal/routing/linear.go
@@ -11,11 +11,14 @@
 }
 
 const (
-	// forgetting is the weight of the past at each sample.
-	forgetting = 0.98
-	// initialUncertainty lets the first samples override the prior.
+	// forgettingFactor is the factor by which each sample discounts the
+	// previous ones.
+	forgettingFactor = 0.98
+	// initialUncertainty is the initial diagonal of the matrix; it lets the
+	// first samples override the prior.
 	initialUncertainty = 1.0
-	// maximumUncertainty bounds the matrix when x doesn't vary.
+	// maximumUncertainty bounds the diagonal of the matrix while x doesn't
+	// vary.
 	maximumUncertainty = 1e3
 )
 
@@ -23,26 +26,27 @@
 	return linearEstimator{intercept: intercept, slope: slope, p00: initialUncertainty, p11: initialUncertainty}
 }
 
-// observe adds a sample; x should be scaled to about 1.
+// observe adds a sample; x should be scaled to the order of 1.
 func (e *linearEstimator) observe(x, value float64) {
 	e.samples++
 	gain0 := e.p00 + e.p01*x
 	gain1 := e.p01 + e.p11*x
-	denominator := forgetting + gain0 + gain1*x
+	denominator := forgettingFactor + gain0 + gain1*x
 	gain0 /= denominator
 	gain1 /= denominator
-	miss := value - e.predict(x)
-	e.intercept += gain0 * miss
-	e.slope += gain1 * miss
+	residual := value - e.predict(x)
+	e.intercept += gain0 * residual
+	e.slope += gain1 * residual
 	row0, row1 := e.p00+x*e.p01, e.p01+x*e.p11
-	e.p00 = min((e.p00-gain0*row0)/forgetting, maximumUncertainty)
-	e.p01 = (e.p01 - gain0*row1) / forgetting
-	e.p11 = min((e.p11-gain1*row1)/forgetting, maximumUncertainty)
-	e.restoreDefinite()
+	e.p00 = min((e.p00-gain0*row0)/forgettingFactor, maximumUncertainty)
+	e.p01 = (e.p01 - gain0*row1) / forgettingFactor
+	e.p11 = min((e.p11-gain1*row1)/forgettingFactor, maximumUncertainty)
+	e.resetIfIndefinite()
 }
 
-// restoreDefinite keeps the matrix positive definite after clamping.
-func (e *linearEstimator) restoreDefinite() {
+// resetIfIndefinite resets the matrix if clamping has left it not positive
+// definite.
+func (e *linearEstimator) resetIfIndefinite() {
 	if e.p00 <= 0 || e.p11 <= 0 || e.p00*e.p11 <= e.p01*e.p01 {
 		e.p00, e.p01, e.p11 = initialUncertainty, 0, initialUncertainty
 	}
--- a/internal/routing/load.go
+++ b/internal/routing/load.go
@@ -7,15 +7,15 @@
 	"github.com/pierhaven/pierhaven/internal/api/engineapi"
 )
 
-// load is an amount of work at an engine.
+// load is the amount of work at an engine.
 type load struct {
-	// prefillTokens is prompt work not yet done, in tokens.
+	// prefillTokens is the number of prompt tokens not yet prefilled.
 	prefillTokens float64
-	// decodeSequences counts sequences that generate.
+	// decodeSequences is the number of sequences being decoded.
 	decodeSequences float64
 	// kvTokens is KV cache memory in use, in tokens.
 	kvTokens float64
-	// requests counts accepted requests that have not ended.
+	// requests is the number of accepted requests that have not ended.
 	requests float64
 }
 
@@ -37,8 +37,8 @@
 	}
 }
 
-// minusAtLeastZero subtracts, and never goes below nothing.
-func (l load) minusAtLeastZero(other load) load {
+// minusClamped subtracts other, with a lower bound of 0 for each component.
+func (l load) minusClamped(other load) load {
 	return load{
 		prefillTokens:   max(0, l.prefillTokens-other.prefillTokens),
 		decodeSequences: max(0, l.decodeSequences-other.decodeSequences),
@@ -56,22 +56,22 @@
 	}
 }
 
-// attempt is one of this gateway's own requests at an engine.
+// attempt is one of this gateway's own attempts at an engine.
 type attempt struct {
 	dispatchedAt  time.Duration
 	prefillTokens float64
 	kvTokens      float64
-	// tokensInFront is the estimated prompt work, the attempt's own included,
-	// when it was dispatched.
-	tokensInFront float64
-	// firstTokenAt and endedAt are negative until they happen.
+	// tokensAhead is the estimated number of prompt tokens to prefill when the
+	// attempt was dispatched, including its own.
+	tokensAhead float64
+	// firstTokenAt and endedAt are negative until the events occur.
 	firstTokenAt time.Duration
 	endedAt      time.Duration
 }
 
-const notYet = time.Duration(-1)
+const unsetTime = time.Duration(-1)
 
-// loadAt is the attempt's part of an engine's load at a time.
+// loadAt returns the attempt's part of the engine's load at a given time.
 func (a *attempt) loadAt(at time.Duration) load {
 	if a.dispatchedAt > at || (a.endedAt >= 0 && a.endedAt <= at) {
 		return load{}
@@ -85,8 +85,9 @@
 	return part
 }
 
-// discount is the weight of a report of some age.
-func discount(age, halfLife time.Duration) float64 {
+// reportWeight returns the weight of a report of a given age, which halves with
+// each half-life.
+func reportWeight(age, halfLife time.Duration) float64 {
 	if halfLife <= 0 || age <= 0 {
 		return 1
 	}
--- a/internal/routing/miss_test.go
+++ b/internal/routing/miss_test.go
@@ -10,8 +10,9 @@
 	"github.com/pierhaven/pierhaven/internal/api/engineapi"
 )
 
-// TestMissIsWhatSelectFinds: Miss is a short cut, and no other answer.
-func TestMissIsWhatSelectFinds(t *testing.T) {
+// TestMissAgreesWithSelect: Miss must return the same reason as Select, which
+// it abbreviates.
+func TestMissAgreesWithSelect(t *testing.T) {
 	seen := map[Miss]bool{}
 	rapid.Check(t, func(t *rapid.T) {
 		var engines []Engine
--- a/internal/routing/objectives.go
+++ b/internal/routing/objectives.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Objectives are the latencies that goodput counts against.
+// Objectives are the latency objectives against which goodput is measured.
 type Objectives struct {
 	FirstToken    time.Duration
 	BetweenTokens time.Duration
--- a/internal/routing/pair.go
+++ b/internal/routing/pair.go
@@ -2,57 +2,58 @@
 
 import "time"
 
-// option is a way to serve a request: one engine, or two that are rated
-// together.
-type option struct {
+// placement assigns a request to one engine, or to two that are rated together.
+type placement struct {
 	serving *candidate
-	// prefill is nil if serving reads the prompt itself.
+	// prefill is nil unless an engine other than serving prefills the prompt.
 	prefill    *candidate
 	firstToken time.Duration
 	score      float64
 }
 
-// alone is the option of one engine, nil without one.
-func (r *Router) alone(request *Request, each *candidate) *option {
-	if each == nil {
+// singleEngine returns the placement on one engine that both prefills and
+// decodes, nil if c is nil.
+func (r *Router) singleEngine(request *Request, c *candidate) *placement {
+	if c == nil {
 		return nil
 	}
-	if each.ownDisturbed {
-		each.disturbed += ownDisturbance
-		each.score = totalScore(r.scorers, request, each)
+	if c.selfInterference {
+		c.interference += ownInterference
+		c.score = totalScore(r.scorers, request, c)
 	}
-	rated := &option{serving: each, firstToken: each.firstToken, score: each.score}
-	if each.full || each.disturbed > 0 || r.atLimit(request, each) {
+	rated := &placement{serving: c, firstToken: c.firstToken, score: c.score}
+	if c.kvFull || c.interference > 0 || r.decodeSaturated(request, c) {
 		rated.score--
 	}
 	return rated
 }
 
-// atLimit reports whether an engine can't take one more answer without its waiting
-// or coming late. Such an option comes behind those that have room and make no
-// other answers late: a saturated choice would leave that room unused. Room that
-// could only be used by disturbing other answers is none; there the scores decide.
-func (r *Router) atLimit(request *Request, serving *candidate) bool {
-	return serving.waits || r.slowDecode(request, serving)
+// decodeSaturated reports whether one more sequence at an engine would wait for
+// a batch slot or get late tokens. Such a placement ranks below those that have
+// capacity and delay no other answers, because a saturated choice would leave
+// that capacity unused. Capacity that could only be used by delaying other
+// answers doesn't count; among those placements the scores decide.
+func (r *Router) decodeSaturated(request *Request, serving *candidate) bool {
+	return serving.waitsForBatch || r.exceedsDecodeLimit(request, serving)
 }
 
-// ownDisturbance counts an answer that later prompts on the same engine would
-// disturb again and again.
-const ownDisturbance = 4
+// ownInterference is the interference added for the request's own answer, which
+// later prompts on the same engine would delay repeatedly.
+const ownInterference = 4
 
-// importing is the option of an engine that gets an exported KV cache, nil
-// without one.
-func importing(each *candidate) *option {
-	if each == nil {
+// decodeOnly returns the placement on an engine that imports an exported KV
+// cache, nil if c is nil.
+func decodeOnly(c *candidate) *placement {
+	if c == nil {
 		return nil
 	}
-	return &option{serving: each, firstToken: each.firstToken, score: each.score}
+	return &placement{serving: c, firstToken: c.firstToken, score: c.score}
 }
 
-// pair rates a prefill and a decode engine as one: the first token waits for the
-// prompt to be read, its KV cache to be moved and one decode step. It returns nil
-// unless there are two different engines.
-func (r *Router) pair(request *Request, prefill, decode *candidate) *option {
+// prefillDecodePair rates a prefill and a decode engine as one placement: the
+// first token waits for the prefill, the transfer of the KV cache and one
+// decode step. It returns nil unless there are two different engines.
+func (r *Router) prefillDecodePair(request *Request, prefill, decode *candidate) *placement {
 	if prefill == nil || decode == nil || prefill.state == decode.state {
 		return nil
 	}
@@ -62,74 +63,76 @@
 		cachedTokens:  prefill.cachedTokens,
 		firstToken:    prefill.firstToken + decode.firstToken,
 		betweenTokens: decode.betweenTokens,
-		disturbed:     prefill.disturbed + decode.disturbed,
+		interference:  prefill.interference + decode.interference,
 	}
-	rated := &option{serving: decode, prefill: prefill, firstToken: joint.firstToken}
+	rated := &placement{serving: decode, prefill: prefill, firstToken: joint.firstToken}
 	rated.score = totalScore(r.scorers, request, &joint)
-	if prefill.full || decode.full || joint.disturbed > 0 || r.atLimit(request, decode) {
+	if prefill.kvFull || decode.kvFull || joint.interference > 0 || r.decodeSaturated(request, decode) {
 		rated.score--
 	}
 	return rated
 }
 
-// bestOption returns the option with the highest score; the first of equals.
-func bestOption(options []*option) *option {
-	var best *option
-	for _, each := range options {
-		if each != nil && (best == nil || each.score > best.score) {
-			best = each
+// highestScoring returns the placement with the highest score, the first one on
+// a tie. It skips nil placements.
+func highestScoring(placements []*placement) *placement {
+	var best *placement
+	for _, p := range placements {
+		if p != nil && (best == nil || p.score > best.score) {
+			best = p
 		}
 	}
 	return best
 }
 
-func (r *Router) choiceOf(request *Request, chosen *option) Choice {
-	reader := chosen.serving
+func (r *Router) newChoice(request *Request, chosen *placement) Choice {
+	prefill := chosen.serving
 	choice := Choice{
 		Serving:       chosen.serving.state.engine,
 		FirstToken:    chosen.firstToken,
 		BetweenTokens: chosen.serving.betweenTokens,
-		Saturated:     chosen.serving.full || r.atLimit(request, chosen.serving),
+		Saturated:     chosen.serving.kvFull || r.decodeSaturated(request, chosen.serving),
 	}
 	if chosen.prefill != nil {
-		reader = chosen.prefill
+		prefill = chosen.prefill
 		engine := chosen.prefill.state.engine
 		choice.Prefill = &engine
-		choice.Saturated = choice.Saturated || chosen.prefill.full
+		choice.Saturated = choice.Saturated || chosen.prefill.kvFull
 	}
-	choice.CachedTokens = int(reader.cachedTokens)
-	choice.NewTokens = int(reader.newTokens)
-	choice.Saturated = choice.Saturated || r.backlogged(request, reader, chosen.firstToken)
+	choice.CachedTokens = int(prefill.cachedTokens)
+	choice.NewTokens = int(prefill.newTokens)
+	choice.Saturated = choice.Saturated || r.backlogged(request, prefill, chosen.firstToken)
 	return choice
 }
 
-// backlogged reports whether the prompt work in front of the request takes up too
-// much of the first-token objective.
-func (r *Router) backlogged(request *Request, reader *candidate, firstToken time.Duration) bool {
-	if reader.load.prefillTokens <= 0 {
+// backlogged reports whether the prefill work queued ahead of the request uses
+// up too much of the first-token objective.
+func (r *Router) backlogged(request *Request, prefill *candidate, firstToken time.Duration) bool {
+	if prefill.load.prefillTokens <= 0 {
 		return false
 	}
 	objective := request.Objectives.FirstToken
-	inFront := r.speed(reader.state.engine).predictFirstToken(reader.load.prefillTokens)
-	if float64(inFront) > r.options.BacklogShare*float64(objective) {
+	queueTime := r.latencyEstimator(prefill.state.engine).predictFirstToken(prefill.load.prefillTokens)
+	if float64(queueTime) > r.options.BacklogShare*float64(objective) {
 		return true
 	}
-	left := r.options.FirstTokenShare * float64(objective-request.Waited)
-	if float64(r.soonest(request, reader)) > left {
+	remaining := r.options.FirstTokenShare * float64(objective-request.Waited)
+	if float64(r.uncontendedFirstToken(request, prefill)) > remaining {
 		return false
 	}
-	return float64(firstToken) > left
+	return float64(firstToken) > remaining
 }
 
-// soonest is the first token of the request if nothing else were at its reader. A
-// request that comes too late even so gains nothing by waiting on.
-func (r *Router) soonest(request *Request, reader *candidate) time.Duration {
-	return r.speed(reader.state.engine).predictFirstToken(reader.newTokens)
+// uncontendedFirstToken predicts the first-token time if the prefill engine had
+// no other work. A request that would be late even then gains nothing by
+// waiting longer.
+func (r *Router) uncontendedFirstToken(request *Request, prefill *candidate) time.Duration {
+	return r.latencyEstimator(prefill.state.engine).predictFirstToken(prefill.newTokens)
 }
 
-// slowDecode reports whether one more sequence would bring the time between tokens
-// too near to its objective.
-func (r *Router) slowDecode(request *Request, each *candidate) bool {
+// exceedsDecodeLimit reports whether one more sequence would raise the
+// inter-token latency above DecodeShare of its objective.
+func (r *Router) exceedsDecodeLimit(request *Request, c *candidate) bool {
 	limit := r.options.DecodeShare * float64(request.Objectives.BetweenTokens)
-	return each.load.decodeSequences > 0 && float64(each.betweenTokens) > limit
+	return c.load.decodeSequences > 0 && float64(c.betweenTokens) > limit
 }
--- a/internal/routing/picker.go
+++ b/internal/routing/picker.go
@@ -5,71 +5,73 @@
 	"time"
 )
 
-// picker draws candidates and returns the best of them.
+// picker samples candidates and returns the best of them.
 type picker struct {
-	// choices is the number drawn; 0 compares all.
-	choices int
-	random  *rand.Rand
+	// sampleSize is the number of engines sampled; 0 compares all.
+	sampleSize int
+	random     *rand.Rand
 }
 
-// smallSet is the number of engines up to which all are compared: so few can't be
-// herded on by many gateways, and a bad pair of them would be drawn too often.
-const smallSet = 4
+// compareAllLimit is the number of engines up to which all are compared: with
+// so few, herding by many gateways is no concern, and a sample would too often
+// consist of poor ones only.
+const compareAllLimit = 4
 
-// draw returns the engines to be compared: a random sample, weighted by each
-// engine's share, plus the engine with the longest cached prefix.
-func (p picker) draw(now time.Duration, states []*engineState, favourite *engineState, options EjectionOptions) []*engineState {
-	if p.choices <= 0 || len(states) <= max(p.choices, smallSet) {
-		return p.returning(now, states, options)
+// sample returns the engines to be compared: a random sample, weighted by each
+// engine's traffic share, plus the engine with the longest cached prefix.
+func (p picker) sample(now time.Duration, states []*engineState, longestPrefix *engineState, options EjectionOptions) []*engineState {
+	if p.sampleSize <= 0 || len(states) <= max(p.sampleSize, compareAllLimit) {
+		return p.sampleRecovering(now, states, options)
 	}
-	drawn := make([]*engineState, 0, p.choices+1)
+	sampled := make([]*engineState, 0, p.sampleSize+1)
 	for _, index := range p.random.Perm(len(states)) {
 		state := states[index]
-		if p.random.Float64() > state.health.share(now, options) {
+		if p.random.Float64() > state.health.trafficShare(now, options) {
 			continue
 		}
-		drawn = append(drawn, state)
-		if len(drawn) == p.choices {
+		sampled = append(sampled, state)
+		if len(sampled) == p.sampleSize {
 			break
 		}
 	}
-	if favourite != nil && !contains(drawn, favourite) {
-		drawn = append(drawn, favourite)
+	if longestPrefix != nil && !contains(sampled, longestPrefix) {
+		sampled = append(sampled, longestPrefix)
 	}
-	if len(drawn) == 0 {
+	if len(sampled) == 0 {
 		return states
 	}
-	return drawn
+	return sampled
 }
 
-// returning leaves out, at random, engines that come back from an ejection.
-func (p picker) returning(now time.Duration, states []*engineState, options EjectionOptions) []*engineState {
-	var drawn []*engineState
+// sampleRecovering omits engines in slow start at random, according to their
+// traffic share. It returns all engines if none remains.
+func (p picker) sampleRecovering(now time.Duration, states []*engineState, options EjectionOptions) []*engineState {
+	var sampled []*engineState
 	for _, state := range states {
-		share := state.health.share(now, options)
+		share := state.health.trafficShare(now, options)
 		if share >= 1 || p.random.Float64() <= share {
-			drawn = append(drawn, state)
+			sampled = append(sampled, state)
 		}
 	}
-	if len(drawn) == 0 {
+	if len(sampled) == 0 {
 		return states
 	}
-	return drawn
+	return sampled
 }
 
-// best returns the candidate with the highest score; ties go to one of them at
-// random, so that gateways with the same picture don't herd.
+// best returns the candidate with the highest score. Ties are broken at random,
+// so that gateways with the same view don't herd onto one engine.
 func (p picker) best(candidates []*candidate) *candidate {
 	var best *candidate
 	ties := 0
-	for _, each := range candidates {
+	for _, c := range candidates {
 		switch {
-		case best == nil || each.score > best.score:
-			best, ties = each, 1
-		case each.score == best.score:
+		case best == nil || c.score > best.score:
+			best, ties = c, 1
+		case c.score == best.score:
 			ties++
 			if p.random.IntN(ties) == 0 {
-				best = each
+				best = c
 			}
 		}
 	}
--- a/internal/routing/prefix.go
+++ b/internal/routing/prefix.go
@@ -8,33 +8,33 @@
 	"github.com/pierhaven/pierhaven/internal/api/engineapi"
 )
 
-// prefixIndex is this gateway's approximate picture of the engines' prefix
-// caches. Events come late and with gaps, so an entry is a hint: the engine
-// alone knows what it has.
+// prefixIndex is this gateway's approximation of the engines' prefix caches.
+// Events arrive late and with gaps, so an entry is only a hint; the engine
+// itself is authoritative.
 type prefixIndex struct {
 	blocksPerEngine int
 	engines         map[string]*engineCache
 }
 
-// engineCache is the picture of one engine's cache, and the place in its stream
-// of events.
+// engineCache approximates one engine's cache and holds the position in its
+// event stream.
 type engineCache struct {
 	blocks      *simplelru.LRU[uint64, struct{}]
 	incarnation uint64
 	sequence    uint64
-	// missed counts the events that were lost since the last snapshot; each of
-	// them may have made one entry wrong.
-	missed uint64
-	// snapshotAt is when a snapshot was last asked for.
-	snapshotAt time.Duration
+	// lostEvents counts the events lost since the last snapshot or reset; each
+	// of them may have made one entry wrong.
+	lostEvents uint64
+	// snapshotRequestedAt is when a snapshot was last requested.
+	snapshotRequestedAt time.Duration
 }
 
 const (
-	// snapshotTrust is the trust below which a snapshot is worth its size.
-	snapshotTrust = 0.9
-	// snapshotInterval is the least time between two snapshots of an engine, as
-	// one of them is some ten kilobytes.
-	snapshotInterval = 20 * time.Second
+	// minimumAccuracy is the accuracy below which a snapshot is worth its size.
+	minimumAccuracy = 0.9
+	// minimumSnapshotInterval is the minimum time between two snapshots of an
+	// engine, as each is about 10 KB.
+	minimumSnapshotInterval = 20 * time.Second
 )
 
 func newPrefixIndex(blocksPerEngine int) *prefixIndex {
@@ -51,27 +51,27 @@
 	return cache
 }
 
-// clear drops all entries.
+// clear drops all entries and resets the count of lost events.
 func (c *engineCache) clear(capacity int) {
 	blocks, err := simplelru.NewLRU[uint64, struct{}](capacity, nil)
 	if err != nil { // only for a size below 1
 		panic(err)
 	}
 	c.blocks = blocks
-	c.missed = 0
+	c.lostEvents = 0
 }
 
-// trust is the part of the entries that are right at least: 1 without gaps,
-// falling towards 0 as more events are lost.
-func (c *engineCache) trust() float64 {
+// accuracy is a lower bound on the share of entries that are correct: 1 without
+// gaps, falling towards 0 as more events are lost.
+func (c *engineCache) accuracy() float64 {
 	known := float64(c.blocks.Len())
-	if c.missed == 0 {
+	if c.lostEvents == 0 {
 		return 1
 	}
-	return known / (known + float64(c.missed))
+	return known / (known + float64(c.lostEvents))
 }
 
-// apply takes an engine's events in.
+// apply applies an engine's cache events.
 func (p *prefixIndex) apply(engineID string, events engineapi.CacheEvents) {
 	cache := p.engine(engineID)
 	if events.Incarnation != cache.incarnation {
@@ -96,7 +96,7 @@
 	if event.Sequence <= c.sequence {
 		return
 	}
-	c.missed += event.Sequence - c.sequence - 1
+	c.lostEvents += event.Sequence - c.sequence - 1
 	c.sequence = event.Sequence
 	switch event.Kind {
 	case engineapi.CacheStored:
@@ -108,26 +108,27 @@
 	}
 }
 
-// remove drops an engine altogether.
+// remove drops an engine's entries and its position in the event stream.
 func (p *prefixIndex) remove(engineID string) {
 	delete(p.engines, engineID)
 }
 
-// cursor returns from where events should be asked for; zeros ask for a
-// snapshot.
+// cursor returns the position from which to request an engine's events; zeros
+// request a snapshot.
 func (p *prefixIndex) cursor(now time.Duration, engineID string) (incarnation, after uint64) {
 	cache, found := p.engines[engineID]
 	if !found {
 		return 0, 0
 	}
-	if cache.trust() < snapshotTrust && now-cache.snapshotAt >= snapshotInterval {
-		cache.snapshotAt = now
+	if cache.accuracy() < minimumAccuracy && now-cache.snapshotRequestedAt >= minimumSnapshotInterval {
+		cache.snapshotRequestedAt = now
 		return 0, 0
 	}
 	return cache.incarnation, cache.sequence
 }
 
-// cachedTokens estimates how many of a prompt's leading tokens an engine holds.
+// cachedTokens estimates how many of a prompt's leading tokens an engine has
+// cached.
 func (p *prefixIndex) cachedTokens(engineID string, blocks []uint64) float64 {
 	cache, found := p.engines[engineID]
 	if !found {
@@ -140,5 +141,5 @@
 		}
 		matched++
 	}
-	return float64(promptBlockTokens(matched)) * cache.trust()
+	return float64(promptBlockTokens(matched)) * cache.accuracy()
 }
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -8,37 +8,36 @@
 	"github.com/pierhaven/pierhaven/internal/api/engineapi"
 )
 
-// Router keeps what a gateway knows of its zone's engines and chooses among
-// them.
+// Router tracks the engines of a gateway's zone and selects among them.
 type Router struct {
 	options Options
 	random  *rand.Rand
 	scorers []weightedScorer
-	// engines and its sorted ids.
+	// engines are the states by engine id, ids the sorted keys.
 	engines map[string]*engineState
 	ids     []string
-	// byModel are the engines that have a model, sorted by id.
-	byModel map[string][]*engineState
-	prefix  *prefixIndex
-	speeds  map[speedClass]*speed
-	// transferPerToken is the measured time to move one token's KV cache.
+	// byModel lists the engines of each model, sorted by id.
+	byModel           map[string][]*engineState
+	prefix            *prefixIndex
+	latencyEstimators map[engineClass]*latencyEstimator
+	// transferPerToken is the measured time to transfer one token's KV cache.
 	transferPerToken time.Duration
 }
 
 // New returns a router without engines.
 func New(options Options, random *rand.Rand) *Router {
 	return &Router{
-		options:          options,
-		random:           random,
-		scorers:          scorersFor(options.Weights),
-		engines:          make(map[string]*engineState),
-		prefix:           newPrefixIndex(options.PrefixBlocksPerEngine),
-		speeds:           make(map[speedClass]*speed),
-		transferPerToken: options.KVTransferPerToken,
+		options:           options,
+		random:            random,
+		scorers:           scorersFor(options.Weights),
+		engines:           make(map[string]*engineState),
+		prefix:            newPrefixIndex(options.PrefixBlocksPerEngine),
+		latencyEstimators: make(map[engineClass]*latencyEstimator),
+		transferPerToken:  options.KVTransferPerToken,
 	}
 }
 
-// SetEngines replaces the list of engines and keeps what is known of those that
+// SetEngines replaces the list of engines and keeps the state of those that
 // remain.
 func (r *Router) SetEngines(engines []Engine) {
 	present := make(map[string]bool, len(engines))
@@ -74,7 +73,7 @@
 		r.prefix.remove(engine.ID)
 	}
 	if state.engine.Role != engine.Role {
-		state.reported = false
+		state.hasReport = false
 	}
 	state.engine = engine
 }
@@ -88,8 +87,8 @@
 	return engines
 }
 
-// ReportLoad takes an engine's load report in. It came at now and was measured
-// AgeMillis before.
+// ReportLoad applies an engine's load report, which arrived at now and was
+// measured AgeMillis earlier.
 func (r *Router) ReportLoad(now time.Duration, engineID string, report engineapi.LoadReport) {
 	state, found := r.engines[engineID]
 	if !found || !state.applyReport(now, report) {
@@ -100,53 +99,54 @@
 	}
 	if report.StepMillis > 0 && report.DecodeSequences > 0 {
 		took := seconds(report.StepMillis / 1000)
-		r.speed(state.engine).observeStep(float64(report.DecodeSequences), took)
+		r.latencyEstimator(state.engine).observeStep(float64(report.DecodeSequences), took)
 	}
 }
 
 // observeBatch learns whether an engine's batch is full. Waiting requests alone
-// do not show it: an engine also counts those that came during the present step.
+// don't show that, because an engine also counts those that arrived during the
+// current step.
 func (r *Router) observeBatch(state *engineState, report *engineapi.LoadReport) {
 	if report.WaitingRequests <= 0 {
 		state.waitingReports = 0
-		r.speed(state.engine).observeRoom(report.RunningRequests)
+		r.latencyEstimator(state.engine).observeFreeSlot(report.RunningRequests)
 		return
 	}
 	if report.RunningRequests > state.waitingRunning {
 		state.waitingReports = 0
-		r.speed(state.engine).observeRoom(report.RunningRequests - 1)
+		r.latencyEstimator(state.engine).observeFreeSlot(report.RunningRequests - 1)
 	}
 	state.waitingRunning = report.RunningRequests
 	state.waitingReports++
 	if state.waitingReports >= fullBatchReports && report.RunningRequests > 0 {
-		r.speed(state.engine).observeFullBatch(report.RunningRequests)
+		r.latencyEstimator(state.engine).observeFullBatch(report.RunningRequests)
 	}
 }
 
-// fullBatchReports is the number of successive reports with requests waiting,
-// and none more running, that shows a full batch.
+// fullBatchReports is the number of consecutive reports with waiting requests
+// and no increase in running ones that indicates a full batch.
 const fullBatchReports = 3
 
-// CacheEvents takes an engine's prefix cache events in.
+// CacheEvents applies an engine's prefix cache events.
 func (r *Router) CacheEvents(engineID string, events engineapi.CacheEvents) {
 	if _, found := r.engines[engineID]; found {
 		r.prefix.apply(engineID, events)
 	}
 }
 
-// CacheCursor returns from where an engine's cache events should be asked for.
-// Two zeros ask for a snapshot: at the beginning, and when too many events were
-// lost.
+// CacheCursor returns the position from which to request an engine's cache
+// events. Two zeros request a snapshot: initially, and when too many events
+// were lost.
 func (r *Router) CacheCursor(now time.Duration, engineID string) (incarnation, after uint64) {
 	return r.prefix.cursor(now, engineID)
 }
 
-func (r *Router) speed(engine Engine) *speed {
-	class := speedClass{model: engine.Model, role: engine.Role}
-	known, found := r.speeds[class]
+func (r *Router) latencyEstimator(engine Engine) *latencyEstimator {
+	class := engineClass{model: engine.Model, role: engine.Role}
+	estimator, found := r.latencyEstimators[class]
 	if !found {
-		known = newSpeed()
-		r.speeds[class] = known
+		estimator = newLatencyEstimator()
+		r.latencyEstimators[class] = estimator
 	}
-	return known
+	return estimator
 }
--- a/internal/routing/select.go
+++ b/internal/routing/select.go
@@ -13,9 +13,9 @@
 	decodeRoles  = []engineapi.Role{engineapi.RoleDecode}
 )
 
-// kvReserve is the part of an engine's KV cache memory that is left free for
-// answers that turn out longer than expected.
-const kvReserve = 0.05
+// kvReserveShare is the share of an engine's KV cache memory that is left free
+// for answers that turn out longer than expected.
+const kvReserveShare = 0.05
 
 // Select chooses the engines for a request: one mixed engine, or a prefill and
 // a decode engine together, whichever is predicted to be better.
@@ -28,27 +28,27 @@
 	if request.Prefilled {
 		return r.selectDecode(now, &request, usable)
 	}
-	return r.selectWhole(now, &request, usable)
+	return r.selectPrefillAndDecode(now, &request, usable)
 }
 
-// Miss is the reason why Select would find no engine. It looks at roles only and
-// rates no engine.
+// Miss returns the reason why Select would find no engine. It only checks
+// eligibility and roles, and rates no engine.
 func (r *Router) Miss(now time.Duration, request Request) Miss {
 	usable, miss := r.usable(now, &request)
 	if miss != MissNone {
 		return miss
 	}
 	if request.Prefilled {
-		return missOf(true, hasRole(usable, engineapi.RoleDecode, engineapi.RoleMixed))
+		return missingRole(true, hasRole(usable, engineapi.RoleDecode, engineapi.RoleMixed))
 	}
 	miss = MissNoDecode
 	for _, sameVersion := range byVersion(usable) {
 		if hasRole(sameVersion, engineapi.RoleMixed) {
 			return MissNone
 		}
-		reads := hasRole(sameVersion, engineapi.RolePrefill)
+		prefills := hasRole(sameVersion, engineapi.RolePrefill)
 		decodes := hasRole(sameVersion, engineapi.RoleDecode)
-		switch missOf(reads, decodes) {
+		switch missingRole(prefills, decodes) {
 		case MissNone:
 			return MissNone
 		case MissNoPrefill:
@@ -58,12 +58,12 @@
 	return miss
 }
 
-// missOf is what engines of one version lack.
-func missOf(reads, decodes bool) Miss {
+// missingRole returns which role the engines of one version lack.
+func missingRole(prefills, decodes bool) Miss {
 	switch {
 	case !decodes:
 		return MissNoDecode
-	case !reads:
+	case !prefills:
 		return MissNoPrefill
 	default:
 		return MissNone
@@ -76,7 +76,7 @@
 	})
 }
 
-// usable returns the engines that may take a request, whatever their role.
+// usable returns the engines that may take a request, regardless of their role.
 func (r *Router) usable(now time.Duration, request *Request) ([]*engineState, Miss) {
 	withModel := filterStates(now, request, r.byModel[request.Model], modelFilter{})
 	if len(withModel) == 0 {
@@ -90,15 +90,16 @@
 	return usable, MissNone
 }
 
-// selectWhole compares the best mixed engine with the best pairs of one engine
-// that reads the prompt and another that generates. While engines of several
-// versions serve, both of a pair are of one: a KV cache is of no use to another.
-func (r *Router) selectWhole(now time.Duration, request *Request, usable []*engineState) (Choice, Miss) {
-	var best *option
+// selectPrefillAndDecode compares the best mixed engine with the best pairs of
+// a prefill and a decode engine. While several versions are being served, both
+// engines of a pair have the same one, because a KV cache can't be used by
+// another version.
+func (r *Router) selectPrefillAndDecode(now time.Duration, request *Request, usable []*engineState) (Choice, Miss) {
+	var best *placement
 	miss := MissNoDecode
 	for _, sameVersion := range byVersion(usable) {
-		rated, decodes := r.bestWhole(now, request, sameVersion)
-		best = bestOption([]*option{best, rated})
+		rated, decodes := r.bestPlacement(now, request, sameVersion)
+		best = highestScoring([]*placement{best, rated})
 		if decodes {
 			miss = MissNoPrefill
 		}
@@ -106,26 +107,28 @@
 	if best == nil {
 		return Choice{}, miss
 	}
-	return r.choiceOf(request, best), MissNone
+	return r.newChoice(request, best), MissNone
 }
 
-// bestWhole is the best option within one version, nil if there is none; decodes
-// reports whether an engine could generate if another read the prompt.
-func (r *Router) bestWhole(now time.Duration, request *Request, usable []*engineState) (best *option, decodes bool) {
-	prefill := r.bestOf(now, request, usable, prefillRoles)
-	mixed := r.bestOf(now, request, usable, mixedRoles)
+// bestPlacement returns the best placement within one version, nil if there is
+// none. decodes reports whether an engine could decode if another prefilled the
+// prompt.
+func (r *Router) bestPlacement(now time.Duration, request *Request, usable []*engineState) (best *placement, decodes bool) {
+	prefill := r.bestPrefill(now, request, usable, prefillRoles)
+	mixed := r.bestPrefill(now, request, usable, mixedRoles)
 	decode := r.bestDecode(now, request, usable, decodeRoles)
-	best = bestOption([]*option{
-		r.pair(request, prefill, decode),
-		r.pair(request, prefill, r.bestDecode(now, request, usable, mixedRoles)),
-		r.pair(request, mixed, decode),
-		r.pair(request, mixed, r.bestDecode(now, request, without(usable, mixed), mixedRoles)),
-		r.alone(request, mixed),
+	best = highestScoring([]*placement{
+		r.prefillDecodePair(request, prefill, decode),
+		r.prefillDecodePair(request, prefill, r.bestDecode(now, request, usable, mixedRoles)),
+		r.prefillDecodePair(request, mixed, decode),
+		r.prefillDecodePair(request, mixed, r.bestDecode(now, request, excludeEngine(usable, mixed), mixedRoles)),
+		r.singleEngine(request, mixed),
 	})
 	return best, decode != nil
 }
 
-// byVersion groups engines by their version, in the order of their first.
+// byVersion groups engines by version, in the order of each version's first
+// engine.
 func byVersion(states []*engineState) [][]*engineState {
 	if isOneVersion(states) {
 		return [][]*engineState{states}
@@ -153,43 +156,46 @@
 	return true
 }
 
-// without drops a candidate's engine, so that it isn't paired with itself.
-func without(states []*engineState, dropped *candidate) []*engineState {
-	if dropped == nil {
+// excludeEngine removes a candidate's engine, so that it isn't paired with
+// itself.
+func excludeEngine(states []*engineState, excluded *candidate) []*engineState {
+	if excluded == nil {
 		return states
 	}
 	kept := make([]*engineState, 0, len(states))
 	for _, state := range states {
-		if state != dropped.state {
+		if state != excluded.state {
 			kept = append(kept, state)
 		}
 	}
 	return kept
 }
 
-// selectDecode chooses where an exported KV cache goes.
+// selectDecode selects the engine that imports an exported KV cache.
 func (r *Router) selectDecode(now time.Duration, request *Request, usable []*engineState) (Choice, Miss) {
-	best := bestOption([]*option{
-		importing(r.bestDecode(now, request, usable, decodeRoles)),
-		importing(r.bestDecode(now, request, usable, mixedRoles)),
+	best := highestScoring([]*placement{
+		decodeOnly(r.bestDecode(now, request, usable, decodeRoles)),
+		decodeOnly(r.bestDecode(now, request, usable, mixedRoles)),
 	})
 	if best == nil {
 		return Choice{}, MissNoDecode
 	}
-	return r.choiceOf(request, best), MissNone
+	return r.newChoice(request, best), MissNone
 }
 
-// bestOf returns the best candidate that reads the prompt, nil if none.
-func (r *Router) bestOf(now time.Duration, request *Request, usable []*engineState, roles []engineapi.Role) *candidate {
-	return r.best(now, request, usable, roles, r.predictWhole)
+// bestPrefill returns the best candidate that prefills the prompt, nil if there
+// is none.
+func (r *Router) bestPrefill(now time.Duration, request *Request, usable []*engineState, roles []engineapi.Role) *candidate {
+	return r.best(now, request, usable, roles, r.predictPrefill)
 }
 
-// bestDecode returns the best candidate that imports the prompt's KV cache.
+// bestDecode returns the best candidate that imports the prompt's KV cache, nil
+// if there is none.
 func (r *Router) bestDecode(now time.Duration, request *Request, usable []*engineState, roles []engineapi.Role) *candidate {
 	return r.best(now, request, usable, roles, r.predictDecode)
 }
 
-type predictor func(now time.Duration, request *Request, each *candidate)
+type predictor func(now time.Duration, request *Request, c *candidate)
 
 func (r *Router) best(now time.Duration, request *Request, usable []*engineState, roles []engineapi.Role, predict predictor) *candidate {
 	states := filterStates(now, request, usable, roleFilter{roles})
@@ -197,116 +203,119 @@
 		return nil
 	}
 	states = subset(r.options.GatewayID, states, r.options.SubsetSize)
-	mean := r.meanOthers(now, states)
-	pick := picker{choices: r.options.Choices, random: r.random}
+	mean := r.meanOtherLoad(now, states)
+	pick := picker{sampleSize: r.options.Choices, random: r.random}
 	var candidates []*candidate
-	for _, state := range pick.draw(now, states, r.favourite(request, states), r.options.Ejection) {
-		each := &candidate{state: state, load: state.estimate(now, r.options.LoadHalfLife, mean)}
-		predict(now, request, each)
-		each.score = totalScore(r.scorers, request, each)
-		if each.full {
-			each.score -= 1
+	for _, state := range pick.sample(now, states, r.longestPrefixMatch(request, states), r.options.Ejection) {
+		c := &candidate{state: state, load: state.estimate(now, r.options.LoadHalfLife, mean)}
+		predict(now, request, c)
+		c.score = totalScore(r.scorers, request, c)
+		if c.kvFull {
+			c.score -= 1
 		}
-		candidates = append(candidates, each)
+		candidates = append(candidates, c)
 	}
 	return pick.best(candidates)
 }
 
-// favourite is the engine with the longest cached prefix, nil if none has any.
-func (r *Router) favourite(request *Request, states []*engineState) *engineState {
+// longestPrefixMatch returns the engine with the longest cached prefix, nil if
+// none has any of it cached.
+func (r *Router) longestPrefixMatch(request *Request, states []*engineState) *engineState {
 	if r.options.Weights.Prefix <= 0 || len(request.Blocks) == 0 {
 		return nil
 	}
-	var favourite *engineState
+	var match *engineState
 	longest := 0.0
 	for _, state := range states {
 		cached := r.prefix.cachedTokens(state.engine.ID, request.Blocks)
 		if cached > longest {
-			favourite, longest = state, cached
+			match, longest = state, cached
 		}
 	}
-	return favourite
+	return match
 }
 
-// meanOthers is the mean reported load of other gateways over engines.
-func (r *Router) meanOthers(now time.Duration, states []*engineState) load {
+// meanOtherLoad returns the mean reported load of other gateways over the
+// engines, with each report discounted by its age.
+func (r *Router) meanOtherLoad(now time.Duration, states []*engineState) load {
 	var sum load
-	reported := 0.0
+	reports := 0.0
 	for _, state := range states {
-		if state.reported {
-			sum = sum.plus(state.others.times(discount(now-state.reportedAt, r.options.LoadHalfLife)))
-			reported++
+		if state.hasReport {
+			sum = sum.plus(state.otherLoad.times(reportWeight(now-state.reportedAt, r.options.LoadHalfLife)))
+			reports++
 		}
 	}
-	if reported == 0 {
+	if reports == 0 {
 		return load{}
 	}
-	return sum.times(1 / reported)
+	return sum.times(1 / reports)
 }
 
-// predictWhole predicts for an engine that reads the prompt itself.
-func (r *Router) predictWhole(now time.Duration, request *Request, each *candidate) {
-	known := r.speed(each.state.engine)
-	each.cachedTokens = r.prefix.cachedTokens(each.state.engine.ID, request.Blocks)
-	each.newTokens = max(1, float64(request.PromptTokens)-each.cachedTokens)
-	each.firstToken = known.predictFirstToken(each.load.prefillTokens + each.newTokens)
-	each.betweenTokens = known.predictStep(each.load.decodeSequences + 1)
-	each.full = r.isFull(request, each)
-	if each.state.engine.Role == engineapi.RolePrefill {
-		each.betweenTokens = 0
+// predictPrefill sets the predictions for an engine that prefills the prompt
+// itself.
+func (r *Router) predictPrefill(now time.Duration, request *Request, c *candidate) {
+	estimator := r.latencyEstimator(c.state.engine)
+	c.cachedTokens = r.prefix.cachedTokens(c.state.engine.ID, request.Blocks)
+	c.newTokens = max(1, float64(request.PromptTokens)-c.cachedTokens)
+	c.firstToken = estimator.predictFirstToken(c.load.prefillTokens + c.newTokens)
+	c.betweenTokens = estimator.predictStep(c.load.decodeSequences + 1)
+	c.kvFull = r.exceedsKVCapacity(request, c)
+	if c.state.engine.Role == engineapi.RolePrefill {
+		c.betweenTokens = 0
 		return
 	}
-	if known.disturbs(each.load.decodeSequences, each.newTokens, request.Objectives.BetweenTokens) {
-		each.disturbed = each.load.decodeSequences
-		each.ownDisturbed = r.readsPrompts(now, each)
+	if estimator.interferes(c.load.decodeSequences, c.newTokens, request.Objectives.BetweenTokens) {
+		c.interference = c.load.decodeSequences
+		c.selfInterference = r.hasPrefillWork(now, c)
 	}
-	r.predictPlace(known, request, each)
+	r.predictBatchWait(estimator, request, c)
 }
 
-// predictDecode predicts for an engine that imports the KV cache.
-func (r *Router) predictDecode(now time.Duration, request *Request, each *candidate) {
-	known := r.speed(each.state.engine)
-	waiting := each.load.requests - each.load.decodeSequences
-	each.betweenTokens = known.predictStep(each.load.decodeSequences + max(0, waiting) + 1)
-	each.firstToken = r.transferTime(request) + each.betweenTokens
-	each.full = r.isFull(request, each)
-	if r.readsPrompts(now, each) && known.disturbs(each.load.decodeSequences, assumedChunk, request.Objectives.BetweenTokens) {
-		each.disturbed = 1 + each.load.prefillTokens/assumedChunk
+// predictDecode sets the predictions for an engine that imports the KV cache.
+func (r *Router) predictDecode(now time.Duration, request *Request, c *candidate) {
+	estimator := r.latencyEstimator(c.state.engine)
+	waiting := c.load.requests - c.load.decodeSequences
+	c.betweenTokens = estimator.predictStep(c.load.decodeSequences + max(0, waiting) + 1)
+	c.firstToken = r.transferTime(request) + c.betweenTokens
+	c.kvFull = r.exceedsKVCapacity(request, c)
+	if r.hasPrefillWork(now, c) && estimator.interferes(c.load.decodeSequences, assumedChunk, request.Objectives.BetweenTokens) {
+		c.interference = 1 + c.load.prefillTokens/assumedChunk
 	}
-	r.predictPlace(known, request, each)
+	r.predictBatchWait(estimator, request, c)
 }
 
-// readsPrompts reports whether a mixed engine has prompts to read, or had until
-// a moment ago.
-func (r *Router) readsPrompts(now time.Duration, each *candidate) bool {
-	if each.state.engine.Role != engineapi.RoleMixed {
+// hasPrefillWork reports whether a mixed engine has prompts to prefill, or was
+// sent one by this gateway within recentPrefillWindow.
+func (r *Router) hasPrefillWork(now time.Duration, c *candidate) bool {
+	if c.state.engine.Role != engineapi.RoleMixed {
 		return false
 	}
-	recently := each.state.readAt >= 0 && now-each.state.readAt < readMemory
-	return recently || each.load.prefillTokens > 0
+	recently := c.state.lastPrefillAt >= 0 && now-c.state.lastPrefillAt < recentPrefillWindow
+	return recently || c.load.prefillTokens > 0
 }
 
-// readMemory is how long a mixed engine counts as reading after it was given a
-// prompt.
-const readMemory = time.Second
+// recentPrefillWindow is how long a mixed engine counts as prefilling after it
+// was sent a prompt.
+const recentPrefillWindow = time.Second
 
-// predictPlace adds the wait for a place in the batch.
-func (r *Router) predictPlace(known *speed, request *Request, each *candidate) {
-	wait, waits := known.predictPlace(each.load.requests, request.OutputTokens)
-	each.firstToken += wait
-	each.waits = waits
+// predictBatchWait adds the wait for a slot in the batch.
+func (r *Router) predictBatchWait(estimator *latencyEstimator, request *Request, c *candidate) {
+	wait, waitsForBatch := estimator.predictBatchWait(c.load.requests, request.OutputTokens)
+	c.firstToken += wait
+	c.waitsForBatch = waitsForBatch
 }
 
 func (r *Router) transferTime(request *Request) time.Duration {
 	return time.Duration(request.PromptTokens) * r.transferPerToken
 }
 
-func (r *Router) isFull(request *Request, each *candidate) bool {
-	capacity := float64(each.state.report.KVCapacityTokens)
-	if !each.state.reported || capacity == 0 {
+func (r *Router) exceedsKVCapacity(request *Request, c *candidate) bool {
+	capacity := float64(c.state.report.KVCapacityTokens)
+	if !c.state.hasReport || capacity == 0 {
 		return false
 	}
 	needed := float64(request.PromptTokens + request.OutputTokens)
-	own := each.state.current.kvTokens
-	return own+needed > capacity*(1-kvReserve)
+	own := c.state.ownLoad.kvTokens
+	return own+needed > capacity*(1-kvReserveShare)
 }
--- a/internal/routing/select_test.go
+++ b/internal/routing/select_test.go
@@ -12,7 +12,7 @@
 	"github.com/pierhaven/pierhaven/internal/api/engineapi"
 )
 
-func TestFiltersSayWhyNothingFits(t *testing.T) {
+func TestSelectReportsReasonForMiss(t *testing.T) {
 	cases := map[string]struct {
 		engines []Engine
 		change  func(*Request)
@@ -24,8 +24,8 @@
 		"a missing adapter":         {[]Engine{engineOf("a", engineapi.RoleMixed)}, func(r *Request) { r.Adapter = "welsh" }, MissUnknownModel},
 		"tried already":             {[]Engine{engineOf("a", engineapi.RoleMixed)}, func(r *Request) { r.Exclude = []string{"a"} }, MissNotDispatchable},
 		"outside the isolation set": {[]Engine{engineOf("a", engineapi.RoleMixed)}, func(r *Request) { r.OnlyEngines = []string{} }, MissNotDispatchable},
-		"nobody generates":          {[]Engine{engineOf("a", engineapi.RolePrefill)}, func(*Request) {}, MissNoDecode},
-		"nobody reads":              {[]Engine{engineOf("a", engineapi.RoleDecode)}, func(*Request) {}, MissNoPrefill},
+		"no engine decodes":         {[]Engine{engineOf("a", engineapi.RolePrefill)}, func(*Request) {}, MissNoDecode},
+		"no engine prefills":        {[]Engine{engineOf("a", engineapi.RoleDecode)}, func(*Request) {}, MissNoPrefill},
 		"a pair":                    {[]Engine{engineOf("a", engineapi.RolePrefill), engineOf("b", engineapi.RoleDecode)}, func(*Request) {}, MissNone},
 	}
 	for name, test := range cases {
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestDrainedAndLeavingEnginesGetNothing(t *testing.T) {
+func TestDrainedAndLeavingEnginesAreNotSelected(t *testing.T) {
 	drained, leaving := engineOf("drained", engineapi.RoleMixed), engineOf("leaving", engineapi.RoleMixed)
 	drained.Dispatchable = false
 	leaving.Leaving = true
@@ -48,14 +48,14 @@
 	}
 }
 
-func TestAPairReadsOnPrefillAndGeneratesOnDecode(t *testing.T) {
+func TestPairUsesPrefillAndDecodeEngines(t *testing.T) {
 	f := newFixture(engineOf("p", engineapi.RolePrefill), engineOf("d", engineapi.RoleDecode))
 	choice, miss := f.router.Select(f.now, request(200))
 	require.Equal(t, MissNone, miss)
 	require.NotNil(t, choice.Prefill)
 	assert.Equal(t, "p", choice.Prefill.ID)
 	assert.Equal(t, "d", choice.Serving.ID)
-	assert.Greater(t, choice.FirstToken, f.router.transferTime(&Request{PromptTokens: 200}), "the moving of the KV cache counts")
+	assert.Greater(t, choice.FirstToken, f.router.transferTime(&Request{PromptTokens: 200}), "the KV cache transfer is included")
 
 	prefilled := request(200)
 	prefilled.Prefilled = true
@@ -65,9 +65,9 @@
 	assert.Equal(t, "d", choice.Serving.ID)
 }
 
-// TestRoomIsUsedBeforeAnEngineAtItsLimit: with one mixed engine's batch full, the
-// other, which reads prompts, has to generate, too.
-func TestRoomIsUsedBeforeAnEngineAtItsLimit(t *testing.T) {
+// TestEngineWithCapacityIsPreferredToOneAtItsLimit: when one mixed engine's
+// batch is full, the other, which prefills prompts, has to decode, too.
+func TestEngineWithCapacityIsPreferredToOneAtItsLimit(t *testing.T) {
 	f := newFixture(engineOf("full", engineapi.RoleMixed), engineOf("reader", engineapi.RoleMixed))
 	for range 6 {
 		f.report("full", 64, 20, 20*time.Millisecond)
@@ -79,9 +79,9 @@
 	assert.False(t, choice.Saturated)
 }
 
-// TestDecodeBatchesStopBelowTheObjective: at the objective itself every second
+// TestDecodeSaturatesBelowTheObjective: at the objective itself every second
 // step is late.
-func TestDecodeBatchesStopBelowTheObjective(t *testing.T) {
+func TestDecodeSaturatesBelowTheObjective(t *testing.T) {
 	for _, test := range []struct {
 		step      time.Duration
 		saturated bool
@@ -95,7 +95,7 @@
 	}
 }
 
-func TestARequestWaitsRatherThanComeLate(t *testing.T) {
+func TestSaturatedWhenFirstTokenWouldBeLate(t *testing.T) {
 	f := newFixture(engineOf("a", engineapi.RoleMixed))
 	choice, _ := f.router.Select(f.now, request(5000))
 	assert.False(t, choice.Saturated, "an idle engine takes any prompt")
@@ -105,12 +105,13 @@
 	late := request(300)
 	late.Waited = 150 * time.Millisecond
 	choice, _ = f.router.Select(f.now, late)
-	assert.True(t, choice.Saturated, "behind the first it comes too late")
+	assert.True(t, choice.Saturated, "it would be late behind the first request")
 }
 
-// TestARequestThatIsLateAnywayWaitsNoLonger: behind its objective a request gains
-// nothing by an idle engine; held on, it would wait for its deadline.
-func TestARequestThatIsLateAnywayWaitsNoLonger(t *testing.T) {
+// TestRequestPastItsObjectiveIsNotHeld: past its objective a request gains
+// nothing from an idle engine. If it were held, it would wait until its
+// deadline.
+func TestRequestPastItsObjectiveIsNotHeld(t *testing.T) {
 	f := newFixture(engineOf("a", engineapi.RoleMixed))
 	f.router.StartedAt(f.now, "a", "first", 100, 200)
 	for _, waited := range []time.Duration{time.Second, time.Minute} {
@@ -123,10 +124,10 @@
 	late := request(300)
 	late.Waited = time.Minute
 	choice, _ := f.router.Select(f.now, late)
-	assert.True(t, choice.Saturated, "a backlog holds it all the same")
+	assert.True(t, choice.Saturated, "it is still held behind a backlog")
 }
 
-func TestOwnDispatchesCountBeforeTheyAreReported(t *testing.T) {
+func TestOwnDispatchesCountBeforeTheNextReport(t *testing.T) {
 	f := newFixture(engineOf("a", engineapi.RoleMixed), engineOf("b", engineapi.RoleMixed))
 	f.router.StartedAt(f.now, "a", "one", 2000, 2100)
 	for range 20 {
@@ -139,7 +140,7 @@
 	}
 }
 
-func TestAttemptsLeaveNoLoadBehind(t *testing.T) {
+func TestEndedAttemptsLeaveNoLoad(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFixture(engineOf("a", engineapi.RoleMixed), engineOf("b", engineapi.RoleDecode))
 		open := map[string]string{}
@@ -170,7 +171,7 @@
 			f.router.Ended(f.now, engineID, id, OutcomeCancelled)
 		}
 		for _, state := range f.router.engines {
-			require.Equal(t, load{}, state.current, "load of %s", state.engine.ID)
+			require.Equal(t, load{}, state.ownLoad, "load of %s", state.engine.ID)
 		}
 	})
 }
--- a/internal/routing/speed.go
+++ b/internal/routing/speed.go
@@ -6,22 +6,23 @@
 	"github.com/pierhaven/pierhaven/internal/api/engineapi"
 )
 
-// speedClass groups engines that are expected to be equally quick.
-type speedClass struct {
+// engineClass groups engines that are expected to be equally fast.
+type engineClass struct {
 	model string
 	role  engineapi.Role
 }
 
-// speed is what has been learned of a class from this gateway's own requests
-// and from load reports.
-type speed struct {
-	// firstToken is seconds against thousands of prompt tokens to be read,
-	// those queued in front included.
+// latencyEstimator predicts the latencies of an engine class. It learns from
+// this gateway's own requests and from load reports.
+type latencyEstimator struct {
+	// firstToken estimates seconds from thousands of prompt tokens to prefill,
+	// including those queued ahead.
 	firstToken linearEstimator
-	// step is seconds of a batch step against hundreds of decode sequences.
+	// step estimates the seconds of a batch step from hundreds of decode
+	// sequences.
 	step linearEstimator
-	// batchLimit is the number of sequences that engines of the class run at
-	// the same time while others wait, 0 if none were seen waiting.
+	// batchLimit is the number of sequences that engines of the class run
+	// concurrently while others wait, 0 if none were seen waiting.
 	batchLimit float64
 }
 
@@ -39,77 +40,79 @@
 	minimumSeconds            = 0.0005
 )
 
-func newSpeed() *speed {
-	return &speed{
+func newLatencyEstimator() *latencyEstimator {
+	return &latencyEstimator{
 		firstToken: newLinearEstimator(priorFirstTokenBase, priorSecondsPerThousand),
 		step:       newLinearEstimator(priorStepBase, priorStepPerHundred),
 	}
 }
 
-// predictFirstToken is the time until a prompt has been read with so many
-// tokens, its own included, in front.
-func (s *speed) predictFirstToken(tokens float64) time.Duration {
-	slope := max(s.firstToken.slope, minimumSecondsPerThousand)
-	predicted := max(s.firstToken.intercept, minimumSeconds) + slope*tokens/tokensPerUnit
+// predictFirstToken predicts the time until a prompt has been prefilled, given
+// the number of prompt tokens queued up to and including its own.
+func (e *latencyEstimator) predictFirstToken(tokens float64) time.Duration {
+	slope := max(e.firstToken.slope, minimumSecondsPerThousand)
+	predicted := max(e.firstToken.intercept, minimumSeconds) + slope*tokens/tokensPerUnit
 	return seconds(predicted)
 }
 
-// predictStep is the time between tokens with so many sequences in a batch.
-func (s *speed) predictStep(sequences float64) time.Duration {
-	slope := max(s.step.slope, minimumStepPerHundred)
-	predicted := max(s.step.intercept, minimumSeconds) + slope*sequences/sequencesPerUnit
+// predictStep predicts the time between tokens for a number of sequences in a
+// batch.
+func (e *latencyEstimator) predictStep(sequences float64) time.Duration {
+	slope := max(e.step.slope, minimumStepPerHundred)
+	predicted := max(e.step.intercept, minimumSeconds) + slope*sequences/sequencesPerUnit
 	return seconds(predicted)
 }
 
-func (s *speed) observeFirstToken(tokens float64, took time.Duration) {
-	s.firstToken.observe(tokens/tokensPerUnit, took.Seconds())
+func (e *latencyEstimator) observeFirstToken(tokens float64, took time.Duration) {
+	e.firstToken.observe(tokens/tokensPerUnit, took.Seconds())
 }
 
-func (s *speed) observeStep(sequences float64, took time.Duration) {
-	s.step.observe(sequences/sequencesPerUnit, took.Seconds())
+func (e *latencyEstimator) observeStep(sequences float64, took time.Duration) {
+	e.step.observe(sequences/sequencesPerUnit, took.Seconds())
 }
 
 // observeFullBatch learns the batch limit from an engine whose requests wait
-// for a place. A limit only grows: fewer running sequences with others waiting
-// say that memory is full, or that these have just come.
-func (s *speed) observeFullBatch(running int) {
-	s.batchLimit = max(s.batchLimit, float64(running))
+// for a slot. The limit only grows: fewer running sequences while others wait
+// mean that memory is full, or that the waiting ones have just arrived.
+func (e *latencyEstimator) observeFullBatch(running int) {
+	e.batchLimit = max(e.batchLimit, float64(running))
 }
 
-// observeRoom learns from an engine that runs a number of sequences and would
-// run one more: a batch at the known limit is not full.
-func (s *speed) observeRoom(running int) {
-	if s.batchLimit > 0 {
-		s.batchLimit = max(s.batchLimit, float64(running+1))
+// observeFreeSlot learns from an engine that could run one more sequence than
+// it does: a batch at the known limit is not full.
+func (e *latencyEstimator) observeFreeSlot(running int) {
+	if e.batchLimit > 0 {
+		e.batchLimit = max(e.batchLimit, float64(running+1))
 	}
 }
 
 // batchProbe is the number of sequences that may be sent beyond the known batch
-// limit. Without it a limit that is too low would confirm itself, because no
-// engine would ever get more.
+// limit. Without it an underestimated limit would never be corrected, because
+// no engine would ever receive more.
 const batchProbe = 2
 
-// predictPlace is the time until a batch has room for one more sequence, with so
-// many in it or in front of it, and whether there is any wait.
-func (s *speed) predictPlace(sequences float64, outputTokens int) (wait time.Duration, waits bool) {
-	ahead := sequences + 1 - batchProbe - s.batchLimit
-	if s.batchLimit <= 0 || ahead <= 0 {
+// predictBatchWait predicts the time until a batch has a slot for one more
+// sequence, given the number already in it or queued for it, and whether there
+// is any wait.
+func (e *latencyEstimator) predictBatchWait(sequences float64, outputTokens int) (wait time.Duration, waits bool) {
+	ahead := sequences + 1 - batchProbe - e.batchLimit
+	if e.batchLimit <= 0 || ahead <= 0 {
 		return 0, false
 	}
-	step := s.predictStep(s.batchLimit).Seconds()
-	return seconds(ahead / s.batchLimit * float64(outputTokens) * step), true
+	step := e.predictStep(e.batchLimit).Seconds()
+	return seconds(ahead / e.batchLimit * float64(outputTokens) * step), true
 }
 
-// disturbs reports whether a step that carries a prompt chunk takes longer than
-// an objective.
-func (s *speed) disturbs(sequences, newTokens float64, objective time.Duration) bool {
-	slope := max(s.firstToken.slope, minimumSecondsPerThousand)
+// interferes reports whether a step that includes a prefill chunk takes longer
+// than an objective.
+func (e *latencyEstimator) interferes(sequences, newTokens float64, objective time.Duration) bool {
+	slope := max(e.firstToken.slope, minimumSecondsPerThousand)
 	chunk := seconds(slope * min(newTokens, assumedChunk) / tokensPerUnit)
-	return s.predictStep(sequences)+chunk > objective
+	return e.predictStep(sequences)+chunk > objective
 }
 
 // assumedChunk is the number of prompt tokens that a mixed engine is assumed to
-// take into one step.
+// prefill in one step.
 const assumedChunk = 512
 
 func seconds(value float64) time.Duration {
--- a/internal/routing/state.go
+++ b/internal/routing/state.go
@@ -9,59 +9,62 @@
 // engineState is the data layer's record of one engine.
 type engineState struct {
 	engine Engine
-	// attempts are this gateway's own, by attempt id; ended ones stay until a
-	// report newer than their end has come.
+	// attempts are this gateway's own, by attempt id. Ended ones are kept until
+	// a report measured after their end has arrived.
 	attempts map[string]*attempt
-	current  load
+	ownLoad  load
 
-	reported bool
-	report   engineapi.LoadReport
-	// reportedAt is the time at which the report's measurement was taken.
+	hasReport bool
+	report    engineapi.LoadReport
+	// reportedAt is the time at which the report was measured.
 	reportedAt time.Duration
-	// others is the report's load without this gateway's own part.
-	others load
+	// otherLoad is the reported load without this gateway's own part.
+	otherLoad load
 
-	// waitingReports counts the successive reports with requests waiting, the
-	// last one behind waitingRunning running ones, since that number last grew.
+	// waitingReports counts the consecutive reports with waiting requests since
+	// the number of running requests last grew; waitingRunning is that number
+	// in the latest of these reports.
 	waitingReports int
 	waitingRunning int
 
-	// readAt is when this gateway last gave the engine a prompt to read,
-	// negative if never.
-	readAt time.Duration
+	// lastPrefillAt is when this gateway last sent the engine a prompt to
+	// prefill, negative if never.
+	lastPrefillAt time.Duration
 
 	health health
 }
 
 func newEngineState(engine Engine) *engineState {
-	return &engineState{engine: engine, attempts: make(map[string]*attempt), readAt: notYet}
+	return &engineState{engine: engine, attempts: make(map[string]*attempt), lastPrefillAt: unsetTime}
 }
 
-// ownAt is the load that this gateway's own attempts made at a time.
-func (s *engineState) ownAt(at time.Duration) load {
-	var own load
+// ownLoadAt returns the load of this gateway's own attempts at a given time.
+func (s *engineState) ownLoadAt(at time.Duration) load {
+	var sum load
 	for _, started := range s.attempts {
-		own = own.plus(started.loadAt(at))
+		sum = sum.plus(started.loadAt(at))
 	}
-	return own
+	return sum
 }
 
-// applyReport takes a report in; older reports than the known are dropped.
+// applyReport stores a report. It returns false and drops the report if a newer
+// one, or the same one, of the same incarnation is known.
 func (s *engineState) applyReport(now time.Duration, report engineapi.LoadReport) bool {
-	sameRun := s.reported && s.report.Incarnation == report.Incarnation
+	sameRun := s.hasReport && s.report.Incarnation == report.Incarnation
 	if sameRun && report.Sequence <= s.report.Sequence {
 		return false
 	}
-	s.reported = true
+	s.hasReport = true
 	s.report = report
 	s.reportedAt = now - time.Duration(report.AgeMillis)*time.Millisecond
-	s.others = reportedLoad(report).minusAtLeastZero(s.ownAt(s.reportedAt))
-	s.forgetEnded()
+	s.otherLoad = reportedLoad(report).minusClamped(s.ownLoadAt(s.reportedAt))
+	s.removeEnded()
 	return true
 }
 
-// forgetEnded drops attempts that ended before the newest report was measured.
-func (s *engineState) forgetEnded() {
+// removeEnded removes attempts that ended before the latest report was
+// measured.
+func (s *engineState) removeEnded() {
 	for id, started := range s.attempts {
 		if started.endedAt >= 0 && started.endedAt <= s.reportedAt {
 			delete(s.attempts, id)
@@ -69,12 +72,13 @@
 	}
 }
 
-// estimate is the load now: own attempts exactly, and the others' reported load
-// drawn towards the mean of all engines as the report grows old.
+// estimate returns the current load: this gateway's own attempts exactly, and
+// the reported load of others, which moves towards the mean of all engines as
+// the report ages.
 func (s *engineState) estimate(now, halfLife time.Duration, mean load) load {
 	weight := 0.0
-	if s.reported {
-		weight = discount(now-s.reportedAt, halfLife)
+	if s.hasReport {
+		weight = reportWeight(now-s.reportedAt, halfLife)
 	}
-	return s.current.plus(s.others.times(weight)).plus(mean.times(1 - weight))
+	return s.ownLoad.plus(s.otherLoad.times(weight)).plus(mean.times(1 - weight))
 }
--- a/internal/routing/subset.go
+++ b/internal/routing/subset.go
@@ -6,10 +6,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// subset returns the engines of a list that a gateway uses, by rendezvous
-// hashing (Thaler and Ravishankar, IEEE/ACM ToN 1998): each gateway keeps the
-// same few engines while others come and go, and engines are spread evenly over
-// gateways. Every role keeps at least size engines, if it has them.
+// subset selects the engines that a gateway uses by rendezvous hashing (Thaler
+// and Ravishankar, IEEE/ACM ToN 1998): each gateway keeps the same few engines
+// as others are added and removed, and engines are spread evenly over gateways.
+// It is applied to each role separately, so every role keeps size engines if it
+// has them.
 func subset(gatewayID string, states []*engineState, size int) []*engineState {
 	if size <= 0 || len(states) <= size {
 		return states
--- a/internal/routing/subset_test.go
+++ b/internal/routing/subset_test.go
@@ -27,7 +27,7 @@
 	return ids
 }
 
-func TestSubsetsSpreadOverTheEngines(t *testing.T) {
+func TestSubsetsSpreadOverAllEngines(t *testing.T) {
 	const engines, gateways, size = 120, 70, 12
 	all := states(engines)
 	used := map[string]int{}
@@ -38,13 +38,13 @@
 			used[id]++
 		}
 	}
-	assert.Len(t, used, engines, "an engine in no subset would idle")
+	assert.Len(t, used, engines, "an engine in no subset would stay idle")
 	for id, count := range used {
 		assert.Less(t, count, 4*gateways*size/engines, id)
 	}
 }
 
-func TestASubsetChangesLittleWhenAnEngineGoes(t *testing.T) {
+func TestSubsetIsStableWhenAnEngineIsRemoved(t *testing.T) {
 	all := states(100)
 	before := subsetIDs("g", all, 10)
 	kept := 0
@@ -56,7 +56,7 @@
 	assert.GreaterOrEqual(t, kept, 9)
 }
 
-func TestAnEngineWhoseProcessHasEndedIsSoonBack(t *testing.T) {
+func TestProcessEndDoesNotLengthenEjection(t *testing.T) {
 	options := DefaultEjectionOptions()
 	var ended health
 	now := time.Duration(0)
@@ -67,15 +67,15 @@
 		ended.processEnded(now, options)
 		require.True(t, ended.ejected(now))
 		now += options.Base
-		require.False(t, ended.ejected(now), "not longer the more often it has ended")
+		require.False(t, ended.ejected(now), "repeated process ends don't lengthen the ejection")
 		now += time.Second
 	}
-	now += options.Return
+	now += options.SlowStart
 	ended.succeeded(now, options)
-	require.EqualValues(t, 1, ended.share(now, options))
+	require.EqualValues(t, 1, ended.trafficShare(now, options))
 }
 
-func TestEjectionAndSlowReturn(t *testing.T) {
+func TestEjectionAndSlowStart(t *testing.T) {
 	options := DefaultEjectionOptions()
 	var record health
 	now := time.Second
@@ -87,15 +87,15 @@
 	require.True(t, record.ejected(now))
 	back := now + options.Base
 	require.False(t, record.ejected(back))
-	assert.InDelta(t, 0.5, record.share(back+options.Return/2, options), 0.01)
-	assert.EqualValues(t, 1, record.share(back+2*options.Return, options))
+	assert.InDelta(t, 0.5, record.trafficShare(back+options.SlowStart/2, options), 0.01)
+	assert.EqualValues(t, 1, record.trafficShare(back+2*options.SlowStart, options))
 	for range options.ConsecutiveFailures {
 		record.failed(back, options)
 	}
 	assert.True(t, record.ejected(back+options.Base+time.Millisecond), "the second ejection is longer")
 }
 
-func TestAnEngineIsNotEjectedForOneSlowAnswer(t *testing.T) {
+func TestSingleSlowAnswerDoesNotEject(t *testing.T) {
 	options := DefaultEjectionOptions()
 	var record health
 	record.observeSlowness(0, 50, options)
@@ -106,7 +106,7 @@
 	assert.True(t, record.ejected(0))
 }
 
-func TestMostEnginesAreNeverLeftOut(t *testing.T) {
+func TestEjectionIsBoundedByMaximumShare(t *testing.T) {
 	options := DefaultEjectionOptions()
 	all := states(4)
 	for index := range 3 {
@@ -114,7 +114,7 @@
 			all[index].health.failed(0, options)
 		}
 	}
-	assert.Len(t, withoutEjected(0, all, options), 4, "the cause is likely elsewhere")
+	assert.Len(t, withoutEjected(0, all, options), 4, "the cause is probably elsewhere")
 	all[2].health = health{}
 	assert.Len(t, withoutEjected(0, all, options), 2)
 }
--- a/internal/routing/versions_test.go
+++ b/internal/routing/versions_test.go
@@ -13,28 +13,28 @@
 	return Engine{ID: id, Address: id, Role: role, Model: "model", Version: version, Dispatchable: true}
 }
 
-// While a version is rolled out, a KV cache of one is of no use to an engine with
-// another.
-func TestEnginesArePairedWithinOneVersion(t *testing.T) {
+// During the rollout of a version, the KV cache of one version can't be used by
+// an engine with another.
+func TestPairedEnginesHaveTheSameVersion(t *testing.T) {
 	request := Request{Model: "model", PromptTokens: 4000, OutputTokens: 200}
 	cases := []struct {
 		name    string
 		engines []Engine
 		miss    Miss
 	}{
-		{"a reader of each", []Engine{
+		{"a prefill engine of each version", []Engine{
 			versionEngine("p1", engineapi.RolePrefill, "1"), versionEngine("p2", engineapi.RolePrefill, "2"),
 			versionEngine("d1", engineapi.RoleDecode, "1"), versionEngine("d2", engineapi.RoleDecode, "2"),
 		}, MissNone},
-		{"the new decoder has no reader yet", []Engine{
+		{"the new decode engine has no prefill engine yet", []Engine{
 			versionEngine("p1", engineapi.RolePrefill, "1"),
 			versionEngine("d1", engineapi.RoleDecode, "1"), versionEngine("d2", engineapi.RoleDecode, "2"),
 		}, MissNone},
-		{"mixed engines of the old", []Engine{
+		{"mixed engines of the old version", []Engine{
 			versionEngine("m1", engineapi.RoleMixed, "1"), versionEngine("m3", engineapi.RoleMixed, "1"),
 			versionEngine("d2", engineapi.RoleDecode, "2"),
 		}, MissNone},
-		{"no version is whole", []Engine{
+		{"no version has both roles", []Engine{
 			versionEngine("p1", engineapi.RolePrefill, "1"), versionEngine("d2", engineapi.RoleDecode, "2"),
 		}, MissNoPrefill},
 	}
