--- a/internal/backpressure/doc.go
+++ b/internal/backpressure/doc.go
@@ -1,7 +1,7 @@
-// Package backpressure keeps to what those whom a process calls ask of it in their answers: to be left
-// alone for a time (Retry-After), and to be given nothing new since they leave.
+// Package backpressure tracks what called processes ask of this one in their responses: to receive no
+// requests for a time (Retry-After), and to receive no new work because they are leaving.
 //
-// A Gate hears each answer and is asked before each send, so that it holds whatever calls there are. What
-// one process is asked binds that process: nobody else is told by this package. docs/design/backpressure.md
-// says who is, and what was weighed.
+// A Gate inspects each response and is consulted before each send, so it works for any kind of call. A
+// request binds only the process that received it: this package tells no other process.
+// docs/design/backpressure.md says which components do, and which alternatives were considered.
 package backpressure
--- a/internal/backpressure/gate.go
+++ b/internal/backpressure/gate.go
@@ -11,244 +11,247 @@
 	"github.com/pierhaven/pierhaven/internal/event"
 )
 
-// Peer is one process that is called: an address, and the incarnation that is expected behind it.
+// Peer is a called process: its address, and the incarnation that is expected there.
 type Peer struct{ Address, Instance string }
 
-// Options are what a Gate is made from.
+// Options configure a Gate.
 type Options struct {
-	// Clock tells the time, that in which the machine was suspended too.
+	// Clock returns the time, which also advances while the machine is suspended.
 	Clock func() time.Duration
-	// Leaving reports whether an answer says that its sender leaves; nil if none can say so.
+	// Leaving reports whether a response says that its sender is leaving; nil if no response can.
 	Leaving func(header http.Header) bool
-	// LeaveTime is for how long a peer that leaves may be sent new work after it has first said so; 0 for no
-	// bound.
+	// LeaveTime is how long a peer may be sent new work after it has first said that it is leaving; 0 for
+	// no limit.
 	LeaveTime time.Duration
 	Logger    logr.Logger
 }
 
-// Gate keeps what peers ask of this process. It may be used concurrently.
+// Gate tracks what peers ask of this process. It is safe for concurrent use.
 type Gate struct {
 	options Options
-	// rests and leaving say what is heard of.
-	rests, leaving bool
-	// asked is the number of standings, so that calls pay nothing while there are none.
-	asked atomic.Int64
-	// told is the function of OnChange.
-	told func(peer Peer, standing *Standing)
-
-	mutex     sync.Mutex
-	standings map[Peer]*Standing
-	// sweepAt is the number of standings at which those are looked for that may be forgotten.
-	sweepAt int
+	// honorBackoff and honorLeaving tell which of the two kinds of request the gate records.
+	honorBackoff, honorLeaving bool
+	// stateCount is len(states), kept separately so that calls take no lock while it is 0.
+	stateCount atomic.Int64
+	// onChange is set by OnChange.
+	onChange func(peer Peer, state *Standing)
+
+	mutex  sync.Mutex
+	states map[Peer]*Standing
+	// sweepThreshold is the number of states from which the next sweep removes the expired ones.
+	sweepThreshold int
 }
 
-// logPause is the least time between two lines on one peer, which may ask for more in each answer.
-const logPause = time.Second
+// logInterval is the minimum time between two log lines about one peer, which may ask for more in every
+// response.
+const logInterval = time.Second
 
-// NewGate returns a gate that knows of no wishes.
+// NewGate returns a gate without any peer state.
 func NewGate(options Options) *Gate {
 	if options.Leaving == nil {
 		options.Leaving = func(http.Header) bool { return false }
 	}
 	return &Gate{
-		options:   options,
-		rests:     true,
-		leaving:   true,
-		told:      func(Peer, *Standing) {},
-		standings: map[Peer]*Standing{},
-		sweepAt:   leastSwept,
+		options:        options,
+		honorBackoff:   true,
+		honorLeaving:   true,
+		onChange:       func(Peer, *Standing) {},
+		states:         map[Peer]*Standing{},
+		sweepThreshold: minSweepThreshold,
 	}
 }
 
-// Disregard has the gate pass over rests, or over that peers leave, to measure what that is worth. It is called
-// before any use.
-func (g *Gate) Disregard(rests, leaving bool) { g.rests, g.leaving = !rests, !leaving }
+// Disregard makes the gate ignore requested backoffs, or leaving peers, to measure the benefit of each. It
+// must be called before first use.
+func (g *Gate) Disregard(backoff, leaving bool) { g.honorBackoff, g.honorLeaving = !backoff, !leaving }
 
-// OnChange has a function told of each peer that asks for something for the first time, and again when it
-// says that it leaves. It is called before any use.
-func (g *Gate) OnChange(told func(peer Peer, standing *Standing)) { g.told = told }
+// OnChange sets a function that is called for each peer that asks for something for the first time, and again
+// when it says that it is leaving. It must be called before first use.
+func (g *Gate) OnChange(notify func(peer Peer, state *Standing)) { g.onChange = notify }
 
-// Now is the time by which standings are kept.
+// Now is the current time by the gate's clock.
 func (g *Gate) Now() time.Duration { return g.options.Clock() }
 
-// Quiet reports whether no peer has asked for anything, as far as is known.
-func (g *Gate) Quiet() bool { return g.asked.Load() == 0 }
+// Empty reports whether the gate holds no peer state.
+func (g *Gate) Empty() bool { return g.stateCount.Load() == 0 }
 
-// Hear takes the head of an answer of a peer. One of another incarnation says nothing of this one.
+// Hear records what the status and header of a peer's response ask for. A misdirected request was answered by
+// another incarnation, whose response says nothing about the expected one.
 func (g *Gate) Hear(peer Peer, status int, header http.Header) {
 	if status == http.StatusMisdirectedRequest {
 		return
 	}
-	rest, unreadable := readRest(status, header)
-	if !g.rests {
-		rest, unreadable = 0, false
+	backoff, unreadable := parseRetryAfter(status, header)
+	if !g.honorBackoff {
+		backoff, unreadable = 0, false
 	}
-	leaving := g.leaving && g.options.Leaving(header)
-	if rest <= 0 && !unreadable && !leaving {
+	leaving := g.honorLeaving && g.options.Leaving(header)
+	if backoff <= 0 && !unreadable && !leaving {
 		return
 	}
-	standing, first := g.standing(peer)
+	state, first := g.getOrCreate(peer)
 	now := g.Now()
-	longer := standing.askRest(now, rest)
-	leaves := leaving && standing.sayLeaving(now)
+	longer := state.extendBackoff(now, backoff)
+	leaves := leaving && state.markLeaving(now)
 	if first || leaves {
-		g.told(peer, standing)
+		g.onChange(peer, state)
 	}
 	switch {
 	case leaves:
 		g.options.Logger.Info(event.LeavingSaid, "life", peer.Instance, "address", peer.Address)
 	case longer:
-		g.logRest(peer, standing, event.RestAsked, rest)
+		g.logBackoff(peer, state, event.RestAsked, backoff)
 	case unreadable:
-		g.logRest(peer, standing, event.RestUnreadable, 0)
+		g.logBackoff(peer, state, event.RestUnreadable, 0)
 	}
 }
 
-// HeldError says that a peer must not be sent something now.
+// HeldError says that a request must not be sent to a peer now.
 type HeldError struct{ reason string }
 
 // Error implements error.
 func (e *HeldError) Error() string { return e.reason }
 
 var (
-	errRests  = &HeldError{reason: "it has asked for rest"}
-	errLeaves = &HeldError{reason: "it has said that it leaves"}
+	errBackoff = &HeldError{reason: "it has asked for rest"}
+	errLeaving = &HeldError{reason: "it has said that it leaves"}
 )
 
-// Permits returns a HeldError if a peer must not be sent something now, else nil. work says that it is new
-// work: what only concerns work that the peer has may be sent to one that leaves, and to none that rests.
+// Permits returns a HeldError if a request must not be sent to a peer now, else nil. work is set for new work:
+// a request that only concerns work the peer already has may go to a leaving peer, but not to one in backoff.
 func (g *Gate) Permits(peer Peer, work bool) error {
-	standing := g.find(peer)
-	if standing == nil {
+	state := g.lookup(peer)
+	if state == nil {
 		return nil
 	}
 	now := g.Now()
-	if standing.RestLeft(now) > 0 {
-		return errRests
+	if state.RestLeft(now) > 0 {
+		return errBackoff
 	}
-	if work && !g.TakesWork(standing, now) {
-		return errLeaves
+	if work && !g.AcceptsWork(state, now) {
+		return errLeaving
 	}
 	return nil
 }
 
-// TakesWork reports whether a peer with a standing may be sent new work, as far as its leaving goes.
-func (g *Gate) TakesWork(standing *Standing, now time.Duration) bool {
-	since := time.Duration(standing.leavingSince.Load())
-	return since == 0 || g.InLeaveTime(since, now)
+// AcceptsWork reports whether a peer may still be sent new work, considering only whether it is leaving.
+func (g *Gate) AcceptsWork(state *Standing, now time.Duration) bool {
+	since := time.Duration(state.leavingSince.Load())
+	return since == 0 || g.WithinLeaveTime(since, now)
 }
 
-// InLeaveTime reports whether a peer may still be sent new work that is known to leave since a time.
-func (g *Gate) InLeaveTime(since, now time.Duration) bool {
+// WithinLeaveTime reports whether a peer that has been leaving since a given time may still be sent new work.
+func (g *Gate) WithinLeaveTime(since, now time.Duration) bool {
 	return g.options.LeaveTime == 0 || now < since+g.options.LeaveTime
 }
 
-// standing returns that of a peer, and whether it is new.
-func (g *Gate) standing(peer Peer) (standing *Standing, first bool) {
+// getOrCreate returns the state of a peer, and whether it was created.
+func (g *Gate) getOrCreate(peer Peer) (state *Standing, first bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if known, found := g.standings[peer]; found {
-		return known, false
+	if existing, found := g.states[peer]; found {
+		return existing, false
 	}
 	g.sweep()
-	g.asked.Add(1)
+	g.stateCount.Add(1)
 	created := &Standing{}
-	g.standings[peer] = created
+	g.states[peer] = created
 	return created, true
 }
 
-// logRest writes a line on what a peer asks for, at most one in logPause.
-func (g *Gate) logRest(peer Peer, standing *Standing, what event.Event, rest time.Duration) {
+// logBackoff logs what a peer asks for, at most one line per logInterval.
+func (g *Gate) logBackoff(peer Peer, state *Standing, what event.Event, backoff time.Duration) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := g.Now()
-	if now < standing.logAt {
-		standing.omitted++
+	if now < state.nextLogAt {
+		state.omitted++
 		return
 	}
-	g.options.Logger.Info(what, "life", peer.Instance, "address", peer.Address, "rest_ms", rest.Milliseconds(),
-		"left_ms", standing.RestLeft(now).Milliseconds(), "omitted", standing.omitted)
-	standing.logAt, standing.omitted = now+logPause, 0
+	g.options.Logger.Info(what, "life", peer.Instance, "address", peer.Address, "rest_ms", backoff.Milliseconds(),
+		"left_ms", state.RestLeft(now).Milliseconds(), "omitted", state.omitted)
+	state.nextLogAt, state.omitted = now+logInterval, 0
 }
 
-// Counts are the peers that are to be left alone now, and those that have said that they leave.
-func (g *Gate) Counts() (resting, leaving int) {
+// Counts returns the number of peers in backoff now, and of peers that have said that they are leaving.
+func (g *Gate) Counts() (backingOff, leaving int) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := g.Now()
-	for _, each := range g.standings {
+	for _, each := range g.states {
 		if each.RestLeft(now) > 0 {
-			resting++
+			backingOff++
 		}
 		if each.Leaving() {
 			leaving++
 		}
 	}
-	return resting, leaving
+	return backingOff, leaving
 }
 
-// Know returns the standing of a peer that has become known, nil if it has asked for nothing.
-func (g *Gate) Know(peer Peer) *Standing {
-	known := g.find(peer)
-	if known != nil {
+// MarkListed notes that a peer is listed (again), so that its state does not expire, and returns the state; nil
+// if the peer has asked for nothing.
+func (g *Gate) MarkListed(peer Peer) *Standing {
+	state := g.lookup(peer)
+	if state != nil {
 		g.mutex.Lock()
 		defer g.mutex.Unlock()
-		known.forgetAt = 0
+		state.expireAt = 0
 	}
-	return known
+	return state
 }
 
-// find returns the standing of a peer, nil if it has asked for nothing.
-func (g *Gate) find(peer Peer) *Standing {
-	if g.Quiet() {
+// lookup returns the state of a peer, nil if it has asked for nothing.
+func (g *Gate) lookup(peer Peer) *Standing {
+	if g.Empty() {
 		return nil
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.standings[peer]
+	return g.states[peer]
 }
 
-// Drop notes that a peer is not known any more.
+// Drop notes that a peer is no longer listed: its state expires after a retention time.
 func (g *Gate) Drop(peer Peer) {
-	if g.Quiet() {
+	if g.Empty() {
 		return
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if dropped, found := g.standings[peer]; found {
+	if dropped, found := g.states[peer]; found {
 		now := g.Now()
-		dropped.forgetAt = now + max(memory, dropped.RestLeft(now))
+		dropped.expireAt = now + max(retention, dropped.RestLeft(now))
 	}
 }
 
-// Forget has the peer ask for nothing: its process has ended.
+// Forget deletes the state of a peer whose process has ended.
 func (g *Gate) Forget(peer Peer) {
-	if g.Quiet() {
+	if g.Empty() {
 		return
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if _, found := g.standings[peer]; found {
-		delete(g.standings, peer)
-		g.asked.Add(-1)
+	if _, found := g.states[peer]; found {
+		delete(g.states, peer)
+		g.stateCount.Add(-1)
 	}
 }
 
-// leastSwept is the number of standings below which none is looked for that may be forgotten.
-const leastSwept = 64
+// minSweepThreshold is the number of states below which no sweep takes place.
+const minSweepThreshold = 64
 
-// sweep forgets peers that have asked for nothing, or have not been known, for long, each time that there are twice as many standings as
-// after the last time. It is called with the mutex held.
+// sweep deletes the expired states, each time that there are twice as many states as after the previous sweep.
+// The caller must hold g.mutex.
 func (g *Gate) sweep() {
-	if len(g.standings) < g.sweepAt {
+	if len(g.states) < g.sweepThreshold {
 		return
 	}
 	now := g.Now()
-	for peer, each := range g.standings {
-		if each.forgettable(now) {
-			delete(g.standings, peer)
-			g.asked.Add(-1)
+	for peer, each := range g.states {
+		if each.expired(now) {
+			delete(g.states, peer)
+			g.stateCount.Add(-1)
 		}
 	}
-	g.sweepAt = max(2*len(g.standings), leastSwept)
+	g.sweepThreshold = max(2*len(g.states), minSweepThreshold)
 }
--- a/internal/backpressure/gate_test.go
+++ b/internal/backpressure/gate_test.go
@@ -15,7 +15,7 @@
 	"github.com/pierhaven/pierhaven/internal/event"
 )
 
-// testGate is a gate with a clock that stands still.
+// testGate is a gate whose clock is set by the test.
 type testGate struct {
 	*Gate
 	now time.Duration
@@ -31,8 +31,8 @@
 	return t
 }
 
-// turnAway has a peer turn a call away and ask for a rest in seconds.
-func (t *testGate) turnAway(peer Peer, seconds float64) {
+// reject makes a peer reject a call with a Retry-After in seconds.
+func (t *testGate) reject(peer Peer, seconds float64) {
 	t.Hear(peer, http.StatusServiceUnavailable, http.Header{"Retry-After": {strconv.FormatFloat(seconds, 'f', -1, 64)}})
 }
 
@@ -42,86 +42,86 @@
 	leaving = http.Header{"Leaving": {"1"}}
 )
 
-func TestOfSeveralTimesTheLatestEndCounts(t *testing.T) {
+func TestLatestBackoffEndCounts(t *testing.T) {
 	g := newTestGate(logr.Discard())
-	assert.True(t, g.Quiet())
-	assert.Nil(t, g.Know(peerA))
-	g.turnAway(peerA, 3)
+	assert.True(t, g.Empty())
+	assert.Nil(t, g.MarkListed(peerA))
+	g.reject(peerA, 3)
 	g.now += time.Second
-	g.turnAway(peerA, 1)
-	assert.Equal(t, 2*time.Second, g.Know(peerA).RestLeft(g.now), "a shorter one")
+	g.reject(peerA, 1)
+	assert.Equal(t, 2*time.Second, g.MarkListed(peerA).RestLeft(g.now), "a shorter backoff")
 	g.Hear(peerA, http.StatusOK, http.Header{})
-	g.turnAway(peerA, 0)
-	assert.Equal(t, 2*time.Second, g.Know(peerA).RestLeft(g.now), "no other answer ends it")
-	g.turnAway(peerA, 5)
-	assert.Equal(t, 5*time.Second, g.Know(peerA).RestLeft(g.now), "a longer one")
+	g.reject(peerA, 0)
+	assert.Equal(t, 2*time.Second, g.MarkListed(peerA).RestLeft(g.now), "no other response ends it")
+	g.reject(peerA, 5)
+	assert.Equal(t, 5*time.Second, g.MarkListed(peerA).RestLeft(g.now), "a longer backoff")
 	g.now += 5 * time.Second
-	assert.Zero(t, g.Know(peerA).RestLeft(g.now))
-	assert.Nil(t, g.Know(peerB), "another peer")
-	assert.Nil(t, g.Know(Peer{Address: peerA.Address, Instance: "a@2"}), "another life at its address")
+	assert.Zero(t, g.MarkListed(peerA).RestLeft(g.now))
+	assert.Nil(t, g.MarkListed(peerB), "another peer")
+	assert.Nil(t, g.MarkListed(Peer{Address: peerA.Address, Instance: "a@2"}), "another incarnation at its address")
 }
 
-func TestAnotherIncarnationSaysNothingOfTheOneThatWasMeant(t *testing.T) {
+func TestMisdirectedResponseIsIgnored(t *testing.T) {
 	g := newTestGate(logr.Discard())
 	g.Hear(peerA, http.StatusMisdirectedRequest, leaving)
-	assert.True(t, g.Quiet())
+	assert.True(t, g.Empty())
 }
 
-func TestAPeerLeavesUntilItsLifeEnds(t *testing.T) {
+func TestLeavingHoldsUntilTheProcessEnds(t *testing.T) {
 	g := newTestGate(logr.Discard())
-	told := 0
-	g.OnChange(func(peer Peer, standing *Standing) {
+	notified := 0
+	g.OnChange(func(peer Peer, state *Standing) {
 		assert.Equal(t, peerA, peer)
-		assert.True(t, standing.Leaving())
-		told++
+		assert.True(t, state.Leaving())
+		notified++
 	})
 	g.Hear(peerA, http.StatusOK, leaving)
 	g.Hear(peerA, http.StatusOK, leaving)
 	g.Hear(peerA, http.StatusOK, http.Header{})
-	assert.Equal(t, 1, told)
-	assert.True(t, g.Know(peerA).Leaving(), "an answer without the mark does not take it back")
-	resting, leaving := g.Counts()
-	assert.Zero(t, resting)
+	assert.Equal(t, 1, notified)
+	assert.True(t, g.MarkListed(peerA).Leaving(), "a response without the header does not revoke it")
+	backingOff, leaving := g.Counts()
+	assert.Zero(t, backingOff)
 	assert.Equal(t, 1, leaving)
 }
 
-func TestAPeerWhoseProcessHasEndedAsksForNothing(t *testing.T) {
+func TestForgetDeletesThePeerState(t *testing.T) {
 	g := newTestGate(logr.Discard())
-	g.turnAway(peerA, 600)
+	g.reject(peerA, 600)
 	g.Hear(peerA, http.StatusOK, leaving)
 	g.Forget(peerA)
 	g.Forget(peerB)
-	assert.True(t, g.Quiet())
+	assert.True(t, g.Empty())
 	require.NoError(t, g.Permits(peerA, true))
 }
 
-// Lists that are older than others, or doubted, drop a replica and show it again.
-func TestWhatAPeerAsksForOutlivesItsAbsenceFromTheList(t *testing.T) {
+// An older or doubted list drops a replica, and a later one shows it again.
+func TestStateOutlivesAbsenceFromTheList(t *testing.T) {
 	g := newTestGate(logr.Discard())
-	g.turnAway(peerA, 600)
+	g.reject(peerA, 600)
 	g.Hear(peerB, http.StatusOK, leaving)
 	g.Drop(peerA)
 	g.Drop(peerB)
 	for number := range 1000 {
-		g.turnAway(Peer{Address: "c:1", Instance: strconv.Itoa(number)}, 1)
+		g.reject(Peer{Address: "c:1", Instance: strconv.Itoa(number)}, 1)
 	}
-	require.NotNil(t, g.Know(peerA))
-	require.NotNil(t, g.Know(peerB))
+	require.NotNil(t, g.MarkListed(peerA))
+	require.NotNil(t, g.MarkListed(peerB))
 }
 
-func TestPeersThatAreGoneForLongAreForgotten(t *testing.T) {
+func TestStatesOfUnlistedPeersExpire(t *testing.T) {
 	g := newTestGate(logr.Discard())
 	for number := range 100_000 {
 		peer := Peer{Address: "c:1", Instance: strconv.Itoa(number)}
-		g.turnAway(peer, 1)
+		g.reject(peer, 1)
 		g.Drop(peer)
-		g.now += memory / 100
+		g.now += retention / 100
 	}
-	assert.Less(t, len(g.standings), 500)
-	assert.EqualValues(t, len(g.standings), g.asked.Load())
+	assert.Less(t, len(g.states), 500)
+	assert.EqualValues(t, len(g.states), g.stateCount.Load())
 }
 
-func TestAPeerThatAsksInEachAnswerHasOneLineASecond(t *testing.T) {
+func TestLogsAreLimitedToOneLinePerSecondAndPeer(t *testing.T) {
 	lines := map[string]int{}
 	g := newTestGate(funcr.NewJSON(func(line string) {
 		for _, each := range []event.Event{event.RestAsked, event.RestUnreadable, event.LeavingSaid} {
@@ -131,7 +131,7 @@
 		}
 	}, funcr.Options{}))
 	for range 1000 {
-		g.turnAway(peerA, 2)
+		g.reject(peerA, 2)
 		g.Hear(peerA, http.StatusServiceUnavailable, http.Header{"Retry-After": {"soon"}})
 		g.Hear(peerA, http.StatusOK, leaving)
 		g.now += 10 * time.Millisecond
--- a/internal/backpressure/rest.go
+++ b/internal/backpressure/rest.go
@@ -10,45 +10,45 @@
 )
 
 const (
-	// longestNumber bounds the characters of a time: no number of seconds takes more.
-	longestNumber = 32
-	// longestRest bounds a rest, above the life of any process.
-	longestRest = 10 * 365 * 24 * time.Hour
+	// maxNumberLength bounds the characters of a number of seconds; no sensible one takes more.
+	maxNumberLength = 32
+	// maxBackoff bounds a backoff, beyond the lifetime of any process.
+	maxBackoff = 10 * 365 * 24 * time.Hour
 )
 
-var errNoTime = errors.New("no time in seconds")
+var errNotSeconds = errors.New("not a number of seconds")
 
-// readRest reads for how long an answer asks to be left alone, in the field Retry-After (RFC 9110, section
-// 10.2.3) of those that turn a request away. Of several times the longest counts. Dates are passed over: the
-// clocks of two machines need not agree. unreadable says that there are times and none can be read.
-func readRest(status int, header http.Header) (rest time.Duration, unreadable bool) {
+// parseRetryAfter returns the backoff that a rejection (503 or 429) asks for in Retry-After fields (RFC 9110,
+// section 10.2.3). The longest of several counts. Dates are ignored, because the clocks of two machines may
+// differ. unreadable is set if there are such fields and none can be parsed.
+func parseRetryAfter(status int, header http.Header) (backoff time.Duration, unreadable bool) {
 	if status != http.StatusServiceUnavailable && status != http.StatusTooManyRequests {
 		return 0, false
 	}
 	fields := header["Retry-After"]
 	unreadable = len(fields) > 0
 	for _, field := range fields {
-		each, err := readSeconds(field)
+		each, err := parseSeconds(field)
 		if err != nil {
 			continue
 		}
 		unreadable = false
-		rest = max(rest, each)
+		backoff = max(backoff, each)
 	}
-	return rest, unreadable
+	return backoff, unreadable
 }
 
-// readSeconds reads a decimal number of seconds.
-func readSeconds(text string) (time.Duration, error) {
-	if len(text) > longestNumber {
-		return 0, errNoTime
+// parseSeconds parses a decimal number of seconds.
+func parseSeconds(text string) (time.Duration, error) {
+	if len(text) > maxNumberLength {
+		return 0, errNotSeconds
 	}
 	seconds, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	if err != nil && !errors.Is(err, strconv.ErrRange) || math.IsNaN(seconds) || seconds < 0 {
-		return 0, errNoTime
+		return 0, errNotSeconds
 	}
-	if seconds > longestRest.Seconds() {
-		return longestRest, nil
+	if seconds > maxBackoff.Seconds() {
+		return maxBackoff, nil
 	}
 	return time.Duration(seconds * float64(time.Second)), nil
 }
--- a/internal/backpressure/rest_test.go
+++ b/internal/backpressure/rest_test.go
@@ -9,11 +9,11 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestTheTimeThatAnAnswerAsksFor(t *testing.T) {
+func TestParseRetryAfter(t *testing.T) {
 	for _, each := range []struct {
 		status     int
 		fields     []string
-		rest       time.Duration
+		backoff    time.Duration
 		unreadable bool
 	}{
 		{503, nil, 0, false},
@@ -23,8 +23,8 @@
 		{500, []string{"3"}, 0, false},
 		{503, []string{" 0.5 "}, 500 * time.Millisecond, false},
 		{503, []string{"0"}, 0, false},
-		{503, []string{"1e9"}, longestRest, false},
-		{503, []string{"1e999"}, longestRest, false},
+		{503, []string{"1e9"}, maxBackoff, false},
+		{503, []string{"1e999"}, maxBackoff, false},
 		{503, []string{"1", "4", "2"}, 4 * time.Second, false},
 		{503, []string{"rubbish", "2"}, 2 * time.Second, false},
 		{503, []string{"-1"}, 0, true},
@@ -34,8 +34,8 @@
 		{503, []string{"Thu, 03 Dec 2026 10:00:00 GMT"}, 0, true},
 		{503, []string{strings.Repeat("9", 64<<10)}, 0, true},
 	} {
-		rest, unreadable := readRest(each.status, http.Header{"Retry-After": each.fields})
-		assert.Equal(t, each.rest, rest, "%d %.40q", each.status, each.fields)
+		backoff, unreadable := parseRetryAfter(each.status, http.Header{"Retry-After": each.fields})
+		assert.Equal(t, each.backoff, backoff, "%d %.40q", each.status, each.fields)
 		assert.Equal(t, each.unreadable, unreadable, "%d %.40q", each.status, each.fields)
 	}
 }
--- a/internal/backpressure/standing.go
+++ b/internal/backpressure/standing.go
@@ -5,51 +5,52 @@
 	"time"
 )
 
-// Standing is what one peer asks of this process. It may be used concurrently; times are by the Gate's
+// Standing is what one peer asks of this process. It is safe for concurrent use; times are by the Gate's
 // clock.
 type Standing struct {
-	// restEnds is when its rest ends, and leavingSince when it first said that it leaves; 0 for never.
-	restEnds, leavingSince atomic.Int64
-
-	// Guarded by the Gate's mutex: when the next line may be written, and the changes since the last one.
-	logAt   time.Duration
-	omitted int
-	// forgetAt is when the standing of a peer that is not known any more is forgotten; 0 while it is known.
-	forgetAt time.Duration
+	// backoffEnd is when the requested backoff ends, and leavingSince when the peer first said that it is
+	// leaving; 0 for never.
+	backoffEnd, leavingSince atomic.Int64
+
+	// Guarded by the Gate's mutex: when the next line may be logged, and how many were omitted since the last.
+	nextLogAt time.Duration
+	omitted   int
+	// expireAt is when the state of a peer that is no longer listed is deleted; 0 while it is listed.
+	expireAt time.Duration
 }
 
-// RestLeft is for how much longer the peer is to be left alone.
+// RestLeft returns the rest of the backoff that the peer has requested, 0 if there is none.
 func (s *Standing) RestLeft(now time.Duration) time.Duration {
-	return max(time.Duration(s.restEnds.Load())-now, 0)
+	return max(time.Duration(s.backoffEnd.Load())-now, 0)
 }
 
-// Leaving reports whether the peer has said that it leaves.
+// Leaving reports whether the peer has said that it is leaving.
 func (s *Standing) Leaving() bool { return s.leavingSince.Load() != 0 }
 
-// memory is for how long a standing is kept that says nothing any more, or whose peer is not known any more:
-// lists that are older, or doubted, may show it again.
-const memory = time.Minute
+// retention is how long a state is kept after its backoff has ended, or after its peer was unlisted: an older or
+// doubted list may show the peer again.
+const retention = time.Minute
 
-// forgettable reports whether the standing may be forgotten. It is called with the Gate's mutex held.
-func (s *Standing) forgettable(now time.Duration) bool {
-	if s.forgetAt > 0 && now >= s.forgetAt {
+// expired reports whether the state may be deleted. The caller must hold the Gate's mutex.
+func (s *Standing) expired(now time.Duration) bool {
+	if s.expireAt > 0 && now >= s.expireAt {
 		return true
 	}
-	return !s.Leaving() && now >= time.Duration(s.restEnds.Load())+memory
+	return !s.Leaving() && now >= time.Duration(s.backoffEnd.Load())+retention
 }
 
-// askRest notes that the peer asks to be left alone, and reports whether that is for longer than before. Of
-// several times the latest end counts, and no other answer ends a rest.
-func (s *Standing) askRest(now, rest time.Duration) (longer bool) {
-	ends := int64(now + rest)
-	if rest <= 0 || ends <= s.restEnds.Load() {
+// extendBackoff records a requested backoff, and reports whether it ends later than before. The latest end
+// counts, and no response shortens a backoff.
+func (s *Standing) extendBackoff(now, backoff time.Duration) (longer bool) {
+	end := int64(now + backoff)
+	if backoff <= 0 || end <= s.backoffEnd.Load() {
 		return false
 	}
-	s.restEnds.Store(ends)
+	s.backoffEnd.Store(end)
 	return true
 }
 
-// sayLeaving notes that the peer leaves, and reports whether that is new. It holds until its life ends.
-func (s *Standing) sayLeaving(now time.Duration) (first bool) {
+// markLeaving records that the peer is leaving, and reports whether that is new. It holds until the process ends.
+func (s *Standing) markLeaving(now time.Duration) (first bool) {
 	return s.leavingSince.CompareAndSwap(0, int64(max(now, 1)))
 }
--- a/internal/relay/backpressure.go
+++ b/internal/relay/backpressure.go
@@ -39,7 +39,7 @@
 // LeavingUntold lists the replicas, by their lives' names, that have said to this process that they leave,
 // and are not listed so.
 func (d *Directory) LeavingUntold() []string {
-	if d.gate == nil || d.gate.Quiet() {
+	if d.gate == nil || d.gate.Empty() {
 		return nil
 	}
 	d.mutex.Lock()
@@ -88,10 +88,10 @@
 		return true
 	}
 	now := d.gate.Now()
-	if replica.asks != nil && !d.gate.TakesWork(replica.asks, now) {
+	if replica.asks != nil && !d.gate.AcceptsWork(replica.asks, now) {
 		return false
 	}
-	return !replica.Leaving || d.gate.InLeaveTime(replica.leavingSince, now)
+	return !replica.Leaving || d.gate.WithinLeaveTime(replica.leavingSince, now)
 }
 
 // noteLeaving notes that others have heard that the replica leaves. It is called with the mutex held.
@@ -110,12 +110,12 @@
 	if d.gate == nil {
 		return nil
 	}
-	return d.gate.Know(peer)
+	return d.gate.MarkListed(peer)
 }
 
 // askingNow is the time by which replicas' rests end, 0 while none has asked for anything.
 func (d *Directory) askingNow() time.Duration {
-	if d.gate == nil || d.gate.Quiet() {
+	if d.gate == nil || d.gate.Empty() {
 		return 0
 	}
 	return d.gate.Now()
@@ -173,7 +173,7 @@
 
 // asks is what the lease's replica asks of this process, nil if that is nothing.
 func (l *Lease) asks() *backpressure.Standing {
-	if l.directory.gate == nil || l.directory.gate.Quiet() {
+	if l.directory.gate == nil || l.directory.gate.Empty() {
 		return nil
 	}
 	l.directory.mutex.Lock()
