--- a/internal/ratelimit/doc.go
+++ b/internal/ratelimit/doc.go
@@ -1,10 +1,10 @@
-// Package ratelimit has all gateways together send a replica no more than it says it takes. A replica
-// in need names in its answers how many requests a second it takes from everyone.
+// Package ratelimit makes all gateways together send a replica no more than the rate limit it declares. An
+// overloaded replica declares in its responses how many requests a second it accepts from all of them.
 //
-// A Table holds what replicas name; processes tell each other with Words, and the newest answer
-// counts. How much of a limit is used is counted by quota pools under the Terms and the Limit of
-// this package. Lone is what a gateway sends by itself while it reaches no pool.
+// A Table holds the declared limits; processes exchange them as Words (limit reports), and the newest
+// response counts. Quota pools count how much of a limit is used, under the Terms and the Limit of this
+// package. Lone limits what a gateway sends on its own while it reaches no pool.
 //
-// The package is a pure core: it takes the time and an input, and has no clock or sockets.
-// docs/design/replica-limits.md says what was weighed, and gives the bound.
+// The package is pure: it takes the time and an input, and has no clock or sockets.
+// docs/design/replica-limits.md describes the alternatives considered, and gives the bound.
 package ratelimit
--- a/internal/ratelimit/limit_test.go
+++ b/internal/ratelimit/limit_test.go
@@ -13,40 +13,39 @@
 	"github.com/pierhaven/pierhaven/internal/ratelimit"
 )
 
-// contact is the time within which processes that reach each other know what one knows.
+// contact is the time within which information reaches all connected processes.
 const contact = 3 * time.Second
 
-// Whatever a replica names, all that the pools and the gateways without one may send in a window lies
-// within half as much again as the limit allows and 5 requests, though each was allowed up to the
-// permits' time before.
-func TestAllPartsOfALimitFitIntoTheWindow(t *testing.T) {
+// At any declared rate, the pools and the gateways without a pool together send at most 1.5 times the limit
+// and 5 requests in a window, even if each request was permitted up to PermitTime earlier.
+func TestAllSharesOfALimitFitIntoTheWindow(t *testing.T) {
 	terms := ratelimit.Terms()
 	for _, rate := range []float64{0, 1e-9, 0.1, 1.0 / 3, 0.5, 1, 2, 5.9, 20, 400, 1e9} {
 		limit := ratelimit.PoolLimit(rate, contact)
-		tolerated := (limit.Rate*terms.Window.Seconds()+limit.Burst)*terms.Over + terms.Slack
-		pools := limit.Rate*(terms.Window+ratelimit.PermitTime).Seconds() + limit.Burst + tolerated
-		alone := rate / 8 * terms.Window.Seconds()
-		assert.LessOrEqual(t, pools+alone, 1.5*rate*terms.Window.Seconds()+5, "rate %g", rate)
+		overrun := (limit.Rate*terms.Window.Seconds()+limit.Burst)*terms.Over + terms.Slack
+		pools := limit.Rate*(terms.Window+ratelimit.PermitTime).Seconds() + limit.Burst + overrun
+		withoutPool := rate / 8 * terms.Window.Seconds()
+		assert.LessOrEqual(t, pools+withoutPool, 1.5*rate*terms.Window.Seconds()+5, "rate %g", rate)
 		assert.GreaterOrEqual(t, limit.Burst, 1.0, "one request passes")
 	}
 }
 
-// Gateways that reach no pool send an eighth of the limit together, however many they are, and don't
-// begin together.
-func TestGatewaysWithoutAPoolSendASmallPart(t *testing.T) {
+// Gateways that reach no pool send an eighth of the limit together, whatever their number, and their first
+// requests are spread over time.
+func TestGatewaysWithoutAPoolSendAnEighth(t *testing.T) {
 	for _, gateways := range []int{1, 9, 65, 985} {
 		const rate, seconds = 40.0, 200
 		sent := 0
 		inSecond := make([]int, seconds)
 		for gateway := range gateways {
 			random := rand.New(rand.NewPCG(uint64(gateway), 1))
-			lone := ratelimit.NewLone(random.Float64)
+			fallback := ratelimit.NewLone(random.Float64)
 			for at := time.Duration(0); at < seconds*time.Second; at += 20 * time.Millisecond {
-				if granted, wait := lone.Ask(at, "r", rate, gateways); granted {
+				if granted, wait := fallback.Ask(at, "r", rate, gateways); granted {
 					sent++
 					inSecond[at/time.Second]++
 				} else if wait <= 0 {
-					t.Fatal("no time to wait")
+					t.Fatal("denied without a positive wait")
 				}
 			}
 		}
@@ -61,9 +60,9 @@
 	assert.False(t, granted)
 }
 
-// Of a replica the newest answer counts, in whatever order words arrive.
-func TestTheNewestAnswerCounts(t *testing.T) {
-	words := []ratelimit.Word{
+// The newest response of a replica counts, in whatever order reports arrive.
+func TestNewestResponseCounts(t *testing.T) {
+	reports := []ratelimit.Word{
 		{Replica: "a", Named: true, Rate: 5, AgeMicros: 3e6},
 		{Replica: "a", Named: true, Rate: 2, AgeMicros: 2e6},
 		{Replica: "a", AgeMicros: 1e6},
@@ -73,15 +72,15 @@
 	for range 50 {
 		table := ratelimit.NewTable()
 		now := time.Minute
-		for _, index := range random.Perm(len(words)) {
-			told := words[index]
+		for _, index := range random.Perm(len(reports)) {
+			sent := reports[index]
 			late := time.Duration(random.IntN(1000)) * time.Millisecond
-			told.AgeMicros += late.Microseconds()
-			table.Take(now+late, told)
+			sent.AgeMicros += late.Microseconds()
+			table.Take(now+late, sent)
 		}
 		limits := table.Limits()
 		if len(limits) == 2 {
-			// The end came first, and said nothing of a replica that was not known.
+			// The report without a limit arrived first, and is ignored for an unknown replica.
 			require.Equal(t, 2.0, limits[0].Rate)
 			continue
 		}
@@ -91,7 +90,7 @@
 	}
 }
 
-func TestTablesThatKnowTheSameAreTheSame(t *testing.T) {
+func TestTablesWithTheSameLimitsHaveTheSameHash(t *testing.T) {
 	first, second := ratelimit.NewTable(), ratelimit.NewTable()
 	assert.Zero(t, first.Hash())
 	first.Take(0, ratelimit.Word{Replica: "a", Named: true, Rate: 1})
@@ -100,21 +99,21 @@
 	second.Take(0, ratelimit.Word{Replica: "a", Named: true, Rate: 1})
 	assert.NotEqual(t, first.Hash(), second.Hash())
 	assert.Equal(t, first.Names(), second.Names(), "the same replicas")
-	for _, word := range first.Words(time.Second) {
-		second.Take(time.Second, word)
+	for _, report := range first.Words(time.Second) {
+		second.Take(time.Second, report)
 	}
 	second.Take(2*time.Second, ratelimit.Word{Replica: "b", Named: true, Rate: 2})
 	assert.Equal(t, first.Hash(), second.Hash())
 	listed := func(replica string) bool { return replica == "a" }
-	assert.Empty(t, first.Keep(listed, 0), "it was heard of")
+	assert.Empty(t, first.Keep(listed, 0), "it was reported since")
 	assert.Equal(t, []string{"b"}, first.Keep(listed, time.Second))
 	first.Take(3*time.Second, ratelimit.Word{Replica: "a"})
 	assert.Zero(t, first.Hash())
 	assert.Zero(t, first.Names())
 }
 
-// A thousand replicas whose limits change with each answer take no more room than as many that don't.
-func TestATableIsBounded(t *testing.T) {
+// The size of a table depends on the number of replicas, not on how often their limits change.
+func TestTableSizeIsBoundedByReplicas(t *testing.T) {
 	table := ratelimit.NewTable()
 	for number := range 40_000 {
 		table.Take(time.Duration(number), ratelimit.Word{Replica: string(rune('a'+number%1000)) + "x", Named: true, Rate: float64(number)})
--- a/internal/ratelimit/lone.go
+++ b/internal/ratelimit/lone.go
@@ -2,47 +2,48 @@
 
 import "time"
 
-// loneShare of a limit is what all gateways that reach no pool may send, each its part: the pools
-// know nothing of it, and it has to fit beside what these allow.
+// loneShare is the share of a limit that all gateways without a pool may use together, each an equal part: the
+// pools don't count it, so it has to fit in addition to what they allow.
 const loneShare = 0.125
 
-// Lone is what a gateway sends to replicas with limits while it reaches no pool.
+// Lone limits what a gateway sends to replicas with limits while it reaches no pool. It holds a token bucket of
+// one request for each replica.
 type Lone struct {
-	// draw returns a number from 0 up to 1.
-	draw  func() float64
-	parts map[string]lonePart
+	// draw returns a random number in [0, 1).
+	draw    func() float64
+	buckets map[string]loneBucket
 }
 
-// lonePart is a gateway's part of one limit, as of a time.
-type lonePart struct {
+// loneBucket is a gateway's token bucket for one replica, as of a time.
+type loneBucket struct {
 	requests float64
 	at       time.Duration
 }
 
-// NewLone returns an empty count.
-func NewLone(draw func() float64) *Lone { return &Lone{draw: draw, parts: map[string]lonePart{}} }
+// NewLone returns a Lone without buckets.
+func NewLone(draw func() float64) *Lone { return &Lone{draw: draw, buckets: map[string]loneBucket{}} }
 
-// Ask reports whether a request may be sent to a replica that names a rate, by one of a number of
-// gateways, and else in how long one may.
+// Ask reports whether a request may be sent now to a replica that declares a rate, by one of the given number
+// of gateways, and otherwise after how long to ask again.
 func (l *Lone) Ask(now time.Duration, replica string, rate float64, gateways int) (granted bool, wait time.Duration) {
 	refill := rate * loneShare / float64(max(gateways, 1))
-	part, known := l.parts[replica]
+	bucket, known := l.buckets[replica]
 	if !known {
-		// Gateways that lose the pools together begin apart: else all would send their first at once.
-		part = lonePart{requests: l.draw(), at: now}
+		// A random initial level spreads the first requests of gateways that lose the pools together.
+		bucket = loneBucket{requests: l.draw(), at: now}
 	}
-	part.requests = min(part.requests+refill*(now-part.at).Seconds(), 1)
-	part.at = now
-	granted = part.requests >= 1
+	bucket.requests = min(bucket.requests+refill*(now-bucket.at).Seconds(), 1)
+	bucket.at = now
+	granted = bucket.requests >= 1
 	if granted {
-		part.requests--
+		bucket.requests--
 	}
-	l.parts[replica] = part
+	l.buckets[replica] = bucket
 	if granted || refill <= 0 {
 		return granted, Window
 	}
-	return false, max(time.Duration(min((1-part.requests)/refill, Window.Seconds())*float64(time.Second)), time.Nanosecond)
+	return false, max(time.Duration(min((1-bucket.requests)/refill, Window.Seconds())*float64(time.Second)), time.Nanosecond)
 }
 
-// Forget begins anew: pools are reached again.
-func (l *Lone) Forget() { clear(l.parts) }
+// Forget deletes all buckets, once pools are reachable again.
+func (l *Lone) Forget() { clear(l.buckets) }
--- a/internal/ratelimit/table.go
+++ b/internal/ratelimit/table.go
@@ -10,56 +10,57 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maximumEntries bounds a table, above the replicas that the largest regions are planned for.
+// maximumEntries bounds a table; it exceeds the number of replicas that the largest regions are planned for.
 const maximumEntries = 1 << 14
 
-// Table is what replicas name as their limits, as far as a process knows it. Of a replica the newest
-// answer counts, whoever it came to.
+// Table holds the limits that replicas declare, as far as a process knows them. The newest response of a
+// replica counts, whichever process received it.
 type Table struct {
 	entries map[string]entry
-	// names is the hash of the replicas that name a limit, and hash that of their limits too.
+	// names is the hash of the replicas that declare a limit, and hash covers their limits too.
 	names, hash uint64
-	// Dropped counts the words for which there was no room.
+	// Dropped counts the reports that were discarded because the table was full.
 	Dropped uint64
 }
 
-// entry is the newest word of a replica.
+// entry is the newest limit report of a replica.
 type entry struct {
 	named bool
 	rate  float64
-	// observedAt is when the answer came, and since when the first one of those in a row that named a
-	// limit did.
+	// observedAt is when the response was received, and since when the first of the consecutive responses
+	// that declared a limit was.
 	observedAt, since time.Duration
 }
 
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{entries: map[string]entry{}} }
 
-// Take takes a word over unless a newer one is known, and reports whether it says something new.
-func (t *Table) Take(now time.Duration, word Word) (changed bool) {
-	observedAt := now - word.Age()
-	known, found := t.entries[word.Replica]
-	if found && observedAt < known.observedAt {
+// Take merges a report unless a newer one is known, and reports whether the limit changed. A report that there is
+// no limit is ignored for an unknown replica, as is any report of an unknown replica while the table is full.
+func (t *Table) Take(now time.Duration, report Word) (changed bool) {
+	observedAt := now - report.Age()
+	previous, found := t.entries[report.Replica]
+	if found && observedAt < previous.observedAt {
 		return false
 	}
-	if !found && (!word.Named || len(t.entries) >= maximumEntries) {
-		if word.Named {
+	if !found && (!report.Named || len(t.entries) >= maximumEntries) {
+		if report.Named {
 			t.Dropped++
 		}
 		return false
 	}
-	changed = known.named != word.Named || known.rate != word.Rate
-	taken := entry{named: word.Named, rate: word.Rate, observedAt: observedAt, since: known.since}
-	if !known.named {
-		taken.since = observedAt
+	changed = previous.named != report.Named || previous.rate != report.Rate
+	updated := entry{named: report.Named, rate: report.Rate, observedAt: observedAt, since: previous.since}
+	if !previous.named {
+		updated.since = observedAt
 	}
-	t.entries[word.Replica] = taken
-	t.rehash(word.Replica, known, taken)
+	t.entries[report.Replica] = updated
+	t.rehash(report.Replica, previous, updated)
 	return changed
 }
 
-// Keep forgets the replicas of which nothing has been heard since a time, if they are not listed (who tells
-// of one may have a newer list) or name no limit any more. It returns those that it forgets.
+// Keep deletes the replicas that have not been reported since a time, if they are not listed (the sender of a
+// report may have a newer list) or declare no limit any more. It returns those that it deletes.
 func (t *Table) Keep(listed func(replica string) bool, heardSince time.Duration) (forgotten []string) {
 	for replica, each := range t.entries {
 		if (!listed(replica) || !each.named) && each.observedAt < heardSince {
@@ -70,20 +71,20 @@
 	return forgotten
 }
 
-// Forget forgets what a replica names.
+// Forget deletes the entry of a replica.
 func (t *Table) Forget(replica string) {
 	t.rehash(replica, t.entries[replica], entry{})
 	delete(t.entries, replica)
 }
 
-// rehash has an entry count in the hashes in place of what was known of its replica. Hashes of entries
-// are combined in any order, so that a change costs the same however many there are.
+// rehash replaces a replica's entry in the hashes. The hashes of entries are combined by XOR, independent of
+// their order, so that the cost of a change does not depend on the number of entries.
 func (t *Table) rehash(replica string, before, after entry) {
 	t.names ^= before.nameHash(replica) ^ after.nameHash(replica)
 	t.hash ^= before.limitHash(replica) ^ after.limitHash(replica)
 }
 
-// nameHash is the replica's part of Table.Names, 0 if it names no limit.
+// nameHash is the replica's part of Table.Names, 0 if it declares no limit.
 func (e entry) nameHash(replica string) uint64 {
 	if !e.named {
 		return 0
@@ -91,7 +92,7 @@
 	return xxhash.Sum64String(replica)
 }
 
-// limitHash is the replica's part of Table.Hash, 0 if it names no limit.
+// limitHash is the replica's part of Table.Hash, 0 if it declares no limit.
 func (e entry) limitHash(replica string) uint64 {
 	if !e.named {
 		return 0
@@ -99,31 +100,31 @@
 	return xxhash.Sum64(binary.LittleEndian.AppendUint64([]byte(replica), math.Float64bits(e.rate)))
 }
 
-// Hash identifies the limits, and Names the replicas that name one; 0 if there are none.
+// Hash identifies the declared limits; 0 if there are none.
 func (t *Table) Hash() uint64 { return t.hash }
 
-// Names identifies the replicas that name a limit.
+// Names identifies the replicas that declare a limit; 0 if there are none.
 func (t *Table) Names() uint64 { return t.names }
 
-// Words tells all that is known, limits that are named no more too.
+// Words returns reports of all entries, including those of replicas that no longer declare a limit.
 func (t *Table) Words(now time.Duration) []Word {
-	words := make([]Word, 0, len(t.entries))
+	reports := make([]Word, 0, len(t.entries))
 	for _, replica := range slices.Sorted(maps.Keys(t.entries)) {
 		each := t.entries[replica]
-		words = append(words, Word{Replica: replica, Named: each.named, Rate: each.rate, AgeMicros: (now - each.observedAt).Microseconds()})
+		reports = append(reports, Word{Replica: replica, Named: each.named, Rate: each.rate, AgeMicros: (now - each.observedAt).Microseconds()})
 	}
-	return words
+	return reports
 }
 
-// Limit is what a replica names now.
+// Limit is the limit that a replica declares now.
 type Limit struct {
 	Replica string
 	Rate    float64
-	// Since is when it began to name a limit.
+	// Since is when the replica began to declare a limit.
 	Since time.Duration
 }
 
-// Limits lists the replicas that name a limit, by name.
+// Limits returns the declared limits, sorted by replica.
 func (t *Table) Limits() []Limit {
 	var limits []Limit
 	for _, replica := range slices.Sorted(maps.Keys(t.entries)) {
--- a/internal/ratelimit/word.go
+++ b/internal/ratelimit/word.go
@@ -6,41 +6,42 @@
 //msgp:limit arrays:4096
 //msgp:tuple Word Message
 
-// Word is what an answer of a replica has said of its limit.
+// Word is a limit report: what one response of a replica said of its rate limit.
 type Word struct {
 	// Replica is a region.Life.Name.
 	Replica string `msg:"replica"`
-	// Named says that the answer named a limit, and Rate is that limit in requests a second.
+	// Named is set if the response declared a limit, and Rate is that limit in requests a second.
 	Named bool    `msg:"named"`
 	Rate  float64 `msg:"rate"`
-	// AgeMicros is how long before the telling the answer came, in microseconds. Clocks of two
-	// machines need not agree.
+	// AgeMicros is the time from the receipt of the response to the sending of this report, in
+	// microseconds. It is an age rather than a time because the clocks of two machines may differ.
 	AgeMicros int64 `msg:"age_us"`
 }
 
-// Age is how old the word was when it was told; never negative.
+// Age is how old the report was when it was sent; never negative.
 func (w Word) Age() time.Duration { return time.Duration(max(w.AgeMicros, 0)) * time.Microsecond }
 
-// Message carries words between processes.
+// Message carries limit reports between processes.
 type Message struct {
 	// From is the sender's address.
 	From string `msg:"from"`
-	// Hash is Table.Hash of the sender, 0 from a gateway: who has another one tells what it knows.
+	// Hash is the sender's Table.Hash, 0 from a gateway. A receiver with a different hash replies with what
+	// it knows.
 	Hash  uint64 `msg:"hash"`
 	Words []Word `msg:"words"`
 }
 
-// MaximumWords bounds the words of a message, so that it stays below datagram.MaximumBytes with
-// names of usual length.
-const MaximumWords = 100
+// MaxReportsPerMessage bounds the reports in a message, so that it stays below datagram.MaximumBytes with names of
+// usual length.
+const MaxReportsPerMessage = 100
 
-// Batches cuts words into lists that fit into a message each.
-func Batches(words []Word) [][]Word {
+// Batches splits reports into batches that fit into one message each.
+func Batches(reports []Word) [][]Word {
 	var batches [][]Word
-	for len(words) > 0 {
-		count := min(len(words), MaximumWords)
-		batches = append(batches, words[:count:count])
-		words = words[count:]
+	for len(reports) > 0 {
+		count := min(len(reports), MaxReportsPerMessage)
+		batches = append(batches, reports[:count:count])
+		reports = reports[count:]
 	}
 	return batches
 }
