--- a/internal/relay/backpressure.go
+++ b/internal/relay/backpressure.go
@@ -9,35 +9,36 @@
 	"github.com/pierhaven/pierhaven/internal/backpressure"
 )
 
-// Heed has the directory know what replicas ask of this process, as a gate hears it. It is called before
-// any use.
+// Heed connects the directory to the gate that tracks what replicas ask of this process. It must be called
+// before first use.
 func (d *Directory) Heed(gate *backpressure.Gate) {
 	d.gate = gate
-	gate.OnChange(d.noteAsking)
+	gate.OnChange(d.updatePeerState)
 }
 
-// OnLeaving has a function told of each replica, by its life's name, that says to this process that it leaves.
-// It is called before any use.
-func (d *Directory) OnLeaving(told func(life string)) { d.onLeaving = told }
+// OnLeaving sets a function that is called with the incarnation name of each replica that tells this process
+// that it is leaving. It must be called before first use.
+func (d *Directory) OnLeaving(notify func(life string)) { d.onLeaving = notify }
 
-// noteAsking takes the standing of a replica that has asked for something, or has said that it leaves.
-func (d *Directory) noteAsking(peer backpressure.Peer, standing *backpressure.Standing) {
+// updatePeerState attaches the gate's peer state to a replica that has asked for a backoff, or has said that it
+// is leaving.
+func (d *Directory) updatePeerState(peer backpressure.Peer, state *backpressure.Standing) {
 	d.mutex.Lock()
 	replica, listed := d.replicas[peer.Instance]
 	if listed = listed && replica.Address == peer.Address; listed {
-		replica.asks = standing
+		replica.asks = state
 		if replica.leaves() {
 			replica.tellStreams()
 		}
 	}
 	d.mutex.Unlock()
-	if listed && standing.Leaving() {
+	if listed && state.Leaving() {
 		d.onLeaving(peer.Instance)
 	}
 }
 
-// LeavingUntold lists the replicas, by their lives' names, that have said to this process that they leave,
-// and are not listed so.
+// LeavingUntold returns the incarnation names of the replicas that have told this process that they are leaving,
+// and are not listed as leaving.
 func (d *Directory) LeavingUntold() []string {
 	if d.gate == nil || d.gate.Empty() {
 		return nil
@@ -54,7 +55,7 @@
 	return names
 }
 
-// TakeLeaving notes replicas, by their lives' names, that have said to others that they leave.
+// TakeLeaving marks replicas as leaving, given the incarnation names of those that have told other processes so.
 func (d *Directory) TakeLeaving(names []string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -66,8 +67,8 @@
 	}
 }
 
-// forgetAsked has a replica whose process has ended ask for nothing, unless its next life has a name of its
-// own: what has ended may only be its listener. It is called with the mutex held.
+// forgetAsked clears what a replica whose process has ended had asked for, unless its next incarnation has a
+// name of its own: then only its listener may have ended. The caller must hold d.mutex.
 func (d *Directory) forgetAsked(replica *Replica) {
 	if d.gate == nil || replica.Born != 0 {
 		return
@@ -77,12 +78,12 @@
 	replica.Leaving, replica.endSeen = false, true
 }
 
-// saysLeaving reports whether the replica has said to this process that it leaves. It is called with the
-// mutex held.
+// saysLeaving reports whether the replica has told this process that it is leaving. The caller must hold the
+// Directory's mutex.
 func (r *Replica) saysLeaving() bool { return r.asks != nil && r.asks.Leaving() }
 
-// takesLast reports whether a replica that leaves by its own word may still be sent work: where no other is
-// left, for as long as it bears. It is called with the mutex held.
+// takesLast reports whether a replica that has itself said that it is leaving may still be sent work if no other
+// replica is left, which is until the gate's leave time is over. The caller must hold d.mutex.
 func (d *Directory) takesLast(replica *Replica) bool {
 	if d.gate == nil {
 		return true
@@ -94,7 +95,7 @@
 	return !replica.Leaving || d.gate.WithinLeaveTime(replica.leavingSince, now)
 }
 
-// noteLeaving notes that others have heard that the replica leaves. It is called with the mutex held.
+// noteLeaving marks a replica that has told other processes that it is leaving. The caller must hold d.mutex.
 func (d *Directory) noteLeaving(replica *Replica) {
 	if replica.Leaving || replica.endSeen {
 		return
@@ -105,7 +106,7 @@
 	}
 }
 
-// asksOf is the standing of a replica that has come onto the list, nil if it has asked for nothing.
+// asksOf returns the gate's state of a replica that was added to the list, nil if it has asked for nothing.
 func (d *Directory) asksOf(peer backpressure.Peer) *backpressure.Standing {
 	if d.gate == nil {
 		return nil
@@ -113,7 +114,8 @@
 	return d.gate.MarkListed(peer)
 }
 
-// askingNow is the time by which replicas' rests end, 0 while none has asked for anything.
+// askingNow returns the time by the gate's clock, to compare with the ends of backoffs; 0 while no replica has
+// asked for anything.
 func (d *Directory) askingNow() time.Duration {
 	if d.gate == nil || d.gate.Empty() {
 		return 0
@@ -121,42 +123,43 @@
 	return d.gate.Now()
 }
 
-// rests reports whether the replica wants to be left alone by this process. It is called with the mutex
-// held, with Directory.askingNow.
-func (r *Replica) rests(asking time.Duration) bool {
-	return asking > 0 && r.asks != nil && r.asks.RestLeft(asking) > 0
+// rests reports whether the replica is in a backoff that it has requested of this process, at a time from
+// Directory.askingNow. The caller must hold the Directory's mutex.
+func (r *Replica) rests(now time.Duration) bool {
+	return now > 0 && r.asks != nil && r.asks.RestLeft(now) > 0
 }
 
-// mostExcluded bounds the resting replicas that a question to a coordinator excludes: a message has room for
-// some, and a coordinator's choice that rests all the same is made again here.
-const mostExcluded = 24
+// maxExcluded bounds the replicas in backoff that a placement query excludes: the size of a message is limited,
+// and if the coordinator chooses a replica in backoff nevertheless, the gateway chooses again itself.
+const maxExcluded = 24
 
-// restingHere lists replicas, by their lives' names, that want to be left alone by this process, beginning
-// with the longest rest.
+// restingHere returns the incarnation names of the replicas in a backoff requested of this process, those with
+// the longest remaining backoff first, at most maxExcluded.
 func (d *Directory) restingHere() []string {
-	asking := d.askingNow()
-	if asking == 0 {
+	now := d.askingNow()
+	if now == 0 {
 		return nil
 	}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	var resting []*Replica
+	var backingOff []*Replica
 	for _, replica := range d.replicas {
-		if replica.rests(asking) {
-			resting = append(resting, replica)
+		if replica.rests(now) {
+			backingOff = append(backingOff, replica)
 		}
 	}
-	slices.SortFunc(resting, func(a, b *Replica) int {
-		return cmp.Or(cmp.Compare(b.asks.RestLeft(asking), a.asks.RestLeft(asking)), strings.Compare(a.name, b.name))
+	slices.SortFunc(backingOff, func(a, b *Replica) int {
+		return cmp.Or(cmp.Compare(b.asks.RestLeft(now), a.asks.RestLeft(now)), strings.Compare(a.name, b.name))
 	})
-	names := make([]string, min(len(resting), mostExcluded))
+	names := make([]string, min(len(backingOff), maxExcluded))
 	for index := range names {
-		names[index] = resting[index].name
+		names[index] = backingOff[index].name
 	}
 	return names
 }
 
-// RestLeft is for how much longer the lease's replica wants to be left alone.
+// RestLeft returns the remaining backoff that the lease's replica has requested of this process, 0 if there is
+// none.
 func (l *Lease) RestLeft() time.Duration {
 	asks := l.asks()
 	if asks == nil {
@@ -165,13 +168,13 @@
 	return asks.RestLeft(l.directory.gate.Now())
 }
 
-// saysLeaving reports whether the lease's replica has said that it leaves.
+// saysLeaving reports whether the lease's replica has said that it is leaving.
 func (l *Lease) saysLeaving() bool {
 	asks := l.asks()
 	return asks != nil && asks.Leaving()
 }
 
-// asks is what the lease's replica asks of this process, nil if that is nothing.
+// asks returns the gate's state of the lease's replica, nil if it has asked for nothing.
 func (l *Lease) asks() *backpressure.Standing {
 	if l.directory.gate == nil || l.directory.gate.Empty() {
 		return nil
--- a/internal/relay/demand.go
+++ b/internal/relay/demand.go
@@ -7,9 +7,9 @@
 	"github.com/pierhaven/pierhaven/internal/topology"
 )
 
-// Demand tells what this gateway sees of each service with model replicas, by region. Answers
-// count where they are generated; prompts, and answers to come, in the gateway's own region. What
-// this gateway can't reach in another region is not told: the link may be the cause.
+// Demand returns the demand that this gateway observes for each service, by region. Answers of model replicas
+// count in the region where they are generated; prompts, and expected answers, in the gateway's own region.
+// Unreachable replicas of other regions are not reported: the link may be the cause.
 func (d *Directory) Demand(places topology.Map) []region.ServiceDemand {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -17,7 +17,7 @@
 	var demand []region.ServiceDemand
 	for service, replicas := range d.services {
 		own := region.ServiceDemand{Service: service, Region: places.Group(d.zone), Gateways: 1}
-		d.readDemand(&own, now)
+		d.addReadDemand(&own, now)
 		generating := map[string]float64{}
 		staged := false
 		for _, replica := range replicas {
@@ -35,7 +35,7 @@
 			}
 		}
 		if !staged {
-			demand = append(demand, running(service, replicas, places)...)
+			demand = append(demand, runningDemand(service, replicas, places)...)
 			continue
 		}
 		own.Generating = generating[own.Region]
@@ -51,8 +51,8 @@
 	return demand
 }
 
-// running tells of the requests at replicas that are not model engines, by region.
-func running(service string, replicas []*Replica, places topology.Map) []region.ServiceDemand {
+// runningDemand returns the requests in flight at replicas that are not model engines, by region.
+func runningDemand(service string, replicas []*Replica, places topology.Map) []region.ServiceDemand {
 	requests := map[string]int{}
 	for _, replica := range replicas {
 		if replica.inFlight > 0 {
@@ -66,18 +66,18 @@
 	return demand
 }
 
-// readTimes are those of a prompt that a replica is to read, or would have to.
+// readTimes are the times of a prompt that a replica is to read, or would have to read.
 type readTimes struct {
-	// busy is for how long it is read, whole for how long if the replica kept nothing of it;
-	// less than busy if that is not known.
+	// busy is the time to read it, and whole that time if the replica had cached nothing of it; whole is
+	// less than busy if it is not known.
 	busy, whole time.Duration
-	// slack is how long it may wait and still meet its objective, delayed says that it is late
-	// since it has to wait longer.
+	// slack is how long the prompt may wait and still meet its objective; delayed is set if it is late
+	// only because it has to wait.
 	slack   time.Duration
 	delayed bool
 }
 
-// times are those of a prompt that the replica would read for a time if it kept nothing of it.
+// times returns the times of a prompt; whole is the time to read it if the replica had cached nothing of it.
 func (e *readEstimate) times(request ReadRequest, whole time.Duration) readTimes {
 	aim := time.Duration(inTimeShare * float64(request.AimLeft))
 	return readTimes{
@@ -88,22 +88,22 @@
 	}
 }
 
-// refusedTimes are those of a prompt that was refused, since no replica could begin it soon.
+// refusedTimes returns the times of a prompt that was rejected because no replica could begin it soon enough.
 func refusedTimes(request ReadRequest, busy time.Duration) readTimes {
 	return readTimes{busy: busy, slack: request.Objective - busy, delayed: busy <= request.AimLeft}
 }
 
-// readMeter smooths what the reading of prompts demands.
+// readMeter smooths the demand for reading prompts.
 type readMeter struct {
-	// Sums over prompts, which fade: of one for each, and of seconds.
+	// Decaying sums over prompts: their number, and times in seconds.
 	prompts, busy, kept, slack float64
-	// squares is the sum of the squares of busy times, delayed of one for each that is delayed.
+	// squares is the sum of the squares of the busy times, delayed the number of delayed prompts.
 	squares, delayed float64
 	at               time.Duration
 }
 
-// readMemory is the time constant of a readMeter.
-const readMemory = 2 * time.Second
+// readTimeConstant is the time constant with which a readMeter decays.
+const readTimeConstant = 2 * time.Second
 
 func (m *readMeter) add(now time.Duration, read readTimes) {
 	m.fade(now)
@@ -119,21 +119,21 @@
 }
 
 func (m *readMeter) fade(now time.Duration) {
-	kept := max(0, 1-(now-m.at).Seconds()/readMemory.Seconds())
+	kept := max(0, 1-(now-m.at).Seconds()/readTimeConstant.Seconds())
 	for _, sum := range []*float64{&m.prompts, &m.busy, &m.kept, &m.slack, &m.squares, &m.delayed} {
 		*sum *= kept
 	}
 	m.at = now
 }
 
-// readDemand adds what the prompts to be read demand. It is called with the mutex held.
-func (d *Directory) readDemand(demand *region.ServiceDemand, now time.Duration) {
+// addReadDemand fills in the demand of the prompts to be read. The caller must hold d.mutex.
+func (d *Directory) addReadDemand(demand *region.ServiceDemand, now time.Duration) {
 	meter, found := d.reads[demand.Service]
 	if !found {
 		return
 	}
 	meter.fade(now)
-	perSecond := 1 / readMemory.Seconds()
+	perSecond := 1 / readTimeConstant.Seconds()
 	demand.Prompts = meter.prompts * perSecond
 	demand.Reading = meter.busy * perSecond
 	demand.Kept = meter.kept * perSecond
@@ -142,7 +142,7 @@
 	demand.Delayed = meter.delayed * perSecond
 }
 
-// noteRead is called with the mutex held.
+// noteRead adds a prompt to the service's demand for reading. The caller must hold d.mutex.
 func (d *Directory) noteRead(service string, read readTimes) {
 	meter, found := d.reads[service]
 	if !found {
--- a/internal/relay/demand_test.go
+++ b/internal/relay/demand_test.go
@@ -36,14 +36,14 @@
 		now += 50 * time.Millisecond
 		meter.add(now, readTimes{busy: 100 * time.Millisecond, whole: 300 * time.Millisecond, slack: 900 * time.Millisecond, delayed: true})
 	}
-	memory := readMemory.Seconds()
+	memory := readTimeConstant.Seconds()
 	assert.InDelta(t, 20, meter.prompts/memory, 0.5)
 	assert.InDelta(t, 20, meter.delayed/memory, 0.5)
 	assert.InDelta(t, 2, meter.busy/memory, 0.05)
 	assert.InDelta(t, 4, meter.kept/memory, 0.1)
 	assert.InDelta(t, 18, meter.slack/memory, 0.5)
 	assert.InDelta(t, 0.2, meter.squares/memory, 0.005)
-	meter.fade(now + 10*readMemory)
+	meter.fade(now + 10*readTimeConstant)
 	assert.Zero(t, meter.prompts)
 	assert.Zero(t, meter.busy)
 }
--- a/internal/relay/grant.go
+++ b/internal/relay/grant.go
@@ -7,38 +7,39 @@
 	"github.com/pierhaven/pierhaven/internal/region"
 )
 
-// grant is a coordinator's lease on a replica, which this gateway's lease stands for: the
-// coordinator is told what happens there. It is guarded by the Directory's mutex.
+// grant is a coordinator's lease on a replica that backs a lease of this gateway: the gateway reports to the
+// coordinator what happens to the request. It is guarded by the Directory's mutex.
 type grant struct {
 	id uint64
-	// number is that of Directory.grants when it was given.
+	// number is the value of Directory.grants when the lease was granted.
 	number uint64
 	// by is the coordinator's address.
 	by   string
 	tell func(region.LeaseEvent)
-	// notablePause of a stream is told while the stream runs, the longest one at its end.
-	notablePause time.Duration
-	longestPause time.Duration
-	pauseTellAt  time.Duration
+	// A pause of the stream from reportablePause on is reported while the stream runs, at most once in
+	// pauseReportInterval; longestPause is reported when the lease ends.
+	reportablePause   time.Duration
+	longestPause      time.Duration
+	nextPauseReportAt time.Duration
 }
 
-// grantedWork is the work at a replica that a coordinator counts itself.
+// grantedWork is the work at a replica that was granted by a coordinator, which counts it itself.
 type grantedWork struct {
 	requests int
 	reading  readingWork
 }
 
 const (
-	// notablePauseShare of the pause that streams may make is told at once: a sixth of what
-	// they may make while a generating replica reads prompts (pauseShare).
-	notablePauseShare = 0.1
-	// pauseInterval is the least time between two messages on one stream's pauses, well
-	// below the time in which a peak fades.
-	pauseInterval = peakFade / 4
+	// reportablePauseShare is the share of the target gap between events from which a pause is reported at
+	// once: a sixth of the share that a decode replica may use to read prompts (pauseShare).
+	reportablePauseShare = 0.1
+	// pauseReportInterval is the minimum time between two reports on one stream's pauses, well below
+	// the time constant with which a peak decays.
+	pauseReportInterval = peakFade / 4
 )
 
-// ForgetGrants is called when the coordinator that grants leases is another one, or has
-// forgotten them: from now on what was granted counts as this gateway's own choice.
+// ForgetGrants is called when the granting coordinator has been replaced, or has lost its leases: from now on the
+// leases granted so far count as this gateway's own choices.
 func (d *Directory) ForgetGrants() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -48,8 +49,8 @@
 	}
 }
 
-// takeGrant leases the replica that a coordinator has chosen; nil if it must not be used, by
-// what this gateway knows.
+// takeGrant leases the replica that a coordinator has chosen; it returns nil if this gateway knows a reason not to
+// use that replica.
 func (d *Directory) takeGrant(given *grant, answer *region.PlacementAnswer, request ReadRequest, stages ...string) *Lease {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -66,20 +67,20 @@
 		LoadAge:    -time.Millisecond,
 	}
 	given.number = d.grants
-	given.notablePause = time.Duration(notablePauseShare * float64(request.TargetGap))
+	given.reportablePause = time.Duration(reportablePauseShare * float64(request.TargetGap))
 	lease.grant = given
 	replica.granted.requests++
 	if answer.BusyMicros > 0 {
-		lease.readGranted(answer, request)
+		lease.noteGrantedRead(answer, request)
 	}
 	return lease
 }
 
 const percent = 100
 
-// readGranted notes that the replica is to read a prompt, as a coordinator estimates it. It
-// is called with the mutex held.
-func (l *Lease) readGranted(answer *region.PlacementAnswer, request ReadRequest) {
+// noteGrantedRead records that the replica is to read a prompt, with the coordinator's estimate of the times. The
+// caller must hold the Directory's mutex.
+func (l *Lease) noteGrantedRead(answer *region.PlacementAnswer, request ReadRequest) {
 	estimated := readEstimate{
 		replica: l.Replica,
 		wait:    time.Duration(answer.WaitMicros) * time.Microsecond,
@@ -93,7 +94,7 @@
 		urgency = Late
 	}
 	l.noteReading(request, estimated, urgency, micros(answer.WholeMicros))
-	// What else the replica reads is not known here, so that nothing can be learned of it.
+	// The replica's other prompts are not known here, so its read time must not be used to learn costs.
 	l.reading.alone = false
 	l.fetchFrom = estimated.from
 	l.Replica.granted.reading[urgency] += estimated.busy
@@ -102,7 +103,7 @@
 // grantCounts reports whether the coordinator that granted the lease still counts it.
 func (l *Lease) grantCounts() bool { return l.grant != nil && l.grant.number == l.directory.grants }
 
-// grantEnds tells the coordinator that the place is free. It is called with the mutex held.
+// grantEnds reports to the coordinator that the lease was released. The caller must hold the Directory's mutex.
 func (l *Lease) grantEnds() {
 	if l.grant == nil {
 		return
@@ -113,8 +114,8 @@
 	l.tell(region.LeaseEvent{Kind: region.LeaseReleased, Micros: l.grant.longestPause.Microseconds()})
 }
 
-// tell tells the coordinator that granted the lease what has happened. It is called with the
-// mutex held.
+// tell reports an event to the coordinator that granted the lease, if one did. The caller must hold the
+// Directory's mutex.
 func (l *Lease) tell(event region.LeaseEvent) {
 	if l.grant == nil {
 		return
@@ -123,20 +124,21 @@
 	l.grant.tell(event)
 }
 
-// tellPause is called with the mutex held.
+// tellPause records a pause of the stream, and reports it to the coordinator if it is long enough. The caller must
+// hold the Directory's mutex.
 func (l *Lease) tellPause(now, took time.Duration) {
 	if l.grant == nil {
 		return
 	}
 	l.grant.longestPause = max(l.grant.longestPause, took)
-	if l.grant.notablePause <= 0 || took < l.grant.notablePause || now < l.grant.pauseTellAt {
+	if l.grant.reportablePause <= 0 || took < l.grant.reportablePause || now < l.grant.nextPauseReportAt {
 		return
 	}
-	l.grant.pauseTellAt = now + pauseInterval
+	l.grant.nextPauseReportAt = now + pauseReportInterval
 	l.tell(region.LeaseEvent{Kind: region.LeasePaused, Micros: took.Microseconds()})
 }
 
-// answeredEvent is what a coordinator is told of a replica's answer.
+// answeredEvent returns the event that reports a replica's response to a coordinator.
 func answeredEvent(failed bool, load *Load) region.LeaseEvent {
 	told := region.LeaseEvent{Kind: region.LeaseAnswered, Failed: failed}
 	if load != nil {
@@ -145,7 +147,7 @@
 	return told
 }
 
-// placedBy names who has chosen the replica: a coordinator by its address, or the gateway.
+// placedBy names the process that chose the replica: the address of a coordinator, or "self" for this gateway.
 func (l *Lease) placedBy() string {
 	if l.grant == nil {
 		return "self"
@@ -153,7 +155,7 @@
 	return l.grant.by
 }
 
-// Describe is the answer to a question that has led to this lease.
+// Describe returns the answer to the placement query that led to this lease.
 func (l *Lease) Describe() *region.PlacementAnswer {
 	l.directory.mutex.Lock()
 	defer l.directory.mutex.Unlock()
@@ -179,7 +181,7 @@
 	return answer
 }
 
-// Find returns the replicas with some names, as far as they are known.
+// Find returns the replicas with the given incarnation names; unknown names are skipped.
 func (d *Directory) Find(names []string) []*Replica {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/relay/limited.go
+++ b/internal/relay/limited.go
@@ -11,19 +11,19 @@
 	"github.com/pierhaven/pierhaven/internal/ratelimit"
 )
 
-// KeepLimits has the limits kept that replicas name. It is called before any use.
+// KeepLimits enables the enforcement of the limits that replicas declare. It must be called before first use.
 func (r *Runner) KeepLimits(limits *ReplicaLimits) {
 	if !r.directory.off[mechanism.ReplicaLimits] {
 		r.limits = limits
 	}
 }
 
-// maximumDenials is how many replicas without room a call may meet before only those that name no
-// limit are looked at: each costs a question.
+// maximumDenials is how many denials a call may get before only replicas without a limit are considered: each
+// denial costs a permit request.
 const maximumDenials = 8
 
-// permitted leases what choose chooses, until a replica takes the request: one that names no limit, or
-// has room under it. The lease is nil if there is none.
+// permitted calls choose until it leases a replica that may be sent the request: one that declares no limit, or
+// has capacity under it. The lease is nil if there is none.
 func (r *run) permitted(ctx context.Context, choose func() (*Lease, error)) (*Lease, error) {
 	for {
 		lease, err := choose()
@@ -38,7 +38,7 @@
 	}
 }
 
-// takes reports whether a lease's replica takes the request, as far as the limit goes that it names.
+// takes reports whether a lease's replica may be sent the request under the limit that it declares, if any.
 func (r *run) takes(ctx context.Context, lease *Lease) bool {
 	rate := lease.Limit()
 	if r.limits == nil || rate < 0 {
@@ -49,7 +49,7 @@
 	if permit.Granted {
 		lease.permit = &permit
 		lease.permitEnds = time.Now().Add(ratelimit.PermitTime)
-		lease.beginNow()
+		lease.restartTiming()
 		return true
 	}
 	if ctx.Err() == nil {
@@ -60,52 +60,53 @@
 	return false
 }
 
-// reserveGenerator leases the replica that is to generate before the prompt is read, if each that could
-// names a limit: a prompt for which none has room would be read in vain. The lease is nil if some
-// replica names none.
+// reserveGenerator leases the decode replica before the prompt is read, if every candidate declares a limit: if
+// none had capacity, the work of the prefill replica would be wasted. The lease is nil if some candidate
+// declares no limit.
 func (r *run) reserveGenerator(ctx context.Context, reader *Lease) (*Lease, error) {
-	if r.limits == nil || !r.directory.generatorsLimited(r.call.Service.Name) {
+	if r.limits == nil || !r.directory.decodeReplicasLimited(r.call.Service.Name) {
 		return nil, nil
 	}
-	reserved, err := r.permittedGenerator(ctx, reader.Replica.Zone)
+	reserved, err := r.permittedDecodeReplica(ctx, reader.Replica.Zone)
 	if reserved == nil && err == nil {
 		err = errNoReplica
 	}
 	return reserved, err
 }
 
-// permittedGenerator leases a replica near a zone to generate for a prompt that was read.
-func (r *run) permittedGenerator(ctx context.Context, zone string) (*Lease, error) {
+// permittedDecodeReplica leases a decode replica near a zone, for a prompt that was read elsewhere.
+func (r *run) permittedDecodeReplica(ctx context.Context, zone string) (*Lease, error) {
 	return r.permitted(ctx, func() (*Lease, error) {
 		return r.placer.Generator(ctx, r.call.Service.Name, r.readRequest(), zone), nil
 	})
 }
 
-// permittedDirect leases a generating replica that is to read the prompt itself.
+// permittedDirect leases a decode replica that is to read the prompt itself.
 func (r *run) permittedDirect(ctx context.Context) (*Lease, error) {
 	return r.permitted(ctx, func() (*Lease, error) {
 		return r.placer.Direct(ctx, r.call.Service.Name, r.readRequest()), nil
 	})
 }
 
-// useReserved returns a lease that was made before the prompt was read, or another one if it has been
-// kept back for so long that its request would come in another window than it was counted in.
+// useReserved returns the lease that was reserved before the prompt was read, or a new one if that lease's permit
+// has expired, since its request would arrive in a later window than it was counted in.
 func (r *run) useReserved(ctx context.Context, reserved *Lease, zone string) (*Lease, error) {
 	if reserved != nil && time.Now().Before(reserved.permitEnds) {
 		return reserved, nil
 	}
 	reserved.releaseIfAny()
-	return r.permittedGenerator(ctx, zone)
+	return r.permittedDecodeReplica(ctx, zone)
 }
 
-// countUnasked counts what is sent to a replica beside requests: it holds nothing up, and is not held up.
+// countUnasked counts a message to a replica that is not a request, if the replica declares a limit. Such messages
+// need no permit, and are not delayed.
 func (r *Runner) countUnasked(replica *Replica) {
-	if r.limits != nil && r.directory.namesLimit(replica) {
+	if r.limits != nil && r.directory.declaresLimit(replica) {
 		r.limits.Count(replica.name)
 	}
 }
 
-// noReplica is why no replica is left for the request.
+// noReplica returns the error that says why no replica is available for the request.
 func (r *run) noReplica() error {
 	if wait := r.directory.restsReturn(r.call.Service.Name, rankOf(r.call.Route.Priority)); wait > 0 {
 		return &restingError{wait: wait}
@@ -113,7 +114,7 @@
 	if r.limits == nil {
 		return errNoReplica
 	}
-	wait := r.directory.returnAfter(r.call.Service.Name, rankOf(r.call.Route.Priority))
+	wait := r.directory.limitRetryAfter(r.call.Service.Name, rankOf(r.call.Route.Priority))
 	if wait <= 0 {
 		return errNoReplica
 	}
@@ -124,8 +125,8 @@
 	return limited
 }
 
-// restingError is the refusal of a request since all replicas want to be left alone, or would soon if they
-// got more; wait is in how long one takes it.
+// restingError rejects a request because all replicas are in a requested backoff, or as full as one was when it
+// requested one; wait is the time until one accepts the request.
 type restingError struct{ wait time.Duration }
 
 // Error implements error.
@@ -133,8 +134,8 @@
 	return "all replicas have asked for rest, or are as full as one was that has"
 }
 
-// limitedError is the refusal of a request since no replica has room under the limit that it names.
-// wait is in how long one should, and replica one that was asked about, empty if none had to be.
+// limitedError rejects a request because no replica has capacity under the limit that it declares. wait is the
+// expected time until one has; replica is the last one that denied a permit, empty if no permit was requested.
 type limitedError struct {
 	wait    time.Duration
 	replica string
@@ -148,7 +149,7 @@
 	return fmt.Sprintf("no replica has room under the limit that it names, the last one asked about was %s", e.replica)
 }
 
-// limitedOrNone tells limits apart from a lack of replicas.
+// limitedOrNone replaces errNoReplica by a more specific error, if backoffs or limits are the cause.
 func (r *run) limitedOrNone(err error) error {
 	if errors.Is(err, errNoReplica) {
 		return r.noReplica()
@@ -156,17 +157,17 @@
 	return err
 }
 
-// beginNow has the lease begin anew: what was waited for before is not the replica's time.
-func (l *Lease) beginNow() {
+// restartTiming resets the start time of the lease: the time waited for the permit is not the replica's latency.
+func (l *Lease) restartTiming() {
 	l.directory.mutex.Lock()
 	defer l.directory.mutex.Unlock()
 	l.begun = l.directory.clock()
 }
 
-// permitUsed notes that the request was sent, or may have been: it stays counted.
+// permitUsed notes that the request was sent, or may have been: the permit is not returned.
 func (l *Lease) permitUsed() { l.permit = nil }
 
-// returnPermit has the request not counted, unless it was sent.
+// returnPermit returns the permit, unless the request was sent.
 func (l *Lease) returnPermit() {
 	if l.permit != nil {
 		l.permit.GiveBack()
--- a/internal/relay/overload.go
+++ b/internal/relay/overload.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// rankedMeter keeps what prompts in time ask of a service's readers, by the rank of their
-// routes, and how many of the readers have such work. It fades with readMemory. It is guarded
-// by the Directory's mutex.
+// rankedMeter measures the work that on-time prompts demand of a service's prefill replicas, by the
+// rank of their routes, and how many of the replicas have such work. It decays with readTimeConstant.
+// It is guarded by the Directory's mutex.
 type rankedMeter struct {
-	// busy is the work that was placed here of late, in seconds, and prompts its number.
+	// busy is the work recently placed by this process, in seconds, and prompts the number of its prompts.
 	busy, prompts [LastRank]float64
-	// squares is the sum of the squares of the prompts' work, in seconds.
+	// squares is the sum of the squares of the prompts' work, in square seconds.
 	squares float64
-	// taken is the share of the readers that have prompts in time to read, of late.
-	taken float64
-	// readers is their number, and late that of those which have late prompts, now.
+	// busyShare is the recent share of the prefill replicas that have on-time prompts to read.
+	busyShare float64
+	// readers is the present number of prefill replicas, and late the number of those with late prompts.
 	readers, late int
 	tenants       tenantMeter
 	// sizes are by rank, nil where there were no prompts.
@@ -23,9 +23,9 @@
 	at    time.Duration
 }
 
-// fade forgets with the time, and returns the share that is left.
+// fade decays the sums up to now, and returns the factor that was applied.
 func (m *rankedMeter) fade(now time.Duration) float64 {
-	left := math.Exp(-(now - m.at).Seconds() / readMemory.Seconds())
+	left := math.Exp(-(now - m.at).Seconds() / readTimeConstant.Seconds())
 	m.at = now
 	for rank := range m.busy {
 		m.busy[rank] *= left
@@ -35,36 +35,36 @@
 	return left
 }
 
-// observe notes the readers as a prompt comes.
+// observe samples the state of the prefill replicas when a prompt arrives.
 func (m *rankedMeter) observe(now time.Duration, readers []*Replica) {
 	left := m.fade(now)
 	if len(readers) == 0 {
 		return
 	}
-	taken := 0
+	busyReaders := 0
 	m.readers, m.late = len(readers), 0
 	for _, reader := range readers {
 		reading := reader.allReading(now)
 		if reading[InTime] > 0 {
-			taken++
+			busyReaders++
 		}
 		if reading[Late] > 0 {
 			m.late++
 		}
 	}
-	m.taken = left*m.taken + (1-left)*float64(taken)/float64(len(readers))
+	m.busyShare = left*m.busyShare + (1-left)*float64(busyReaders)/float64(len(readers))
 }
 
-// place notes a prompt in time that was placed.
+// place records an on-time prompt that was placed.
 func (m *rankedMeter) place(rank int, busy time.Duration) {
 	m.busy[rank] += busy.Seconds()
 	m.prompts[rank]++
 	m.squares += busy.Seconds() * busy.Seconds()
 }
 
-// ahead is the share of the work in time that is of a rank or an earlier one; all of it as
-// long as nothing is known.
-func (m *rankedMeter) ahead(rank int) float64 {
+// shareUpTo is the share of the on-time work that is of a rank or an earlier one; 1 as long as no work is
+// known.
+func (m *rankedMeter) shareUpTo(rank int) float64 {
 	var sum, all float64
 	for each, busy := range m.busy {
 		all += busy
@@ -78,22 +78,22 @@
 	return sum / all
 }
 
-// pushing is the share of a reader's time that prompts of earlier ranks take which have yet to
-// come: what waits there waits for them, too. Without it, prompts of the latest rank were taken
-// for in time and then read late: at 1.5 times the capacity goodput fell from 0.94 to 0.60.
-func (m *rankedMeter) pushing(rank int) float64 {
-	if rank == 0 || m.taken <= 0 {
+// earlierRankLoad is the share of a prefill replica's time taken by prompts of earlier ranks that have yet
+// to arrive: prompts that wait there also wait for them. Without it, prompts of the latest rank were
+// classified as on time and then read late: at 1.5 times the capacity goodput fell from 0.94 to 0.60.
+func (m *rankedMeter) earlierRankLoad(rank int) float64 {
+	if rank == 0 || m.busyShare <= 0 {
 		return 0
 	}
-	return min(m.taken*m.ahead(rank-1), mostPushing)
+	return min(m.busyShare*m.shareUpTo(rank-1), maxEarlierRankLoad)
 }
 
-// mostPushing bounds by how much a wait is stretched, to ten times: a prompt that waits for
-// nothing has the time that it needs however much of earlier ranks comes.
-const mostPushing = 0.9
+// maxEarlierRankLoad bounds the stretching of a wait, to ten times. A prompt that has no work to wait for is
+// not delayed, however much work of earlier ranks arrives.
+const maxEarlierRankLoad = 0.9
 
-// behind is how long a prompt of a later rank takes to be read.
-func (m *rankedMeter) behind(rank int) time.Duration {
+// meanLaterRank is the mean time to read a prompt of a later rank, 0 if there is none.
+func (m *rankedMeter) meanLaterRank(rank int) time.Duration {
 	var busy, prompts float64
 	for each := rank + 1; each < LastRank; each++ {
 		busy += m.busy[each]
@@ -105,8 +105,8 @@
 	return time.Duration(busy / prompts * float64(time.Second))
 }
 
-// typical is how long a prompt in time takes to be read, the mean over the work: half of the work takes
-// about as long or longer. It is 0 as long as nothing is known.
+// typical is the work-weighted mean time to read an on-time prompt: about half of the work belongs to prompts that
+// take as long or longer. It is 0 as long as no work is known.
 func (m *rankedMeter) typical() time.Duration {
 	var all float64
 	for _, busy := range m.busy {
@@ -118,7 +118,7 @@
 	return time.Duration(m.squares / all * float64(time.Second))
 }
 
-// rankedOf is called with the mutex held.
+// rankedOf returns the meter of a service. The caller must hold d.mutex.
 func (d *Directory) rankedOf(service string) *rankedMeter {
 	meter, found := d.ranked[service]
 	if !found {
@@ -128,10 +128,10 @@
 	return meter
 }
 
-// aheadOf is the work in time that the replica does before a prompt of a rank: replicas take the
-// prompts of earlier ranks first. What peers have told is not parted by rank, and counts as the
-// work that was placed here. One of a later rank that has been begun is read to its end. It is
-// called with the mutex held.
+// aheadOf is the expected time for on-time work that the replica does before the request's prompt: replicas
+// read the prompts of earlier ranks first. Work reported by peers is not broken down by rank; its ranks are
+// assumed to be distributed as those of the work placed by this process. A prompt of a later rank that was
+// begun is read to its end. The caller must hold d.mutex.
 func (d *Directory) aheadOf(replica *Replica, request ReadRequest, now time.Duration) time.Duration {
 	rank := request.Rank
 	all := replica.allReading(now)[InTime]
@@ -143,49 +143,46 @@
 		}
 	}
 	meter := d.rankedOf(replica.Service)
-	ahead += time.Duration(meter.ahead(rank) * float64(max(all-own, 0)))
-	wait := ahead + min(max(all-ahead, 0), meter.behind(rank))
-	return time.Duration(float64(wait) * meter.tenants.beyond(request.Tenant, now) / (1 - meter.pushing(rank)))
+	ahead += time.Duration(meter.shareUpTo(rank) * float64(max(all-own, 0)))
+	wait := ahead + min(max(all-ahead, 0), meter.meanLaterRank(rank))
+	return time.Duration(float64(wait) * meter.tenants.waitFactor(request.Tenant, now) / (1 - meter.earlierRankLoad(rank)))
 }
 
-// rankOf bounds the rank of a route.
+// rankOf limits the rank of a route to the valid range.
 func rankOf(priority int) int { return min(max(priority, 0), LastRank-1) }
 
-// lateLeft is the time in which a late prompt has to be read: callers leave a stream that has
-// been silent for some objectives, though not at once, long before their deadline.
+// lateLeft is the remaining time in which a late prompt has to be read: callers abandon a stream without
+// events after a few times its objective, but not before minCallerPatience, and long before their deadline.
 func (r *ReadRequest) lateLeft() time.Duration {
 	passed := r.Objective - r.AimLeft
-	return min(r.Left, max(lateObjectives*r.Objective, leastPatience)-passed)
+	return min(r.Left, max(lateObjectives*r.Objective, minCallerPatience)-passed)
 }
 
 const (
-	// lateObjectives is after how many objectives from its arrival a prompt is of no use any
-	// more.
+	// lateObjectives is the age, in multiples of its objective, at which a prompt has become useless.
 	lateObjectives = 4
-	// leastPatience is for how long callers wait for a stream at least, however short its
-	// objective.
-	leastPatience = 2 * time.Second
+	// minCallerPatience is how long callers wait for a stream at least, however short its objective.
+	minCallerPatience = 2 * time.Second
 )
 
-// mayBeginLate reports whether a late prompt may go to a reader that has nothing to read: there
-// it begins at once, and is read to its end. The readers with late prompts are kept to a share of
-// those that prompts in time leave free, so that these hardly meet any. It is called with the
-// mutex held.
+// mayBeginLate reports whether a late prompt may be placed at an idle prefill replica, where it begins at once
+// and is read to its end. The replicas with late prompts are limited to a share of those that have no on-time
+// prompts, so that on-time prompts rarely wait for late ones. The caller must hold d.mutex.
 func (d *Directory) mayBeginLate(estimated *readEstimate, now time.Duration) bool {
 	meter := d.rankedOf(estimated.replica.Service)
 	idle := estimated.replica.allReading(now).before(Late) <= 0
-	return idle && float64(meter.late+1) <= lateReaderShare*(1-meter.taken)*float64(meter.readers)
+	return idle && float64(meter.late+1) <= lateReaderShare*(1-meter.busyShare)*float64(meter.readers)
 }
 
-// lateReaderShare of the readers that are free of prompts in time may read late ones that began
-// at once.
+// lateReaderShare is the share of the prefill replicas without on-time prompts that may read late prompts which
+// begin at once.
 const lateReaderShare = 0.5
 
-// lateTotal is the time until a replica has read a late prompt: it reads late ones only while it
-// has none in time, which is the less often the more of the readers have such work. It is called
-// with the mutex held.
+// lateTotal is the expected time until a replica has read a late prompt. A replica reads late prompts only while
+// it has no on-time ones; the share of that time is estimated by the share of the replicas without on-time
+// prompts. The caller must hold d.mutex.
 func (d *Directory) lateTotal(estimated *readEstimate) time.Duration {
-	free := 1 - d.rankedOf(estimated.replica.Service).taken
+	free := 1 - d.rankedOf(estimated.replica.Service).busyShare
 	if free <= 0 {
 		return math.MaxInt64
 	}
--- a/internal/relay/ratelimit.go
+++ b/internal/relay/ratelimit.go
@@ -9,67 +9,67 @@
 	"github.com/pierhaven/pierhaven/internal/region"
 )
 
-// RateLimit is what a replica's answer says of the requests that it takes.
+// RateLimit is what a replica's response says of its rate limit.
 type RateLimit struct {
-	// Named says that the answer names a limit, and Unreadable that it names one that can't be read.
+	// Named is set if the response declares a limit, and Unreadable if it declares one that can't be parsed.
 	Named, Unreadable bool
-	// Rate is the requests a second that the replica takes from all gateways together.
+	// Rate is the requests a second that the replica accepts from all gateways together.
 	Rate float64
 }
 
-// ReplicaLimits is how all gateways keep to the limits that replicas name.
+// ReplicaLimits enforces the limits that replicas declare, across all gateways.
 type ReplicaLimits struct {
-	// Ask asks whether a request may be sent to a replica.
+	// Ask requests a permit to send a request to a replica.
 	Ask func(ctx context.Context, asked LimitQuestion) Permit
-	// Count counts what is sent to a life of a replica without asking.
+	// Count counts a message that was sent to an incarnation of a replica without a permit.
 	Count func(life string)
 }
 
-// LimitQuestion asks whether a request may be sent to a replica that names a limit.
+// LimitQuestion asks for a permit to send a request to a replica that declares a limit.
 type LimitQuestion struct {
 	Request string
-	// Life is the replica's, by Life.Name, and Rate the limit that it names.
+	// Life is the replica's incarnation, by Life.Name, and Rate the limit that it declares.
 	Life string
 	Rate float64
-	// Rank is the urgency of the request's route.
+	// Rank is the priority rank of the request's route.
 	Rank int
 }
 
 // Permit is the answer to a LimitQuestion.
 type Permit struct {
 	Granted bool
-	// Wait is in how long the replica should have room, if it is not granted.
+	// Wait is the expected time until the replica has capacity, if the permit is not granted.
 	Wait time.Duration
-	// By names who has decided.
+	// By names the process that decided.
 	By string
-	// GiveBack has the request not counted: it has not been sent.
+	// GiveBack returns an unused permit: the request was not sent, and is not counted.
 	GiveBack func()
 }
 
 const (
-	// limitLogPause is the least time between two lines on one replica's limit, which may be another
-	// one in each answer.
-	limitLogPause = time.Second
-	// leastDenial is the shortest time for which a replica without room is not asked about again.
-	leastDenial = 5 * time.Millisecond
-	// noLimit stands for no limit in log lines.
+	// limitLogInterval is the minimum time between two log lines about one replica's limit, which may
+	// change with every response.
+	limitLogInterval = time.Second
+	// minDenialTime is the minimum time before a permit is requested again for a replica without capacity.
+	minDenialTime = 5 * time.Millisecond
+	// noLimit is the value of Lease.Limit for a replica without a limit, also in log lines.
 	noLimit = -1.0
 )
 
-// namedLimit is the limit that a replica names, as this process knows it, and who has no room under
-// it. It is guarded by the Directory's mutex.
+// namedLimit is the limit that a replica declares, as this process knows it, and the ranks that were denied
+// under it. It is guarded by the Directory's mutex.
 type namedLimit struct {
 	named bool
 	rate  float64
-	// deniedUntil is by rank until when requests have no room.
+	// deniedUntil is, by rank, the time until which requests are denied.
 	deniedUntil [LastRank]time.Duration
-	// logAt is when the next line may be written, and omitted are the changes since the last one.
-	logAt   time.Duration
-	omitted int
+	// nextLogAt is when the next line may be logged, and omitted the number of lines skipped since the last.
+	nextLogAt time.Duration
+	omitted   int
 }
 
-// denied reports whether requests of a rank have no room now: what was denied an earlier rank is
-// denied later ones.
+// denied reports whether requests of a rank are denied now: a denial of one rank also applies to all lower
+// priorities, which have higher rank numbers.
 func (l *namedLimit) denied(rank int, now time.Duration) bool {
 	if !l.named {
 		return false
@@ -82,76 +82,76 @@
 	return false
 }
 
-// OnLimit has a function told of what replicas' answers say of their limits. It is called before
-// any use.
-func (d *Directory) OnLimit(told func(word ratelimit.Word)) { d.onLimit = told }
+// OnLimit sets a function that is called with what replicas' responses report of their limits. It must be called
+// before first use.
+func (d *Directory) OnLimit(notify func(report ratelimit.Word)) { d.onLimit = notify }
 
-// NoteLimit notes what the replica's answer says of a limit. An answer that has not run the request
-// and names none says nothing: a refusal need not come from where limits are named.
-func (l *Lease) NoteLimit(told RateLimit, ran bool) {
+// NoteLimit records what the replica's response says of a limit. A response without a limit to a request that
+// was not run is ignored: a rejection may come from a component that does not declare limits.
+func (l *Lease) NoteLimit(limit RateLimit, ran bool) {
 	d := l.directory
-	if !told.Unreadable && !told.Named && (!ran || d.limited.Load() == 0) {
+	if !limit.Unreadable && !limit.Named && (!ran || d.limited.Load() == 0) {
 		return
 	}
-	word, says := d.noteLimit(l.Replica, told)
+	report, says := d.noteLimit(l.Replica, limit)
 	if says && d.onLimit != nil {
-		d.onLimit(word)
+		d.onLimit(report)
 	}
 }
 
-// noteLimit takes what an answer says over, and reports whether it says anything of a limit.
-func (d *Directory) noteLimit(replica *Replica, told RateLimit) (word ratelimit.Word, says bool) {
+// noteLimit records what a response says, and returns a limit report for other processes, if there is one.
+func (d *Directory) noteLimit(replica *Replica, limit RateLimit) (report ratelimit.Word, says bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if told.Unreadable {
+	if limit.Unreadable {
 		d.logLimit(replica, event.LimitUnreadable)
-		return word, false
+		return report, false
 	}
-	if !told.Named && !replica.limit.named {
-		return word, false
+	if !limit.Named && !replica.limit.named {
+		return report, false
 	}
-	word = ratelimit.Word{Replica: replica.name, Named: told.Named, Rate: told.Rate}
-	d.takeLimit(word, d.clock())
-	return word, true
+	report = ratelimit.Word{Replica: replica.name, Named: limit.Named, Rate: limit.Rate}
+	d.takeLimit(report, d.clock())
+	return report, true
 }
 
-// TakeLimits takes over what another process knows of limits.
-func (d *Directory) TakeLimits(words []ratelimit.Word) {
+// TakeLimits merges the limit reports of another process.
+func (d *Directory) TakeLimits(reports []ratelimit.Word) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := d.clock()
-	for _, word := range words {
-		d.takeLimit(word, now)
+	for _, report := range reports {
+		d.takeLimit(report, now)
 	}
 }
 
-// takeLimit is called with the mutex held.
-func (d *Directory) takeLimit(word ratelimit.Word, now time.Duration) {
-	replica, listed := d.replicas[word.Replica]
-	if !listed || !d.limits.Take(now, word) {
+// takeLimit merges a limit report. A changed limit lifts all denials. The caller must hold d.mutex.
+func (d *Directory) takeLimit(report ratelimit.Word, now time.Duration) {
+	replica, listed := d.replicas[report.Replica]
+	if !listed || !d.limits.Take(now, report) {
 		return
 	}
 	known := &replica.limit
-	if known.named != word.Named {
-		d.countLimited(word.Named)
+	if known.named != report.Named {
+		d.countLimited(report.Named)
 	}
-	known.named, known.rate = word.Named, word.Rate
+	known.named, known.rate = report.Named, report.Rate
 	known.deniedUntil = [LastRank]time.Duration{}
 	d.logLimit(replica, event.LimitNamed)
 }
 
-// logLimit writes a line on what a replica says of its limit. It is called with the mutex held.
+// logLimit logs a replica's limit, at most one line per limitLogInterval. The caller must hold d.mutex.
 func (d *Directory) logLimit(replica *Replica, what event.Event) {
 	known, now := &replica.limit, d.clock()
-	if now < known.logAt {
+	if now < known.nextLogAt {
 		known.omitted++
 		return
 	}
 	d.logger.Info(what, "replica", replica.ID, "named", known.named, "rate", known.rate, "omitted", known.omitted)
-	known.logAt, known.omitted = now+limitLogPause, 0
+	known.nextLogAt, known.omitted = now+limitLogInterval, 0
 }
 
-// countLimited counts a replica that names a limit, or no more.
+// countLimited updates the number of replicas with a limit, after one has declared or dropped its limit.
 func (d *Directory) countLimited(named bool) {
 	if named {
 		d.limited.Add(1)
@@ -160,10 +160,10 @@
 	d.limited.Add(-1)
 }
 
-// LimitedCount is the number of replicas that name a limit, as this process knows it.
+// LimitedCount is the number of replicas that declare a limit, as this process knows it.
 func (d *Directory) LimitedCount() int { return int(d.limited.Load()) }
 
-// LimitNames is ratelimit.Table.Names of what this process knows, and LimitWords all of it.
+// LimitNames is ratelimit.Table.Names of what this process knows, 0 if no replica declares a limit.
 func (d *Directory) LimitNames() uint64 {
 	if d.limited.Load() == 0 {
 		return 0
@@ -173,32 +173,32 @@
 	return d.limits.Names()
 }
 
-// LimitsDropped counts what answers have said of limits for which there was no room.
+// LimitsDropped counts the limit reports that were discarded because the table was full.
 func (d *Directory) LimitsDropped() uint64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.limits.Dropped
 }
 
-// LimitWords tells what this process knows of limits.
+// LimitWords returns limit reports of all that this process knows.
 func (d *Directory) LimitWords() []ratelimit.Word {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.limits.Words(d.clock())
 }
 
-// Denied notes that a replica has no room for requests of a rank for a time.
+// Denied records that a replica has no capacity for requests of a rank for a time.
 func (d *Directory) Denied(life string, rank int, wait time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if replica, listed := d.replicas[life]; listed && replica.limit.named {
-		replica.limit.deniedUntil[rankOf(rank)] = d.clock() + max(wait, leastDenial)
+		replica.limit.deniedUntil[rankOf(rank)] = d.clock() + max(wait, minDenialTime)
 	}
 }
 
-// Limit is the rate that the lease's replica names, negative if it names none.
+// Limit is the rate that the lease's replica declares, negative if it declares none.
 func (l *Lease) Limit() float64 {
-	if !l.directory.namesLimit(l.Replica) {
+	if !l.directory.declaresLimit(l.Replica) {
 		return noLimit
 	}
 	l.directory.mutex.Lock()
@@ -206,8 +206,8 @@
 	return l.Replica.limit.rate
 }
 
-// namesLimit reports whether a replica names a limit.
-func (d *Directory) namesLimit(replica *Replica) bool {
+// declaresLimit reports whether a replica declares a limit.
+func (d *Directory) declaresLimit(replica *Replica) bool {
 	if d.limited.Load() == 0 {
 		return false
 	}
@@ -216,8 +216,8 @@
 	return replica.limit.named
 }
 
-// generatorsLimited reports whether each replica that generates for a service names a limit.
-func (d *Directory) generatorsLimited(service string) bool {
+// decodeReplicasLimited reports whether the service has decode replicas and each of them declares a limit.
+func (d *Directory) decodeReplicasLimited(service string) bool {
 	if d.limited.Load() == 0 {
 		return false
 	}
@@ -233,42 +233,42 @@
 	return limited
 }
 
-// returnAfter is in how long a caller should come back whose request no replica of a service has
-// room for, as far as limits go; zero if none of them names a limit. Those who were refused here come
-// back one after the other, at this process's part of the pace of all limits together.
-func (d *Directory) returnAfter(service string, rank int) time.Duration {
+// limitRetryAfter is the Retry-After of a caller whose request no replica of a service has capacity for under
+// its limit; zero if none of them declares a limit. The retries of rejected callers are spread: they follow
+// each other at this process's share of the sum of all limits.
+func (d *Directory) limitRetryAfter(service string, rank int) time.Duration {
 	if d.limited.Load() == 0 {
 		return 0
 	}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := d.clock()
-	rate, room := 0.0, time.Duration(-1)
+	rate, earliest := 0.0, time.Duration(-1)
 	for _, replica := range d.services[service] {
 		limit := &replica.limit
 		if !limit.named || replica.ends() || replica.gone || replica.Stage == region.StagePrefill {
 			continue
 		}
 		rate += limit.rate
-		if wait := limit.room(rank, now); room < 0 || wait < room {
-			room = wait
+		if wait := limit.denialLeft(rank, now); earliest < 0 || wait < earliest {
+			earliest = wait
 		}
 	}
-	if room < 0 {
+	if earliest < 0 {
 		return 0
 	}
 	pace := longestReturn
 	if rate > 0 {
 		pace = time.Duration(min(float64(d.choosers())/rate, longestReturn.Seconds()) * float64(time.Second))
 	}
-	return d.callBack(service, now+max(room, leastDenial), pace, now+longestReturn) - now
+	return d.callBack(service, now+max(earliest, minDenialTime), pace, now+longestReturn) - now
 }
 
-// longestReturn bounds the time that a refused caller is told to wait for a replica's limit.
+// longestReturn bounds the Retry-After of a caller that is rejected because of replicas' limits.
 const longestReturn = ratelimit.Window
 
-// room is in how long requests of a rank have room.
-func (l *namedLimit) room(rank int, now time.Duration) time.Duration {
+// denialLeft is the time until requests of a rank are no longer denied.
+func (l *namedLimit) denialLeft(rank int, now time.Duration) time.Duration {
 	var until time.Duration
 	for each := 0; each <= rank; each++ {
 		until = max(until, l.deniedUntil[each])
--- a/internal/relay/tenantlevel.go
+++ b/internal/relay/tenantlevel.go
@@ -7,77 +7,78 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// tenantMeter keeps the work of late that was placed for each tenant of a service. It fades with
-// readMemory. It is guarded by the Directory's mutex.
+// tenantMeter measures the work recently placed for each tenant of a service. It decays with
+// readTimeConstant. It is guarded by the Directory's mutex.
 type tenantMeter struct {
-	tenants map[uint64]fadingWork
-	all     fadingWork
+	tenants map[uint64]decayingWork
+	all     decayingWork
 	sweptAt time.Duration
 }
 
-// fadingWork is work in seconds that fades with readMemory.
-type fadingWork struct {
+// decayingWork is work in seconds that decays with readTimeConstant.
+type decayingWork struct {
 	busy float64
 	at   time.Duration
 }
 
-func (w fadingWork) now(now time.Duration) float64 {
-	return w.busy * math.Exp(-(now-w.at).Seconds()/readMemory.Seconds())
+func (w decayingWork) now(now time.Duration) float64 {
+	return w.busy * math.Exp(-(now-w.at).Seconds()/readTimeConstant.Seconds())
 }
 
 const (
-	// farBeyond is how many times the mean of the others a tenant may have placed before its
-	// prompts wait for longer: tenants differ, and only one far beyond the others is held back.
-	farBeyond = 4
-	// forgottenWork in seconds is as good as none; tenants with less are forgotten.
-	forgottenWork = 0.001
-	// mostBeyond bounds the factor: a prompt of such a tenant may still wait half as long as others'.
-	mostBeyond = 2
+	// heavyTenantRatio is how many times the mean of the other tenants' work a tenant may have placed before
+	// its prompts wait longer: tenants differ, and only one far above the others is held back.
+	heavyTenantRatio = 4
+	// negligibleWork, in seconds, counts as none; tenants with less are removed.
+	negligibleWork = 0.001
+	// maxWaitFactor bounds the stretching of waits: a heavy tenant's prompt may still wait half as long as
+	// those of others.
+	maxWaitFactor = 2
 )
 
-// place notes work for a tenant; 0 is none.
+// place records work for a tenant; 0 stands for no tenant.
 func (m *tenantMeter) place(tenant uint64, busy, now time.Duration) {
 	if tenant == 0 {
 		return
 	}
 	if m.tenants == nil {
-		m.tenants = map[uint64]fadingWork{}
+		m.tenants = map[uint64]decayingWork{}
 	}
-	m.tenants[tenant] = fadingWork{busy: m.tenants[tenant].now(now) + busy.Seconds(), at: now}
-	m.all = fadingWork{busy: m.all.now(now) + busy.Seconds(), at: now}
-	if now-m.sweptAt >= readMemory {
+	m.tenants[tenant] = decayingWork{busy: m.tenants[tenant].now(now) + busy.Seconds(), at: now}
+	m.all = decayingWork{busy: m.all.now(now) + busy.Seconds(), at: now}
+	if now-m.sweptAt >= readTimeConstant {
 		m.sweep(now)
 	}
 }
 
-// sweep forgets the tenants that have placed nothing for long, so that memory is bounded by the
-// work that can be placed.
+// sweep removes the tenants whose work has decayed to nothing, so that memory is bounded by the work that can be
+// placed.
 func (m *tenantMeter) sweep(now time.Duration) {
 	m.sweptAt = now
 	for tenant, work := range m.tenants {
-		if work.now(now) < forgottenWork {
+		if work.now(now) < negligibleWork {
 			delete(m.tenants, tenant)
 		}
 	}
 }
 
-// beyond is by how much the wait of a tenant's prompt is stretched: 1 for a tenant that has not
-// placed far more than the others. A prompt that waits for nothing is not held back, so that a
-// tenant takes from the others no more than what they leave.
-func (m *tenantMeter) beyond(tenant uint64, now time.Duration) float64 {
+// waitFactor is the factor by which the expected wait of a tenant's prompt is stretched: 1 for a tenant that has
+// not placed far more work than the others. A prompt with no work to wait for is not held back, so that a heavy
+// tenant can still use the capacity that the others leave.
+func (m *tenantMeter) waitFactor(tenant uint64, now time.Duration) float64 {
 	others := len(m.tenants) - 1
 	if tenant == 0 || others < 1 {
 		return 1
 	}
 	own := m.tenants[tenant].now(now)
 	mean := max(m.all.now(now)-own, 0) / float64(others)
-	if own <= farBeyond*mean {
+	if own <= heavyTenantRatio*mean {
 		return 1
 	}
-	return min(own/max(farBeyond*mean, forgottenWork), mostBeyond)
+	return min(own/max(heavyTenantRatio*mean, negligibleWork), maxWaitFactor)
 }
 
-// tenantOf stands for a tenant's name in questions, 0 for none.
+// tenantOf returns the hash that stands for a tenant's name in placement queries, 0 for no tenant.
 func tenantOf(name string) uint64 {
 	if name == "" {
 		return 0
