--- a/internal/ratelimit/limit_test.go
+++ b/internal/ratelimit/limit_test.go
@@ -18,7 +18,7 @@
 
 // At any declared rate, the pools and the gateways without a pool together send at most 1.5 times the limit
 // and 5 requests in a window, even if each request was permitted up to PermitTime earlier.
-func TestAllSharesOfALimitFitIntoTheWindow(t *testing.T) {
+func TestAllPartsOfALimitFitIntoTheWindow(t *testing.T) {
 	terms := ratelimit.Terms()
 	for _, rate := range []float64{0, 1e-9, 0.1, 1.0 / 3, 0.5, 1, 2, 5.9, 20, 400, 1e9} {
 		limit := ratelimit.PoolLimit(rate, contact)
@@ -113,7 +113,7 @@
 }
 
 // The size of a table depends on the number of replicas, not on how often their limits change.
-func TestTableSizeIsBoundedByReplicas(t *testing.T) {
+func TestATableIsBounded(t *testing.T) {
 	table := ratelimit.NewTable()
 	for number := range 40_000 {
 		table.Take(time.Duration(number), ratelimit.Word{Replica: string(rune('a'+number%1000)) + "x", Named: true, Rate: float64(number)})
--- a/internal/relay/demand_test.go
+++ b/internal/relay/demand_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestAPromptIsDelayedOnlyByItsWait(t *testing.T) {
+func TestPromptIsDelayedOnlyByItsWait(t *testing.T) {
 	request := ReadRequest{Objective: time.Second, AimLeft: time.Second}
 	for name, test := range map[string]struct {
 		wait, busy time.Duration
@@ -27,9 +27,9 @@
 	assert.False(t, refusedTimes(request, 2*time.Second).delayed)
 }
 
-// TestTheDemandForReadingIsSmoothed has 20 prompts a second be read for 100 ms each, where replicas
-// that keep nothing of them would take 300 ms: 2 replicas are busy, and 6 would be.
-func TestTheDemandForReadingIsSmoothed(t *testing.T) {
+// TestReadDemandIsSmoothed adds 20 prompts a second that take 100 ms each to read, and would take 300 ms without
+// cached prefixes: they keep 2 replicas busy, and would keep 6 busy.
+func TestReadDemandIsSmoothed(t *testing.T) {
 	meter := &readMeter{}
 	now := time.Duration(0)
 	for range 400 {
--- a/internal/relay/limited_load_test.go
+++ b/internal/relay/limited_load_test.go
@@ -16,7 +16,7 @@
 	"github.com/pierhaven/pierhaven/internal/window"
 )
 
-// limitedReplay is a replay in which readers name limits, kept by one pool.
+// limitedReplay is a replay in which prefill replicas declare limits, enforced by one quota pool.
 type limitedReplay struct {
 	*replay
 	pool  *quota.Pool
@@ -30,19 +30,19 @@
 	r.pool = quota.NewPool(0, quota.Options{Address: "a", Life: 1, Lease: time.Second, Terms: ratelimit.Terms()})
 	r.pool.SetGroup(0, "a", []string{"a"})
 	r.place = r.placeWithinLimits
-	// The pool counts a part that another one may have counted before.
+	// A new pool grants nothing for one lease time, in which another pool may still count its share.
 	r.now += 2 * time.Second
 	return r
 }
 
-// limit has a reader name a limit.
+// limit makes a prefill replica declare a limit.
 func (r *limitedReplay) limit(id string, rate float64) {
 	r.rates[id] = rate
 	r.TakeLimits([]ratelimit.Word{{Replica: id, Named: true, Rate: rate}})
 	r.pool.SetLimit(r.now, id, ratelimit.PoolLimit(rate, 3*time.Second))
 }
 
-// placeWithinLimits leases a reader that has room under its limit.
+// placeWithinLimits leases a prefill replica that has capacity under its limit.
 func (r *limitedReplay) placeWithinLimits(request relay.ReadRequest) (*relay.Lease, error) {
 	for {
 		lease, err := r.PlaceReading("s", request)
@@ -51,7 +51,7 @@
 		}
 		id := lease.Replica.ID
 		if lease.Replica.Stage == region.StageDecode {
-			// The generator stands for those that could read the prompt only between others' tokens.
+			// The decode replica stands for those that could read the prompt only between the tokens of other streams.
 			lease.Release()
 			return nil, errNoReader
 		}
@@ -71,21 +71,21 @@
 	}
 }
 
-var errNoReader = errors.New("no reader has room")
+var errNoReader = errors.New("no prefill replica has capacity")
 
-// requireLimits holds every four seconds against what the readers name.
+// requireLimits checks the requests of every four-second window against the declared limits.
 func (r *limitedReplay) requireLimits(t *testing.T) {
 	t.Helper()
 	for id, times := range r.sent {
 		most := window.Most(len(times), 4*time.Second, func(first, last int) time.Duration { return times[last] - times[first] })
 		if most > int(6*r.rates[id])+5 {
-			t.Fatalf("%s names %g a second, and got %d in 4 s", id, r.rates[id], most)
+			t.Fatalf("%s declares %g requests a second, and received %d in 4 s", id, r.rates[id], most)
 		}
 	}
 }
 
-// used is the least share of a reader's limit that was used.
-func (r *limitedReplay) used(length time.Duration) float64 {
+// minUsed is the smallest share of a prefill replica's limit that was used; limits below 0.1 are ignored.
+func (r *limitedReplay) minUsed(length time.Duration) float64 {
 	var shares []float64
 	for id, rate := range r.rates {
 		if rate >= 0.1 {
@@ -95,8 +95,8 @@
 	return slices.Min(shares)
 }
 
-// Some readers name limits, far below what they could read. What the others can read is read in time,
-// and beyond that the limits are used up.
+// Some prefill replicas declare limits far below their capacity. Load within the capacity of the others is read
+// on time, and beyond it the limits are used up.
 func TestReadersWithLimitsLeaveTheirWorkToOthers(t *testing.T) {
 	const (
 		readers = 12
@@ -105,8 +105,8 @@
 		seeds   = 4
 	)
 	for _, limited := range []int{0, 2, 6} {
-		// Limits count requests, light and heavy ones alike: whoever leaves their room to what takes longest
-		// to read gets more out of them than this.
+		// Limits count light and heavy requests alike: using them for the longest prompts would exceed this
+		// estimate of the remaining capacity.
 		left := float64(readers-limited)/readers + float64(limited)*limit*meanTokens(mixedWork)/pace/readers
 		for _, load := range []float64{0.4, 0.9, 1.5} {
 			goodputs, lights, leastUsed := 0.0, 0.0, 1.0
@@ -120,7 +120,7 @@
 				r.requireLimits(t)
 				assert.Greater(t, goodput, 0.88*min(load, left))
 				if limited > 0 {
-					leastUsed = min(leastUsed, r.used(length))
+					leastUsed = min(leastUsed, r.minUsed(length))
 				}
 				goodputs += goodput
 				lights += float64(r.inTime["light"]) / float64(r.replay.asked["light"])
@@ -134,8 +134,8 @@
 	}
 }
 
-// All readers name limits whose sum is below the load. What is served stays level however much is asked
-// for, urgent work goes first, and the largest prompts are not put behind others for their size.
+// All prefill replicas declare limits whose sum is below the load. The number served on time stays level as the
+// load grows, urgent work goes first, and the largest prompts are not put behind others because of their size.
 func TestGoodputIsLevelAtTheSumOfAllLimits(t *testing.T) {
 	const (
 		readers = 12
@@ -153,17 +153,17 @@
 		share := func(name string) float64 { return float64(r.inTime[name]) / float64(r.replay.asked[name]) }
 		all := r.inTime["light"] + r.inTime["middle"] + r.inTime["heavy"]
 		t.Logf("load %.1f: %d in time, %.2f of the limits; light %.3f, middle %.3f, heavy %.3f, late %d, used %.2f at least",
-			load, all, float64(all)/readers/limit/length.Seconds(), share("light"), share("middle"), share("heavy"), r.late, r.used(length))
+			load, all, float64(all)/readers/limit/length.Seconds(), share("light"), share("middle"), share("heavy"), r.late, r.minUsed(length))
 		served = max(served, all)
 		assert.Greater(t, all, served*9/10, "it falls at %.1f of what the readers could read", load)
 		assert.Greater(t, share("light"), share("middle"))
 		assert.Greater(t, share("middle"), share("heavy"))
-		assert.Greater(t, r.used(length), 0.9)
+		assert.Greater(t, r.minUsed(length), 0.9)
 	}
 }
 
-// Limits count requests, so that a large prompt passes as a small one does.
-func TestLimitsServeLargePromptsLikeOthers(t *testing.T) {
+// Limits count requests, so large prompts are served as often as small ones.
+func TestLimitsDoNotDisfavorLargePrompts(t *testing.T) {
 	const readers = 12
 	for _, load := range []float64{0.7, 1.5, 3} {
 		r := newLimitedReplay(readers)
--- a/internal/relay/limited_test.go
+++ b/internal/relay/limited_test.go
@@ -18,35 +18,35 @@
 	"github.com/pierhaven/pierhaven/internal/traffic"
 )
 
-// counter stands for the coordinators that count under limits: it has so much room for each replica.
-type counter struct {
+// fakeCounter stands in for the coordinators that grant permits: it grants a given number for each replica.
+type fakeCounter struct {
 	mutex sync.Mutex
 	room  map[string]int
-	// asked, returned and unasked are by replica the questions, what came back, and what was counted
-	// without asking.
-	asked, returned, unasked map[string]int
-	// wait is what those are told for whom there is no room.
+	// asked, returned and withoutPermit are, by replica, the permits requested, the permits returned, and the
+	// messages counted without a permit.
+	asked, returned, withoutPermit map[string]int
+	// wait is the wait of a denied permit.
 	wait time.Duration
 }
 
-// counted has a world's limits kept by a counter.
-func (w *world) counted(room map[string]int) *counter {
-	c := &counter{room: room, asked: map[string]int{}, returned: map[string]int{}, unasked: map[string]int{}, wait: time.Minute}
+// countLimits makes a fakeCounter enforce a world's limits.
+func (w *world) countLimits(room map[string]int) *fakeCounter {
+	c := &fakeCounter{room: room, asked: map[string]int{}, returned: map[string]int{}, withoutPermit: map[string]int{}, wait: time.Minute}
 	w.runner.KeepLimits(&relay.ReplicaLimits{
 		Ask:   c.ask,
-		Count: func(life string) { c.add(c.unasked, life) },
+		Count: func(life string) { c.add(c.withoutPermit, life) },
 	})
 	w.directory.CountChoosers(func() int { return 4 })
 	return c
 }
 
-func (c *counter) add(to map[string]int, life string) {
+func (c *fakeCounter) add(to map[string]int, life string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	to[life]++
 }
 
-func (c *counter) ask(_ context.Context, asked relay.LimitQuestion) relay.Permit {
+func (c *fakeCounter) ask(_ context.Context, asked relay.LimitQuestion) relay.Permit {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.asked[asked.Life]++
@@ -57,22 +57,22 @@
 	return relay.Permit{Granted: true, GiveBack: func() { c.add(c.returned, asked.Life) }}
 }
 
-// read returns a count of a replica.
-func (c *counter) read(from map[string]int, life string) int {
+// read returns the count of a replica.
+func (c *fakeCounter) read(from map[string]int, life string) int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return from[life]
 }
 
-// limit has replicas name a limit, as others have told.
+// limit makes replicas have a declared limit, as reported by another process.
 func (w *world) limit(rate float64, ids ...string) {
 	for _, id := range ids {
 		w.directory.TakeLimits([]ratelimit.Word{{Replica: id, Named: true, Rate: rate}})
 	}
 }
 
-// naming answers as a sealed replica that names a limit.
-func naming(limit string) http.HandlerFunc {
+// declaring answers as a sealed replica that declares a limit.
+func declaring(limit string) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		writer.Header().Set("Limit", limit)
 		sealed(http.StatusOK, "ok")(writer, request)
@@ -81,27 +81,27 @@
 
 func TestARequestGoesWhereThereIsRoom(t *testing.T) {
 	w := newWorld(t)
-	w.add("a", "", naming("1"))
+	w.add("a", "", declaring("1"))
 	w.add("b", "", sealed(http.StatusOK, "ok"))
 	w.limit(1, "a")
-	c := w.counted(map[string]int{"a": 2})
+	c := w.countLimits(map[string]int{"a": 2})
 	for range 20 {
 		answer := w.run(callOf(traffic.KindOnce, 1))
 		assert.Equal(t, http.StatusOK, answer.status)
 	}
-	assert.Equal(t, 2, w.visits("a"), "it is used as far as it goes")
+	assert.Equal(t, 2, w.visits("a"), "its limit is used up")
 	assert.Equal(t, 18, w.visits("b"))
-	assert.Equal(t, 3, c.read(c.asked, "a"), "after a refusal it is not asked about until there should be room")
+	assert.Equal(t, 3, c.read(c.asked, "a"), "after a denial no permit is requested until the wait is over")
 }
 
-// A caller that no replica has room for is told at once, and truly: nobody has run its request, and
-// those who are refused after it are told later times.
+// A request that no replica has capacity for is rejected at once as not run, and each later one gets a later
+// Retry-After.
 func TestARequestThatNoReplicaHasRoomForIsRefusedAtOnce(t *testing.T) {
 	w := newWorld(t)
-	w.add("a", "", naming("2"))
-	w.add("b", "", naming("2"))
+	w.add("a", "", declaring("2"))
+	w.add("b", "", declaring("2"))
 	w.limit(2, "a", "b")
-	c := w.counted(nil)
+	c := w.countLimits(nil)
 	c.wait = time.Second
 	var waits []time.Duration
 	begun := time.Now()
@@ -111,11 +111,11 @@
 		assert.Equal(t, failure.RanNo, failure.AnswerFor(answer.err).Ran)
 		waits = append(waits, failure.AnswerFor(answer.err).RetryAfter)
 	}
-	assert.Less(t, time.Since(begun), 10*time.Second, "of the 20 s that each caller has")
+	assert.Less(t, time.Since(begun), 10*time.Second, "each caller has a deadline of 20 s")
 	assert.Zero(t, w.visits("a")+w.visits("b"))
 	assert.GreaterOrEqual(t, waits[0], 900*time.Millisecond)
 	for index := 1; index < len(waits); index++ {
-		// Four gateways share four requests a second: each calls one back a second, 4 s ahead at most.
+		// Four gateways share four requests a second: each schedules one retry a second, at most 4 s ahead.
 		assert.GreaterOrEqual(t, waits[index], min(waits[index-1]+900*time.Millisecond, 3900*time.Millisecond))
 	}
 	assert.Equal(t, 1, c.read(c.asked, "a"))
@@ -126,10 +126,10 @@
 	w.add("doubtful", "", dropping)
 	w.list("closed", "", "127.0.0.1:1")
 	w.limit(5, "doubtful", "closed")
-	c := w.counted(map[string]int{"doubtful": 1, "closed": 1})
+	c := w.countLimits(map[string]int{"doubtful": 1, "closed": 1})
 	answer := w.run(callOf(traffic.KindOnce, 1))
 	require.Error(t, answer.err)
-	assert.Zero(t, c.read(c.returned, "doubtful"), "it may have come")
+	assert.Zero(t, c.read(c.returned, "doubtful"), "it may have arrived")
 	assert.Equal(t, c.read(c.asked, "closed"), c.read(c.returned, "closed"), "it was never sent")
 }
 
@@ -137,14 +137,14 @@
 	w := newWorld(t)
 	w.add("a", "", refusing)
 	w.limit(5, "a")
-	c := w.counted(map[string]int{"a": 9})
+	c := w.countLimits(map[string]int{"a": 9})
 	w.run(callOf(traffic.KindRepeatable, 2))
 	assert.Equal(t, w.visits("a"), c.read(c.asked, "a"))
 	assert.Zero(t, c.read(c.returned, "a"))
 }
 
-// A limit is in force with the answer that names it, and until one names none. What a refusal does not
-// say, or what can't be read, changes nothing.
+// A limit applies from the response that declares it until one that declares none. A rejection without a limit,
+// or an unreadable limit, changes nothing.
 func TestALimitGoesByTheNewestAnswer(t *testing.T) {
 	w := newWorld(t)
 	says, notRun := "", false
@@ -170,7 +170,7 @@
 		assert.Equal(t, each.named, w.directory.LimitedCount(), "%q", each.says)
 	}
 	w.directory.Ended("a")
-	assert.Zero(t, w.directory.LimitedCount(), "the process that named it has ended")
+	assert.Zero(t, w.directory.LimitedCount(), "the process that declared it has ended")
 }
 
 func TestALimitEndsWithItsReplica(t *testing.T) {
@@ -180,21 +180,21 @@
 	require.Equal(t, 1, w.directory.LimitedCount())
 	w.replicas[0].Address = "127.0.0.1:2"
 	w.directory.Replace(w.replicas)
-	assert.Zero(t, w.directory.LimitedCount(), "another one has the id")
+	assert.Zero(t, w.directory.LimitedCount(), "another replica has the id")
 	w.limit(1, "a")
-	require.Equal(t, 1, w.directory.LimitedCount(), "words on the new one count")
+	require.Equal(t, 1, w.directory.LimitedCount(), "reports on the new one count")
 	w.directory.Replace(nil)
 	assert.Zero(t, w.directory.LimitedCount())
 	assert.Zero(t, w.directory.LimitNames())
 }
 
-// Prompts that are read apart, and their answers elsewhere, are two requests at two replicas.
+// A prompt read at one replica and answered at another counts as one request at each of them.
 func TestPromptsThatAreReadApartCount(t *testing.T) {
 	w := newWorld(t)
 	w.add("reader", region.StagePrefill, sealed(http.StatusOK, "handle"))
 	w.add("generator", region.StageDecode, events(1, 3, false))
 	w.limit(5, "reader", "generator")
-	c := w.counted(map[string]int{"reader": 5, "generator": 5})
+	c := w.countLimits(map[string]int{"reader": 5, "generator": 5})
 	answer := w.run(modelCall(20_000, "own"))
 	require.True(t, answer.ended, "%v", answer.err)
 	assert.Equal(t, 1, c.read(c.asked, "reader"))
@@ -202,27 +202,27 @@
 	assert.Zero(t, c.read(c.returned, "generator"))
 }
 
-// A prompt is not read where no replica could generate for it: it would be read in vain.
+// A prompt is not read if no decode replica has capacity: the work of the prefill replica would be wasted.
 func TestNoPromptIsReadForWhichNoReplicaHasRoom(t *testing.T) {
 	w := newWorld(t)
 	w.add("reader", region.StagePrefill, sealed(http.StatusOK, "handle"))
 	w.add("generator", region.StageDecode, events(1, 3, false))
 	w.limit(5, "generator")
-	w.counted(nil)
+	w.countLimits(nil)
 	answer := w.run(modelCall(20_000, "own"))
 	require.Error(t, answer.err)
 	assert.Zero(t, w.visits("reader"))
 	assert.Positive(t, failure.AnswerFor(answer.err).RetryAfter)
 }
 
-// A reader without room leaves its prompts to the other one.
-func TestAReaderWithoutRoomLeavesItsPromptsToOthers(t *testing.T) {
+// Prompts go to the other prefill replica if one has no capacity under its limit.
+func TestPromptsAvoidPrefillReplicaWithoutCapacity(t *testing.T) {
 	w := newWorld(t)
 	w.add("limited", region.StagePrefill, sealed(http.StatusOK, "handle"))
 	w.add("free", region.StagePrefill, sealed(http.StatusOK, "handle"))
 	w.add("generator", region.StageDecode, events(1, 3, false))
 	w.limit(5, "limited")
-	w.counted(nil)
+	w.countLimits(nil)
 	for number := range 6 {
 		answer := w.run(modelCall(20_000, string(rune('a'+number))))
 		require.True(t, answer.ended, "%v", answer.err)
@@ -231,7 +231,7 @@
 	assert.Equal(t, 6, w.visits("free"))
 }
 
-// However many replicas have no room, one without a limit is found with few questions.
+// A replica without a limit is found with few permit requests, however many replicas deny.
 func TestFewQuestionsFindAReplicaWithoutALimit(t *testing.T) {
 	w := newWorld(t)
 	for number := range 100 {
@@ -239,7 +239,7 @@
 		w.limit(5, string(rune('A'+number)))
 	}
 	w.add("free", "", sealed(http.StatusOK, "ok"))
-	c := w.counted(nil)
+	c := w.countLimits(nil)
 	answer := w.run(callOf(traffic.KindOnce, 1))
 	assert.Equal(t, http.StatusOK, answer.status)
 	questions := 0
@@ -249,10 +249,10 @@
 	assert.LessOrEqual(t, questions, 8)
 }
 
-// BenchmarkLimits gives what limits add to the choice of a replica among 18 and to its answer:
-// nothing to speak of where none names one.
+// BenchmarkLimits measures what limits add to choosing one of 18 replicas and to processing its response;
+// without limits the cost should be negligible.
 func BenchmarkLimits(b *testing.B) {
-	for name, limited := range map[string]int{"none names a limit": 0, "one does": 1, "all do": 18} {
+	for name, limited := range map[string]int{"no limits": 0, "one limit": 1, "all limited": 18} {
 		b.Run(name, func(b *testing.B) {
 			var list []region.Replica
 			for number := range 18 {
@@ -276,10 +276,10 @@
 	}
 }
 
-var errGone = errors.New("the caller has gone")
+var errGone = errors.New("the caller has disconnected")
 
-// A caller that leaves while its request waits for an answer on a limit is asked for no further.
-func TestACallerThatLeavesIsNotAskedForAgain(t *testing.T) {
+// No further permit is requested after a caller disconnects while a permit request is pending.
+func TestNoPermitIsRequestedAfterTheCallerDisconnects(t *testing.T) {
 	w := newWorld(t)
 	for _, id := range []string{"a", "b", "c"} {
 		w.list(id, "", "127.0.0.1:1")
@@ -299,10 +299,10 @@
 	assert.Equal(t, 1, asked)
 }
 
-// A replica that had no room for a request's first try may have room for its second one.
-func TestASecondTryMayGoWhereTheFirstHadNoRoom(t *testing.T) {
+// A replica that denied a request's first attempt may be used by the second one.
+func TestRetryMayUseAReplicaThatDeniedTheFirstAttempt(t *testing.T) {
 	w := newWorld(t)
-	c := w.counted(map[string]int{})
+	c := w.countLimits(map[string]int{})
 	c.wait = time.Millisecond
 	w.add("limited", "", sealed(http.StatusOK, "ok"))
 	w.add("failing", "", func(writer http.ResponseWriter, request *http.Request) {
--- a/internal/relay/overload_test.go
+++ b/internal/relay/overload_test.go
@@ -24,7 +24,7 @@
 	objective, deadline time.Duration
 }
 
-// route is one of the most urgent.
+// route is a route of the most urgent rank.
 var route = traffic.Route{}
 
 var lightWork = kindOfWork{"light", 0, 1200, 0, 500 * time.Millisecond, 6 * time.Second}
@@ -35,7 +35,7 @@
 	{"heavy", 2, 11_000, 0, 800 * time.Millisecond, 6 * time.Second},
 }
 
-// meanTokens are those of a prompt on the average, if there are as many of each kind.
+// meanTokens is the mean number of tokens of a prompt, if all kinds are equally frequent.
 func meanTokens(kinds []kindOfWork) float64 {
 	sum := 0
 	for _, kind := range kinds {
@@ -47,37 +47,37 @@
 // replayed is a request of a replayed load.
 type replayed struct {
 	kindOfWork
-	id      int
-	first   time.Duration
-	tries   int
-	lease   *relay.Lease
-	rankNow int
+	id            int
+	first         time.Duration
+	tries         int
+	lease         *relay.Lease
+	effectiveRank int
 }
 
-// replay plays a load on readers that read one prompt at a time, by rank, and counts the share
-// of each kind's requests that is answered within its objective.
+// replay simulates a load on prefill replicas that read one prompt at a time, in order of rank, and counts
+// for each kind the requests that are read within their objective.
 type replay struct {
 	*directory
-	waiting  map[string][]*replayed
-	reading  map[string]*replayed
-	busyTill map[string]time.Duration
-	returns  map[time.Duration][]*replayed
-	asked    map[string]int
-	inTime   map[string]int
-	served   map[string]int
-	tokens   int
-	late     int
-	left     int
-	// seed is that of the arrivals.
+	waiting   map[string][]*replayed
+	reading   map[string]*replayed
+	busyUntil map[string]time.Duration
+	returns   map[time.Duration][]*replayed
+	asked     map[string]int
+	inTime    map[string]int
+	served    map[string]int
+	tokens    int
+	late      int
+	left      int
+	// seed is the random seed of the arrivals.
 	seed uint64
-	// place leases a reader for a request.
+	// place leases a prefill replica for a request.
 	place func(request relay.ReadRequest) (*relay.Lease, error)
 }
 
 const replayStep = time.Millisecond
 
-// play offers a number of times what the readers can read, for a time, and returns the tokens
-// that were read within their objective over what the readers could have read.
+// play offers a load, as a multiple of the prefill capacity, for a time. It returns the tokens that were read
+// within their objective, as a share of what the replicas could have read.
 func (r *replay) play(readers int, load float64, kinds []kindOfWork, length time.Duration) (goodput float64) {
 	random := rand.New(rand.NewPCG(r.seed, 2))
 	perStep := load * float64(readers) * pace * replayStep.Seconds() / meanTokens(kinds)
@@ -101,7 +101,7 @@
 	return float64(good) / (float64(readers) * pace * length.Seconds())
 }
 
-// arrive places a request, or has its caller come back once.
+// arrive places a request, or schedules its only retry.
 func (r *replay) arrive(request *replayed) {
 	request.tries++
 	passed := r.now - request.first
@@ -117,18 +117,18 @@
 		return
 	}
 	request.lease = lease
-	request.rankNow = lease.Rank(&route)
-	if request.rankNow != relay.LastRank {
-		request.rankNow = request.rank
+	request.effectiveRank = lease.Rank(&route)
+	if request.effectiveRank != relay.LastRank {
+		request.effectiveRank = request.rank
 	}
 	r.waiting[lease.Replica.ID] = append(r.waiting[lease.Replica.ID], request)
 }
 
-// step lets the readers read for a step, and returns the tokens that were read in time.
+// step advances the prefill replicas by one step, and returns the tokens that were read on time.
 func (r *replay) step(readers int) (good int) {
 	for number := range readers {
 		id := fmt.Sprint("r", number)
-		if done := r.reading[id]; done != nil && r.now >= r.busyTill[id] {
+		if done := r.reading[id]; done != nil && r.now >= r.busyUntil[id] {
 			done.lease.PromptRead()
 			done.lease.Release()
 			delete(r.reading, id)
@@ -153,11 +153,11 @@
 			continue
 		}
 		next := slices.MinFunc(r.waiting[id], func(a, b *replayed) int {
-			return (a.rankNow-b.rankNow)*1_000_000 + (a.id - b.id)
+			return (a.effectiveRank-b.effectiveRank)*1_000_000 + (a.id - b.id)
 		})
 		r.waiting[id] = slices.DeleteFunc(r.waiting[id], func(each *replayed) bool { return each == next })
 		r.reading[id] = next
-		r.busyTill[id] = r.now + time.Duration(next.tokens)*time.Second/pace
+		r.busyUntil[id] = r.now + time.Duration(next.tokens)*time.Second/pace
 	}
 	return good
 }
@@ -172,18 +172,18 @@
 	r := &replay{
 		seed:      1,
 		directory: newTaught(list...),
-		waiting:   map[string][]*replayed{}, reading: map[string]*replayed{}, busyTill: map[string]time.Duration{},
+		waiting:   map[string][]*replayed{}, reading: map[string]*replayed{}, busyUntil: map[string]time.Duration{},
 		returns: map[time.Duration][]*replayed{}, asked: map[string]int{}, inTime: map[string]int{}, served: map[string]int{},
 	}
 	r.place = func(request relay.ReadRequest) (*relay.Lease, error) { return r.PlaceReading("s", request) }
 	return r
 }
 
-// Beyond capacity the readers were given late prompts for as long as these would be read before
-// their callers left if no other came. Others came: late prompts filled the readers' time or were
-// given up, and what was in time found a late one begun. The light, urgent ones, which need hardly
-// any reading, were taken for late behind the heavy ones that are read after them.
-func TestGoodputIsLevelBeyondCapacityAndLightWorkLives(t *testing.T) {
+// Beyond capacity, late prompts were accepted as long as they would be read before their callers left if no
+// other prompt arrived. Others did arrive: late prompts took up the replicas' time or were abandoned, and on-time
+// prompts had to wait for a late one already begun. Light, urgent prompts, which need little reading, were
+// classified as late behind heavy prompts that are read after them.
+func TestGoodputAndLightWorkHoldBeyondCapacity(t *testing.T) {
 	const readers = 12
 	most := 0.0
 	for _, load := range []float64{1, 1.5, 2, 3} {
@@ -198,8 +198,8 @@
 	}
 }
 
-// A light, urgent prompt is read before the heavy ones, and was taken for late behind them.
-func TestAPromptIsNotLateForWhatIsReadAfterIt(t *testing.T) {
+// A light, urgent prompt was classified as late behind heavy prompts, although it is read before them.
+func TestPromptIsNotLateBecauseOfLaterRanks(t *testing.T) {
 	d := newTaught(replica("r", region.StagePrefill), replica("g", region.StageDecode))
 	for number := range 8 {
 		heavy := readRequest(prompt(relay.PromptPart{ID: fmt.Sprint("heavy-", number), Tokens: pace / 10}))
@@ -214,9 +214,9 @@
 	assert.Zero(t, lease.Rank(&route), "eight tenths of a second of later ranks, of half a second")
 }
 
-// Late prompts were taken as long as they would be read in time if no other came; others came, and
-// their callers left.
-func TestALatePromptIsRefusedWhileWorkInTimeKeepsComing(t *testing.T) {
+// Late prompts were accepted as long as they would be read before their callers left if no other prompt arrived;
+// others did arrive, and the callers of late ones left.
+func TestLatePromptIsRejectedUnderSteadyOnTimeWork(t *testing.T) {
 	d := newTaught(replica("r", region.StagePrefill), replica("g", region.StageDecode))
 	late := func() error {
 		lease, err := d.PlaceReading("s", readRequest(ownPrompt(3*pace/2)))
@@ -241,12 +241,12 @@
 	assert.Error(t, late())
 	reads.Release()
 	d.now += 10 * time.Second
-	assert.NoError(t, late(), "no more come")
+	assert.NoError(t, late(), "no more on-time prompts arrive")
 }
 
-// Prompts that no reader reads within its objective were refused beside idle readers: the time
-// that work in time leaves was reckoned as if they had to wait for it.
-func TestALatePromptBeginsAtAnIdleReader(t *testing.T) {
+// Prompts that no replica reads within their objective were rejected although some replicas were idle: the time that
+// on-time work leaves was computed as if they had to wait for it.
+func TestLatePromptBeginsAtAnIdlePrefillReplica(t *testing.T) {
 	list := []region.Replica{replica("g", region.StageDecode)}
 	for number := range 8 {
 		list = append(list, replica(fmt.Sprint("r", number), region.StagePrefill))
@@ -276,12 +276,12 @@
 		d.read(prompt(relay.PromptPart{ID: "short", Tokens: 1})).Release()
 	}
 	require.NoError(t, late("first"), "3 of 8 are idle")
-	assert.Error(t, late("second"), "the others are left to prompts in time")
+	assert.Error(t, late("second"), "the others are left to on-time prompts")
 }
 
-// One tenant that sends far more than the others took its part of each refusal and of each place: the
-// others were refused as often as it was.
-func TestATenantFarBeyondTheOthersTakesNothingFromThem(t *testing.T) {
+// One tenant sends far more than the others. Rejections were spread evenly over all requests, so that the other
+// tenants were rejected as often as that one.
+func TestHeavyTenantDoesNotDisplaceOthers(t *testing.T) {
 	const readers, others = 12, 6
 	var kinds []kindOfWork
 	for number := range 60 {
@@ -299,7 +299,7 @@
 	assert.Greater(t, goodput, 0.85)
 }
 
-// sizedWork is one kind of request whose sizes spread over two decades, in 20 steps: the largest tenth are the last two. Its
+// sizedWork is work of one rank whose sizes span two decades in 20 steps; the last two steps are the largest tenth. Its
 // callers leave after four objectives.
 func sizedWork() []kindOfWork {
 	kinds := make([]kindOfWork, 20)
@@ -310,10 +310,10 @@
 	return kinds
 }
 
-// Symptom: of the largest tenth of a kind of request 0.35 were served, of all 0.81. Sequence: more prompts come than readers can
-// read; those whose reading alone takes longer than the objective are late wherever they go, and late ones have room only
-// while hardly any other comes. Cause: a prompt's size decided whether it counts, and not only what it needs.
-func TestTheLargestPromptsAreServedLikeOthers(t *testing.T) {
+// Of the largest tenth of the requests 0.35 were served, of all 0.81. When more prompts arrive than the replicas can read,
+// prompts whose reading alone takes longer than the objective are late at every replica, and late prompts are only accepted
+// while hardly any others arrive. A prompt's size thus decided whether it was served at all, beyond the time that it needs.
+func TestLargestPromptsAreServedLikeOthers(t *testing.T) {
 	const readers = 12
 	for _, load := range []float64{0.7, 1, 1.5, 3} {
 		r := newReplay(readers)
@@ -326,8 +326,8 @@
 	}
 }
 
-// servedBySize is the share that was served of all requests of sizedWork, of the fifth below the largest tenth, and of
-// that tenth.
+// servedBySize returns the shares that were served of all requests of sizedWork, of the fifth below the largest tenth,
+// and of that tenth.
 func (r *replay) servedBySize() (all, next, largest float64) {
 	of := func(from, to int) float64 {
 		served, asked := 0, 0
--- a/internal/relay/rest_load_test.go
+++ b/internal/relay/rest_load_test.go
@@ -19,27 +19,27 @@
 	"github.com/pierhaven/pierhaven/internal/relay"
 )
 
-// shedder is a replica of a replay: it works on so many requests at once, keeps some waiting, and turns
-// others away, asking whom it turns away for a rest.
+// shedder is a simulated replica that sheds load: it works on a number of requests at once, queues some, and
+// rejects the others, asking the gateways that sent them for a backoff.
 type shedder struct {
-	slots, queue int
-	work, rest   time.Duration
-	// sheds reports whether it turns all away now; nil for never.
+	slots, queue  int
+	work, backoff time.Duration
+	// sheds reports whether it rejects everything now; nil for never.
 	sheds   func(now time.Duration) bool
 	running []*shedRequest
 	waiting []*shedRequest
-	// restEnds are by gateway when the rests end that it has asked for, and disturbed counts the requests
-	// that came before.
-	restEnds  map[int]time.Duration
-	disturbed int
-	// taken are when requests were taken in.
+	// backoffEnds is, by gateway, when the requested backoff ends; sentInBackoff counts the requests that
+	// arrived before.
+	backoffEnds   map[int]time.Duration
+	sentInBackoff int
+	// taken are the times at which requests were accepted.
 	taken []time.Duration
 }
 
-// pace is how many requests a second it serves.
+// pace is the number of requests a second that it can serve.
 func (s *shedder) pace() float64 { return float64(s.slots) / s.work.Seconds() }
 
-// shedRequest is a request of a replay.
+// shedRequest is a request of a shedReplay.
 type shedRequest struct {
 	gateway  int
 	first    time.Duration
@@ -48,30 +48,30 @@
 	returned int
 }
 
-// shedReplay plays requests at gateways before replicas that ask for rests.
+// shedReplay simulates requests at gateways in front of replicas that request backoffs.
 type shedReplay struct {
 	now      time.Duration
 	gateways []*relay.Directory
 	gates    []*backpressure.Gate
 	budgets  []*relay.Budgets
-	// limits take a rest for a limit, nil if it is none.
-	limits   *restLimits
+	// limits treats a requested backoff as a declared limit; nil if it is not treated so.
+	limits   *backoffLimits
 	replicas map[string]*shedder
 	random   *rand.Rand
 	returns  map[time.Duration][]*shedRequest
 	deadline time.Duration
-	// blind says that gateways don't hear what replicas ask for.
-	blind     bool
-	asked     int
-	served    int
-	refused   int
-	turnedOff int
+	// ignoresBackoff is set if the gateways ignore requested backoffs.
+	ignoresBackoff bool
+	asked          int
+	served         int
+	refused        int
+	rejected       int
 }
 
 const (
 	shedStep = time.Millisecond
-	// toldPeers is how many others each gateway tells of its work.
-	toldPeers = 12
+	// reportedPeers is the number of peers to which each gateway reports its work.
+	reportedPeers = 12
 )
 
 func newShedReplay(gateways, replicas int, shape shedder, seed uint64, off mechanism.Set) *shedReplay {
@@ -81,7 +81,7 @@
 	for number := range replicas {
 		id := fmt.Sprint("r", number)
 		each := shape
-		each.restEnds = map[int]time.Duration{}
+		each.backoffEnds = map[int]time.Duration{}
 		r.replicas[id] = &each
 		list = append(list, region.Replica{ID: id, Service: "s", Address: id + ":1", Zone: "z", Slots: shape.slots})
 	}
@@ -100,7 +100,7 @@
 	return r
 }
 
-// play offers a number of requests a second for a time, and returns how many were served a second.
+// play offers a rate of requests for a time, and returns the number of requests served per second.
 func (r *shedReplay) play(perSecond float64, length time.Duration) float64 {
 	perStep := perSecond * shedStep.Seconds()
 	end, begun := r.now+length, r.served
@@ -125,7 +125,8 @@
 	return float64(r.served-begun) / length.Seconds()
 }
 
-// arrive sends a request, to another replica if one turns it away, or has its caller come back.
+// arrive sends a request, retries it at other replicas if it is rejected, and finally schedules the retry of its
+// caller or refuses it.
 func (r *shedReplay) arrive(request *shedRequest) {
 	directory, gate, budget := r.gateways[request.gateway], r.gates[request.gateway], r.budgets[request.gateway]
 	budget.Request("s")
@@ -146,15 +147,15 @@
 		if r.replicas[lease.Replica.ID].take(r.now, request, lease) {
 			return
 		}
-		r.turnedOff++
-		r.limits.turnedAway(r.now, lease.Replica.ID, r.replicas[lease.Replica.ID])
-		if r.blind {
+		r.rejected++
+		r.limits.rejected(r.now, lease.Replica.ID, r.replicas[lease.Replica.ID])
+		if r.ignoresBackoff {
 			lease.Refused(0)
 			lease.Release()
 			continue
 		}
 		gate.Hear(backpressure.Peer{Address: lease.Replica.Address, Instance: lease.Replica.ID}, http.StatusServiceUnavailable,
-			http.Header{"Retry-After": {strconv.FormatFloat(r.replicas[lease.Replica.ID].rest.Seconds(), 'f', -1, 64)}})
+			http.Header{"Retry-After": {strconv.FormatFloat(r.replicas[lease.Replica.ID].backoff.Seconds(), 'f', -1, 64)}})
 		lease.Refused(lease.RestLeft())
 		lease.Release()
 	}
@@ -172,13 +173,13 @@
 	r.returns[at] = append(r.returns[at], request)
 }
 
-// take takes a request in, or turns it away.
+// take accepts or rejects a request.
 func (s *shedder) take(now time.Duration, request *shedRequest, lease *relay.Lease) bool {
-	if now < s.restEnds[request.gateway] {
-		s.disturbed++
+	if now < s.backoffEnds[request.gateway] {
+		s.sentInBackoff++
 	}
 	if s.sheds != nil && s.sheds(now) || len(s.waiting) >= s.queue && len(s.running) >= s.slots {
-		s.restEnds[request.gateway] = max(s.restEnds[request.gateway], now+s.rest)
+		s.backoffEnds[request.gateway] = max(s.backoffEnds[request.gateway], now+s.backoff)
 		return false
 	}
 	request.lease = lease
@@ -187,7 +188,7 @@
 	return true
 }
 
-// step has the replicas work, and gateways tell each other.
+// step advances the replicas by one step, and lets gateways report to each other.
 func (r *shedReplay) step() {
 	for _, each := range r.replicas {
 		kept := each.running[:0]
@@ -215,11 +216,11 @@
 	}
 }
 
-// tell has each gateway tell those that follow it, as peers do.
+// tell makes each gateway report its work to the gateways that follow it, as peers do.
 func (r *shedReplay) tell() {
 	for from, teller := range r.gateways {
 		work, resting := teller.Outstanding(), teller.Resting()
-		for step := range min(toldPeers, len(r.gateways)-1) {
+		for step := range min(reportedPeers, len(r.gateways)-1) {
 			each := r.gateways[(from+step+1)%len(r.gateways)]
 			each.TakeOutstanding(fmt.Sprint(from), work, true)
 			each.TakeResting(resting)
@@ -227,90 +228,90 @@
 	}
 }
 
-// disturbed counts the requests that came to replicas within a rest.
-func (r *shedReplay) disturbed() int {
+// sentInBackoff counts the requests that replicas received within a backoff.
+func (r *shedReplay) sentInBackoff() int {
 	sum := 0
 	for _, each := range r.replicas {
-		sum += each.disturbed
+		sum += each.sentInBackoff
 	}
 	return sum
 }
 
-// waysToBearRefusals are what may be done beside keeping to rests.
-var waysToBearRefusals = []struct {
-	name  string
-	blind bool
-	off   mechanism.Set
+// rejectionPolicies are combinations of the mechanisms that react to rejections.
+var rejectionPolicies = []struct {
+	name           string
+	ignoresBackoff bool
+	off            mechanism.Set
 }{
-	{"rests ignored", true, mechanism.Set{mechanism.RefusalBackoff: true, mechanism.RestHints: true}},
-	{"rests kept", false, mechanism.Set{mechanism.RefusalBackoff: true, mechanism.RestHints: true}},
-	{"and backoff", false, mechanism.Set{mechanism.RestHints: true}},
-	{"and others told", false, nil},
+	{"backoffs ignored", true, mechanism.Set{mechanism.RefusalBackoff: true, mechanism.RestHints: true}},
+	{"backoffs honored", false, mechanism.Set{mechanism.RefusalBackoff: true, mechanism.RestHints: true}},
+	{"and refusal backoff", false, mechanism.Set{mechanism.RestHints: true}},
+	{"and peers informed", false, nil},
 }
 
-// A part of the replicas turn everything away for some seconds. The others could take it all: a replica that
-// turns requests away is empty, and drew them from all gateways.
-func TestReplicasThatTurnRequestsAwayDrawNone(t *testing.T) {
+// Some replicas reject everything for several seconds, while the others have the capacity for all requests. A
+// rejecting replica is empty, and so attracted the requests of all gateways.
+func TestRejectingReplicasDrawNoRequests(t *testing.T) {
 	t.Parallel()
 	const replicas, load = 12, 0.35
 	for _, gateways := range []int{1, 9, 65} {
 		for _, faulty := range []int{1, 6} {
-			for _, rest := range []time.Duration{0, 200 * time.Millisecond, 3 * time.Second} {
+			for _, backoff := range []time.Duration{0, 200 * time.Millisecond, 3 * time.Second} {
 				refused := map[string]float64{}
-				for _, way := range waysToBearRefusals {
-					shape := shedder{slots: 8, queue: 16, work: 200 * time.Millisecond, rest: rest}
-					r := newShedReplay(gateways, replicas, shape, 1, way.off)
-					r.blind = way.blind
+				for _, policy := range rejectionPolicies {
+					shape := shedder{slots: 8, queue: 16, work: 200 * time.Millisecond, backoff: backoff}
+					r := newShedReplay(gateways, replicas, shape, 1, policy.off)
+					r.ignoresBackoff = policy.ignoresBackoff
 					for number := range faulty {
 						r.replicas[fmt.Sprint("r", number)].sheds = func(now time.Duration) bool { return now > 3*time.Second && now < 9*time.Second }
 					}
 					r.play(load*replicas*shape.pace(), 12*time.Second)
-					refused[way.name] = float64(r.refused) / float64(r.asked)
-					t.Logf("%d gateways, %d of %d turn away, rest %v, %s: refused %.4f, turned away %.3f of what was asked", gateways, faulty, replicas, rest,
-						way.name, refused[way.name], float64(r.turnedOff)/float64(r.asked))
-					if !way.blind {
-						assert.Zero(t, r.disturbed(), "within a rest")
+					refused[policy.name] = float64(r.refused) / float64(r.asked)
+					t.Logf("%d gateways, %d of %d reject, backoff %v, %s: refused %.4f, rejected %.3f of all requests", gateways, faulty, replicas, backoff,
+						policy.name, refused[policy.name], float64(r.rejected)/float64(r.asked))
+					if !policy.ignoresBackoff {
+						assert.Zero(t, r.sentInBackoff(), "within a backoff")
 					}
 				}
-				assert.LessOrEqual(t, refused["and others told"], refused["rests ignored"])
-				if gateways <= toldPeers {
-					assert.Less(t, refused["and others told"], 0.02)
+				assert.LessOrEqual(t, refused["and peers informed"], refused["backoffs ignored"])
+				if gateways <= reportedPeers {
+					assert.Less(t, refused["and peers informed"], 0.02)
 				}
 			}
 		}
 	}
 }
 
-// A replica that gets more than it can do asks for a second's rest, again and again.
-func TestARestingReplicaIsUsedToItsOwnPaceByAnyNumberOfGateways(t *testing.T) {
+// An overloaded replica requests a backoff of a second, again and again, and still serves at its full rate.
+func TestReplicaThatRequestsBackoffsServesAtFullRate(t *testing.T) {
 	t.Parallel()
-	shape := shedder{slots: 8, queue: 16, work: 100 * time.Millisecond, rest: time.Second}
+	shape := shedder{slots: 8, queue: 16, work: 100 * time.Millisecond, backoff: time.Second}
 	for _, gateways := range []int{1, 9, 65, 985} {
 		for _, load := range []float64{1, 1.5, 3} {
 			r := newShedReplay(gateways, 1, shape, 1, nil)
 			served := r.play(load*shape.pace(), 10*time.Second) / shape.pace()
-			t.Logf("%d gateways, %.1f of the pace: %.3f of it served, %d turned away", gateways, load, served, r.turnedOff)
-			assert.Zero(t, r.disturbed(), "within a rest")
+			t.Logf("%d gateways, %.1f of the pace: %.3f of it served, %d rejected", gateways, load, served, r.rejected)
+			assert.Zero(t, r.sentInBackoff(), "within a backoff")
 			assert.Greater(t, served, 0.9)
 		}
 	}
 }
 
-// All replicas get more than they can do. Who fills the first one up has shown how full the others get: else
-// one after the other is left alone, and none is left.
-func TestGoodputIsLevelWhileAllReplicasAskForRest(t *testing.T) {
+// All replicas are overloaded. The first one that is full shows the gateways how full the others may get: without
+// this learned limit, one replica after the other enters a backoff, until none is left.
+func TestGoodputIsLevelWhileAllReplicasRequestBackoff(t *testing.T) {
 	t.Parallel()
 	const replicas = 12
 	for _, gateways := range []int{1, 9, 65} {
-		for _, rest := range []time.Duration{200 * time.Millisecond, time.Second, 3 * time.Second, 30 * time.Second} {
+		for _, backoff := range []time.Duration{200 * time.Millisecond, time.Second, 3 * time.Second, 30 * time.Second} {
 			for _, load := range []float64{0.9, 1.5, 3} {
 				for _, off := range []mechanism.Set{{mechanism.LearnedRoom: true}, nil} {
-					shape := shedder{slots: 8, queue: 16, work: 200 * time.Millisecond, rest: rest}
+					shape := shedder{slots: 8, queue: 16, work: 200 * time.Millisecond, backoff: backoff}
 					r := newShedReplay(gateways, replicas, shape, 1, off)
 					goodput := r.play(load*replicas*shape.pace(), 10*time.Second) / replicas / shape.pace()
-					t.Logf("%d gateways, rest %v, load %.1f, learned room %t: goodput %.3f, refused %.3f, turned away %.3f of what was asked", gateways, rest, load,
-						off == nil, goodput, float64(r.refused)/float64(r.asked), float64(r.turnedOff)/float64(r.asked))
-					assert.Zero(t, r.disturbed(), "within a rest")
+					t.Logf("%d gateways, backoff %v, load %.1f, learned limit %t: goodput %.3f, refused %.3f, rejected %.3f of all requests", gateways, backoff, load,
+						off == nil, goodput, float64(r.refused)/float64(r.asked), float64(r.rejected)/float64(r.asked))
+					assert.Zero(t, r.sentInBackoff(), "within a backoff")
 					if off == nil {
 						assert.Greater(t, goodput, 0.9*min(load, 1))
 					}
@@ -320,22 +321,22 @@
 	}
 }
 
-// restLimits take a rest for a limit of all gateways together: a replica that turns one away has named its
-// pace, what it has taken in the second before. One pool counts.
-type restLimits struct {
+// backoffLimits treats a requested backoff as a limit for all gateways together: a replica that rejects a request
+// is taken to declare the rate at which it accepted requests in the preceding second. One pool counts.
+type backoffLimits struct {
 	pool  *quota.Pool
 	asked uint64
 	ends  map[string]time.Duration
 }
 
-// newRestLimits returns limits that none has been named for.
-func newRestLimits() *restLimits {
+// newBackoffLimits returns a backoffLimits without limits.
+func newBackoffLimits() *backoffLimits {
 	pool := quota.NewPool(0, quota.Options{Address: "a", Life: 1, Lease: time.Second, Terms: ratelimit.Terms()})
 	pool.SetGroup(0, "a", []string{"a"})
-	return &restLimits{pool: pool, ends: map[string]time.Duration{}}
+	return &backoffLimits{pool: pool, ends: map[string]time.Duration{}}
 }
 
-func (l *restLimits) turnedAway(now time.Duration, id string, replica *shedder) {
+func (l *backoffLimits) rejected(now time.Duration, id string, replica *shedder) {
 	if l == nil {
 		return
 	}
@@ -345,12 +346,12 @@
 			taken++
 		}
 	}
-	l.ends[id] = max(l.ends[id], now+replica.rest)
+	l.ends[id] = max(l.ends[id], now+replica.backoff)
 	l.pool.SetLimit(now, id, ratelimit.PoolLimit(float64(taken), 3*time.Second))
 }
 
-// allow reports whether a request may go to a replica as far as its limit goes.
-func (l *restLimits) allow(now time.Duration, lease *relay.Lease) bool {
+// allow reports whether a request may be sent to a replica under its limit.
+func (l *backoffLimits) allow(now time.Duration, lease *relay.Lease) bool {
 	if l == nil || now >= l.ends[lease.Replica.ID] {
 		return true
 	}
@@ -359,76 +360,76 @@
 	return l.pool.Ready().Decisions[0].Answer.Admitted
 }
 
-// TestWaysToBearRestsCompared plays the same load with each way to bear rests.
-func TestWaysToBearRestsCompared(t *testing.T) {
+// TestBackoffPoliciesCompared plays the same load with each policy for requested backoffs.
+func TestBackoffPoliciesCompared(t *testing.T) {
 	t.Parallel()
 	const replicas = 12
 	alone := mechanism.Set{mechanism.RefusalBackoff: true, mechanism.RestHints: true, mechanism.LearnedRoom: true}
-	ways := []struct {
+	policies := []struct {
 		name   string
 		off    mechanism.Set
 		limits bool
 	}{
-		{"each gateway for itself", alone, false},
-		{"told to all", mechanism.Set{mechanism.LearnedRoom: true}, false},
-		{"taken for a limit of all", alone, true},
-		{"told, and room learned", nil, false},
+		{"each gateway on its own", alone, false},
+		{"reported to all", mechanism.Set{mechanism.LearnedRoom: true}, false},
+		{"treated as a limit of all", alone, true},
+		{"reported, and limits learned", nil, false},
 	}
-	for _, rest := range []time.Duration{200 * time.Millisecond, 3 * time.Second} {
+	for _, backoff := range []time.Duration{200 * time.Millisecond, 3 * time.Second} {
 		for _, faulty := range []int{0, 6} {
 			load := 1.5
 			if faulty > 0 {
 				load = 0.35
 			}
 			goodputs := map[string]float64{}
-			for _, way := range ways {
-				shape := shedder{slots: 8, queue: 16, work: 200 * time.Millisecond, rest: rest}
-				r := newShedReplay(9, replicas, shape, 1, way.off)
-				if way.limits {
-					r.limits = newRestLimits()
-					// The pool counts a part that another one may have counted before.
+			for _, policy := range policies {
+				shape := shedder{slots: 8, queue: 16, work: 200 * time.Millisecond, backoff: backoff}
+				r := newShedReplay(9, replicas, shape, 1, policy.off)
+				if policy.limits {
+					r.limits = newBackoffLimits()
+					// A new pool grants nothing for one lease time, in which another pool may still count its share.
 					r.now += 2 * time.Second
 				}
 				for number := range faulty {
 					from := r.now + 2*time.Second
 					r.replicas[fmt.Sprint("r", number)].sheds = func(now time.Duration) bool { return now > from && now < from+6*time.Second }
 				}
-				goodputs[way.name] = r.play(load*replicas*shape.pace(), 10*time.Second) / replicas / shape.pace()
-				t.Logf("rest %v, %d of %d turn all away, load %.2f, %s: goodput %.3f, refused %.3f, turned away %.3f", rest, faulty, replicas, load, way.name,
-					goodputs[way.name], float64(r.refused)/float64(r.asked), float64(r.turnedOff)/float64(r.asked))
-				assert.Zero(t, r.disturbed(), "within a rest")
+				goodputs[policy.name] = r.play(load*replicas*shape.pace(), 10*time.Second) / replicas / shape.pace()
+				t.Logf("backoff %v, %d of %d reject all, load %.2f, %s: goodput %.3f, refused %.3f, rejected %.3f", backoff, faulty, replicas, load, policy.name,
+					goodputs[policy.name], float64(r.refused)/float64(r.asked), float64(r.rejected)/float64(r.asked))
+				assert.Zero(t, r.sentInBackoff(), "within a backoff")
 			}
 			for name, goodput := range goodputs {
-				assert.Greater(t, goodputs["told, and room learned"], goodput-0.03, name)
+				assert.Greater(t, goodputs["reported, and limits learned"], goodput-0.03, name)
 			}
 		}
 	}
 }
 
-// restingReaders is a replay whose readers keep some prompts waiting, and turn others away and ask for a rest.
-type restingReaders struct {
+// backoffReplay is a replay whose prefill replicas queue some prompts, and reject others and request a backoff.
+type backoffReplay struct {
 	*replay
 	gate       *backpressure.Gate
-	most       int
-	rest       time.Duration
-	turnedAway int
-	// restEnds is when each reader's rest ends, and rested the sum of them.
-	restEnds map[string]time.Duration
-	rested   time.Duration
+	maxWaiting int
+	backoff    time.Duration
+	rejected   int
+	// backoffEnds is when each prefill replica's backoff ends, and totalBackoff the sum of all backoffs.
+	backoffEnds  map[string]time.Duration
+	totalBackoff time.Duration
 }
 
-func newRestingReaders(readers, most int, rest time.Duration, seed uint64, heeds bool) *restingReaders {
-	r := &restingReaders{replay: newReplay(readers), most: most, rest: rest, restEnds: map[string]time.Duration{}}
+func newBackoffReplay(readers, maxWaiting int, backoff time.Duration, seed uint64, honors bool) *backoffReplay {
+	r := &backoffReplay{replay: newReplay(readers), maxWaiting: maxWaiting, backoff: backoff, backoffEnds: map[string]time.Duration{}}
 	r.seed = seed
 	r.gate = backpressure.NewGate(backpressure.Options{Clock: func() time.Duration { return r.now + time.Second }, Logger: logr.Discard()})
-	if heeds {
+	if honors {
 		r.Heed(r.gate)
 	}
-	r.place = r.placeOrTurnAway
+	r.place = r.placeOrReject
 	return r
 }
 
-func (r *restingReaders) placeOrTurnAway(request relay.ReadRequest) (*relay.Lease, error) {
+func (r *backoffReplay) placeOrReject(request relay.ReadRequest) (*relay.Lease, error) {
 	for range 4 {
 		lease, err := r.PlaceReading("s", request)
 		if err != nil {
@@ -439,14 +440,14 @@
 			lease.Release()
 			return nil, errNoReader
 		}
-		if len(r.waiting[id]) < r.most {
+		if len(r.waiting[id]) < r.maxWaiting {
 			return lease, nil
 		}
-		r.turnedAway++
-		r.rested += r.now + r.rest - max(r.restEnds[id], r.now)
-		r.restEnds[id] = r.now + r.rest
-		turnedAway := http.Header{"Retry-After": {strconv.FormatFloat(r.rest.Seconds(), 'f', -1, 64)}}
-		r.gate.Hear(backpressure.Peer{Address: lease.Replica.Address, Instance: id}, http.StatusServiceUnavailable, turnedAway)
+		r.rejected++
+		r.totalBackoff += r.now + r.backoff - max(r.backoffEnds[id], r.now)
+		r.backoffEnds[id] = r.now + r.backoff
+		header := http.Header{"Retry-After": {strconv.FormatFloat(r.backoff.Seconds(), 'f', -1, 64)}}
+		r.gate.Hear(backpressure.Peer{Address: lease.Replica.Address, Instance: id}, http.StatusServiceUnavailable, header)
 		lease.Refused(lease.RestLeft())
 		lease.Release()
 		request.Excluded = append(request.Excluded, lease.Replica)
@@ -454,9 +455,9 @@
 	return nil, errNoReader
 }
 
-// Readers that are full turn prompts away for a time. Urgent prompts go first as before, and large ones are
+// Full prefill replicas reject prompts for a time. Urgent prompts are still read first, and large prompts are
 // served like others.
-func TestUrgentAndLargePromptsAreServedWhileReadersAskForRest(t *testing.T) {
+func TestUrgentAndLargePromptsAreServedWhilePrefillReplicasRequestBackoff(t *testing.T) {
 	t.Parallel()
 	const (
 		readers = 12
@@ -464,33 +465,33 @@
 		length  = 12 * time.Second
 		seeds   = 4
 	)
-	for _, rest := range []time.Duration{200 * time.Millisecond, time.Second, 3 * time.Second, 30 * time.Second} {
+	for _, backoff := range []time.Duration{200 * time.Millisecond, time.Second, 3 * time.Second, 30 * time.Second} {
 		for _, load := range []float64{1.5, 3} {
 			goodputs := map[bool]float64{}
-			for _, heeds := range []bool{false, true} {
+			for _, honors := range []bool{false, true} {
 				var light, middle, heavy, all, largest float64
-				away, rested := 0, 0.0
+				rejected, backoffShare := 0, 0.0
 				for seed := range uint64(seeds) {
-					r := newRestingReaders(readers, most, rest, seed+1, heeds)
-					goodputs[heeds] += r.play(readers, load, mixedWork, length) / seeds
+					r := newBackoffReplay(readers, most, backoff, seed+1, honors)
+					goodputs[honors] += r.play(readers, load, mixedWork, length) / seeds
 					light += float64(r.inTime["light"]) / float64(r.asked["light"]) / seeds
 					middle += float64(r.inTime["middle"]) / float64(r.asked["middle"]) / seeds
 					heavy += float64(r.inTime["heavy"]) / float64(r.asked["heavy"]) / seeds
-					away += r.turnedAway
-					rested += min(r.rested, time.Duration(r.turnedAway)*length).Seconds() / readers / length.Seconds() / seeds
-					s := newRestingReaders(readers, most, rest, seed+1, heeds)
+					rejected += r.rejected
+					backoffShare += min(r.totalBackoff, time.Duration(r.rejected)*length).Seconds() / readers / length.Seconds() / seeds
+					s := newBackoffReplay(readers, most, backoff, seed+1, honors)
 					s.play(readers, load, sizedWork(), length)
 					each, _, most := s.servedBySize()
 					all, largest = all+each/seeds, largest+most/seeds
 				}
-				t.Logf("rest %v, load %.1f, kept %t: goodput %.3f, light %.3f, middle %.3f, heavy %.3f, turned away %d, rested %.3f; by size %.3f, largest tenth %.3f",
-					rest, load, heeds, goodputs[heeds], light, middle, heavy, away, rested, all, largest)
-				if heeds {
+				t.Logf("backoff %v, load %.1f, honored %t: goodput %.3f, light %.3f, middle %.3f, heavy %.3f, rejected %d, in backoff %.3f; by size %.3f, largest tenth %.3f",
+					backoff, load, honors, goodputs[honors], light, middle, heavy, rejected, backoffShare, all, largest)
+				if honors {
 					assert.Greater(t, light, middle)
 					assert.Greater(t, middle, heavy)
 					assert.Greater(t, largest, all/2)
-					assert.Less(t, rested, 1.0/3, "most readers stay in use")
-					assert.Greater(t, goodputs[true], 0.9*(1-rested)*goodputs[false], "what does not rest is used as before")
+					assert.Less(t, backoffShare, 1.0/3, "most prefill replicas stay in use")
+					assert.Greater(t, goodputs[true], 0.9*(1-backoffShare)*goodputs[false], "the capacity outside of backoffs is used as before")
 				}
 			}
 		}
--- a/internal/relay/rest_test.go
+++ b/internal/relay/rest_test.go
@@ -19,18 +19,18 @@
 	"github.com/pierhaven/pierhaven/internal/traffic"
 )
 
-// turningAway refuses all and asks for a rest.
-func turningAway(rest time.Duration) http.HandlerFunc {
+// rejecting rejects every request and asks for a backoff.
+func rejecting(backoff time.Duration) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
-		writer.Header().Set("Retry-After", strconv.FormatFloat(rest.Seconds(), 'f', -1, 64))
+		writer.Header().Set("Retry-After", strconv.FormatFloat(backoff.Seconds(), 'f', -1, 64))
 		refusing(writer, request)
 	}
 }
 
-// rest is longer than all calls of a test take.
-const rest = 10 * time.Minute
+// longBackoff is longer than all calls of a test take.
+const longBackoff = 10 * time.Minute
 
-// A gateway went on sending to a replica that had asked it for rest: it is empty, and looked idle.
+// A gateway kept sending to a replica that had requested a backoff: the replica was empty, and so looked idle.
 func TestAReplicaThatAsksForRestGetsNothingUntilItIsOver(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -43,7 +43,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			w := newWorld(t)
-			w.add("resting", test.stage, turningAway(rest))
+			w.add("resting", test.stage, rejecting(longBackoff))
 			w.add("reader", region.StagePrefill, sealed(http.StatusOK, "handle"))
 			w.add("generator", region.StageDecode, events(1, 3, false))
 			if test.stage == "" {
@@ -60,19 +60,19 @@
 				serve(1, 1)
 			}
 			serve(1000, 100)
-			assert.Equal(t, 1, w.visits("resting"), "the one that it has turned away")
-			w.skip(rest)
+			assert.Equal(t, 1, w.visits("resting"), "the request that it rejected")
+			w.skip(longBackoff)
 			serve(2000, 20)
-			assert.Equal(t, 2, w.visits("resting"), "one finds out that it still turns away")
+			assert.Equal(t, 2, w.visits("resting"), "one request finds that it still rejects")
 		})
 	}
 }
 
-// A rest is a bound: also where nobody else is left to take the request.
+// A backoff is honored even if no other replica is left for the request.
 func TestARequestThatAllReplicasRestForIsRefusedAtOnce(t *testing.T) {
 	w := newWorld(t)
-	w.add("a", "", turningAway(rest))
-	w.add("b", "", turningAway(rest))
+	w.add("a", "", rejecting(longBackoff))
+	w.add("b", "", rejecting(longBackoff))
 	for range 10 {
 		answer := w.run(callOf(traffic.KindRepeatable, 4))
 		require.Error(t, answer.err)
@@ -83,7 +83,7 @@
 	assert.LessOrEqual(t, w.visits("b"), 1)
 }
 
-// leavingAnswer has a replica say with each answer that it leaves.
+// leavingAnswer makes a replica say with each response that it is leaving.
 func leavingAnswer(inner http.HandlerFunc) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		writer.Header().Set("Leaving", "1")
@@ -91,8 +91,8 @@
 	}
 }
 
-// What a replica says of its leaving was read by nobody: until the list showed it, new requests came.
-func TestNothingNewReachesAReplicaThatSaysItLeaves(t *testing.T) {
+// Gateways ignored the leaving header of responses: new requests arrived until the list showed the replica as leaving.
+func TestLeavingReplicaReceivesNoNewRequests(t *testing.T) {
 	for _, test := range []struct {
 		name, stage string
 		answer      http.HandlerFunc
@@ -116,7 +116,7 @@
 			for number := range 100 {
 				require.True(t, w.run(test.call(1000+number)).ended)
 				w.skip(100 * time.Millisecond)
-				// The platform's list goes on showing it as ready.
+				// The platform's list still shows it as ready.
 				w.directory.Replace(w.replicas)
 			}
 			assert.Equal(t, 1, w.visits("leaving"))
@@ -126,11 +126,11 @@
 
 func modelCallOf(number int) *relay.Call { return modelCall(20_000, fmt.Sprint("own-", number)) }
 
-// A coordinator chooses by what others met: it is told who rests here, and its choice is made again here if
-// it falls on one of them.
-func TestACoordinatorsChoiceThatRestsIsMadeAgain(t *testing.T) {
+// A coordinator chooses by what other gateways experienced. Its query excludes the replicas in backoff here, and the
+// gateway chooses again if the coordinator's choice is one of them.
+func TestCoordinatorsChoiceInBackoffIsReplaced(t *testing.T) {
 	w := newWorld(t)
-	w.add("resting", region.StagePrefill, turningAway(rest))
+	w.add("resting", region.StagePrefill, rejecting(longBackoff))
 	w.add("reader", region.StagePrefill, sealed(http.StatusOK, "handle"))
 	w.add("generator", region.StageDecode, events(1, 3, false))
 	asked, excluded, released := 0, 0, 0
@@ -156,13 +156,13 @@
 		require.True(t, w.run(modelCallOf(number)).ended)
 	}
 	assert.Equal(t, 1, w.visits("resting"))
-	assert.Equal(t, 10, asked, "no question more")
+	assert.Equal(t, 10, asked, "no additional query")
 	assert.Equal(t, 9, excluded)
-	assert.GreaterOrEqual(t, released, 10, "what is not used is given back")
+	assert.GreaterOrEqual(t, released, 10, "unused leases are released")
 }
 
-// Where all replicas leave, they are used for as long as they bear it; then callers are refused at once.
-func TestReplicasThatAllLeaveAreUsedUntilTheirTimeIsOver(t *testing.T) {
+// If all replicas are leaving, they are used until the leave time is over; then callers are rejected at once.
+func TestLeavingReplicasAreUsedUntilTheLeaveTimeIsOver(t *testing.T) {
 	w := newWorld(t)
 	for _, id := range []string{"a", "b"} {
 		w.add(id, "", leavingAnswer(sealed(http.StatusOK, "ok")))
@@ -182,12 +182,12 @@
 	require.True(t, w.run(callOf(traffic.KindOnce, 1)).ended)
 }
 
-// Who refuses everything for as long as a change of stage takes is told of, so that another takes its place; who
-// takes some is not, nor who takes requests again.
-func TestReplicasThatRefuseEverythingAreToldToThePlanOfStages(t *testing.T) {
+// A replica that has refused everything for as long as a stage change takes is reported as unreachable, so that
+// another one replaces it. A replica that accepts some requests, or accepts them again, is not reported.
+func TestReplicasThatRefuseEverythingAreReportedAsUnreachable(t *testing.T) {
 	d := newDirectory(replica("refusing", region.StageDecode), replica("partly", region.StageDecode), replica("sound", region.StageDecode))
 	d.SetEngine("s", traffic.Engine{SwitchTime: time.Second})
-	told := func() []string {
+	unreachable := func() []string {
 		for _, each := range d.Demand(topology.Map{}) {
 			if each.Service == "s" {
 				return each.Unreachable
@@ -195,7 +195,7 @@
 		}
 		return nil
 	}
-	take := func(id string, well bool) {
+	send := func(id string, accepted bool) {
 		var excluded []*relay.Replica
 		for {
 			lease := d.PickAny("s", relay.Wanted{Excluded: excluded})
@@ -205,7 +205,7 @@
 				continue
 			}
 			d.now += time.Millisecond
-			if well {
+			if accepted {
 				lease.Answered(false, nil)
 			} else {
 				lease.Refused(0)
@@ -215,17 +215,17 @@
 		}
 	}
 	for round := range 10 {
-		take("refusing", false)
-		take("partly", round%2 == 0)
-		take("sound", true)
+		send("refusing", false)
+		send("partly", round%2 == 0)
+		send("sound", true)
 		if d.now < time.Second {
-			assert.Empty(t, told(), "a change would take longer")
+			assert.Empty(t, unreachable(), "a change would take longer")
 		}
 		d.now += 200 * time.Millisecond
 	}
-	take("refusing", false)
-	assert.Equal(t, []string{"refusing"}, told())
+	send("refusing", false)
+	assert.Equal(t, []string{"refusing"}, unreachable())
 	d.now += time.Millisecond
-	take("refusing", true)
-	assert.Empty(t, told())
+	send("refusing", true)
+	assert.Empty(t, unreachable())
 }
