--- a/internal/backpressure/gate.go
+++ b/internal/backpressure/gate.go
@@ -29,7 +29,7 @@
 // Gate tracks what peers ask of this process. It is safe for concurrent use.
 type Gate struct {
 	options Options
-	// honorBackoff and honorLeaving tell which of the two kinds of request the gate records.
+	// honorBackoff and honorLeaving tell whether the gate records requested backoffs, and leaving peers.
 	honorBackoff, honorLeaving bool
 	// stateCount is len(states), kept separately so that calls take no lock while it is 0.
 	stateCount atomic.Int64
--- a/internal/backpressure/standing.go
+++ b/internal/backpressure/standing.go
@@ -19,7 +19,7 @@
 	expireAt time.Duration
 }
 
-// RestLeft returns the rest of the backoff that the peer has requested, 0 if there is none.
+// RestLeft returns the remaining backoff that the peer has requested, 0 if there is none.
 func (s *Standing) RestLeft(now time.Duration) time.Duration {
 	return max(time.Duration(s.backoffEnd.Load())-now, 0)
 }
--- a/internal/relay/limited.go
+++ b/internal/relay/limited.go
@@ -88,8 +88,8 @@
 	})
 }
 
-// useReserved returns the lease that was reserved before the prompt was read, or a new one if that lease's permit
-// has expired, since its request would arrive in a later window than it was counted in.
+// useReserved returns the lease that was reserved before the prompt was read, if there is one whose permit has not
+// expired, and otherwise a new one: after that time the request would arrive in a later window than it was counted in.
 func (r *run) useReserved(ctx context.Context, reserved *Lease, zone string) (*Lease, error) {
 	if reserved != nil && time.Now().Before(reserved.permitEnds) {
 		return reserved, nil
@@ -135,7 +135,7 @@
 }
 
 // limitedError rejects a request because no replica has capacity under the limit that it declares. wait is the
-// expected time until one has; replica is the last one that denied a permit, empty if no permit was requested.
+// expected time until one has; replica is the last one that denied a permit, empty if none did.
 type limitedError struct {
 	wait    time.Duration
 	replica string
--- a/internal/relay/overload_test.go
+++ b/internal/relay/overload_test.go
@@ -66,8 +66,9 @@
 	inTime    map[string]int
 	served    map[string]int
 	tokens    int
+	// late counts the prompts read after their objective, abandoned those whose callers left before.
 	late      int
-	left      int
+	abandoned int
 	// seed is the random seed of the arrivals.
 	seed uint64
 	// place leases a prefill replica for a request.
@@ -144,7 +145,7 @@
 		r.waiting[id] = slices.DeleteFunc(r.waiting[id], func(waits *replayed) bool {
 			gone := r.now-waits.first > waits.deadline
 			if gone {
-				r.left++
+				r.abandoned++
 				waits.lease.Release()
 			}
 			return gone
@@ -190,8 +191,8 @@
 		r := newReplay(readers)
 		goodput := r.play(readers, load, mixedWork, 12*time.Second)
 		light := float64(r.inTime["light"]) / float64(r.asked["light"])
-		t.Logf("load %.1f: goodput %.3f, light %.3f, middle %.3f, heavy %.3f, late %d, left %d", load, goodput, light,
-			float64(r.inTime["middle"])/float64(r.asked["middle"]), float64(r.inTime["heavy"])/float64(r.asked["heavy"]), r.late, r.left)
+		t.Logf("load %.1f: goodput %.3f, light %.3f, middle %.3f, heavy %.3f, late %d, abandoned %d", load, goodput, light,
+			float64(r.inTime["middle"])/float64(r.asked["middle"]), float64(r.inTime["heavy"])/float64(r.asked["heavy"]), r.late, r.abandoned)
 		most = max(most, goodput)
 		assert.Greater(t, goodput, most-0.05, "goodput falls at %.1f of the capacity", load)
 		assert.Greater(t, light, 0.9, "light work at %.1f of the capacity", load)
@@ -320,7 +321,7 @@
 		goodput := r.play(readers, load, sizedWork(), 20*time.Second)
 		rate, next, largest := r.servedBySize()
 		read := float64(r.tokens) / (readers * pace * 20)
-		t.Logf("load %.1f: goodput %.3f, read %.3f, served %.3f, largest tenth %.3f, next fifth %.3f, late %d, left %d", load, goodput, read, rate, largest, next, r.late, r.left)
+		t.Logf("load %.1f: goodput %.3f, read %.3f, served %.3f, largest tenth %.3f, next fifth %.3f, late %d, abandoned %d", load, goodput, read, rate, largest, next, r.late, r.abandoned)
 		assert.Greater(t, largest, rate/2, "the largest tenth at %.1f of the capacity", load)
 		assert.Greater(t, next, rate/2, "the fifth below it at %.1f of the capacity", load)
 	}
