--- a/internal/relay/demand_test.go
+++ b/internal/relay/demand_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestAPromptIsDelayedOnlyByItsWait(t *testing.T) {
+func TestPromptIsDelayedOnlyByItsWait(t *testing.T) {
 	request := ReadRequest{Objective: time.Second, AimLeft: time.Second}
 	for name, test := range map[string]struct {
 		wait, busy time.Duration
@@ -27,23 +27,23 @@
 	assert.False(t, refusedTimes(request, 2*time.Second).delayed)
 }
 
-// TestTheDemandForReadingIsSmoothed has 20 prompts a second be read for 100 ms each, where replicas
-// that keep nothing of them would take 300 ms: 2 replicas are busy, and 6 would be.
-func TestTheDemandForReadingIsSmoothed(t *testing.T) {
+// TestReadDemandIsSmoothed adds 20 prompts a second that take 100 ms each to read, and would take 300 ms without
+// cached prefixes: they keep 2 replicas busy, and would keep 6 busy.
+func TestReadDemandIsSmoothed(t *testing.T) {
 	meter := &readMeter{}
 	now := time.Duration(0)
 	for range 400 {
 		now += 50 * time.Millisecond
 		meter.add(now, readTimes{busy: 100 * time.Millisecond, whole: 300 * time.Millisecond, slack: 900 * time.Millisecond, delayed: true})
 	}
-	memory := readMemory.Seconds()
+	memory := readTimeConstant.Seconds()
 	assert.InDelta(t, 20, meter.prompts/memory, 0.5)
 	assert.InDelta(t, 20, meter.delayed/memory, 0.5)
 	assert.InDelta(t, 2, meter.busy/memory, 0.05)
 	assert.InDelta(t, 4, meter.kept/memory, 0.1)
 	assert.InDelta(t, 18, meter.slack/memory, 0.5)
 	assert.InDelta(t, 0.2, meter.squares/memory, 0.005)
-	meter.fade(now + 10*readMemory)
+	meter.fade(now + 10*readTimeConstant)
 	assert.Zero(t, meter.prompts)
 	assert.Zero(t, meter.busy)
 }
