--- a/internal/relay/budgets.go
+++ b/internal/relay/budgets.go
@@ -7,19 +7,18 @@
 	"github.com/pierhaven/pierhaven/internal/retry"
 )
 
-// BudgetTerms bound the repeated sends of all gateways together.
+// BudgetTerms bound the retries of all gateways together.
 type BudgetTerms struct {
-	// Ratio of repeated sends to requests, over Window.
+	// Ratio is the number of retries per request, over Window.
 	Ratio  float64
 	Window time.Duration
-	// Slack is the number of repeated sends allowed beyond the ratio in each
-	// Window, over all gateways.
+	// Slack is the number of retries that all gateways together may make beyond the ratio in each
+	// Window.
 	Slack float64
 }
 
-// Budgets bound this gateway's repeated sends to each service, without a message
-// to the others: each gateway takes an equal share of the slack. They may be used
-// concurrently.
+// Budgets bound this gateway's retries to each service without communication between gateways: each
+// gateway gets an equal share of the slack. They are safe for concurrent use.
 type Budgets struct {
 	mutex    sync.Mutex
 	clock    func() time.Duration
@@ -29,23 +28,23 @@
 }
 
 const (
-	// caution is the part of the allowance that is used: gateways come and go,
-	// and a window begins anywhere.
-	caution = 0.9
-	// savedShare of a gateway's slack can be saved up; the rest flows in evenly
-	// over a window.
-	savedShare = 0.5
-	// initialShare of what can be saved up is there from the start. It is granted
-	// again at each start, so a gateway that restarts often must not get much.
+	// allowanceMargin is the part of the allowance that is used: the number of gateways changes, and the
+	// bound holds for a window that begins at any time.
+	allowanceMargin = 0.9
+	// burstShare is the part of a gateway's slack that can be saved up. The rest is added evenly over a
+	// window.
+	burstShare = 0.5
+	// initialShare is the part of the burst that is available from the start. It is granted at each
+	// start, so it must be small: a gateway that restarts often must not get much.
 	initialShare = 0.5
 )
 
-// NewBudgets returns budgets for a number of gateways.
+// NewBudgets returns budgets for a given number of gateways.
 func NewBudgets(clock func() time.Duration, terms BudgetTerms, gateways int) *Budgets {
 	return &Budgets{clock: clock, terms: terms, gateways: max(gateways, 1), services: map[string]*retry.Budget{}}
 }
 
-// SetGateways says how many gateways share the slack; 0 leaves it as it is.
+// SetGateways sets the number of gateways that share the slack; 0 leaves it unchanged.
 func (b *Budgets) SetGateways(gateways int) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -54,42 +53,41 @@
 	}
 	b.gateways = gateways
 	for _, budget := range b.services {
-		budget.SetOptions(b.options())
+		budget.SetOptions(b.budgetOptions())
 	}
 }
 
-// Request counts a request for a service.
+// Request counts a request for a service, which adds to its retry budget.
 func (b *Budgets) Request(service string) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.of(service).Request(b.clock())
+	b.serviceBudget(service).Request(b.clock())
 }
 
-// Withdraw takes one repeated send out of a service's budget, or reports that
-// none is left.
+// Withdraw takes one retry out of a service's budget. It reports false if none is left.
 func (b *Budgets) Withdraw(service string) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.of(service).Withdraw(b.clock())
+	return b.serviceBudget(service).Withdraw(b.clock())
 }
 
-func (b *Budgets) of(service string) *retry.Budget {
+func (b *Budgets) serviceBudget(service string) *retry.Budget {
 	budget, found := b.services[service]
 	if !found {
-		budget = retry.NewBudget(b.options())
+		budget = retry.NewBudget(b.budgetOptions())
 		b.services[service] = budget
 	}
 	return budget
 }
 
-// options are those of each service's budget.
-func (b *Budgets) options() retry.BudgetOptions {
-	share := caution * b.terms.Slack / float64(b.gateways)
+// budgetOptions returns the options of each service's budget.
+func (b *Budgets) budgetOptions() retry.BudgetOptions {
+	share := allowanceMargin * b.terms.Slack / float64(b.gateways)
 	return retry.BudgetOptions{
-		Ratio:            caution * b.terms.Ratio,
-		MinimumPerSecond: (1 - savedShare) * share / b.terms.Window.Seconds(),
-		Maximum:          max(savedShare*share, 1),
-		Initial:          initialShare * savedShare * share,
+		Ratio:            allowanceMargin * b.terms.Ratio,
+		MinimumPerSecond: (1 - burstShare) * share / b.terms.Window.Seconds(),
+		Maximum:          max(burstShare*share, 1),
+		Initial:          initialShare * burstShare * share,
 		Memory:           b.terms.Window,
 	}
 }
--- a/internal/relay/connected_test.go
+++ b/internal/relay/connected_test.go
@@ -40,10 +40,10 @@
 func TestUnusedConnectionsOfAllGatewaysLeaveRoomForRequests(t *testing.T) {
 	for _, taken := range []int{1, 4, 32, 110, 250, 520, 2100} {
 		for _, gateways := range []int{1, 4, 9, 65, 295, 985} {
-			part := relay.IdlePart(taken, gateways)
+			part := relay.IdleConnectionLimit(taken, gateways)
 			assert.GreaterOrEqual(t, part, 1, "connections are used again")
 			assert.LessOrEqual(t, gateways*part, max(taken/2, gateways), "%d connections, %d gateways", taken, gateways)
 		}
 	}
-	assert.Equal(t, 8, relay.IdlePart(0, 985), "nothing is said of it")
+	assert.Equal(t, 8, relay.IdleConnectionLimit(0, 985), "nothing is said of it")
 }
--- a/internal/relay/dialect.go
+++ b/internal/relay/dialect.go
@@ -7,46 +7,47 @@
 	"github.com/pierhaven/pierhaven/internal/upstream"
 )
 
-// Dialect reads and writes the header fields and the bodies by which callers,
-// gateways and replicas tell each other about a request. It decides nothing.
+// Dialect reads and writes the header fields and bodies by which callers, gateways and replicas
+// exchange metadata of a request. It makes no decisions.
 type Dialect interface {
-	// ReadTerms reads what the caller says about its request. get returns the
-	// value of a header field, empty if there is none.
+	// ReadTerms reads the metadata of a caller's request. get returns the value of a header field,
+	// empty if there is none.
 	ReadTerms(get func(name string) string) Terms
-	// Sets reports whether a request's field is set by the gateway itself, so
-	// that the caller's is not passed along.
+	// Sets reports whether the gateway sets a request's field itself, so that the caller's value is
+	// not forwarded.
 	Sets(name string) bool
-	// Fields returns the fields that go with one send.
+	// Fields returns the fields to send with one send.
 	Fields(send Send) []upstream.Field
-	// ReadMarks reads what a replica says about its answer.
+	// ReadMarks reads the metadata of a replica's response.
 	ReadMarks(header http.Header) Marks
-	// Leaving reports whether a replica says with an answer that it takes nothing new, until its life ends.
+	// Leaving reports whether a response says that its replica takes no new work until its process
+	// ends.
 	Leaving(header http.Header) bool
-	// ReadHandle reads the answer to a prompt that was read for another replica.
+	// ReadHandle reads the response to a prefill for another replica, or to a move.
 	ReadHandle(body []byte) (id string, err error)
-	// Move returns the call by which the replica that runs a request copies its memory to
-	// another at an address, and stops it there if it is the last call; ReadHandle reads
-	// the answer. MoveFields are the call's header fields.
+	// Move returns the request by which the replica that runs a request copies its memory to another
+	// replica's address and, with last set, stops it. ReadHandle reads the response. MoveFields
+	// returns the header fields of that request.
 	Move(id, address string, last bool) (method, path string, body []byte)
 	MoveFields(instance string) []upstream.Field
 	// FreeHandle returns the method and path that free a handle.
 	FreeHandle(id string) (method, path string)
 }
 
-// Terms are what a caller says about its request.
+// Terms is the metadata of a caller's request.
 type Terms struct {
-	// ID is the request's own.
+	// ID is the request ID.
 	ID string
 	// Wait is how long the caller waits, 0 if it does not say.
 	Wait time.Duration
 	// Prompt is nil for requests that are not for model engines.
 	Prompt *Prompt
-	// Tokens are those of prompt and answer together that the caller names, 0 if it names none.
+	// Tokens is the number of tokens of prompt and answer together that the caller gives, 0 if none.
 	Tokens float64
-	// LastEvent is the last event of an interrupted stream that the caller has;
-	// empty for a new stream.
+	// LastEvent is the ID of the last event that the caller has of an interrupted stream, empty for a
+	// new stream.
 	LastEvent string
-	// Key is the caller's API key, empty if it has brought none. It is never logged.
+	// Key is the caller's API key, empty if it sent none. It is never logged.
 	Key string
 }
 
@@ -55,12 +56,11 @@
 	Tokens int
 	// MaximumOutput bounds the tokens that may be generated.
 	MaximumOutput int
-	// Parts are the prompt's parts in order; all but the last may be shared with
-	// other prompts.
+	// Parts are the parts of the prompt in order; all but the last may be shared with other prompts.
 	Parts []PromptPart
 }
 
-// PromptPart is a part of a prompt.
+// PromptPart is a part of a prompt that other prompts may share.
 type PromptPart struct {
 	ID     string
 	Tokens int
@@ -68,49 +68,48 @@
 
 // Send describes one sending of a request to a replica.
 type Send struct {
-	// Instance is the incarnation that alone may run the request.
+	// Instance is the only incarnation that may run the request.
 	Instance string
 	// Tenant is the name of the caller's tenant, empty if it has none.
 	Tenant string
 	// Left is the time that the replica has.
 	Left time.Duration
-	// ReadOnly asks to read the prompt without running the request.
+	// ReadOnly asks the replica to prefill the prompt without running the request.
 	ReadOnly bool
-	// Source is the address and the handle of the replica that has read the
-	// prompt; empty if there is none.
+	// Source is the address of the replica that has prefilled the prompt, with the handle; empty if
+	// there is none.
 	Source string
-	// Fetch is the address of a replica that keeps the prompt's beginning; empty
-	// to have all of it read.
+	// Fetch is the address of a replica that has the beginning of the prompt cached; empty if all of
+	// it is to be prefilled.
 	Fetch string
-	// LastEvent is the event after which a stream continues.
+	// LastEvent is the ID of the event after which a stream continues.
 	LastEvent string
-	// Moved says that the stream goes on from the memory that Source names: it is the
-	// same run.
+	// Moved is set if the stream continues from the memory that Source names, as the same run.
 	Moved bool
-	// Rank orders the prompts and streams of a model replica, 0 is first and
-	// LastRank last; it counts only if Ranked is set.
+	// Rank orders the prompts and streams of a model replica, from 0 (first) to LastRank (last). It
+	// counts only if Ranked is set.
 	Ranked bool
 	Rank   int
 }
 
-// LastRank is the rank of what waits for all others.
+// LastRank is the rank of work that waits for all other work.
 const LastRank = 9
 
-// Marks are what a replica says about an answer.
+// Marks is the metadata of a replica's response.
 type Marks struct {
-	// RequestID is the request that it answers, empty if it does not say.
+	// RequestID is the ID of the request that was answered, empty if not given.
 	RequestID string
-	// NotRun says that the replica has not run the request and never will.
+	// NotRun is set if the replica has not run the request and will not run it later.
 	NotRun bool
-	// Sealed answers come from a replica that has run the request.
+	// Sealed marks the response of a replica that has run the request.
 	Sealed bool
-	// Load is nil if the replica does not tell it.
+	// Load is nil if the replica does not report it.
 	Load *Load
-	// Limit is what it says of the requests that it takes.
+	// Limit is the rate limit that the replica declares.
 	Limit RateLimit
 }
 
-// Load is a replica's own account of its work.
+// Load is a replica's own report of its work.
 type Load struct {
 	Running, Waiting, Slots int
 }
--- a/internal/relay/ending.go
+++ b/internal/relay/ending.go
@@ -9,27 +9,27 @@
 	"github.com/pierhaven/pierhaven/internal/upstream"
 )
 
-// replicaLost notes that the connection to a replica has broken under the request, unless this
-// gateway has closed it, the replica has fallen silent or was known to leave.
-func (r *run) replicaLost(ctx context.Context, lease *Lease, cause error) {
-	if ctx.Err() != nil || upstream.Silent(cause) || errors.Is(cause, context.DeadlineExceeded) || lease.leavesByPlan() {
+// recordConnectionLoss records that the connection to a replica broke under the request, unless this
+// gateway closed it, the replica stopped responding or was known to be leaving.
+func (r *run) recordConnectionLoss(ctx context.Context, lease *Lease, cause error) {
+	if ctx.Err() != nil || upstream.Silent(cause) || errors.Is(cause, context.DeadlineExceeded) || lease.expectedToLeave() {
 		return
 	}
-	r.lost = true
+	r.connectionLost = true
 	events := 0
 	if r.stream != nil {
-		events = r.stream.events - r.eventsBefore
+		events = r.stream.events - r.earlierEvents
 	}
 	loss := poison.Loss{Request: r.call.ID, Digest: r.call.Digest(), After: lease.age(), Events: events}
-	r.ends.Note(lease.Replica.name, lease.Replica.Address, loss)
+	r.endWatch.Note(lease.Replica.name, lease.Replica.Address, loss)
 }
 
-// leavesByPlan reports whether the replica was known to take no new work.
-func (l *Lease) leavesByPlan() bool {
+// expectedToLeave reports whether the replica was known to take no new work until its process ends.
+func (l *Lease) expectedToLeave() bool {
 	l.directory.mutex.Lock()
 	defer l.directory.mutex.Unlock()
 	return l.Replica.ends()
 }
 
-// age is how long ago the lease began.
+// age returns how long ago the lease began.
 func (l *Lease) age() time.Duration { return l.directory.clock() - l.begun }
--- a/internal/relay/export_test.go
+++ b/internal/relay/export_test.go
@@ -19,5 +19,7 @@
 	return d.restsReturn(service, rank)
 }
 
-// IdlePart is how many unused connections each of several processes may keep to a replica.
-func IdlePart(taken, choosers int) int { return idlePart(taken, choosers) }
+// IdleConnectionLimit is how many unused connections each of several processes may keep to a replica.
+func IdleConnectionLimit(maximumConnections, placers int) int {
+	return idleConnectionLimit(maximumConnections, placers)
+}
--- a/internal/relay/held.go
+++ b/internal/relay/held.go
@@ -7,14 +7,15 @@
 	"github.com/pierhaven/pierhaven/internal/mechanism"
 )
 
-// isHeld reports whether the request must be sent to no replica, since it ends those that run it.
-// It is asked before each send: the others may have learned so while this one was under way.
+// isHeld reports whether the request must not be sent to any replica, since it crashes those that run
+// it. It is called before each send: other gateways may have found this out while the call was in
+// progress.
 func (r *run) isHeld() bool {
 	return r.guard != nil && !r.directory.off[mechanism.RequestHolds] && r.guard.Holds(r.call)
 }
 
-// probationError says that another gateway tries a request which may end replicas; wait is for how
-// long the outcome may not be known.
+// probationError means that a request that may crash replicas is being tried by another gateway. wait is
+// how long the outcome may stay unknown.
 type probationError struct{ wait time.Duration }
 
 // Error implements error.
@@ -22,39 +23,40 @@
 	return "replicas have ended under this request or others beside it, and another gateway tries it"
 }
 
-// mayTry returns an error if the request is on probation, and another gateway tries it now. A stream
-// that moves is not tried anew.
-func (r *run) mayTry(ctx context.Context) error {
-	if r.permit == nil || r.guard == nil || r.moved != nil || r.directory.off[mechanism.RequestHolds] || !r.guard.OnProbation(r.call) {
+// checkProbation returns an error if the request is on probation and another gateway is trying it now. A
+// stream that is being moved is not a new try.
+func (r *run) checkProbation(ctx context.Context) error {
+	if r.probationPermit == nil || r.guard == nil || r.moved != nil || r.directory.off[mechanism.RequestHolds] || !r.guard.OnProbation(r.call) {
 		return nil
 	}
-	if wait := r.permit(ctx, r.call.Digest()); wait > 0 {
+	if wait := r.probationPermit(ctx, r.call.Digest()); wait > 0 {
 		return &probationError{wait: wait}
 	}
 	return nil
 }
 
-// heldDigest is the digest of a request that is held, for the log; empty for others.
-func (r *run) heldDigest() string {
+// heldDigestForLog returns the digest of a held request, empty for others.
+func (r *run) heldDigestForLog() string {
 	if !r.isHeld() {
 		return ""
 	}
 	return r.call.Digest().String()
 }
 
-// tellIfWell tells of a request that a replica has run to its end: it doesn't end replicas.
-func (r *run) tellIfWell() {
-	if r.guard != nil && r.ranWell {
-		r.guard.RanWell(r.call, r.lost)
+// reportSuccess reports to the guard a request that a replica has run to its end: it does not crash
+// replicas.
+func (r *run) reportSuccess() {
+	if r.guard != nil && r.succeeded {
+		r.guard.RanWell(r.call, r.connectionLost)
 	}
 }
 
-// dropMoved gives up the place to which the stream was to move.
-func (r *run) dropMoved() {
+// releaseMoved releases the place that a stream was to move to.
+func (r *run) releaseMoved() {
 	if r.moved == nil {
 		return
 	}
 	r.moved.lease.Release()
-	r.moved.handle.freeUnlessTaken(r.Runner)
+	r.moved.handle.freeUnlessConsumed(r.Runner)
 	r.moved = nil
 }
--- a/internal/relay/meter.go
+++ b/internal/relay/meter.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// timeMeter smooths a time. It is guarded by the Directory's mutex.
+// timeMeter is an exponential moving average of a duration. It is guarded by the Directory's mutex.
 type timeMeter struct {
 	smoothed time.Duration
-	observed bool
+	hasValue bool
 }
 
-func (m *timeMeter) observe(took time.Duration) {
-	if !m.observed {
-		m.smoothed, m.observed = took, true
+func (m *timeMeter) observe(duration time.Duration) {
+	if !m.hasValue {
+		m.smoothed, m.hasValue = duration, true
 		return
 	}
-	m.smoothed += time.Duration(smoothing * float64(took-m.smoothed))
+	m.smoothed += time.Duration(smoothing * float64(duration-m.smoothed))
 }
 
-// typical returns the time observed of late, 0 if there is none.
+// typical returns the smoothed duration, 0 if none was observed.
 func (m *timeMeter) typical() time.Duration {
 	if m == nil {
 		return 0
@@ -27,33 +27,33 @@
 	return m.smoothed
 }
 
-// timeMeters are those of several services.
+// timeMeters holds a timeMeter for each service.
 type timeMeters map[string]*timeMeter
 
-func (m timeMeters) observe(service string, took time.Duration) {
+func (m timeMeters) observe(service string, duration time.Duration) {
 	meter, found := m[service]
 	if !found {
 		meter = &timeMeter{}
 		m[service] = meter
 	}
-	meter.observe(took)
+	meter.observe(duration)
 }
 
-// peakMeter remembers the longest time of late. It is guarded by the Directory's mutex.
+// peakMeter holds the longest recent duration, which decays. It is guarded by the Directory's mutex.
 type peakMeter struct {
-	peak time.Duration
-	at   time.Duration
+	peak   time.Duration
+	peakAt time.Duration
 }
 
-// peakFade is the time in which a peak fades to a third.
+// peakFade is the time constant of the decay: a peak falls to 1/e, about a third, in this time.
 const peakFade = time.Second
 
-func (m *peakMeter) observe(now, took time.Duration) {
-	m.peak = max(m.longest(now), took)
-	m.at = now
+func (m *peakMeter) observe(now, duration time.Duration) {
+	m.peak = max(m.longest(now), duration)
+	m.peakAt = now
 }
 
-// longest returns the peak as far as it has not faded.
+// longest returns the decayed peak.
 func (m *peakMeter) longest(now time.Duration) time.Duration {
-	return time.Duration(float64(m.peak) * math.Exp(-(now-m.at).Seconds()/peakFade.Seconds()))
+	return time.Duration(float64(m.peak) * math.Exp(-(now-m.peakAt).Seconds()/peakFade.Seconds()))
 }
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -11,30 +11,30 @@
 
 // Metrics are the counters and histograms of a relaying gateway.
 type Metrics struct {
-	requests *prometheus.CounterVec
-	latency  *prometheus.HistogramVec
-	attempts *prometheus.CounterVec
-	reads    *prometheus.CounterVec
-	reading  *prometheus.HistogramVec
-	moved    *prometheus.CounterVec
+	requests       *prometheus.CounterVec
+	latency        *prometheus.HistogramVec
+	attempts       *prometheus.CounterVec
+	prefills       *prometheus.CounterVec
+	prefillSeconds *prometheus.HistogramVec
+	transfers      *prometheus.CounterVec
 }
 
-// latencyBuckets are upper bounds in seconds. They lie close together where the
-// objectives of the deployments are, 0.1 to 0.8 s.
+// latencyBuckets are upper bounds in seconds. They are dense from 0.1 to 0.8 s, where the objectives of
+// the deployments are.
 var latencyBuckets = []float64{0.01, 0.025, 0.05, 0.1, 0.15, 0.2, 0.3, 0.45, 0.6, 0.8, 1.2, 2, 4, 8}
 
-// Outcomes of requests, beside the kinds of failures.
+// Outcomes of requests, in addition to the kinds of failures.
 const (
-	outcomeAnswered = "answered"
-	outcomeBroken   = "broken_off"
-	outcomeGone     = "caller_gone"
-	outcomeFailed   = "replica_failed"
+	outcomeAnswered      = "answered"
+	outcomeBrokenOff     = "broken_off"
+	outcomeCallerGone    = "caller_gone"
+	outcomeReplicaFailed = "replica_failed"
 )
 
-// Outcomes of prompts that were to be read apart.
+// Outcomes of separate prefills.
 const (
-	readDone   = "done"
-	readFailed = "failed"
+	prefillDone   = "done"
+	prefillFailed = "failed"
 )
 
 // NewMetrics registers the metrics.
@@ -44,28 +44,28 @@
 		latency: registry.Histogram("first_answer_seconds",
 			"Time from a request's arrival to its answer, or to the first event of it.", latencyBuckets, "kind"),
 		attempts: registry.Counter("attempts_total", "Sends of requests to replicas, by what they led to.", "verdict"),
-		reads:    registry.Counter("prompt_reads_total", "Prompts to be read by another replica than the generating one.", "outcome"),
-		reading: registry.Histogram("prompt_read_seconds",
+		prefills: registry.Counter("prompt_reads_total", "Prompts to be read by another replica than the generating one.", "outcome"),
+		prefillSeconds: registry.Histogram("prompt_read_seconds",
 			"Time in which a prompt was read apart, its wait included.", latencyBuckets),
-		moved: registry.Counter("moved_total", "What has gone from one place to another, by how far it is.", "what", "distance"),
+		transfers: registry.Counter("moved_total", "What has gone from one place to another, by how far it is.", "what", "distance"),
 	}
 }
 
-// What goes from one place to another.
+// What is transferred from one place to another.
 const (
-	// movedSend is a request that goes to a replica, movedRead a prompt that is to be read there.
-	movedSend = "send"
-	movedRead = "read"
-	// movedFetch is the beginning of a prompt that one replica is to fetch from another,
-	// movedHandover a prompt that has been read for another, movedGoingOn a stream that another goes
-	// on with.
-	movedFetch    = "fetch"
-	movedHandover = "handover"
-	movedGoingOn  = "stream"
+	// transferSend is a request sent to a replica, transferPrefill a prompt sent to be prefilled there.
+	transferSend    = "send"
+	transferPrefill = "read"
+	// transferFetch is the beginning of a prompt that one replica fetches from another,
+	// transferHandover a prompt that was prefilled for another replica, transferStream a stream that
+	// another replica continues.
+	transferFetch    = "fetch"
+	transferHandover = "handover"
+	transferStream   = "stream"
 )
 
-func (m *Metrics) hasMoved(what string, far topology.Distance) {
-	m.moved.WithLabelValues(what, far.String()).Inc()
+func (m *Metrics) countTransfer(what string, distance topology.Distance) {
+	m.transfers.WithLabelValues(what, distance.String()).Inc()
 }
 
 func (m *Metrics) request(call *Call, outcome string) {
@@ -78,9 +78,9 @@
 
 func (m *Metrics) attempt(outcome verdict) { m.attempts.WithLabelValues(outcome.String()).Inc() }
 
-func (m *Metrics) promptRead(outcome string, took time.Duration) {
-	m.reads.WithLabelValues(outcome).Inc()
-	if outcome == readDone {
-		m.reading.WithLabelValues().Observe(took.Seconds())
+func (m *Metrics) recordPrefill(outcome string, duration time.Duration) {
+	m.prefills.WithLabelValues(outcome).Inc()
+	if outcome == prefillDone {
+		m.prefillSeconds.WithLabelValues().Observe(duration.Seconds())
 	}
 }
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -11,60 +11,61 @@
 )
 
 const (
-	// movePause is the time between two attempts at moving a stream.
+	// movePause is the time between two attempts to move a stream.
 	movePause = 200 * time.Millisecond
-	// moveTimeout bounds one call for a move.
+	// moveTimeout bounds one request of a move.
 	moveTimeout = time.Second
-	// moveLimit is the occupancy up to which a replica takes streams of others in.
+	// moveLimit is the occupancy up to which a replica accepts streams moved from others.
 	moveLimit = 0.9
 )
 
-// movedStream is a stream that has been stopped where it ran and goes on elsewhere.
+// movedStream is a stream that was stopped at one replica and continues at another.
 type movedStream struct {
 	lease  *Lease
 	handle *promptHandle
 }
 
-// mover moves a stream away from a replica that is leaving or changing its stage, which
-// it would hold up until its end, or be cut off by.
-type mover struct {
+// streamMover moves a stream away from a replica that is leaving or changing its stage. Otherwise the
+// stream would delay the replica until it ends, or be cut off.
+type streamMover struct {
 	run   *run
 	lease *Lease
-	// cancel ends the wait for the replica's leaving, done says that all has ended.
+	// cancel ends the wait for the replica to leave; done is closed once the mover's goroutine has
+	// ended.
 	cancel context.CancelFunc
 	done   chan struct{}
 	moved  *movedStream
 }
 
-// watchStream returns a mover of a stream that has begun.
-func (r *run) watchStream(ctx context.Context, lease *Lease) *mover {
+// startMover starts a mover for a stream that has begun.
+func (r *run) startMover(ctx context.Context, lease *Lease) *streamMover {
 	ctx, cancel := context.WithCancel(ctx)
-	m := &mover{run: r, lease: lease, cancel: cancel, done: make(chan struct{})}
+	m := &streamMover{run: r, lease: lease, cancel: cancel, done: make(chan struct{})}
 	go m.watch(ctx)
 	return m
 }
 
-// end waits for what is under way, and returns where the stream goes on; nil if it was
-// not moved. It is called once the stream has ended here.
-func (m *mover) end() *movedStream {
+// stop waits for a move in progress and returns where the stream continues, nil if it was not moved.
+// It is called once the stream has ended at its first replica.
+func (m *streamMover) stop() *movedStream {
 	m.cancel()
 	<-m.done
 	return m.moved
 }
 
-// abandonUnless ends the mover, and gives up where the stream would have gone on unless it
-// does. A nil mover has nothing to end.
-func (m *mover) abandonUnless(goesOn bool) {
+// stopUnless ends the mover, and releases the target of the move unless the stream continues there. It
+// does nothing on a nil mover.
+func (m *streamMover) stopUnless(goesOn bool) {
 	if m == nil {
 		return
 	}
-	if moved := m.end(); moved != nil && !goesOn {
+	if moved := m.stop(); moved != nil && !goesOn {
 		moved.lease.Release()
-		moved.handle.freeUnlessTaken(m.run.Runner)
+		moved.handle.freeUnlessConsumed(m.run.Runner)
 	}
 }
 
-func (m *mover) watch(ctx context.Context) {
+func (m *streamMover) watch(ctx context.Context) {
 	defer close(m.done)
 	select {
 	case <-m.lease.leaving:
@@ -74,7 +75,7 @@
 	// Short streams end before they could be moved.
 	pause := m.run.call.Route.TargetGap
 	for sleepUnlessDone(ctx, pause) {
-		if m.try(ctx) {
+		if m.tryMove(ctx) {
 			return
 		}
 		pause = movePause
@@ -92,11 +93,12 @@
 	}
 }
 
-// try moves the stream, and reports whether no other attempt should be made.
-func (m *mover) try(ctx context.Context) bool {
+// tryMove tries to move the stream, and reports whether no further try should be made.
+func (m *streamMover) tryMove(ctx context.Context) bool {
 	r := m.run
 	if r.isHeld() {
-		// It stays where it is: a replica that has not ended under it yet should not be its next.
+		// A held request must not reach a replica that it has not crashed yet, so its stream stays
+		// where it is.
 		return true
 	}
 	if m.lease.RestLeft() > 0 {
@@ -114,35 +116,36 @@
 		target.Release()
 		return false
 	}
-	// The memory is copied while the stream runs, so that its stop is short.
-	copied, status := r.callMove(ctx, m.lease.Replica, target.Replica, false)
+	// The memory is copied while the stream runs, which keeps the interruption short.
+	copied, status := r.requestMove(ctx, m.lease.Replica, target.Replica, false)
 	if copied == nil {
 		target.Release()
 		return status == http.StatusNotFound
 	}
-	// What has begun is carried through: the stream may have been stopped.
-	stopped, status := r.callMove(context.WithoutCancel(ctx), m.lease.Replica, target.Replica, true)
+	// A move that has begun is completed: the stream may already have been stopped.
+	stopped, status := r.requestMove(context.WithoutCancel(ctx), m.lease.Replica, target.Replica, true)
 	r.logger.V(1).Info(event.StreamMoved, "request", r.call.ID, "replica", m.lease.Replica.ID, "to", target.Replica.ID,
 		"status", status, "moved", stopped != nil)
 	if stopped == nil {
 		target.Release()
-		go r.free(copied)
+		go r.freeHandle(copied)
 		return true
 	}
-	r.metrics.hasMoved(movedGoingOn, r.directory.distance(m.lease.Replica, target.Replica))
+	r.metrics.countTransfer(transferStream, r.directory.distance(m.lease.Replica, target.Replica))
 	m.lease.handStreamTo(target)
 	m.moved = &movedStream{lease: target, handle: stopped}
 	return true
 }
 
-// callMove has a replica copy a stream's memory to another one, and stop the stream if it
-// is the last call. It returns the handle of the copy, nil if there is none.
-func (r *run) callMove(ctx context.Context, from, to *Replica, last bool) (*promptHandle, int) {
+// requestMove has a replica copy a stream's memory to another one and, with last set, stop the stream.
+// It returns the handle of the copy, nil if there is none, and the response status, 0 if no
+// response came.
+func (r *run) requestMove(ctx context.Context, from, to *Replica, last bool) (*promptHandle, int) {
 	ctx, cancel := context.WithTimeout(ctx, moveTimeout)
 	defer cancel()
 	r.countUnasked(from)
 	method, path, body := r.dialect.Move(r.call.ID, to.Address, last)
-	answer, err := r.client.Do(ctx, &upstream.Request{
+	response, err := r.client.Do(ctx, &upstream.Request{
 		Address:  from.Address,
 		Instance: from.name,
 		Method:   method,
@@ -155,15 +158,15 @@
 		r.logger.Info(event.MoveFailed, "request", r.call.ID, "replica", from.ID, "to", to.ID, "last", last, "error", failure.Text(err))
 		return nil, 0
 	}
-	defer answer.Close()
-	content, err := answer.ReadAll()
-	if err != nil || answer.Status != http.StatusOK {
-		r.logger.Info(event.MoveFailed, "request", r.call.ID, "replica", from.ID, "to", to.ID, "last", last, "status", answer.Status)
-		return nil, answer.Status
+	defer response.Close()
+	content, err := response.ReadAll()
+	if err != nil || response.Status != http.StatusOK {
+		r.logger.Info(event.MoveFailed, "request", r.call.ID, "replica", from.ID, "to", to.ID, "last", last, "status", response.Status)
+		return nil, response.Status
 	}
 	id, err := r.dialect.ReadHandle(content)
 	if err != nil {
-		return nil, answer.Status
+		return nil, response.Status
 	}
-	return &promptHandle{id: id, replica: from}, answer.Status
+	return &promptHandle{id: id, replica: from}, response.Status
 }
--- a/internal/relay/prompt.go
+++ b/internal/relay/prompt.go
@@ -16,21 +16,21 @@
 
 const freeTimeout = 500 * time.Millisecond
 
-// promptHandle is a prompt that a replica has read and keeps for another.
+// promptHandle identifies a prompt that a replica has prefilled and keeps for another one.
 type promptHandle struct {
-	id      string
-	replica *Replica
-	taken   bool
+	id       string
+	replica  *Replica
+	consumed bool
 }
 
 func (h *promptHandle) source() string { return h.replica.Address + "/" + h.id }
 
-// placeModelCall leases the replica that generates, and has the prompt read by another one
-// before if that is better; a prompt is read apart once, and what continues a stream
-// is not. An error says that the request may go to no other replica.
+// placeModelCall leases a decode replica and, if that is better, has another replica prefill the
+// prompt first. A prompt is prefilled separately at most once, and not if a stream is continued.
+// An error means that the request may not be sent to another replica.
 func (r *run) placeModelCall(ctx context.Context) (*Lease, *promptHandle, error) {
 	service := r.call.Service.Name
-	if r.reads > 0 || r.stream != nil {
+	if r.prefills > 0 || r.stream != nil {
 		lease, err := r.permittedDirect(ctx)
 		return lease, nil, err
 	}
@@ -41,24 +41,24 @@
 	if lease.Replica.Stage != region.StagePrefill {
 		return lease, nil, nil
 	}
-	return r.placeReadApart(ctx, lease)
+	return r.placeSeparatePrefill(ctx, lease)
 }
 
-// placeReadApart has a replica read the prompt, and leases the one that generates.
-func (r *run) placeReadApart(ctx context.Context, reader *Lease) (*Lease, *promptHandle, error) {
-	reserved, err := r.reserveGenerator(ctx, reader)
+// placeSeparatePrefill has a replica prefill the prompt, and leases a decode replica.
+func (r *run) placeSeparatePrefill(ctx context.Context, prefillLease *Lease) (*Lease, *promptHandle, error) {
+	reserved, err := r.reserveGenerator(ctx, prefillLease)
 	if err != nil {
-		reader.Release()
+		prefillLease.Release()
 		return nil, nil, err
 	}
-	handle, err := r.readPrompt(ctx, reader)
+	handle, err := r.runPrefill(ctx, prefillLease)
 	if handle != nil {
 		lease, err := r.useReserved(ctx, reserved, handle.replica.Zone)
 		return lease, handle, err
 	}
 	reserved.releaseIfAny()
-	if errors.Is(err, errNotConnected) {
-		return r.placeAgain(ctx, reader)
+	if errors.Is(err, errPrefillUnsent) {
+		return r.retryPlacement(ctx, prefillLease)
 	}
 	if err != nil {
 		return nil, nil, err
@@ -67,17 +67,17 @@
 	return lease, nil, err
 }
 
-// placeAgain places the call anew after a reader has taken no connection.
-func (r *run) placeAgain(ctx context.Context, lease *Lease) (*Lease, *promptHandle, error) {
+// retryPlacement places the call again after its prefill request has reached no replica.
+func (r *run) retryPlacement(ctx context.Context, lease *Lease) (*Lease, *promptHandle, error) {
 	r.tried = append(r.tried, lease.Replica)
-	r.unread++
-	if r.isUnconnected() {
+	r.unsentPrefills++
+	if r.tooManyUnsent() {
 		return nil, nil, failure.New(failure.AttemptsExhausted, "no replica takes a connection")
 	}
 	return r.placeModelCall(ctx)
 }
 
-// readRequest describes the prompt with the time that is left for it.
+// readRequest describes the prompt and the time that is left to prefill it.
 func (r *run) readRequest() ReadRequest {
 	objective := r.call.objective()
 	return ReadRequest{
@@ -85,16 +85,16 @@
 		Objective: objective,
 		TargetGap: r.call.Route.TargetGap,
 		AimLeft:   time.Until(r.call.Arrived.Add(objective)),
-		Left:      r.left(),
+		Left:      r.timeLeft(),
 		Rank:      rankOf(r.call.Route.Priority),
 		Tenant:    tenantOf(r.call.Tenant),
 		Zone:      r.directory.zone,
 		Excluded:  r.excluded(),
-		Unlimited: r.onlyUnlimited(),
+		Unlimited: r.onlyUnlimitedReplicas(),
 	}
 }
 
-// excluded are the replicas that the request has been sent to, and those that had no room for it.
+// excluded returns the replicas that the request was sent to and those without capacity for it.
 func (r *run) excluded() []*Replica {
 	if len(r.denied) == 0 {
 		return r.tried
@@ -102,50 +102,51 @@
 	return slices.Concat(r.tried, r.denied)
 }
 
-// onlyUnlimited reports whether so many replicas had no room that no other one with a limit is looked
-// at.
-func (r *run) onlyUnlimited() bool { return len(r.denied) >= maximumDenials }
+// onlyUnlimitedReplicas reports whether so many replicas had no capacity that no further replica with
+// a limit is considered.
+func (r *run) onlyUnlimitedReplicas() bool { return len(r.denied) >= maximumDenials }
 
-// readPrompt has the prompt read, and returns nil if it could not be, or errNotConnected. A reader that
-// took the request and did not read it makes the next send a repeated one, which
-// the retry budget has to allow: a reader that is slow is given up only then.
-func (r *run) readPrompt(ctx context.Context, lease *Lease) (*promptHandle, error) {
-	r.reads++
+// runPrefill has the prompt prefilled. It returns a nil handle if that failed, and errPrefillUnsent if
+// the request reached no replica. If a prefill replica received the request and did not prefill the
+// prompt, the next send is a retry, which the retry budget has to allow. A slow prefill replica is
+// therefore abandoned only if the budget allows it.
+func (r *run) runPrefill(ctx context.Context, lease *Lease) (*promptHandle, error) {
+	r.prefills++
 	service := r.call.Service.Name
 	defer lease.Release()
-	begun := time.Now()
-	placed := *lease.reading
-	restBefore, leavingBefore := lease.RestLeft(), lease.saysLeaving()
-	bounded, giveUp := context.WithCancelCause(ctx)
-	defer giveUp(nil)
-	var paid atomic.Bool
-	idle := func() time.Duration { return r.placer.idleTime(bounded, lease) }
-	stall := newStallWatch(idle, r.stallBound(&placed), func() {
+	startedAt := time.Now()
+	placedPrompt := *lease.reading
+	backoffBefore, leavingBefore := lease.RestLeft(), lease.saysLeaving()
+	prefillCtx, abandon := context.WithCancelCause(ctx)
+	defer abandon(nil)
+	var budgetTaken atomic.Bool
+	idle := func() time.Duration { return r.placer.idleTime(prefillCtx, lease) }
+	stall := newStallWatch(idle, r.stallTimeout(&placedPrompt), func() {
 		if r.budgets.Withdraw(service) {
-			paid.Store(true)
-			giveUp(errSlowReading)
+			budgetTaken.Store(true)
+			abandon(errSlowPrefill)
 		}
 	})
-	handle, err := r.exchangePrompt(bounded, lease)
+	handle, err := r.sendPrefill(prefillCtx, lease)
 	stall.stop()
 	r.logger.V(1).Info(event.PromptRead, "request", r.call.ID, "replica", lease.Replica.ID,
-		"distance", r.directory.distanceTo(lease.Replica).String(), "tokens", r.call.Prompt.Tokens, "missing", placed.missing, "prefix", r.call.Prompt.sharedPart(),
-		"fetch", lease.FetchFrom(), "late", placed.urgency == Late, "wait_ms", placed.wait.Milliseconds(),
-		"busy_ms", placed.busy.Milliseconds(), "took_ms", time.Since(begun).Milliseconds(),
+		"distance", r.directory.distanceTo(lease.Replica).String(), "tokens", r.call.Prompt.Tokens, "missing", placedPrompt.missing, "prefix", r.call.Prompt.sharedPart(),
+		"fetch", lease.FetchFrom(), "late", placedPrompt.urgency == Late, "wait_ms", placedPrompt.wait.Milliseconds(),
+		"busy_ms", placedPrompt.busy.Milliseconds(), "took_ms", time.Since(startedAt).Milliseconds(),
 		"pace", int(r.directory.pace(service)), "after_ms", time.Since(r.call.Arrived).Milliseconds(), "limit", lease.Limit(),
-		"rest_ms", restBefore.Milliseconds(), "leaving", leavingBefore, "error", failure.Text(err))
+		"rest_ms", backoffBefore.Milliseconds(), "leaving", leavingBefore, "error", failure.Text(err))
 	if err == nil {
-		r.metrics.promptRead(readDone, time.Since(begun))
+		r.metrics.recordPrefill(prefillDone, time.Since(startedAt))
 		return handle, nil
 	}
-	r.metrics.promptRead(readFailed, time.Since(begun))
+	r.metrics.recordPrefill(prefillFailed, time.Since(startedAt))
 	if !upstream.HandedOver(err) && !isRefusal(err) && ctx.Err() == nil {
-		r.reads--
-		return nil, errNotConnected
+		r.prefills--
+		return nil, errPrefillUnsent
 	}
-	if upstream.HandedOver(err) && !paid.Load() && !isRefusal(err) {
-		// The answer was lost, not the prompt: the generator may fetch it there. A
-		// prompt that was taken up costs nothing, whatever became of its answer.
+	if upstream.HandedOver(err) && !budgetTaken.Load() && !isRefusal(err) {
+		// The response was lost, not the prompt: the decode replica may fetch it there. A prompt that
+		// was received is not charged to the budget, whatever became of its response.
 		lease.PromptKept(r.call.Prompt)
 		return nil, nil
 	}
@@ -155,56 +156,55 @@
 	return nil, nil
 }
 
-// errNotConnected says that a reader took no connection: another one may be asked, which costs
-// nothing but the time.
-var errNotConnected = errors.New("the reader takes no connection")
+// errPrefillUnsent means that the prefill request reached no replica. Another one may be asked, which
+// costs only time.
+var errPrefillUnsent = errors.New("the reader takes no connection")
 
-// isRefusal reports whether a reader has said that it did not read.
+// isRefusal reports whether a replica has said that it did not prefill the prompt.
 func isRefusal(err error) bool { return failure.KindOf(err) == failure.BackEndRefused }
 
-// stallBound is how long a reader may read nothing, as far as is known, before the
-// prompt is taken from it. What is late already is left where it is.
-func (r *run) stallBound(placed *placedReading) time.Duration {
-	if placed.urgency == Late {
-		return r.left()
+// stallTimeout returns how long a replica may be known to have prefilled nothing before the prompt is
+// withdrawn from it. A prompt that is already late stays where it is.
+func (r *run) stallTimeout(placedPrompt *placedReading) time.Duration {
+	if placedPrompt.urgency == Late {
+		return r.timeLeft()
 	}
-	return r.call.objective() + slowReading*placed.whole
+	return r.call.objective() + slowPrefillFactor*placedPrompt.whole
 }
 
-// slowReading is the factor by which a reader may take longer for a prompt than
-// expected.
-const slowReading = 2
+// slowPrefillFactor is the factor by which a prefill may take longer than expected.
+const slowPrefillFactor = 2
 
-var errSlowReading = failure.New(failure.DeadlineExceeded, "the prompt was not read in time")
+var errSlowPrefill = failure.New(failure.DeadlineExceeded, "the prompt was not read in time")
 
-func (r *run) exchangePrompt(ctx context.Context, lease *Lease) (*promptHandle, error) {
+func (r *run) sendPrefill(ctx context.Context, lease *Lease) (*promptHandle, error) {
 	fetch := lease.FetchFrom()
-	r.metrics.hasMoved(movedRead, r.directory.distanceTo(lease.Replica))
-	r.noteFetch(lease)
-	answer, err := r.client.Do(ctx, r.request(lease.Replica, Send{ReadOnly: true, Fetch: fetch, Ranked: true, Rank: lease.Rank(r.call.Route)}))
+	r.metrics.countTransfer(transferPrefill, r.directory.distanceTo(lease.Replica))
+	r.countFetch(lease)
+	response, err := r.client.Do(ctx, r.request(lease.Replica, Send{ReadOnly: true, Fetch: fetch, Ranked: true, Rank: lease.Rank(r.call.Route)}))
 	if err == nil || upstream.HandedOver(err) {
 		lease.permitUsed()
 	}
 	if err != nil {
-		if !upstream.Held(err) && (ctx.Err() == nil || context.Cause(ctx) == errSlowReading) {
+		if !upstream.Held(err) && (ctx.Err() == nil || context.Cause(ctx) == errSlowPrefill) {
 			lease.Unreachable(upstream.HandedOver(err) && !upstream.Silent(err))
 			if upstream.HandedOver(err) {
-				r.replicaLost(ctx, lease, err)
+				r.recordConnectionLoss(ctx, lease, err)
 			}
 		}
 		return nil, err
 	}
-	defer answer.Close()
-	noteLimit(lease, answer.Status, r.dialect.ReadMarks(answer.Header))
-	body, err := answer.ReadAll()
+	defer response.Close()
+	recordLimit(lease, response.Status, r.dialect.ReadMarks(response.Header))
+	body, err := response.ReadAll()
 	if err != nil {
 		lease.Unreachable(true)
-		r.replicaLost(ctx, lease, err)
+		r.recordConnectionLoss(ctx, lease, err)
 		return nil, err
 	}
-	if answer.Status != http.StatusOK {
-		r.noteRefusalOfReading(lease, answer)
-		return nil, failure.New(failure.BackEndRefused, http.StatusText(answer.Status))
+	if response.Status != http.StatusOK {
+		r.recordPrefillRejection(lease, response)
+		return nil, failure.New(failure.BackEndRefused, http.StatusText(response.Status))
 	}
 	id, err := r.dialect.ReadHandle(body)
 	if err != nil {
@@ -217,29 +217,29 @@
 	return &promptHandle{id: id, replica: lease.Replica}, nil
 }
 
-func (r *run) noteRefusalOfReading(lease *Lease, answer *upstream.Exchange) {
+func (r *run) recordPrefillRejection(lease *Lease, response *upstream.Exchange) {
 	switch {
-	case answer.Status == http.StatusMisdirectedRequest && lease.Replica.Stage == region.StagePrefill:
+	case response.Status == http.StatusMisdirectedRequest && lease.Replica.Stage == region.StagePrefill:
 		lease.Misdirected()
 	default:
 		lease.Refused(lease.RestLeft())
 	}
 }
 
-// freeUnlessTaken frees the memory of a prompt that no replica has fetched.
-func (h *promptHandle) freeUnlessTaken(r *Runner) {
-	if h == nil || h.taken {
+// freeUnlessConsumed frees the memory of a prompt that no replica has fetched.
+func (h *promptHandle) freeUnlessConsumed(r *Runner) {
+	if h == nil || h.consumed {
 		return
 	}
-	go r.free(h)
+	go r.freeHandle(h)
 }
 
-func (r *Runner) free(handle *promptHandle) {
+func (r *Runner) freeHandle(handle *promptHandle) {
 	ctx, cancel := context.WithTimeout(context.Background(), freeTimeout)
 	defer cancel()
 	method, path := r.dialect.FreeHandle(handle.id)
 	r.countUnasked(handle.replica)
-	answer, err := r.client.Do(ctx, &upstream.Request{
+	response, err := r.client.Do(ctx, &upstream.Request{
 		Address:  handle.replica.Address,
 		Instance: handle.replica.name,
 		Method:   method,
@@ -252,6 +252,6 @@
 		r.logger.V(1).Info(event.HandleNotFreed, "replica", handle.replica.ID, "error", err.Error())
 		return
 	}
-	_, _ = answer.ReadAll()
-	answer.Close()
+	_, _ = response.ReadAll()
+	response.Close()
 }
--- a/internal/relay/refusal.go
+++ b/internal/relay/refusal.go
@@ -10,149 +10,155 @@
 	"github.com/pierhaven/pierhaven/internal/region"
 )
 
-// refusals is what a replica has shown by refusing requests. It is guarded by the Directory's mutex.
+// refusals tracks the requests that a replica has rejected, and when it can take requests again. It is
+// guarded by the Directory's mutex.
 type refusals struct {
-	// inRow counts those that came while it was not full, since it last took a request well; the first one
-	// came at firstAt, the last one at lastAt.
-	inRow           int
-	firstAt, lastAt time.Duration
-	// avoidUntil is until when the replica is expected to refuse requests.
+	// inRow counts the rejections that came while the replica was not full, since it last ran a request
+	// successfully. The first one came at firstRejectedAt, the last one at lastRejectedAt.
+	inRow                           int
+	firstRejectedAt, lastRejectedAt time.Duration
+	// avoidUntil is the time until which the replica is expected to reject requests.
 	avoidUntil time.Duration
-	// restUntil is when the rest ends that the replica has asked of this process, or of one that it places
-	// for.
+	// restUntil is the end of the backoff that the replica has requested from this process, or from one
+	// that this process places requests for.
 	restUntil time.Duration
 	ramp      ramp
 }
 
-// ramp bounds a process's requests at a replica that has refused one though it was not full: one at first,
-// one more with each that it takes well.
+// ramp is a slow start: it bounds the requests of a process at a replica that has rejected one although
+// it was not full. The bound begins at one and grows by one with each request that succeeds.
 type ramp struct {
-	// most is the bound, 0 for none.
-	most int
-	// since is when it began.
-	since time.Duration
+	// limit is the bound, 0 for none.
+	limit int
+	// startedAt is the time at which the ramp began.
+	startedAt time.Duration
 }
 
-func (r *ramp) begin(now time.Duration) { r.most, r.since = 1, now }
+func (r *ramp) begin(now time.Duration) { r.limit, r.startedAt = 1, now }
 
-// tookWell notes that a replica with so many slots has taken a request well that began at a time.
-func (r *ramp) tookWell(begun time.Duration, slots int) {
-	if r.most == 0 || begun < r.since {
+// tookWell records the success of a request that began at the given time. The bound ends once it
+// exceeds the number of slots.
+func (r *ramp) tookWell(requestStart time.Duration, slots int) {
+	if r.limit == 0 || requestStart < r.startedAt {
 		return
 	}
-	if r.most++; r.most > slots {
-		r.most = 0
+	if r.limit++; r.limit > slots {
+		r.limit = 0
 	}
 }
 
-// takes reports whether one request more than so many may be sent.
-func (r *ramp) takes(inFlight int) bool { return r.most == 0 || inFlight < r.most }
+// takes reports whether one more request may be sent beside those in flight.
+func (r *ramp) takes(inFlight int) bool { return r.limit == 0 || inFlight < r.limit }
 
 const (
-	// fullAvoidance is how long a replica is avoided at least that has refused a request.
-	fullAvoidance = 60 * time.Millisecond
-	// longestBackoff bounds the time for which a replica is avoided that refuses again and again, unless it
-	// asks for a longer one.
-	longestBackoff = 4 * time.Second
-	// longestHint bounds the time for which a replica is avoided that has asked another process for a rest.
-	longestHint = 10 * time.Second
-	// returnJitter is the share by which such times differ by chance, longestJitter at most: those who avoid
-	// a replica together should not return together.
-	returnJitter  = 0.1
-	longestJitter = 500 * time.Millisecond
-	// mostResting bounds the rests that are told to others, the longest ones.
-	mostResting = 48
+	// minimumAvoidance is the least time for which a replica is avoided after it has rejected a request.
+	minimumAvoidance = 60 * time.Millisecond
+	// maximumBackoff bounds the time for which a replica is avoided that rejects requests repeatedly,
+	// unless it requests a longer backoff.
+	maximumBackoff = 4 * time.Second
+	// maximumSharedBackoff bounds the time for which a replica is avoided that has requested a backoff
+	// from another process.
+	maximumSharedBackoff = 10 * time.Second
+	// jitterShare is the largest share of such a time that is added as random jitter, and maximumJitter
+	// the largest jitter: processes that avoid a replica at the same time should not all return at the
+	// same time.
+	jitterShare   = 0.1
+	maximumJitter = 500 * time.Millisecond
+	// maximumReportedBackoffs bounds the backoffs reported to others; the longest ones are reported.
+	maximumReportedBackoffs = 48
 )
 
-// avoidFull has the replica avoided until a time.
-func (r *refusals) avoidFull(until time.Duration) { r.avoidUntil = max(r.avoidUntil, until) }
+// extendAvoidance has the replica avoided at least until the given time.
+func (r *refusals) extendAvoidance(until time.Duration) { r.avoidUntil = max(r.avoidUntil, until) }
 
-// tookWell notes that the lease's replica has taken the request well. It is called with the mutex held.
+// tookWell records that the lease's replica has run the request successfully. The caller must hold
+// l.directory.mutex.
 func (l *Lease) tookWell(now time.Duration) {
 	slots := max(l.Replica.Slots, 1)
 	l.Replica.room.tookWell(now, slots, l.beside)
 	l.Replica.refusals.ramp.tookWell(l.begun, slots)
-	if l.begun > l.Replica.refusals.lastAt {
+	if l.begun > l.Replica.refusals.lastRejectedAt {
 		l.Replica.refusals.inRow = 0
 	}
 }
 
-// noteRefusal notes that a lease's replica has refused the request, and has asked for a rest, or for none. It
-// is called with the mutex held.
-func (d *Directory) noteRefusal(lease *Lease, rest time.Duration) {
+// noteRefusal records that a lease's replica has rejected the request and requested a backoff, 0 for
+// none. The caller must hold d.mutex.
+func (d *Directory) noteRefusal(lease *Lease, requestedBackoff time.Duration) {
 	now, replica := d.clock(), lease.Replica
-	known := &replica.refusals
-	known.avoidFull(now + fullAvoidance)
-	if rest > 0 && !d.off[mechanism.LearnedRoom] {
-		d.noteFull(replica, now, lease.begun, rest)
+	state := &replica.refusals
+	state.extendAvoidance(now + minimumAvoidance)
+	if requestedBackoff > 0 && !d.off[mechanism.LearnedRoom] {
+		d.noteFull(replica, now, lease.begun, requestedBackoff)
 	}
 	if d.isFull(replica, now) || d.off[mechanism.RefusalBackoff] {
-		// Others may find a free place there at once.
+		// Another process may find a free slot there immediately.
 		return
 	}
-	if known.inRow == 0 {
-		known.firstAt = now
+	if state.inRow == 0 {
+		state.firstRejectedAt = now
 	}
-	known.inRow++
-	known.lastAt = now
-	known.ramp.begin(now)
-	backoff := min(max(rest, fullAvoidance)<<min(known.inRow-1, 8), max(rest, longestBackoff))
-	known.avoidFull(now + d.jittered(backoff))
-	if until := now + min(backoff, longestHint); (rest > 0 || known.inRow > 1) && until > known.restUntil && !d.off[mechanism.RestHints] {
-		known.restUntil = until
+	state.inRow++
+	state.lastRejectedAt = now
+	state.ramp.begin(now)
+	backoff := min(max(requestedBackoff, minimumAvoidance)<<min(state.inRow-1, 8), max(requestedBackoff, maximumBackoff))
+	state.extendAvoidance(now + d.withJitter(backoff))
+	if until := now + min(backoff, maximumSharedBackoff); (requestedBackoff > 0 || state.inRow > 1) && until > state.restUntil && !d.off[mechanism.RestHints] {
+		state.restUntil = until
 		d.restRevision++
 	}
 }
 
-// refusesAll reports whether a replica has refused all requests for as long as another one takes to change its
-// stage, so that one had better take its place. It is called with the mutex held.
+// refusesAll reports whether a replica has rejected all requests for as long as another one takes to
+// change its stage, so that another one should replace it. The caller must hold d.mutex.
 func (d *Directory) refusesAll(replica *Replica, now time.Duration) bool {
-	known := &replica.refusals
-	return known.inRow > 1 && replica.refuses(now) && now-known.firstAt >= d.engines[replica.Service].SwitchTime
+	state := &replica.refusals
+	return state.inRow > 1 && replica.refuses(now) && now-state.firstRejectedAt >= d.engines[replica.Service].SwitchTime
 }
 
-// jittered is a time, or somewhat more.
-func (d *Directory) jittered(length time.Duration) time.Duration {
-	jitter := min(returnJitter*float64(length), float64(longestJitter))
-	return length + time.Duration(d.draw()*jitter)
+// withJitter returns the delay extended by a random jitter.
+func (d *Directory) withJitter(delay time.Duration) time.Duration {
+	jitter := min(jitterShare*float64(delay), float64(maximumJitter))
+	return delay + time.Duration(d.draw()*jitter)
 }
 
-// RestRevision is a number that grows with each rest that Resting lists.
+// RestRevision returns a number that grows with each backoff added to the list of Resting.
 func (d *Directory) RestRevision() uint64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.restRevision
 }
 
-// Resting lists the replicas that have asked this process, or one that it places for, to be left alone.
+// Resting lists the replicas that have requested a backoff from this process, or from one that this
+// process places requests for, longest backoff first.
 func (d *Directory) Resting() []region.RestingReplica {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.restRevision == 0 {
 		return nil
 	}
-	var resting []region.RestingReplica
+	var reported []region.RestingReplica
 	now := d.clock()
 	for name, replica := range d.replicas {
 		if left := replica.refusals.restUntil - now; left > 0 {
-			resting = append(resting, region.RestingReplica{Replica: name, LeftMillis: int(left.Milliseconds())})
+			reported = append(reported, region.RestingReplica{Replica: name, LeftMillis: int(left.Milliseconds())})
 		}
 	}
-	slices.SortFunc(resting, func(a, b region.RestingReplica) int {
+	slices.SortFunc(reported, func(a, b region.RestingReplica) int {
 		return cmp.Or(cmp.Compare(b.LeftMillis, a.LeftMillis), strings.Compare(a.Replica, b.Replica))
 	})
-	return resting[:min(len(resting), mostResting)]
+	return reported[:min(len(reported), maximumReportedBackoffs)]
 }
 
-// TakeResting notes the replicas that have asked another process for rests.
-func (d *Directory) TakeResting(resting []region.RestingReplica) {
+// TakeResting records the replicas that have requested a backoff from another process.
+func (d *Directory) TakeResting(reported []region.RestingReplica) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := d.clock()
-	for _, each := range resting {
+	for _, each := range reported {
 		if replica, known := d.replicas[each.Replica]; known {
-			left := time.Duration(min(max(each.LeftMillis, 0), int(longestHint.Milliseconds()))) * time.Millisecond
-			replica.refusals.avoidFull(now + d.jittered(left))
+			left := time.Duration(min(max(each.LeftMillis, 0), int(maximumSharedBackoff.Milliseconds()))) * time.Millisecond
+			replica.refusals.extendAvoidance(now + d.withJitter(left))
 		}
 	}
 }
--- a/internal/relay/runner.go
+++ b/internal/relay/runner.go
@@ -15,7 +15,7 @@
 	"github.com/pierhaven/pierhaven/internal/upstream"
 )
 
-// Runner runs calls. It may be used concurrently.
+// Runner runs calls. It is safe for concurrent use.
 type Runner struct {
 	directory *Directory
 	placer    *Placer
@@ -24,20 +24,23 @@
 	budgets   *Budgets
 	metrics   *Metrics
 	logger    logr.Logger
-	// begun is told of each request of a tenant that begins to run, once, and when.
-	begun func(tenant string, at time.Time)
-	ends  *poison.EndWatch
-	// suspended is for how long the machine was suspended since some moment.
+	// onStart is called once for each request of a tenant that begins to run, with the time at which
+	// it began.
+	onStart  func(tenant string, at time.Time)
+	endWatch *poison.EndWatch
+	// suspended returns how long the machine has been suspended since a fixed point in time.
 	suspended func() time.Duration
-	// guard knows the requests that must be sent to no replica.
+	// guard knows the requests that must not be sent to any replica.
 	guard *poison.Guard
-	// limits keeps the limits that replicas name; nil keeps none.
+	// limits tracks the rate limits that replicas declare; with nil none are tracked.
 	limits *ReplicaLimits
-	// permit asks whether a request on probation may be sent now; nil asks nobody.
-	permit func(ctx context.Context, digest poison.Digest) (wait time.Duration)
+	// probationPermit asks a coordinator whether a request on probation may be sent now. If nil, no
+	// coordinator is asked.
+	probationPermit func(ctx context.Context, digest poison.Digest) (wait time.Duration)
 }
 
-// NewRunner returns a runner.
+// NewRunner returns a Runner that places requests from the given directory, without a guard, rate
+// limits or coordinators.
 func NewRunner(directory *Directory, client *upstream.Client, dialect Dialect, budgets *Budgets, metrics *Metrics, logger logr.Logger) *Runner {
 	runner := &Runner{
 		directory: directory,
@@ -47,57 +50,58 @@
 		budgets:   budgets,
 		metrics:   metrics,
 		logger:    logger,
-		begun:     func(string, time.Time) {},
+		onStart:   func(string, time.Time) {},
 		suspended: func() time.Duration { return 0 },
 	}
-	runner.ends = poison.NewLoggedWatch(upstream.Refuses, logger)
+	runner.endWatch = poison.NewLoggedWatch(upstream.Refuses, logger)
 	return runner
 }
 
-// CountBegun has a function told of each request of a tenant that begins to run, once, and when.
-// It is called before any use.
-func (r *Runner) CountBegun(begun func(tenant string, at time.Time)) { r.begun = begun }
+// CountBegun sets a function that is called once for each request of a tenant that begins to run,
+// with the time at which it began. It must be called before the Runner is used.
+func (r *Runner) CountBegun(begun func(tenant string, at time.Time)) { r.onStart = begun }
 
-// GuardWith has a guard told of what happens to requests, and asked which are held. It is called
-// before any use.
+// GuardWith sets a guard that is notified of what happens to requests and asked which ones are
+// held. It must be called before the Runner is used.
 func (r *Runner) GuardWith(guard *poison.Guard) {
 	r.guard = guard
-	r.ends = poison.NewGuardedWatch(guard, upstream.Refuses, r.logger)
-	r.ends.Ended = func(life string, under []poison.Digest) {
+	r.endWatch = poison.NewGuardedWatch(guard, upstream.Refuses, r.logger)
+	r.endWatch.Ended = func(life string, under []poison.Digest) {
 		r.directory.Ended(life)
 		guard.Ended(life, under)
 	}
 }
 
-// AskPermits has a coordinator asked before a request on probation is sent. It is called before any
-// use.
+// AskPermits sets a function that asks a coordinator before a request on probation is sent. It must
+// be called before the Runner is used.
 func (r *Runner) AskPermits(permit func(ctx context.Context, digest poison.Digest) (wait time.Duration)) {
-	r.permit = permit
+	r.probationPermit = permit
 }
 
-// CountSuspensions has the machine's suspensions counted into the time that calls have taken: the
-// steady clock, by which their deadlines are kept, stands still meanwhile, and replicas would be told
-// of more time than their callers have left. It is called before any use.
+// CountSuspensions sets a function that returns the total time for which the machine was suspended,
+// so that it counts towards the time that calls have taken. Deadlines are kept by the monotonic
+// clock, which stops during a suspension: without this, replicas would be told of more time than
+// their callers have left. It must be called before the Runner is used.
 func (r *Runner) CountSuspensions(suspended func() time.Duration) { r.suspended = suspended }
 
-// AskPlacements has a coordinator asked for replicas. It is called before any use.
+// AskPlacements sets the remote placement, by which a coordinator is asked for replicas. It must be
+// called before the Runner is used.
 func (r *Runner) AskPlacements(remote *RemotePlacement) { r.placer.Remote = remote }
 
 const (
-	// maximumSends bounds the replicas that a call is offered to, those that
-	// refuse it included.
+	// maximumSends bounds the replicas that a call is offered to, including those that reject it.
 	maximumSends = 4
-	// maximumUnconnected bounds the replicas that take no connection for a call. Each costs
-	// some milliseconds where a port is dead, and nobody's budget; after a rack has gone a
-	// few in a row are met.
-	maximumUnconnected = 16
-	// refusedRetryAfter is the advice to a caller whose request found no place.
+	// maximumUnsent bounds the sends and prefills of a call that reach no replica. A dead port costs
+	// a few milliseconds and none of the retry budget; after the loss of a rack, several replicas
+	// in a row may take no connection.
+	maximumUnsent = 16
+	// refusedRetryAfter is the Retry-After of a request for which no replica was found.
 	refusedRetryAfter = 150 * time.Millisecond
-	// minimumLeft is the least time worth sending a request for.
-	minimumLeft = 5 * time.Millisecond
-	// maximumRest bounds the rest of a connection that carries a request which
-	// can't be repeated.
-	maximumRest = time.Second
+	// minimumTimeLeft is the least remaining time for which a request is sent.
+	minimumTimeLeft = 5 * time.Millisecond
+	// maximumConnectionIdle bounds how long a reused connection may have been idle if it carries a
+	// request that cannot be repeated.
+	maximumConnectionIdle = time.Second
 )
 
 // run is the state of one call.
@@ -106,70 +110,71 @@
 	call      *Call
 	responder Responder
 	deadline  time.Time
-	// suspendedBefore is Runner.suspended when the call arrived.
+	// suspendedBefore is the value of Runner.suspended at the start of the call.
 	suspendedBefore time.Duration
-	// attempts are the sends that a replica may have run; sends are all.
+	// attempts counts the sends that a replica may have run, sends all of them.
 	attempts int
 	sends    int
-	// unsent are the sends, and unread the calls to read, for which the replica took no
-	// connection.
-	unsent int
-	unread int
-	// arrivals are the sends that may have reached a replica.
+	// unsent counts the sends, and unsentPrefills the prefill requests, that reached no replica: no
+	// connection was made, or the client held them back. Rejected requests are not among them.
+	unsent         int
+	unsentPrefills int
+	// arrivals counts the sends that may have reached a replica.
 	arrivals int
 	tried    []*Replica
-	// denied are the replicas that name a limit and had no room for the request.
+	// denied are the replicas that declare a limit and had no capacity left for the request.
 	denied []*Replica
-	// reads are the calls that read the prompt apart.
-	reads int
-	// unknown says that an attempt may have run.
-	unknown bool
-	stream  *streamState
-	// eventsBefore are the event batches that earlier attempts have brought.
-	eventsBefore int
+	// prefills counts the prefill requests sent, without those that reached no replica.
+	prefills int
+	// mayHaveRun is set if an attempt may have run.
+	mayHaveRun bool
+	stream     *streamState
+	// earlierEvents counts the event batches forwarded by earlier attempts.
+	earlierEvents int
 	// moved is set while a stream is between two replicas.
 	moved *movedStream
-	// lastFailure is a replica's own failure, handed on if nothing better comes.
-	lastFailure *wholeAnswer
-	// counted says that the request has been counted as begun.
-	counted bool
-	// lost says that a connection to a replica has broken under the request, and ranWell that one
-	// has run it to its end.
-	lost    bool
-	ranWell bool
-	// callerLost says that the answer could not be written to the caller.
-	callerLost bool
+	// lastErrorResponse is an error response of a replica, forwarded to the caller if no later attempt
+	// gets an answer.
+	lastErrorResponse *bufferedResponse
+	// startCounted is set once the request has been counted as begun.
+	startCounted bool
+	// connectionLost is set if a connection to a replica broke under the request, succeeded if a
+	// replica ran it to its end.
+	connectionLost bool
+	succeeded      bool
+	// callerGone is set if the answer could not be written to the caller.
+	callerGone bool
 }
 
-type wholeAnswer struct {
+type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// countBegun counts the request as one that began to run at a moment, the first time.
-func (r *run) countBegun(at time.Time) {
-	if r.counted || r.call.Tenant == "" {
+// countStart counts the request as begun at a given time. Only the first call has an effect.
+func (r *run) countStart(at time.Time) {
+	if r.startCounted || r.call.Tenant == "" {
 		return
 	}
-	r.counted = true
-	r.begun(r.call.Tenant, at)
+	r.startCounted = true
+	r.onStart(r.call.Tenant, at)
 }
 
-// Run serves a call until the caller has its answer or is gone.
+// Run serves a call until the caller has its answer or has disconnected.
 func (r *Runner) Run(ctx context.Context, call *Call, responder Responder) {
 	state := &run{Runner: r, call: call, responder: responder, deadline: call.deadline(), suspendedBefore: r.suspended()}
 	r.budgets.Request(call.Service.Name)
-	bounded, cancel := context.WithDeadlineCause(ctx, state.deadline, errDeadline)
+	deadlineCtx, cancel := context.WithDeadlineCause(ctx, state.deadline, errDeadline)
 	defer cancel()
-	err := state.serve(bounded)
+	err := state.serve(deadlineCtx)
 	call.Runs = state.attempts
-	state.tellIfWell()
-	if ctx.Err() != nil || state.callerLost {
+	state.reportSuccess()
+	if ctx.Err() != nil || state.callerGone {
 		r.logger.Info(event.CallerGone, "request", call.ID, "after_ms", time.Since(call.Arrived).Milliseconds(),
 			"sends", state.sends)
-		r.metrics.request(call, outcomeGone)
-		state.breakOff()
+		r.metrics.request(call, outcomeCallerGone)
+		state.abortStream()
 		return
 	}
 	if err != nil {
@@ -178,16 +183,16 @@
 	}
 	r.metrics.request(call, outcomeAnswered)
 	r.logger.V(1).Info(event.RequestAnswered, "request", call.ID, "route", call.Route.Name, "sends", state.sends,
-		"events", state.eventCount(), "first_ms", state.firstAfter().Milliseconds(),
-		"longest_pause_ms", state.longestPause().Milliseconds(), "after_ms", time.Since(call.Arrived).Milliseconds())
+		"events", state.eventCount(), "first_ms", state.timeToFirstEvent().Milliseconds(),
+		"longest_pause_ms", state.longestEventGap().Milliseconds(), "after_ms", time.Since(call.Arrived).Milliseconds())
 }
 
-// left is the time that the caller has left.
-func (r *run) left() time.Duration {
+// timeLeft returns the time that the caller has left.
+func (r *run) timeLeft() time.Duration {
 	return time.Until(r.deadline) - (r.suspended() - r.suspendedBefore)
 }
 
-// eventCount is the number of event batches handed on.
+// eventCount returns the number of event batches forwarded.
 func (r *run) eventCount() int {
 	if r.stream == nil {
 		return 0
@@ -195,20 +200,20 @@
 	return r.stream.events
 }
 
-// firstAfter is after how long the first event was handed on, 0 if there was none.
-func (r *run) firstAfter() time.Duration {
+// timeToFirstEvent returns the time from arrival to the first forwarded event, 0 if there was none.
+func (r *run) timeToFirstEvent() time.Duration {
 	if r.stream == nil {
 		return 0
 	}
 	return r.stream.firstAt.Sub(r.call.Arrived)
 }
 
-// longestPause is the longest time between two events that were handed on.
-func (r *run) longestPause() time.Duration {
+// longestEventGap returns the longest time between two forwarded events.
+func (r *run) longestEventGap() time.Duration {
 	if r.stream == nil {
 		return 0
 	}
-	return r.stream.longestPause
+	return r.stream.longestEventGap
 }
 
 var errDeadline = errors.New("the time of the request has ended")
@@ -216,16 +221,16 @@
 // serve makes attempts until one is answered or no other may be made.
 func (r *run) serve(ctx context.Context) error {
 	for {
-		if err := r.mayGoOn(); err != nil {
-			r.dropMoved()
+		if err := r.checkSendAllowed(); err != nil {
+			r.releaseMoved()
 			return err
 		}
-		if err := r.mayTry(ctx); err != nil {
+		if err := r.checkProbation(ctx); err != nil {
 			return err
 		}
 		lease, handle, err := r.place(ctx)
 		if lease == nil {
-			handle.freeUnlessTaken(r.Runner)
+			handle.freeUnlessConsumed(r.Runner)
 		}
 		if err != nil {
 			return r.limitedOrNone(err)
@@ -234,7 +239,7 @@
 			return r.noReplica()
 		}
 		r.tried = append(r.tried, lease.Replica)
-		outcome, cause := r.attempt(ctx, lease, handle)
+		outcome, cause := r.attemptSend(ctx, lease, handle)
 		lease.Release()
 		r.metrics.attempt(outcome)
 		if outcome == verdictAnswered {
@@ -246,7 +251,7 @@
 		r.logger.Info(event.AttemptEnded, "request", r.call.ID, "replica", lease.Replica.ID, "verdict", outcome.String(),
 			"cause", failure.Text(cause), "after_ms", time.Since(r.call.Arrived).Milliseconds(), "sends", r.sends)
 		if outcome == verdictUnknown || outcome == verdictFailed {
-			r.unknown = true
+			r.mayHaveRun = true
 		}
 		if ctx.Err() != nil {
 			return failure.Wrap(errDeadline, failure.DeadlineExceeded)
@@ -254,27 +259,27 @@
 	}
 }
 
-// mayGoOn returns why no further send may be made, or nil.
-func (r *run) mayGoOn() error {
+// checkSendAllowed returns the reason why no further send may be made, or nil.
+func (r *run) checkSendAllowed() error {
 	if r.isHeld() {
 		return failure.New(failure.RequestHeld, "replicas have ended under this request")
 	}
-	if r.lost && r.guard != nil && !r.guard.MayRepeat(r.call) {
+	if r.connectionLost && r.guard != nil && !r.guard.MayRepeat(r.call) {
 		return failure.New(failure.OutcomeUnknown, "replicas have ended under this request, and it is not known under which of several")
 	}
-	if r.left() < minimumLeft {
+	if r.timeLeft() < minimumTimeLeft {
 		return failure.Wrap(errDeadline, failure.DeadlineExceeded)
 	}
 	if r.moved != nil {
 		return nil
 	}
-	if r.unknown && !r.call.Route.Repeatable() {
+	if r.mayHaveRun && !r.call.Route.Repeatable() {
 		return failure.New(failure.OutcomeUnknown, "the request may have run and may not be repeated")
 	}
 	if r.sends > 0 && r.directory.off[mechanism.Retries] {
 		return failure.New(failure.AttemptsExhausted, "no further attempt is allowed")
 	}
-	if r.attempts >= max(r.call.Route.MaximumAttempts, 1) || r.sends-r.unsent >= maximumSends || r.isUnconnected() {
+	if r.attempts >= max(r.call.Route.MaximumAttempts, 1) || r.sends-r.unsent >= maximumSends || r.tooManyUnsent() {
 		return failure.New(failure.AttemptsExhausted, "no further attempt is allowed")
 	}
 	if r.arrivals > 0 && !r.budgets.Withdraw(r.call.Service.Name) {
@@ -283,24 +288,24 @@
 	return nil
 }
 
-// isUnconnected reports whether too many replicas have taken no connection.
-func (r *run) isUnconnected() bool { return r.unsent+r.unread >= maximumUnconnected }
+// tooManyUnsent reports whether too many sends and prefills have reached no replica.
+func (r *run) tooManyUnsent() bool { return r.unsent+r.unsentPrefills >= maximumUnsent }
 
 // isModelCall reports whether the call is for model engines.
 func (r *run) isModelCall() bool { return r.call.Service.Engine != nil && r.call.Prompt != nil }
 
-// place leases the replica of the next send, nil if there is none, with the prompt that
-// another has read for it.
+// place leases the replica for the next send, nil if there is none. The handle is that of the prompt
+// if another replica has prefilled it, or of a moved stream's memory, and otherwise nil.
 func (r *run) place(ctx context.Context) (*Lease, *promptHandle, error) {
 	if moved := r.moved; moved != nil {
 		r.moved = nil
 		return moved.lease, moved.handle, nil
 	}
-	// Replicas that had no room for an earlier try may have some by now.
+	// Replicas without capacity for an earlier try may have some by now.
 	r.denied = nil
 	if !r.isModelCall() {
 		lease, err := r.permitted(ctx, func() (*Lease, error) {
-			wanted := Wanted{Rank: rankOf(r.call.Route.Priority), Excluded: r.excluded(), Unlimited: r.onlyUnlimited()}
+			wanted := Wanted{Rank: rankOf(r.call.Route.Priority), Excluded: r.excluded(), Unlimited: r.onlyUnlimitedReplicas()}
 			return r.directory.PickAny(r.call.Service.Name, wanted), nil
 		})
 		return lease, nil, err
@@ -308,62 +313,62 @@
 	return r.placeModelCall(ctx)
 }
 
-// refuse ends a call that no replica has answered. A replica's own failure goes
-// before the gateway's.
+// refuse ends a call that no replica has answered. An error response of a replica takes precedence
+// over an error of the gateway.
 func (r *run) refuse(err error) {
 	if r.stream != nil {
 		r.logger.Info(event.StreamBrokenOff, "request", r.call.ID, "events", r.stream.events, "cause", err.Error())
-		r.metrics.request(r.call, outcomeBroken)
-		r.breakOff()
+		r.metrics.request(r.call, outcomeBrokenOff)
+		r.abortStream()
 		return
 	}
-	if answer := r.lastFailure; answer != nil {
-		r.logger.Info(event.FailureHandedOn, "request", r.call.ID, "status", answer.status, "cause", err.Error())
-		r.metrics.request(r.call, outcomeFailed)
-		r.responder.Answer(answer.status, answer.header, answer.body)
+	if response := r.lastErrorResponse; response != nil {
+		r.logger.Info(event.FailureHandedOn, "request", r.call.ID, "status", response.status, "cause", err.Error())
+		r.metrics.request(r.call, outcomeReplicaFailed)
+		r.responder.Answer(response.status, response.header, response.body)
 		return
 	}
 	if failure.KindOf(err) == failure.RequestHeld {
-		if r.unknown {
+		if r.mayHaveRun {
 			err = failure.Wrap(err, failure.RequestHeld, failure.WithRan(failure.RanUnknown))
 		}
-	} else if !r.unknown {
-		// Whatever ended the call, no replica has run it or ever will.
-		err = failure.Wrap(err, failure.BackEndRefused, failure.WithRetryAfter(r.comeBackAfter(err)))
+	} else if !r.mayHaveRun {
+		// Whatever ended the call, no replica has run it or will run it later.
+		err = failure.Wrap(err, failure.BackEndRefused, failure.WithRetryAfter(r.retryAfter(err)))
 	} else if failure.KindOf(err) != failure.DeadlineExceeded {
 		err = failure.Wrap(err, failure.OutcomeUnknown)
 	}
-	answer := failure.AnswerFor(err)
+	response := failure.AnswerFor(err)
 	r.logger.Info(event.RequestRefused, "request", r.call.ID, "route", r.call.Route.Name, "tenant", r.call.Tenant,
-		"rank", r.call.Route.Priority, "kind", string(answer.Kind), "status", answer.Status, "retry_after_ms", answer.RetryAfter.Milliseconds(),
-		"cause", err.Error(), "sends", r.sends, "digest", r.heldDigest(), "after_ms", time.Since(r.call.Arrived).Milliseconds())
-	r.metrics.request(r.call, string(answer.Kind))
+		"rank", r.call.Route.Priority, "kind", string(response.Kind), "status", response.Status, "retry_after_ms", response.RetryAfter.Milliseconds(),
+		"cause", err.Error(), "sends", r.sends, "digest", r.heldDigestForLog(), "after_ms", time.Since(r.call.Arrived).Milliseconds())
+	r.metrics.request(r.call, string(response.Kind))
 	r.responder.Refuse(err)
 }
 
-// comeBackAfter is when the caller of a request that has not run should come back: when
-// there is room by what was known as it was refused.
-func (r *run) comeBackAfter(err error) time.Duration {
-	var full *noRoomError
-	if errors.As(err, &full) {
-		return full.until
+// retryAfter returns the time after which the caller should retry: when capacity was expected to be
+// free, by what was known at the time of the refusal.
+func (r *run) retryAfter(err error) time.Duration {
+	var noCapacity *noRoomError
+	if errors.As(err, &noCapacity) {
+		return noCapacity.until
 	}
-	var resting *restingError
-	if errors.As(err, &resting) {
-		return resting.wait
+	var backoff *restingError
+	if errors.As(err, &backoff) {
+		return backoff.wait
 	}
 	var limited *limitedError
 	if errors.As(err, &limited) {
 		return limited.wait
 	}
-	var tried *probationError
-	if errors.As(err, &tried) {
-		return tried.wait
+	var probation *probationError
+	if errors.As(err, &probation) {
+		return probation.wait
 	}
 	return refusedRetryAfter
 }
 
-func (r *run) breakOff() {
+func (r *run) abortStream() {
 	if r.stream != nil {
 		r.stream.writer.Abort()
 	}
--- a/internal/relay/send.go
+++ b/internal/relay/send.go
@@ -13,27 +13,27 @@
 	"github.com/pierhaven/pierhaven/internal/upstream"
 )
 
-// verdict is what an attempt has led to.
+// verdict is the result of one attempt.
 type verdict int
 
 const (
 	// verdictAnswered: the caller has its answer.
 	verdictAnswered verdict = iota
-	// verdictNotRun: the replica has not run the request and never will.
+	// verdictNotRun: the replica has not run the request and will not run it later.
 	verdictNotRun
-	// verdictUnknown: the replica may have run it, and no answer came.
+	// verdictUnknown: the replica may have run the request, but no valid answer came.
 	verdictUnknown
-	// verdictFailed: the replica answered with a failure of its own.
+	// verdictFailed: the replica answered with an error of its own.
 	verdictFailed
-	// verdictMoved: the stream goes on at another replica.
+	// verdictMoved: the stream continues at another replica.
 	verdictMoved
 )
 
-// request builds the request of one send.
+// request builds the upstream request of one send.
 func (r *run) request(replica *Replica, send Send) *upstream.Request {
 	send.Instance = replica.ID
 	send.Tenant = r.call.Tenant
-	send.Left = r.left()
+	send.Left = r.timeLeft()
 	request := &upstream.Request{
 		Address:  replica.Address,
 		Instance: replica.name,
@@ -44,40 +44,41 @@
 		Body:     r.call.Body,
 		Work:     true,
 
-		MaximumIdle: idlePart(r.call.Service.MaximumConnections, r.directory.choosers()),
+		MaximumIdle: idleConnectionLimit(r.call.Service.MaximumConnections, r.directory.choosers()),
 		Belongs: func(header http.Header) bool {
 			marks := r.dialect.ReadMarks(header)
 			return marks.RequestID == "" || marks.RequestID == r.call.ID
 		},
 	}
 	if !r.call.Route.Repeatable() {
-		request.MaximumRest = maximumRest
+		request.MaximumRest = maximumConnectionIdle
 	}
 	return request
 }
 
 const (
-	// idleShare of the connections that a replica takes may be kept unused by all gateways together: the
-	// others are for requests.
+	// idleShare is the share of a replica's maximum connections that all gateways together may keep
+	// idle. The others are left for requests.
 	idleShare = 0.5
-	// mostIdle bounds the unused connections of one gateway to a replica.
-	mostIdle = 8
+	// maximumIdleConnections bounds the idle connections of one gateway to a replica.
+	maximumIdleConnections = 8
 )
 
-// idlePart is how many unused connections each of several processes may keep to a replica that takes a
-// number of connections, 0 if that is not known: its part, and one at least.
-func idlePart(taken, choosers int) int {
-	if taken <= 0 {
-		return mostIdle
+// idleConnectionLimit returns how many idle connections each of several processes may keep to a
+// replica that accepts at most maximumConnections, 0 if unknown: an equal share of idleShare, and
+// at least one.
+func idleConnectionLimit(maximumConnections, placers int) int {
+	if maximumConnections <= 0 {
+		return maximumIdleConnections
 	}
-	part := int(idleShare * float64(taken) / float64(choosers))
-	return min(max(part, 1), mostIdle)
+	limit := int(idleShare * float64(maximumConnections) / float64(placers))
+	return min(max(limit, 1), maximumIdleConnections)
 }
 
-// attempt sends the request to a replica and hands its answer on. The handle is
-// that of the prompt, nil if the replica is to read it itself.
-func (r *run) attempt(ctx context.Context, lease *Lease, handle *promptHandle) (verdict, error) {
-	defer handle.freeUnlessTaken(r.Runner)
+// attemptSend sends the request to a replica and forwards its answer. The handle is that of the
+// prompt, or nil if the replica is to prefill it itself.
+func (r *run) attemptSend(ctx context.Context, lease *Lease, handle *promptHandle) (verdict, error) {
+	defer handle.freeUnlessConsumed(r.Runner)
 	if ctx.Err() != nil {
 		return verdictNotRun, context.Cause(ctx)
 	}
@@ -88,23 +89,23 @@
 	switch {
 	case handle != nil:
 		send.Source = handle.source()
-		r.metrics.hasMoved(movedHandover, r.directory.distance(handle.replica, lease.Replica))
+		r.metrics.countTransfer(transferHandover, r.directory.distance(handle.replica, lease.Replica))
 		send.Moved = r.stream != nil
 	case r.isModelCall():
 		send.Fetch = lease.FetchFrom()
-		r.noteFetch(lease)
+		r.countFetch(lease)
 	}
 	outcome, err := r.exchange(ctx, lease, send)
 	if handle != nil {
-		handle.taken = outcome != verdictNotRun
+		handle.consumed = outcome != verdictNotRun
 	}
 	return outcome, err
 }
 
-// noteFetch counts the fetch that a lease's replica is to make.
-func (r *run) noteFetch(lease *Lease) {
+// countFetch counts the prefix fetch that the replica of a lease is to make.
+func (r *run) countFetch(lease *Lease) {
 	if lease.fetchFrom != nil {
-		r.metrics.hasMoved(movedFetch, r.directory.distance(lease.fetchFrom, lease.Replica))
+		r.metrics.countTransfer(transferFetch, r.directory.distance(lease.fetchFrom, lease.Replica))
 	}
 }
 
@@ -112,10 +113,10 @@
 func (r *run) exchange(ctx context.Context, lease *Lease, send Send) (verdict, error) {
 	r.sends++
 	choice := lease.Choice
-	far := r.directory.distanceTo(lease.Replica)
-	r.metrics.hasMoved(movedSend, far)
+	distance := r.directory.distanceTo(lease.Replica)
+	r.metrics.countTransfer(transferSend, distance)
 	r.logger.V(1).Info(event.RequestSent, "request", r.call.ID, "route", r.call.Route.Name, "replica", lease.Replica.ID,
-		"address", lease.Replica.Address, "distance", far.String(), "source", send.Source, "fetch", send.Fetch, "send", r.sends,
+		"address", lease.Replica.Address, "distance", distance.String(), "source", send.Source, "fetch", send.Fetch, "send", r.sends,
 		"candidates", choice.Candidates, "in_flight", choice.InFlight, "peers_age_ms", choice.PeersAge.Milliseconds(),
 		"occupancy", math.Round(choice.Occupancy*100)/100, "load_age_ms", choice.LoadAge.Milliseconds(),
 		"missing", lease.missing(), "wait_ms", lease.expectedWait().Milliseconds(), "placed_by", lease.placedBy(), "limit", lease.Limit(),
@@ -124,26 +125,26 @@
 		r.logger.Info(event.StreamContinued, "request", r.call.ID, "replica", lease.Replica.ID, "after_event", send.LastEvent,
 			"send", r.sends, "after_ms", time.Since(r.call.Arrived).Milliseconds())
 	}
-	r.eventsBefore = r.eventCount()
+	r.earlierEvents = r.eventCount()
 	sentAt := time.Now()
-	answer, err := r.client.Do(ctx, r.request(lease.Replica, send))
+	response, err := r.client.Do(ctx, r.request(lease.Replica, send))
 	if err == nil || upstream.HandedOver(err) {
 		lease.permitUsed()
 	}
 	if err != nil {
 		if upstream.HandedOver(err) && !r.isModelCall() {
 			// It may have run, and most such requests have.
-			r.countBegun(sentAt)
+			r.countStart(sentAt)
 		}
-		return r.connectionFailed(ctx, lease, err)
+		return r.classifyFailure(ctx, lease, err)
 	}
-	defer answer.Close()
+	defer response.Close()
 	r.arrivals++
-	marks := r.dialect.ReadMarks(answer.Header)
-	noteLimit(lease, answer.Status, marks)
-	if marks.NotRun || answer.Status == http.StatusMisdirectedRequest {
-		r.noteRefusal(lease, answer, marks)
-		return verdictNotRun, failure.New(failure.BackEndRefused, http.StatusText(answer.Status))
+	marks := r.dialect.ReadMarks(response.Header)
+	recordLimit(lease, response.Status, marks)
+	if marks.NotRun || response.Status == http.StatusMisdirectedRequest {
+		r.recordRejection(lease, response, marks)
+		return verdictNotRun, failure.New(failure.BackEndRefused, http.StatusText(response.Status))
 	}
 	if !send.Moved {
 		r.attempts++
@@ -153,16 +154,16 @@
 		return verdictUnknown, failure.New(failure.AnswerBroken, "the answer bears no mark of the replica")
 	}
 	if !r.isModelCall() {
-		r.countBegun(sentAt)
+		r.countStart(sentAt)
 	}
-	if r.call.Route.Kind == traffic.KindStream && answer.Status < http.StatusMultipleChoices {
-		return r.relayStream(ctx, lease, answer, marks, send)
+	if r.call.Route.Kind == traffic.KindStream && response.Status < http.StatusMultipleChoices {
+		return r.relayStream(ctx, lease, response, marks, send)
 	}
-	return r.relayWhole(ctx, lease, answer, marks)
+	return r.relayResponse(ctx, lease, response, marks)
 }
 
-// connectionFailed judges an exchange without an answer.
-func (r *run) connectionFailed(ctx context.Context, lease *Lease, err error) (verdict, error) {
+// classifyFailure returns the verdict on an exchange that failed without an answer.
+func (r *run) classifyFailure(ctx context.Context, lease *Lease, err error) (verdict, error) {
 	if upstream.Held(err) {
 		r.unsent++
 		return verdictNotRun, err
@@ -171,7 +172,7 @@
 	if ctx.Err() == nil || errors.Is(context.Cause(ctx), errDeadline) {
 		lease.Unreachable(handedOver && !upstream.Silent(err))
 		if handedOver {
-			r.replicaLost(ctx, lease, err)
+			r.recordConnectionLoss(ctx, lease, err)
 		}
 		r.client.Forget(lease.Replica.Address, lease.Replica.name)
 	}
@@ -184,44 +185,44 @@
 	return verdictUnknown, err
 }
 
-// noteLimit notes what an answer says of its replica's limit. One of another incarnation says
-// nothing of this one.
-func noteLimit(lease *Lease, status int, marks Marks) {
+// recordLimit records the rate limit that an answer declares. An answer of another incarnation is
+// ignored: its limit does not apply to this one.
+func recordLimit(lease *Lease, status int, marks Marks) {
 	if status != http.StatusMisdirectedRequest {
 		lease.NoteLimit(marks.Limit, !marks.NotRun && status < http.StatusInternalServerError)
 	}
 }
 
-func (r *run) noteRefusal(lease *Lease, answer *upstream.Exchange, marks Marks) {
-	_, _ = answer.ReadAll()
-	if answer.Status == http.StatusMisdirectedRequest {
+func (r *run) recordRejection(lease *Lease, response *upstream.Exchange, marks Marks) {
+	_, _ = response.ReadAll()
+	if response.Status == http.StatusMisdirectedRequest {
 		lease.Misdirected()
 		return
 	}
 	lease.Refused(lease.RestLeft())
 }
 
-// relayWhole hands a whole answer on. A failure of the replica's own is kept
-// back while another attempt may do better.
-func (r *run) relayWhole(ctx context.Context, lease *Lease, answer *upstream.Exchange, marks Marks) (verdict, error) {
-	body, err := answer.ReadAll()
+// relayResponse forwards a whole response. An error response of the replica is kept back while
+// another attempt may do better.
+func (r *run) relayResponse(ctx context.Context, lease *Lease, response *upstream.Exchange, marks Marks) (verdict, error) {
+	body, err := response.ReadAll()
 	if err != nil {
 		lease.Unreachable(true)
-		r.replicaLost(ctx, lease, err)
+		r.recordConnectionLoss(ctx, lease, err)
 		return verdictUnknown, err
 	}
-	failed := answer.Status >= http.StatusInternalServerError
+	failed := response.Status >= http.StatusInternalServerError
 	lease.Answered(failed, marks.Load)
 	if failed && r.stream == nil {
-		r.lastFailure = &wholeAnswer{status: answer.Status, header: answer.Header, body: body}
-		return verdictFailed, failure.New(failure.BackEndRefused, http.StatusText(answer.Status))
+		r.lastErrorResponse = &bufferedResponse{status: response.Status, header: response.Header, body: body}
+		return verdictFailed, failure.New(failure.BackEndRefused, http.StatusText(response.Status))
 	}
 	if r.stream != nil {
 		return verdictUnknown, failure.New(failure.AnswerBroken, "the stream was not continued")
 	}
-	r.ranWell = answer.Status < http.StatusInternalServerError
+	r.succeeded = response.Status < http.StatusInternalServerError
 	r.metrics.firstAnswer(r.call)
-	r.responder.Answer(answer.Status, answer.Header, body)
+	r.responder.Answer(response.Status, response.Header, body)
 	return verdictAnswered, nil
 }
 
--- a/internal/relay/stall.go
+++ b/internal/relay/stall.go
@@ -5,52 +5,53 @@
 	"time"
 )
 
-// stallWatch tells when a replica has read nothing for a time: one that is busy still
-// reads the prompts of others.
+// stallWatch detects a replica that has prefilled nothing for some time. A replica that is merely busy
+// still prefills the prompts of other requests.
 type stallWatch struct {
-	// idle tells for how long the replica has read nothing.
+	// idle returns how long the replica has prefilled nothing.
 	idle    func() time.Duration
-	bound   time.Duration
-	stalled func()
+	timeout time.Duration
+	onStall func()
 
-	mutex sync.Mutex
-	timer *time.Timer
-	ended bool
+	mutex   sync.Mutex
+	timer   *time.Timer
+	stopped bool
 }
 
-// newStallWatch calls stalled, at most once, if nothing has been read for a time.
-func newStallWatch(idle func() time.Duration, bound time.Duration, stalled func()) *stallWatch {
-	watch := &stallWatch{idle: idle, bound: bound, stalled: stalled}
+// newStallWatch returns a running watch. It calls onStall at most once, as soon as nothing has been
+// prefilled for the timeout.
+func newStallWatch(idle func() time.Duration, timeout time.Duration, onStall func()) *stallWatch {
+	watch := &stallWatch{idle: idle, timeout: timeout, onStall: onStall}
 	watch.mutex.Lock()
 	defer watch.mutex.Unlock()
-	watch.timer = time.AfterFunc(bound, watch.look)
+	watch.timer = time.AfterFunc(timeout, watch.check)
 	return watch
 }
 
-func (w *stallWatch) look() {
+func (w *stallWatch) check() {
 	idle := w.idle()
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if w.ended {
+	if w.stopped {
 		return
 	}
-	if left := w.bound - idle; left > 0 {
+	if left := w.timeout - idle; left > 0 {
 		w.timer.Reset(left)
 		return
 	}
-	w.ended = true
-	w.stalled()
+	w.stopped = true
+	w.onStall()
 }
 
 func (w *stallWatch) stop() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.ended = true
+	w.stopped = true
 	w.timer.Stop()
 }
 
-// IdleTime is for how long the replica has read nothing that any gateway knows of, since
-// the lease began at most.
+// IdleTime returns how long the replica has prefilled nothing that any gateway knows of, counted at
+// most from the start of the lease.
 func (l *Lease) IdleTime() time.Duration {
 	l.directory.mutex.Lock()
 	defer l.directory.mutex.Unlock()
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -13,21 +13,21 @@
 	"github.com/pierhaven/pierhaven/internal/upstream"
 )
 
-// streamState is a stream whose head has been sent to the caller.
+// streamState is the state of a stream whose header was sent to the caller.
 type streamState struct {
 	writer    StreamWriter
 	lastEvent string
 	events    int
-	// firstAt and lastAt are when the first and the last event were handed on.
-	firstAt      time.Time
-	lastAt       time.Time
-	longestPause time.Duration
+	// firstAt and lastAt are the times at which the first and the last event were forwarded.
+	firstAt         time.Time
+	lastAt          time.Time
+	longestEventGap time.Duration
 }
 
-// note notes that events are handed on.
-func (s *streamState) note(now time.Time) {
+// recordEvent records the time at which a batch of events is forwarded.
+func (s *streamState) recordEvent(now time.Time) {
 	if s.events > 0 {
-		s.longestPause = max(s.longestPause, now.Sub(s.lastAt))
+		s.longestEventGap = max(s.longestEventGap, now.Sub(s.lastAt))
 	} else {
 		s.firstAt = now
 	}
@@ -41,49 +41,48 @@
 	maximumEventBytes = 1 << 20
 )
 
-// relayStream hands the events of an answer on as they come, each whole. A
-// stream that breaks off is left at its last whole event, so that another
-// replica can continue it.
-func (r *run) relayStream(ctx context.Context, lease *Lease, answer *upstream.Exchange, marks Marks, send Send) (verdict, error) {
+// relayStream forwards the events of a response as they arrive, each one complete. A stream that breaks
+// off ends after its last complete event, so that another replica can continue it.
+func (r *run) relayStream(ctx context.Context, lease *Lease, response *upstream.Exchange, marks Marks, send Send) (verdict, error) {
 	events := &eventSplitter{}
 	buffer := make([]byte, streamReadBytes)
 	first := true
-	var moving *mover
-	defer func() { moving.abandonUnless(r.moved != nil) }()
+	var mover *streamMover
+	defer func() { mover.stopUnless(r.moved != nil) }()
 	for {
-		count, err := answer.Read(buffer)
-		whole := events.add(buffer[:count])
-		if len(whole) > 0 {
+		count, err := response.Read(buffer)
+		complete := events.add(buffer[:count])
+		if len(complete) > 0 {
 			if first {
 				first = false
-				r.countBegun(time.Now())
+				r.countStart(time.Now())
 				lease.Answered(false, marks.Load)
-				r.noteBegun(lease, send)
+				r.recordStreamStart(lease, send)
 				if r.isModelCall() && !r.directory.off[mechanism.StreamMoves] {
-					moving = r.watchStream(ctx, lease)
+					mover = r.startMover(ctx, lease)
 				}
 			} else {
 				lease.StreamWentOn()
 			}
-			if err := r.forward(answer, whole, events.last); err != nil {
-				r.callerLost = true
+			if err := r.forward(response, complete, events.lastID); err != nil {
+				r.callerGone = true
 				return verdictAnswered, nil
 			}
 		}
 		switch {
-		case err == nil && len(events.rest) <= maximumEventBytes:
-		case errors.Is(err, io.EOF) && len(events.rest) == 0 && r.stream != nil:
-			r.ranWell = true
+		case err == nil && len(events.partial) <= maximumEventBytes:
+		case errors.Is(err, io.EOF) && len(events.partial) == 0 && r.stream != nil:
+			r.succeeded = true
 			r.stream.writer.End()
 			return verdictAnswered, nil
 		default:
-			if moving != nil {
-				if r.moved = moving.end(); r.moved != nil {
+			if mover != nil {
+				if r.moved = mover.stop(); r.moved != nil {
 					return verdictMoved, nil
 				}
 			}
 			lease.Unreachable(true)
-			r.replicaLost(ctx, lease, err)
+			r.recordConnectionLoss(ctx, lease, err)
 			return verdictUnknown, brokenStream(err)
 		}
 	}
@@ -96,23 +95,23 @@
 	return failure.Wrap(err, failure.AnswerBroken)
 }
 
-// forward writes whole events, after the head if there was none yet. An error
-// says that the caller has gone.
-func (r *run) forward(answer *upstream.Exchange, whole []byte, last string) error {
+// forward writes complete events, preceded by the header if it was not sent yet. An error means that
+// the caller has disconnected.
+func (r *run) forward(response *upstream.Exchange, complete []byte, lastID string) error {
 	if r.stream == nil {
 		r.metrics.firstAnswer(r.call)
-		r.stream = &streamState{writer: r.responder.Stream(answer.Status, answer.Header)}
+		r.stream = &streamState{writer: r.responder.Stream(response.Status, response.Header)}
 	}
-	if last != "" {
-		r.stream.lastEvent = last
+	if lastID != "" {
+		r.stream.lastEvent = lastID
 	}
-	r.stream.note(time.Now())
-	return r.stream.writer.Send(whole)
+	r.stream.recordEvent(time.Now())
+	return r.stream.writer.Send(complete)
 }
 
-// noteBegun notes the first event of a stream at a replica, which now keeps the prompt. A
-// stream that was moved there has been noted before.
-func (r *run) noteBegun(lease *Lease, send Send) {
+// recordStreamStart records the first event of a stream at a replica, which now has the prompt cached.
+// The start of a moved stream was recorded before.
+func (r *run) recordStreamStart(lease *Lease, send Send) {
 	if send.Moved {
 		return
 	}
@@ -123,35 +122,35 @@
 	}
 }
 
-// eventSplitter cuts a body into whole events (WHATWG HTML, server-sent events):
-// an event ends with an empty line.
+// eventSplitter splits a body into complete events (WHATWG HTML, server-sent events). An event ends
+// with an empty line.
 type eventSplitter struct {
-	rest []byte
-	// last is the id of the last whole event that had one.
-	last string
+	partial []byte
+	// lastID is the ID of the last complete event that had one.
+	lastID string
 }
 
 var (
-	eventEnd      = []byte("\n\n")
-	carriageEnd   = []byte("\r\n\r\n")
-	eventIDPrefix = []byte("id:")
+	eventSeparator     = []byte("\n\n")
+	crlfEventSeparator = []byte("\r\n\r\n")
+	eventIDPrefix      = []byte("id:")
 )
 
-// add takes the next bytes in and returns all events that are whole now.
+// add appends data and returns all events that are now complete.
 func (s *eventSplitter) add(data []byte) []byte {
-	s.rest = append(s.rest, data...)
-	end := max(endOf(s.rest, eventEnd), endOf(s.rest, carriageEnd))
+	s.partial = append(s.partial, data...)
+	end := max(lastSeparatorEnd(s.partial, eventSeparator), lastSeparatorEnd(s.partial, crlfEventSeparator))
 	if end == 0 {
 		return nil
 	}
-	whole := bytes.Clone(s.rest[:end])
-	s.rest = append(s.rest[:0], s.rest[end:]...)
-	s.noteIDs(whole)
-	return whole
+	complete := bytes.Clone(s.partial[:end])
+	s.partial = append(s.partial[:0], s.partial[end:]...)
+	s.recordIDs(complete)
+	return complete
 }
 
-// endOf returns the position behind the last separator, 0 if there is none.
-func endOf(data, separator []byte) int {
+// lastSeparatorEnd returns the offset after the last separator, 0 if there is none.
+func lastSeparatorEnd(data, separator []byte) int {
 	at := bytes.LastIndex(data, separator)
 	if at < 0 {
 		return 0
@@ -159,16 +158,16 @@
 	return at + len(separator)
 }
 
-func (s *eventSplitter) noteIDs(whole []byte) {
-	for line := range bytes.Lines(whole) {
+func (s *eventSplitter) recordIDs(complete []byte) {
+	for line := range bytes.Lines(complete) {
 		if value, found := bytes.CutPrefix(line, eventIDPrefix); found {
-			s.last = string(bytes.TrimSpace(value))
+			s.lastID = string(bytes.TrimSpace(value))
 		}
 	}
 }
 
-// IsHopByHop reports whether a field concerns one connection only (RFC 9110,
-// section 7.6.1).
+// IsHopByHop reports whether a header field applies to a single connection only (RFC 9110, section
+// 7.6.1).
 func IsHopByHop(name string) bool {
 	switch http.CanonicalHeaderKey(name) {
 	case "Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
--- a/internal/relay/streams.go
+++ b/internal/relay/streams.go
@@ -5,72 +5,72 @@
 	"time"
 )
 
-// streamMeter learns how many streams of one route run at the same time once they have
-// come for a while as of late: their rate times their duration (Little, 1961). Both fade.
+// streamMeter estimates how many streams of one route run concurrently if they keep arriving as
+// recently: arrival rate times duration (Little, 1961). Both decay exponentially.
 type streamMeter struct {
-	// rate is in streams a second.
+	// rate is in streams per second.
 	rate float64
-	// running is the number of streams that have not ended, spent the time in seconds for
-	// which streams have run and ended the number of those that have ended. Their ratio is
-	// the duration; streams that still run count in it, so that it is not too short
-	// while only short ones have ended.
-	running int
-	spent   float64
-	ended   float64
-	// at is up to when all this holds, lastAt when the last stream began.
-	at     time.Duration
-	lastAt time.Duration
+	// running counts the streams that have not ended, runSeconds sums the time for which streams have
+	// run, and completed counts those that have ended. The ratio of the last two is the duration.
+	// Streams that still run count towards it, so that it is not underestimated while only short
+	// ones have ended.
+	running    int
+	runSeconds float64
+	completed  float64
+	// updatedAt is the time up to which all values are current, lastBegunAt when the last stream began.
+	updatedAt   time.Duration
+	lastBegunAt time.Duration
 }
 
 const (
-	// rateMemory is the time constant of the rate, durationMemory that of the duration.
-	rateMemory     = 2500 * time.Millisecond
-	durationMemory = 10 * time.Second
-	// streamMemory is after how long without streams a route is forgotten.
-	streamMemory = time.Minute
-	// leastEnded streams tell a duration.
-	leastEnded = 2
+	// rateTimeConstant is the time constant of the rate, durationTimeConstant that of the duration.
+	rateTimeConstant     = 2500 * time.Millisecond
+	durationTimeConstant = 10 * time.Second
+	// routeExpiry is the time without streams after which a route is forgotten.
+	routeExpiry = time.Minute
+	// minimumCompleted is the number of completed streams from which a duration is estimated.
+	minimumCompleted = 2
 )
 
 func (m *streamMeter) begin(now time.Duration) {
-	m.move(now)
-	m.rate += 1 / rateMemory.Seconds()
+	m.advance(now)
+	m.rate += 1 / rateTimeConstant.Seconds()
 	m.running++
-	m.lastAt = now
+	m.lastBegunAt = now
 }
 
 func (m *streamMeter) end(now time.Duration) {
-	m.move(now)
+	m.advance(now)
 	m.running--
-	m.ended++
+	m.completed++
 }
 
-// move brings everything up to a time.
-func (m *streamMeter) move(now time.Duration) {
-	passed := (now - m.at).Seconds()
-	m.rate *= math.Exp(-passed / rateMemory.Seconds())
-	fade := math.Exp(-passed / durationMemory.Seconds())
-	m.spent = m.spent*fade + float64(m.running)*passed
-	m.ended *= fade
-	m.at = now
+// advance brings all values up to the given time.
+func (m *streamMeter) advance(now time.Duration) {
+	elapsed := (now - m.updatedAt).Seconds()
+	m.rate *= math.Exp(-elapsed / rateTimeConstant.Seconds())
+	decay := math.Exp(-elapsed / durationTimeConstant.Seconds())
+	m.runSeconds = m.runSeconds*decay + float64(m.running)*elapsed
+	m.completed *= decay
+	m.updatedAt = now
 }
 
-// forecast is the number of streams that will run after a time if they go on to come as of
-// late; that of those that run while no duration is known.
-func (m *streamMeter) forecast(now, ahead time.Duration) float64 {
-	m.move(now)
-	if m.ended < leastEnded {
+// forecast returns the expected number of running streams after the given horizon if they keep arriving
+// as recently, or the number running now while no duration is known.
+func (m *streamMeter) forecast(now, horizon time.Duration) float64 {
+	m.advance(now)
+	if m.completed < minimumCompleted {
 		return float64(m.running)
 	}
-	duration := m.spent / m.ended
-	steady := m.rate * duration
-	return steady + (float64(m.running)-steady)*math.Exp(-ahead.Seconds()/max(duration, minimumDuration))
+	duration := m.runSeconds / m.completed
+	steadyState := m.rate * duration
+	return steadyState + (float64(m.running)-steadyState)*math.Exp(-horizon.Seconds()/max(duration, minimumDurationSeconds))
 }
 
-// minimumDuration of streams, in seconds, keeps a forecast finite.
-const minimumDuration = 1e-3
+// minimumDurationSeconds is the shortest duration of a stream used in a forecast, to keep it finite.
+const minimumDurationSeconds = 1e-3
 
-// streamMeters are those of a service's routes.
+// streamMeters holds the meters of a service by route.
 type streamMeters map[string]*streamMeter
 
 func (m streamMeters) of(route string) *streamMeter {
@@ -82,15 +82,15 @@
 	return meter
 }
 
-// forecast adds up the routes, and forgets those that have fallen silent.
-func (m streamMeters) forecast(now, ahead time.Duration) float64 {
+// forecast returns the sum over all routes, and removes those without recent streams.
+func (m streamMeters) forecast(now, horizon time.Duration) float64 {
 	sum := 0.0
 	for route, meter := range m {
-		if meter.running == 0 && now-meter.lastAt > streamMemory {
+		if meter.running == 0 && now-meter.lastBegunAt > routeExpiry {
 			delete(m, route)
 			continue
 		}
-		sum += meter.forecast(now, ahead)
+		sum += meter.forecast(now, horizon)
 	}
 	return sum
 }
