--- a/internal/relay/budgets_test.go
+++ b/internal/relay/budgets_test.go
@@ -9,9 +9,9 @@
 	"github.com/pierhaven/pierhaven/internal/relay"
 )
 
-// withdrawn counts what gateways together withdraw in each second, asking for as
-// much as they get.
-func withdrawn(gateways, seconds, requests int, terms relay.BudgetTerms, restartEvery int) []int {
+// withdrawnPerSecond returns the number of retries that all gateways together withdraw in each second
+// if they ask for as many as they get.
+func withdrawnPerSecond(gateways, seconds, requests int, terms relay.BudgetTerms, restartEvery int) []int {
 	now := time.Duration(0)
 	clock := func() time.Duration { return now }
 	budgets := make([]*relay.Budgets, gateways)
@@ -35,7 +35,7 @@
 	return each
 }
 
-func TestAllGatewaysTogetherStayWithinTheTermsInEveryWindow(t *testing.T) {
+func TestRetriesOfAllGatewaysStayWithinLimitInEveryWindow(t *testing.T) {
 	terms := relay.BudgetTerms{Ratio: 0.2, Window: 10 * time.Second, Slack: 54}
 	for name, test := range map[string]struct{ gateways, requests, restartEvery int }{
 		"few":       {7, 5, 0},
@@ -44,7 +44,7 @@
 		"restarted": {9, 5, 10},
 	} {
 		t.Run(name, func(t *testing.T) {
-			each := withdrawn(test.gateways, 60, test.requests, terms, test.restartEvery)
+			each := withdrawnPerSecond(test.gateways, 60, test.requests, terms, test.restartEvery)
 			for from := 0; from+10 <= len(each); from++ {
 				sum := 0
 				for _, count := range each[from : from+10] {
@@ -57,9 +57,9 @@
 	}
 }
 
-// Symptom: quiet gateways each save up a repeat, and many spend theirs at once, as a service begins to refuse:
-// 985 repeats where 152 are allowed.
-func TestWhatQuietGatewaysSaveUpFitsIntoTheTerms(t *testing.T) {
+// Guards against a burst of retries: quiet gateways each save up a retry, and many spend theirs at once
+// when a service begins to reject requests. 985 retries were made where 152 are allowed.
+func TestSavedRetriesOfQuietGatewaysStayWithinLimit(t *testing.T) {
 	terms := relay.BudgetTerms{Ratio: 0.2, Window: 10 * time.Second, Slack: 54}
 	for _, gateways := range []int{9, 65, 295, 985} {
 		for _, pause := range []int{2, 5, 20} {
--- a/internal/relay/connected_test.go
+++ b/internal/relay/connected_test.go
@@ -10,10 +10,10 @@
 	"github.com/pierhaven/pierhaven/internal/relay"
 )
 
-// Symptom: 35,000 connections for 30,000 requests. Sequence: each of 985 gateways sends a request now and then to one of 256
-// replicas that are rated alike. Cause: the choice among these was drawn anew each time, so that a gateway hardly met a
-// replica twice while a connection to it was kept.
-func TestAGatewayMeetsTheSameFewReplicasWhateverTheirNumber(t *testing.T) {
+// Guards against too many connections: 35,000 were open for 30,000 requests. Each of 985 gateways sent an
+// occasional request to one of 256 replicas with equal ratings. As it chose among them at random each time,
+// it rarely used a replica again while a connection to it was still open.
+func TestGatewayPrefersReplicaWithOpenConnection(t *testing.T) {
 	for _, size := range []int{16, 64, 256} {
 		list := make([]region.Replica, size)
 		for index := range list {
@@ -31,19 +31,19 @@
 
 		first := d.PickAny("s", relay.Wanted{})
 		second := d.PickAny("s", relay.Wanted{})
-		assert.NotEqual(t, first.Replica.ID, second.Replica.ID, "load goes before a connection")
+		assert.NotEqual(t, first.Replica.ID, second.Replica.ID, "load takes precedence over an open connection")
 	}
 }
 
-// Symptom: a replica resets what is beyond the connections that it takes. Cause: each gateway kept eight of its
-// own, however many gateways there are.
-func TestUnusedConnectionsOfAllGatewaysLeaveRoomForRequests(t *testing.T) {
+// Guards against idle connections that fill a replica, which resets those beyond its maximum: each gateway
+// kept eight idle connections, regardless of the number of gateways.
+func TestIdleConnectionsOfAllGatewaysLeaveCapacityForRequests(t *testing.T) {
 	for _, taken := range []int{1, 4, 32, 110, 250, 520, 2100} {
 		for _, gateways := range []int{1, 4, 9, 65, 295, 985} {
 			part := relay.IdleConnectionLimit(taken, gateways)
-			assert.GreaterOrEqual(t, part, 1, "connections are used again")
+			assert.GreaterOrEqual(t, part, 1, "at least one connection is kept for reuse")
 			assert.LessOrEqual(t, gateways*part, max(taken/2, gateways), "%d connections, %d gateways", taken, gateways)
 		}
 	}
-	assert.Equal(t, 8, relay.IdleConnectionLimit(0, 985), "nothing is said of it")
+	assert.Equal(t, 8, relay.IdleConnectionLimit(0, 985), "the maximum is unknown")
 }
--- a/internal/relay/ending_test.go
+++ b/internal/relay/ending_test.go
@@ -15,7 +15,7 @@
 	"github.com/pierhaven/pierhaven/internal/traffic"
 )
 
-// guarded has a guard take part in a world's calls.
+// guarded sets a guard for a world's calls.
 func (w *world) guarded() *poison.Guard {
 	guard := poison.NewGuard(poison.Options{
 		Now: func() time.Duration { return time.Hour }, InTouch: func() bool { return true },
@@ -25,7 +25,8 @@
 	return guard
 }
 
-// addMortal adds a replica whose process ends with the first request, after what the handler does.
+// addMortal adds a replica whose process ends with its first request, after the given handler has
+// run.
 func (w *world) addMortal(id, stage string, before http.HandlerFunc) {
 	w.t.Helper()
 	var server *httptest.Server
@@ -38,7 +39,7 @@
 	w.list(id, stage, server.Listener.Addr().String())
 }
 
-// endsTold waits for the evidence that a guard has to tell, and returns the replicas that ended.
+// endsTold waits for the evidence that the guard reports, and returns the replicas that have ended.
 func endsTold(t *testing.T, guard *poison.Guard, digest poison.Digest, count int) []string {
 	t.Helper()
 	var ended []string
@@ -67,7 +68,7 @@
 	}
 }
 
-func TestEachReplicaThatAResumedStreamEndsCounts(t *testing.T) {
+func TestEachReplicaCrashOfResumedStreamCounts(t *testing.T) {
 	w := newWorld(t)
 	guard := w.guarded()
 	for _, id := range []string{"a", "b"} {
@@ -82,13 +83,13 @@
 	assert.ElementsMatch(t, []string{"a", "b"}, endsTold(t, guard, call.Digest(), 2))
 }
 
-func TestTheEndOfAReaderCounts(t *testing.T) {
+func TestPrefillReplicaCrashCounts(t *testing.T) {
 	w := newWorld(t)
 	guard := w.guarded()
 	w.addMortal("reader", region.StagePrefill, nothing)
 	w.add("generator", region.StageDecode, events(1, 2, false))
 	call := modelCall(4000, "own")
-	assert.True(t, w.run(call).ended, "the generator reads the prompt itself")
+	assert.True(t, w.run(call).ended, "the decode replica prefills the prompt itself")
 	assert.Equal(t, []string{"reader"}, endsTold(t, guard, call.Digest(), 1))
 }
 
@@ -111,8 +112,8 @@
 	}
 }
 
-// hold has a guard hold a call.
-func hold(guard *poison.Guard, digest poison.Digest, revision uint64) {
+// holdRequest has the guard hold a request.
+func holdRequest(guard *poison.Guard, digest poison.Digest, revision uint64) {
 	guard.Take(&poison.News{Revision: revision, Whole: true, Entries: []poison.NewsEntry{{Digest: digest, Held: true}}})
 }
 
@@ -121,7 +122,7 @@
 	guard := w.guarded()
 	w.add("a", "", sealed(http.StatusOK, "answer"))
 	call := callOf(traffic.KindRepeatable, 2)
-	hold(guard, call.Digest(), 1)
+	holdRequest(guard, call.Digest(), 1)
 	answer := w.run(call)
 	assert.Equal(t, failure.RequestHeld, failure.KindOf(answer.err))
 	told := failure.AnswerFor(answer.err)
@@ -143,11 +144,11 @@
 	guard := w.guarded()
 	call := callOf(traffic.KindRepeatable, 3)
 	w.add("a", "", func(writer http.ResponseWriter, request *http.Request) {
-		hold(guard, call.Digest(), 1)
+		holdRequest(guard, call.Digest(), 1)
 		dropping(writer, request)
 	})
 	w.add("b", "", func(writer http.ResponseWriter, request *http.Request) {
-		hold(guard, call.Digest(), 1)
+		holdRequest(guard, call.Digest(), 1)
 		dropping(writer, request)
 	})
 	answer := w.run(call)
@@ -156,31 +157,32 @@
 	assert.Equal(t, 1, w.visits("a")+w.visits("b"))
 }
 
-func TestAHeldStreamIsNotMovedToAnotherReplica(t *testing.T) {
+func TestHeldStreamIsNotMoved(t *testing.T) {
 	w := newWorld(t)
 	guard := w.guarded()
-	leaving := newStoppable()
-	w.add("a", region.StageDecode, leaving.serve)
+	leaving := newPausedStream()
+	w.add("a", region.StageDecode, leaving.serveHTTP)
 	call := modelCall(10, "own")
 	answered := make(chan *recorder, 1)
 	go func() { answered <- w.run(call) }()
-	<-leaving.begun
+	<-leaving.firstEventsSent
 	w.add("b", region.StageDecode, events(4, 6, false))
-	hold(guard, call.Digest(), 1)
+	holdRequest(guard, call.Digest(), 1)
 	w.replicas[0].Draining = true
 	w.directory.Replace(w.replicas)
 	time.Sleep(300 * time.Millisecond)
-	close(leaving.goOn)
+	close(leaving.resume)
 	answer := <-answered
 	assert.True(t, answer.ended)
 	assert.Equal(t, text(1, 6), answer.body.String())
 	assert.Zero(t, w.visits("b"))
-	assert.Equal(t, []poison.Digest{call.Digest()}, guard.Report("gateway").RanWell, "it has run to its end, and is let go")
+	assert.Equal(t, []poison.Digest{call.Digest()}, guard.Report("gateway").RanWell, "the request has run to its end and is reported as harmless")
 }
 
-// BenchmarkGuardedCall gives what the guard adds to a call, which is asked before each send: 441 ns
-// and 4 allocations without a guard, 433 and 4 with nothing held, 592 and 5 with other targets held,
-// and 15 us with the same target held, which has 17 KB of content hashed.
+// BenchmarkGuardedCall measures the cost of the guard per check; it is checked before each send.
+// Without a guard a call took 441 ns and 4 allocations, with nothing held 433 ns and 4, with other
+// targets held 592 ns and 5, and with the same target held 15 us, since its 17 KB of content are
+// hashed.
 func BenchmarkGuardedCall(b *testing.B) {
 	body := make([]byte, 17_000)
 	digestOf := func(target string, caller string) poison.Digest {
@@ -199,7 +201,7 @@
 				call := callOf(traffic.KindRepeatable, 2)
 				call.Body = body
 				if guard.Holds(call) {
-					b.Fatal("another one is held")
+					b.Fatal("a request is held that should not be")
 				}
 			}
 		})
--- a/internal/relay/export_test.go
+++ b/internal/relay/export_test.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Missing returns the tokens of a prompt that the replica of an id is expected to read.
+// Missing returns how many tokens of a prompt the replica with an ID is expected to prefill.
 func (d *Directory) Missing(id string, prompt *Prompt) int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -14,12 +14,13 @@
 	return prompt.Tokens
 }
 
-// RestsReturn is in how long a caller is called back that finds all replicas of a service resting.
+// RestsReturn returns the time after which a caller should retry that finds all replicas of a service in
+// backoff.
 func (d *Directory) RestsReturn(service string, rank int) time.Duration {
 	return d.restsReturn(service, rank)
 }
 
-// IdleConnectionLimit is how many unused connections each of several processes may keep to a replica.
+// IdleConnectionLimit returns how many idle connections each of several processes may keep to a replica.
 func IdleConnectionLimit(maximumConnections, placers int) int {
 	return idleConnectionLimit(maximumConnections, placers)
 }
--- a/internal/relay/logs_benchmark_test.go
+++ b/internal/relay/logs_benchmark_test.go
@@ -13,7 +13,7 @@
 	"github.com/pierhaven/pierhaven/internal/traffic"
 )
 
-// countingWriter counts what is written.
+// countingWriter counts the bytes written to it.
 type countingWriter struct{ bytes atomic.Int64 }
 
 func (w *countingWriter) Write(data []byte) (int, error) {
@@ -21,8 +21,8 @@
 	return len(data), nil
 }
 
-// BenchmarkLogs compares a request without logs, with those of failures and changes
-// alone, and with a line for each decision:
+// BenchmarkLogs compares a request without logs, with logs of failures and changes only, and with a line
+// for each decision:
 //
 //	go test ./internal/relay -run NONE -bench Logs -benchmem
 func BenchmarkLogs(b *testing.B) {
@@ -38,7 +38,7 @@
 			if mode.verbosity >= 0 {
 				logger = log.Logger()
 			}
-			w := newLoggedWorld(b, logger)
+			w := newLoggedTestEnvironment(b, logger)
 			w.add("a", "", sealed(http.StatusOK, "answer"))
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/relay/move_test.go
+++ b/internal/relay/move_test.go
@@ -16,21 +16,21 @@
 	"github.com/pierhaven/pierhaven/internal/traffic"
 )
 
-// stoppable is a generating replica whose stream stands still after some events until it
-// is moved away or let go on.
-type stoppable struct {
-	begun, goOn, stopped chan struct{}
-	// refuse is what calls for a move are answered instead.
-	refuse int
+// pausedStream is a decode replica whose stream pauses after some events until it is moved away or
+// resumed.
+type pausedStream struct {
+	firstEventsSent, resume, stopped chan struct{}
+	// moveStatus is the error status of the response to move requests; 0 accepts them.
+	moveStatus int
 }
 
-func newStoppable() *stoppable {
-	return &stoppable{begun: make(chan struct{}), goOn: make(chan struct{}), stopped: make(chan struct{})}
+func newPausedStream() *pausedStream {
+	return &pausedStream{firstEventsSent: make(chan struct{}), resume: make(chan struct{}), stopped: make(chan struct{})}
 }
 
-func (s *stoppable) serve(writer http.ResponseWriter, request *http.Request) {
+func (s *pausedStream) serveHTTP(writer http.ResponseWriter, request *http.Request) {
 	if strings.HasPrefix(request.URL.Path, "/move/") {
-		s.move(writer, request)
+		s.serveMove(writer, request)
 		return
 	}
 	if request.Method == http.MethodDelete {
@@ -38,9 +38,9 @@
 	}
 	writer.Header().Set("Sealed", "yes")
 	writeEvents(writer, 1, 3)
-	close(s.begun)
+	close(s.firstEventsSent)
 	select {
-	case <-s.goOn:
+	case <-s.resume:
 		writeEvents(writer, 4, 6)
 	case <-s.stopped:
 		panic(http.ErrAbortHandler)
@@ -48,10 +48,10 @@
 	}
 }
 
-// move answers a call of the test dialect for a move.
-func (s *stoppable) move(writer http.ResponseWriter, request *http.Request) {
-	if s.refuse != 0 {
-		writer.WriteHeader(s.refuse)
+// serveMove answers a move request of the test dialect.
+func (s *pausedStream) serveMove(writer http.ResponseWriter, request *http.Request) {
+	if s.moveStatus != 0 {
+		writer.WriteHeader(s.moveStatus)
 		return
 	}
 	if request.URL.Query().Get("last") == "true" {
@@ -67,45 +67,45 @@
 	writer.(http.Flusher).Flush()
 }
 
-// leave has the first replica leave, or change its stage.
-func (w *world) leave(change func(*region.Replica)) {
+// changeFirstReplica changes the list entry of the first replica, so that it is leaving.
+func (w *world) changeFirstReplica(change func(*region.Replica)) {
 	change(&w.replicas[0])
 	w.directory.Replace(w.replicas)
 }
 
-var leavings = map[string]func(*region.Replica){
+var leaveReasons = map[string]func(*region.Replica){
 	"changes": func(replica *region.Replica) { replica.Stage = region.StageChanging },
 	"drains":  func(replica *region.Replica) { replica.Draining = true },
 }
 
-// streamOnly is a model call whose prompt a generating replica reads itself: there is
-// none that only reads.
-func streamOnly() *relay.Call { return modelCall(100, "own") }
+// newUnsplitCall returns a model call whose prompt a decode replica prefills itself, as there is no
+// prefill replica.
+func newUnsplitCall() *relay.Call { return modelCall(100, "own") }
 
-func TestAStreamIsMovedAwayFromAReplicaThatLeaves(t *testing.T) {
-	for name, change := range leavings {
+func TestStreamIsMovedAwayFromLeavingReplica(t *testing.T) {
+	for name, change := range leaveReasons {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t)
-			leaving := newStoppable()
-			w.add("leaving", region.StageDecode, leaving.serve)
+			leaving := newPausedStream()
+			w.add("leaving", region.StageDecode, leaving.serveHTTP)
 			go func() {
-				<-leaving.begun
+				<-leaving.firstEventsSent
 				w.add("other", region.StageDecode, func(writer http.ResponseWriter, request *http.Request) {
 					assert.Equal(t, w.replicas[0].Address+"/moved", request.Header.Get("Source"))
 					assert.Equal(t, "3", request.Header.Get("Last-Event"))
 					events(4, 6, false)(writer, request)
 				})
-				w.leave(change)
+				w.changeFirstReplica(change)
 			}()
-			answer := w.run(streamOnly())
+			answer := w.run(newUnsplitCall())
 			assert.Equal(t, text(1, 6), answer.body.String())
 			assert.True(t, answer.ended)
-			assert.Equal(t, 1, w.visits("other"), "a route of one attempt may go on, since it is the same run")
+			assert.Equal(t, 1, w.visits("other"), "a moved stream is the same run, so that a route with one attempt may continue it")
 		})
 	}
 }
 
-func TestAStreamThatCanNotBeMovedGoesOnWhereItIs(t *testing.T) {
+func TestStreamThatCannotBeMovedContinuesInPlace(t *testing.T) {
 	for name, test := range map[string]struct {
 		refuse int
 		room   bool
@@ -116,19 +116,19 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t)
-			leaving := newStoppable()
-			leaving.refuse = test.refuse
-			w.add("leaving", region.StageDecode, leaving.serve)
+			leaving := newPausedStream()
+			leaving.moveStatus = test.refuse
+			w.add("leaving", region.StageDecode, leaving.serveHTTP)
 			go func() {
-				<-leaving.begun
+				<-leaving.firstEventsSent
 				if test.room {
 					w.add("other", region.StageDecode, refusing)
 				}
-				w.leave(leavings["drains"])
+				w.changeFirstReplica(leaveReasons["drains"])
 				time.Sleep(300 * time.Millisecond)
-				close(leaving.goOn)
+				close(leaving.resume)
 			}()
-			answer := w.run(streamOnly())
+			answer := w.run(newUnsplitCall())
 			assert.Equal(t, text(1, 6), answer.body.String())
 			assert.True(t, answer.ended)
 			assert.Zero(t, w.visits("other"))
@@ -136,32 +136,32 @@
 	}
 }
 
-func TestAStreamIsMovedOnlyWithinTheRetryBudget(t *testing.T) {
-	w := newWorldWith(t, relay.BudgetTerms{Window: time.Second})
-	leaving := newStoppable()
-	w.add("leaving", region.StageDecode, leaving.serve)
+func TestStreamIsMovedOnlyWithinRetryBudget(t *testing.T) {
+	w := newTestEnvironmentWithBudget(t, relay.BudgetTerms{Window: time.Second})
+	leaving := newPausedStream()
+	w.add("leaving", region.StageDecode, leaving.serveHTTP)
 	go func() {
-		<-leaving.begun
+		<-leaving.firstEventsSent
 		w.add("other", region.StageDecode, refusing)
-		w.leave(leavings["drains"])
+		w.changeFirstReplica(leaveReasons["drains"])
 		time.Sleep(300 * time.Millisecond)
-		close(leaving.goOn)
+		close(leaving.resume)
 	}()
-	answer := w.run(streamOnly())
+	answer := w.run(newUnsplitCall())
 	assert.Equal(t, text(1, 6), answer.body.String())
-	assert.Equal(t, 1, w.visits("leaving"), "no call for a move was made")
+	assert.Equal(t, 1, w.visits("leaving"), "no move was requested")
 }
 
 func TestAMovedStreamThatIsNotTakenInIsBrokenOff(t *testing.T) {
 	w := newWorld(t)
-	leaving := newStoppable()
-	w.add("leaving", region.StageDecode, leaving.serve)
+	leaving := newPausedStream()
+	w.add("leaving", region.StageDecode, leaving.serveHTTP)
 	go func() {
-		<-leaving.begun
+		<-leaving.firstEventsSent
 		w.add("other", region.StageDecode, refusing)
-		w.leave(leavings["drains"])
+		w.changeFirstReplica(leaveReasons["drains"])
 	}()
-	call := streamOnly()
+	call := newUnsplitCall()
 	call.Route = &traffic.Route{Name: "route", Kind: traffic.KindStream, MaximumAttempts: 1}
 	answer := w.run(call)
 	assert.True(t, answer.aborted)
@@ -169,16 +169,16 @@
 	assert.Equal(t, text(1, 3), answer.body.String())
 }
 
-// A stream of a service without engines has no memory that could be moved: the question where to ended the
-// gateway.
-func TestAStreamWithoutAPromptStaysAtAReplicaThatDrains(t *testing.T) {
+// Guards against a crash of the gateway: the stream of a service without engines has no memory to move,
+// and asking where to move it crashed the gateway.
+func TestStreamWithoutPromptIsNotMoved(t *testing.T) {
 	w := newWorld(t)
-	first := newStoppable()
-	w.add("draining", "", first.serve)
+	first := newPausedStream()
+	w.add("draining", "", first.serveHTTP)
 	w.list("other", "", "127.0.0.1:1")
 	w.runner.AskPlacements(&relay.RemotePlacement{
 		Ask: func(context.Context, *region.PlacementQuestion, time.Duration) (*region.PlacementAnswer, string, error) {
-			t.Error("a place is asked for")
+			t.Error("a placement is requested")
 			return nil, "", errGone
 		},
 		Tell: func(region.LeaseEvent) {},
@@ -188,11 +188,11 @@
 	call := callOf(traffic.KindStream, 1)
 	answered := make(chan *recorder)
 	go func() { answered <- w.run(call) }()
-	<-first.begun
+	<-first.firstEventsSent
 	w.replicas[0].Draining = true
 	w.directory.Replace(w.replicas)
 	time.Sleep(20 * time.Millisecond)
-	close(first.goOn)
+	close(first.resume)
 	answer := <-answered
 	assert.True(t, answer.ended)
 	assert.Equal(t, text(1, 6), answer.body.String())
--- a/internal/relay/runner_test.go
+++ b/internal/relay/runner_test.go
@@ -29,7 +29,7 @@
 	"github.com/pierhaven/pierhaven/internal/upstream"
 )
 
-// testDialect is the smallest dialect: one field for each mark.
+// testDialect is a minimal Dialect with one header field per value.
 type testDialect struct{}
 
 func (testDialect) ReadTerms(func(string) string) relay.Terms { return relay.Terms{} }
@@ -68,7 +68,7 @@
 func (testDialect) MoveFields(string) []upstream.Field    { return nil }
 func (testDialect) FreeHandle(id string) (string, string) { return http.MethodDelete, "/free/" + id }
 
-// recorder is a responder that keeps what it was told.
+// recorder is a Responder that records what it is given.
 type recorder struct {
 	status  int
 	body    bytes.Buffer
@@ -98,38 +98,38 @@
 func (r *recorder) End()   { r.ended = true }
 func (r *recorder) Abort() { r.aborted = true }
 
-// world is a runner with replicas that tests write as handlers.
+// world is a Runner with replicas whose handlers the tests provide.
 type world struct {
-	t         testing.TB
-	directory *relay.Directory
-	runner    *relay.Runner
-	replicas  []region.Replica
-	mutex     sync.Mutex
-	seen      map[string]int
-	// skipped is how far the clock is ahead of the steady one, in nanoseconds.
-	skipped atomic.Int64
+	t             testing.TB
+	directory     *relay.Directory
+	runner        *relay.Runner
+	replicas      []region.Replica
+	mutex         sync.Mutex
+	requestCounts map[string]int
+	// clockOffset is how far the clock is ahead of the monotonic clock, in nanoseconds.
+	clockOffset atomic.Int64
 }
 
 func newWorld(t *testing.T) *world {
 	t.Helper()
-	return newWorldWith(t, relay.BudgetTerms{Ratio: 5, Window: time.Second, Slack: 100})
+	return newTestEnvironmentWithBudget(t, relay.BudgetTerms{Ratio: 5, Window: time.Second, Slack: 100})
 }
 
-func newWorldWith(t *testing.T, terms relay.BudgetTerms) *world {
+func newTestEnvironmentWithBudget(t *testing.T, terms relay.BudgetTerms) *world {
 	t.Helper()
-	return makeWorld(t, terms, logr.Discard())
+	return makeTestEnvironment(t, terms, logr.Discard())
 }
 
-func newLoggedWorld(t testing.TB, logger logr.Logger) *world {
+func newLoggedTestEnvironment(t testing.TB, logger logr.Logger) *world {
 	t.Helper()
-	return makeWorld(t, relay.BudgetTerms{Ratio: 5, Window: time.Second, Slack: 100}, logger)
+	return makeTestEnvironment(t, relay.BudgetTerms{Ratio: 5, Window: time.Second, Slack: 100}, logger)
 }
 
-func makeWorld(t testing.TB, terms relay.BudgetTerms, logger logr.Logger) *world {
+func makeTestEnvironment(t testing.TB, terms relay.BudgetTerms, logger logr.Logger) *world {
 	t.Helper()
 	began := time.Now()
-	w := &world{t: t, seen: map[string]int{}}
-	clock := func() time.Duration { return time.Since(began) + time.Duration(w.skipped.Load()) }
+	w := &world{t: t, requestCounts: map[string]int{}}
+	clock := func() time.Duration { return time.Since(began) + time.Duration(w.clockOffset.Load()) }
 	gate := backpressure.NewGate(backpressure.Options{Clock: clock, Leaving: testDialect{}.Leaving, LeaveTime: leaveTime, Logger: logger})
 	client := upstream.NewClient(upstream.Options{DialTimeout: time.Second, MaximumBodyBytes: 1 << 20, Gate: gate})
 	w.directory = relay.NewDirectory(clock, "zone", client.Forget, logger)
@@ -139,17 +139,17 @@
 	return w
 }
 
-// leaveTime is for how long replicas that say they leave may get requests.
+// leaveTime is how long replicas that report that they are leaving may still get requests.
 const leaveTime = 3 * time.Second
 
-// skip puts the clock forward.
-func (w *world) skip(ahead time.Duration) { w.skipped.Add(int64(ahead)) }
+// skip advances the clock.
+func (w *world) skip(ahead time.Duration) { w.clockOffset.Add(int64(ahead)) }
 
 func (w *world) add(id, stage string, handler http.HandlerFunc) {
 	w.t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		w.mutex.Lock()
-		w.seen[id]++
+		w.requestCounts[id]++
 		w.mutex.Unlock()
 		_, _ = io.Copy(io.Discard, request.Body)
 		handler(writer, request)
@@ -168,7 +168,7 @@
 func (w *world) visits(id string) int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.seen[id]
+	return w.requestCounts[id]
 }
 
 func (w *world) run(call *relay.Call) *recorder {
@@ -206,7 +206,7 @@
 	writer.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// dropping closes the connection after the request was read.
+// dropping closes the connection after the request has been read.
 func dropping(writer http.ResponseWriter, _ *http.Request) {
 	connection, _, err := writer.(http.Hijacker).Hijack()
 	if err == nil {
@@ -214,7 +214,7 @@
 	}
 }
 
-// events streams some events, then breaks off in the middle of another if told to.
+// events streams events and, with breakOff set, aborts in the middle of one more.
 func events(from, to int, breakOff bool) http.HandlerFunc {
 	return func(writer http.ResponseWriter, _ *http.Request) {
 		writer.Header().Set("Sealed", "yes")
@@ -240,7 +240,7 @@
 	return all.String()
 }
 
-func TestAReplicasAnswerIsHandedOn(t *testing.T) {
+func TestReplicaResponseIsForwarded(t *testing.T) {
 	w := newWorld(t)
 	w.add("a", "", func(writer http.ResponseWriter, request *http.Request) {
 		assert.Equal(t, "a", request.Header.Get("Instance"))
@@ -275,13 +275,13 @@
 			answer := w.run(callOf(test.kind, test.attempts))
 			require.Error(t, answer.err)
 			assert.Equal(t, test.failure, failure.KindOf(answer.err))
-			assert.NotEqual(t, http.StatusServiceUnavailable, failure.AnswerFor(answer.err).Status, "not run would be false")
+			assert.NotEqual(t, http.StatusServiceUnavailable, failure.AnswerFor(answer.err).Status, "the request may have run, so it must not be reported as not run")
 			assert.Equal(t, test.sends, w.visits("a")+w.visits("b")+w.visits("c"))
 		})
 	}
 }
 
-func TestARefusalByTheReplicaIsTakenElsewhere(t *testing.T) {
+func TestRejectedRequestIsSentToAnotherReplica(t *testing.T) {
 	w := newWorld(t)
 	w.add("full", "", refusing)
 	w.add("free", "", sealed(http.StatusOK, "answer"))
@@ -292,7 +292,7 @@
 	}
 }
 
-func TestARequestThatNoReplicaTakesIsRefusedAsNotRunAtOnce(t *testing.T) {
+func TestRequestRejectedByAllReplicasIsReportedAsNotRun(t *testing.T) {
 	w := newWorld(t)
 	w.add("a", "", refusing)
 	w.add("b", "", refusing)
@@ -303,7 +303,7 @@
 	assert.Positive(t, told.RetryAfter)
 }
 
-func TestAnotherIncarnationsRefusalEndsTheUseOfTheListedOne(t *testing.T) {
+func TestMisdirectedResponseEndsUseOfListedIncarnation(t *testing.T) {
 	w := newWorld(t)
 	w.add("old", "", func(writer http.ResponseWriter, _ *http.Request) {
 		writer.WriteHeader(http.StatusMisdirectedRequest)
@@ -313,7 +313,7 @@
 	assert.Equal(t, 1, w.visits("old"))
 }
 
-func TestAReplicasOwnFailureIsRepeatedElsewhereAndElseHandedOn(t *testing.T) {
+func TestErrorResponseIsRetriedOrElseForwarded(t *testing.T) {
 	w := newWorld(t)
 	w.add("failing", "", sealed(http.StatusInternalServerError, "failed"))
 	answer := w.run(callOf(traffic.KindRepeatable, 2))
@@ -326,7 +326,7 @@
 	}
 }
 
-func TestASuccessWithoutTheReplicasMarkIsNoAnswer(t *testing.T) {
+func TestUnsealedSuccessIsNotForwarded(t *testing.T) {
 	w := newWorld(t)
 	w.add("a", "", func(writer http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(writer, "forged") })
 	answer := w.run(callOf(traffic.KindOnce, 1))
@@ -334,7 +334,7 @@
 	assert.Empty(t, answer.body.String())
 }
 
-func TestAStreamIsHandedOnWhole(t *testing.T) {
+func TestWholeStreamIsForwarded(t *testing.T) {
 	w := newWorld(t)
 	w.add("a", "", events(1, 5, false))
 	answer := w.run(callOf(traffic.KindStream, 1))
@@ -342,7 +342,7 @@
 	assert.Equal(t, text(1, 5), answer.body.String())
 }
 
-func TestABrokenStreamIsBrokenOffAfterItsLastWholeEvent(t *testing.T) {
+func TestBrokenStreamEndsAfterLastCompleteEvent(t *testing.T) {
 	w := newWorld(t)
 	w.add("a", "", events(1, 3, true))
 	w.add("b", "", events(1, 3, true))
@@ -353,7 +353,7 @@
 	assert.Equal(t, 1, w.visits("a")+w.visits("b"))
 }
 
-func TestAResumableStreamIsContinuedAfterItsLastWholeEvent(t *testing.T) {
+func TestResumableStreamContinuesAfterLastCompleteEvent(t *testing.T) {
 	w := newWorld(t)
 	continued := func(writer http.ResponseWriter, request *http.Request) {
 		if request.Header.Get("Last-Event") == "3" {
@@ -371,7 +371,7 @@
 	assert.Equal(t, text(1, 6), answer.body.String())
 }
 
-func TestTheTimeOutOfTheRouteEndsAWaitWithAFinalAnswer(t *testing.T) {
+func TestRouteTimeoutEndsCallAndReplicaWork(t *testing.T) {
 	w := newWorld(t)
 	stopped := make(chan struct{})
 	w.add("a", "", func(_ http.ResponseWriter, request *http.Request) {
@@ -385,11 +385,11 @@
 	select {
 	case <-stopped:
 	case <-time.After(20 * time.Second):
-		t.Fatal("the replica still works on it")
+		t.Fatal("the replica still works on the request")
 	}
 }
 
-func TestACallerThatLeavesStopsTheReplicasWork(t *testing.T) {
+func TestCallerDisconnectStopsReplicaWork(t *testing.T) {
 	w := newWorld(t)
 	begun, stopped := make(chan struct{}), make(chan struct{})
 	w.add("a", "", func(_ http.ResponseWriter, request *http.Request) {
@@ -408,7 +408,7 @@
 	<-stopped
 }
 
-func TestAnUnreachableReplicaIsAvoided(t *testing.T) {
+func TestUnreachableReplicaIsAvoided(t *testing.T) {
 	w := newWorld(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -421,7 +421,7 @@
 	assert.Equal(t, 20, w.visits("sound"))
 }
 
-// modelCall is a call with a prompt of some tokens.
+// modelCall returns a call with a prompt of the given number of tokens.
 func modelCall(tokens int, part string) *relay.Call {
 	call := callOf(traffic.KindStream, 1)
 	call.Service = &traffic.Service{Name: "service", Engine: &traffic.Engine{Slots: 4, CacheTokens: 100_000, EventTokens: 1}}
@@ -431,7 +431,7 @@
 	return call
 }
 
-func TestALongPromptIsReadApartAndHandedOver(t *testing.T) {
+func TestLongPromptIsPrefilledSeparatelyAndHandedOver(t *testing.T) {
 	w := newWorld(t)
 	w.add("reader", region.StagePrefill, func(writer http.ResponseWriter, request *http.Request) {
 		if assert.Equal(t, "true", request.Header.Get("Read-Only")) {
@@ -446,7 +446,7 @@
 	assert.Equal(t, text(1, 2), answer.body.String())
 }
 
-func TestAPromptThatCanNotBeReadApartIsReadByTheGenerator(t *testing.T) {
+func TestRejectedPrefillIsDoneByDecodeReplica(t *testing.T) {
 	w := newWorld(t)
 	w.add("reader", region.StagePrefill, refusing)
 	w.add("generator", region.StageDecode, func(writer http.ResponseWriter, request *http.Request) {
@@ -456,7 +456,7 @@
 	assert.Equal(t, text(1, 2), w.run(modelCall(8000, "own")).body.String())
 }
 
-func TestAHandleThatNobodyTakesIsFreed(t *testing.T) {
+func TestUnconsumedPromptHandleIsFreed(t *testing.T) {
 	w := newWorld(t)
 	freed := make(chan string, 1)
 	w.add("reader", region.StagePrefill, func(writer http.ResponseWriter, request *http.Request) {
@@ -477,7 +477,7 @@
 }
 
 func TestAPromptThatAReaderRefusedGoesOnOnlyWithinTheBudget(t *testing.T) {
-	w := newWorldWith(t, relay.BudgetTerms{Window: time.Second})
+	w := newTestEnvironmentWithBudget(t, relay.BudgetTerms{Window: time.Second})
 	w.add("reader", region.StagePrefill, refusing)
 	w.add("generator", region.StageDecode, events(1, 2, false))
 	answer := w.run(modelCall(8000, "own"))
@@ -494,7 +494,7 @@
 		"budget":    {relay.BudgetTerms{Ratio: 5, Window: time.Second, Slack: 100}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorldWith(t, test.terms)
+			w := newTestEnvironmentWithBudget(t, test.terms)
 			w.add("reader", region.StagePrefill, func(writer http.ResponseWriter, request *http.Request) {
 				if test.aborted {
 					<-request.Context().Done()
@@ -512,8 +512,8 @@
 	}
 }
 
-func TestAConnectionThatCanNotBeMadeCostsNoBudget(t *testing.T) {
-	w := newWorldWith(t, relay.BudgetTerms{Window: time.Second})
+func TestFailedConnectionCostsNoRetryBudget(t *testing.T) {
+	w := newTestEnvironmentWithBudget(t, relay.BudgetTerms{Window: time.Second})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	require.NoError(t, listener.Close())
@@ -524,7 +524,7 @@
 	}
 }
 
-func TestAReplicaThatAnswersAgainIsLoggedAsBack(t *testing.T) {
+func TestRecoveredReplicaIsLoggedOnce(t *testing.T) {
 	var lines []string
 	logger := funcr.New(func(_, line string) { lines = append(lines, line) }, funcr.Options{})
 	directory := relay.NewDirectory(func() time.Duration { return 0 }, "z", func(string, string) {}, logger)
@@ -545,8 +545,8 @@
 }
 
 func TestAPromptWhoseReadingWasNotAnsweredIsFetchedFromItsReader(t *testing.T) {
-	// A prompt that was taken up is no repeated send, so no budget is needed.
-	w := newWorldWith(t, relay.BudgetTerms{Window: time.Second})
+	// Sending a prompt that was received is no retry, so no budget is needed.
+	w := newTestEnvironmentWithBudget(t, relay.BudgetTerms{Window: time.Second})
 	w.add("reader", region.StagePrefill, dropping)
 	w.add("generator", region.StageDecode, func(writer http.ResponseWriter, request *http.Request) {
 		assert.Equal(t, w.replicas[0].Address, request.Header.Get("Fetch"))
@@ -555,8 +555,8 @@
 	assert.Equal(t, text(1, 2), w.run(modelCall(8000, "own")).body.String())
 }
 
-// A replica is told of no more time than the caller has left, though the steady clock stood still
-// while the machine was suspended between two sends.
+// Guards against a replica being told of more time than the caller has left: the monotonic clock stops
+// while the machine is suspended, here between two sends.
 func TestTheTimeOfACallGoesOnWhileTheMachineIsSuspended(t *testing.T) {
 	w := newWorld(t)
 	var suspended atomic.Int64
--- a/internal/relay/switches_test.go
+++ b/internal/relay/switches_test.go
@@ -13,8 +13,8 @@
 	"github.com/pierhaven/pierhaven/internal/relay"
 )
 
-// TestASwitchedOffMechanismDoesNotAct holds the switches to what they name.
-func TestASwitchedOffMechanismDoesNotAct(t *testing.T) {
+// A mechanism has an effect when it is enabled, and none when it is disabled.
+func TestDisabledMechanismHasNoEffect(t *testing.T) {
 	request := func(own string) relay.ReadRequest {
 		return relay.ReadRequest{
 			Prompt:    &relay.Prompt{Tokens: 9000, Parts: []relay.PromptPart{{ID: "shared", Tokens: 8000}, {ID: own, Tokens: 1000}}},
--- a/internal/relay/unconnected_test.go
+++ b/internal/relay/unconnected_test.go
@@ -13,16 +13,16 @@
 	"github.com/pierhaven/pierhaven/internal/traffic"
 )
 
-// dead replicas are those of a rack that has gone: their ports refuse connections.
-const dead = 8
+// deadReplicas is the number of replicas of a lost rack: their ports refuse connections.
+const deadReplicas = 8
 
-// TestReplicasThatTakeNoConnectionCostNoAttempt has most replicas of a service gone at once:
-// the call has run nowhere, and goes on until it meets one that lives.
+// Most replicas of a service are lost at once. The call has not run anywhere, and is sent on until it
+// meets a live replica.
 func TestReplicasThatTakeNoConnectionCostNoAttempt(t *testing.T) {
 	for range 6 {
-		w := newWorldWith(t, relay.BudgetTerms{})
+		w := newTestEnvironmentWithBudget(t, relay.BudgetTerms{})
 		w.add("alive", "", sealed(http.StatusOK, "answer"))
-		for number := range dead {
+		for number := range deadReplicas {
 			w.list(fmt.Sprint("dead-", number), "", testnet.Address(t))
 		}
 		answer := w.run(callOf(traffic.KindOnce, 1))
@@ -31,17 +31,17 @@
 	}
 }
 
-// TestAPromptIsReadApartThoughReadersTakeNoConnection holds a prompt from being read where the
-// answer is generated, at half the pace, since the first reader that was chosen is gone.
+// Guards against a prompt being prefilled by the decode replica, at half the pace, only because the prefill
+// replica chosen first is lost.
 func TestAPromptIsReadApartThoughReadersTakeNoConnection(t *testing.T) {
 	for range 6 {
-		w := newWorldWith(t, relay.BudgetTerms{})
+		w := newTestEnvironmentWithBudget(t, relay.BudgetTerms{})
 		w.add("reader", region.StagePrefill, func(writer http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprint(writer, "handle") })
 		w.add("generator", region.StageDecode, func(writer http.ResponseWriter, request *http.Request) {
-			assert.NotEmpty(t, request.Header.Get("Source"), "the prompt has been read")
+			assert.NotEmpty(t, request.Header.Get("Source"), "the prompt was prefilled separately")
 			events(1, 2, false)(writer, request)
 		})
-		for number := range dead {
+		for number := range deadReplicas {
 			w.list(fmt.Sprint("dead-", number), region.StagePrefill, testnet.Address(t))
 		}
 		call := callOf(traffic.KindStream, 1)
