--- a/internal/relay/ending_test.go
+++ b/internal/relay/ending_test.go
@@ -125,16 +125,16 @@
 	holdRequest(guard, call.Digest(), 1)
 	answer := w.run(call)
 	assert.Equal(t, failure.RequestHeld, failure.KindOf(answer.err))
-	told := failure.AnswerFor(answer.err)
-	assert.Equal(t, failure.RanNo, told.Ran)
-	assert.Zero(t, told.RetryAfter)
+	response := failure.AnswerFor(answer.err)
+	assert.Equal(t, failure.RanNo, response.Ran)
+	assert.Zero(t, response.RetryAfter)
 	assert.Zero(t, w.visits("a"))
 	other := callOf(traffic.KindRepeatable, 2)
 	other.Body = []byte("bodz")
 	assert.Equal(t, http.StatusOK, w.run(other).status)
-	tenants := callOf(traffic.KindRepeatable, 2)
-	tenants.Tenant = "another"
-	assert.Equal(t, http.StatusOK, w.run(tenants).status)
+	otherTenant := callOf(traffic.KindRepeatable, 2)
+	otherTenant.Tenant = "another"
+	assert.Equal(t, http.StatusOK, w.run(otherTenant).status)
 	guard.Take(&poison.News{Revision: 2, Freed: []poison.Digest{call.Digest()}})
 	assert.Equal(t, http.StatusOK, w.run(callOf(traffic.KindRepeatable, 2)).status)
 }
--- a/internal/relay/move_test.go
+++ b/internal/relay/move_test.go
@@ -110,9 +110,9 @@
 		refuse int
 		room   bool
 	}{
-		"no run":  {http.StatusNotFound, true},
-		"no way":  {http.StatusServiceUnavailable, true},
-		"no room": {0, false},
+		"stream not found": {http.StatusNotFound, true},
+		"move rejected":    {http.StatusServiceUnavailable, true},
+		"no capacity":      {0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t)
--- a/internal/relay/prompt.go
+++ b/internal/relay/prompt.go
@@ -140,17 +140,17 @@
 		return handle, nil
 	}
 	r.metrics.recordPrefill(prefillFailed, time.Since(startedAt))
-	if !upstream.HandedOver(err) && !isRefusal(err) && ctx.Err() == nil {
+	if !upstream.HandedOver(err) && !isPrefillRejection(err) && ctx.Err() == nil {
 		r.prefills--
 		return nil, errPrefillUnsent
 	}
-	if upstream.HandedOver(err) && !budgetTaken.Load() && !isRefusal(err) {
+	if upstream.HandedOver(err) && !budgetTaken.Load() && !isPrefillRejection(err) {
 		// The response was lost, not the prompt: the decode replica may fetch it there. A prompt that
 		// was received is not charged to the budget, whatever became of its response.
 		lease.PromptKept(r.call.Prompt)
 		return nil, nil
 	}
-	if isRefusal(err) && !r.budgets.Withdraw(service) {
+	if isPrefillRejection(err) && !r.budgets.Withdraw(service) {
 		return nil, failure.New(failure.BackEndRefused, "the prompt was not read, and the retry budget is used up")
 	}
 	return nil, nil
@@ -158,10 +158,10 @@
 
 // errPrefillUnsent means that the prefill request reached no replica. Another one may be asked, which
 // costs only time.
-var errPrefillUnsent = errors.New("the reader takes no connection")
+var errPrefillUnsent = errors.New("the prefill request reached no replica")
 
 // isRefusal reports whether a replica has said that it did not prefill the prompt.
-func isRefusal(err error) bool { return failure.KindOf(err) == failure.BackEndRefused }
+func isPrefillRejection(err error) bool { return failure.KindOf(err) == failure.BackEndRefused }
 
 // stallTimeout returns how long a replica may be known to have prefilled nothing before the prompt is
 // withdrawn from it. A prompt that is already late stays where it is.
--- a/internal/relay/runner.go
+++ b/internal/relay/runner.go
@@ -59,7 +59,7 @@
 
 // CountBegun sets a function that is called once for each request of a tenant that begins to run,
 // with the time at which it began. It must be called before the Runner is used.
-func (r *Runner) CountBegun(begun func(tenant string, at time.Time)) { r.onStart = begun }
+func (r *Runner) CountBegun(onStart func(tenant string, at time.Time)) { r.onStart = onStart }
 
 // GuardWith sets a guard that is notified of what happens to requests and asked which ones are
 // held. It must be called before the Runner is used.
--- a/internal/relay/runner_test.go
+++ b/internal/relay/runner_test.go
@@ -297,10 +297,10 @@
 	w.add("a", "", refusing)
 	w.add("b", "", refusing)
 	answer := w.run(callOf(traffic.KindOnce, 1))
-	told := failure.AnswerFor(answer.err)
-	assert.Equal(t, http.StatusServiceUnavailable, told.Status)
-	assert.Equal(t, failure.RanNo, told.Ran)
-	assert.Positive(t, told.RetryAfter)
+	response := failure.AnswerFor(answer.err)
+	assert.Equal(t, http.StatusServiceUnavailable, response.Status)
+	assert.Equal(t, failure.RanNo, response.Ran)
+	assert.Positive(t, response.RetryAfter)
 }
 
 func TestMisdirectedResponseEndsUseOfListedIncarnation(t *testing.T) {
@@ -458,10 +458,10 @@
 
 func TestUnconsumedPromptHandleIsFreed(t *testing.T) {
 	w := newWorld(t)
-	freed := make(chan string, 1)
+	freedPath := make(chan string, 1)
 	w.add("reader", region.StagePrefill, func(writer http.ResponseWriter, request *http.Request) {
 		if request.Method == http.MethodDelete {
-			freed <- request.URL.Path
+			freedPath <- request.URL.Path
 			return
 		}
 		_, _ = io.WriteString(writer, "handle-1")
@@ -469,7 +469,7 @@
 	w.add("generator", region.StageDecode, refusing)
 	assert.Error(t, w.run(modelCall(8000, "own")).err)
 	select {
-	case path := <-freed:
+	case path := <-freedPath:
 		assert.Equal(t, "/free/handle-1", path)
 	case <-time.After(20 * time.Second):
 		t.Fatal("the handle was not freed")
--- a/internal/relay/send.go
+++ b/internal/relay/send.go
@@ -109,7 +109,8 @@
 	}
 }
 
-// exchange makes one send.
+// exchange makes one send: it sends the request and forwards the response, or returns why there is none
+// to forward.
 func (r *run) exchange(ctx context.Context, lease *Lease, send Send) (verdict, error) {
 	r.sends++
 	choice := lease.Choice
@@ -185,7 +186,7 @@
 	return verdictUnknown, err
 }
 
-// recordLimit records the rate limit that an answer declares. An answer of another incarnation is
+// recordLimit records the rate limit that a response declares. A response of another incarnation is
 // ignored: its limit does not apply to this one.
 func recordLimit(lease *Lease, status int, marks Marks) {
 	if status != http.StatusMisdirectedRequest {
--- a/internal/relay/streams.go
+++ b/internal/relay/streams.go
@@ -10,8 +10,8 @@
 type streamMeter struct {
 	// rate is in streams per second.
 	rate float64
-	// running counts the streams that have not ended, runSeconds sums the time for which streams have
-	// run, and completed counts those that have ended. The ratio of the last two is the duration.
+	// running counts the streams that have not ended, runSeconds sums the seconds for which streams
+	// have run, and completed counts those that have ended. The ratio of the last two is the duration.
 	// Streams that still run count towards it, so that it is not underestimated while only short
 	// ones have ended.
 	running    int
