--- a/internal/relay/border.go
+++ b/internal/relay/border.go
@@ -10,52 +10,52 @@
 	"github.com/pierhaven/pierhaven/internal/topology"
 )
 
-// KnowPlaces tells the directory the regions of the zones. It is called before any use; without
-// it all zones are one region.
+// KnowPlaces sets the map from zones to regions. It must be called before any other use; without it all
+// zones count as one region.
 func (d *Directory) KnowPlaces(places topology.Map) { d.places = places }
 
-// distance is how far two replicas are from each other.
+// distance returns how far apart two replicas are.
 func (d *Directory) distance(from, to *Replica) topology.Distance {
 	return d.places.Between(from.Zone, to.Zone)
 }
 
-// distanceTo is how far a replica is from the directory's own zone.
+// distanceTo returns how far a replica is from the directory's own zone.
 func (d *Directory) distanceTo(replica *Replica) topology.Distance {
 	return d.places.Between(d.zone, replica.Zone)
 }
 
-// side are the replicas on one side of a region's border.
-type side struct{ readers, generators []*Replica }
+// stageReplicas are candidate replicas by stage.
+type stageReplicas struct{ prefill, decode []*Replica }
 
-func (s *side) count() int { return len(s.readers) + len(s.generators) }
+func (s *stageReplicas) count() int { return len(s.prefill) + len(s.decode) }
 
-// stages are the replicas that may read a request's prompt, or generate for it. It is called
-// with the mutex held.
-func (d *Directory) stages(service string, request ReadRequest, now time.Duration) side {
-	return side{
-		readers:    d.soundCandidates(service, request.wanted(), ofStage(region.StagePrefill), now),
-		generators: d.soundCandidates(service, request.wanted(), ofStage(region.StageDecode), now),
+// stages returns the replicas that may prefill a request's prompt, and those that may decode its answer.
+// The caller must hold d.mutex.
+func (d *Directory) stages(service string, request ReadRequest, now time.Duration) stageReplicas {
+	return stageReplicas{
+		prefill: d.healthyCandidates(service, request.wanted(), ofStage(region.StagePrefill), now),
+		decode:  d.healthyCandidates(service, request.wanted(), ofStage(region.StageDecode), now),
 	}
 }
 
-// divide splits replicas at the border of a zone's region. A region that lacks a stage which
-// others have is none of its own: all replicas are inside then, each at what it costs to get
-// there.
-func (d *Directory) divide(all side, zone string) (inside, outside side) {
+// partitionStages splits replicas into those in a zone's region and those outside. If the region has no
+// decode replica, or has no prefill replica while others do, all replicas count as inside, and the
+// estimates alone account for the cost of crossing regions.
+func (d *Directory) partitionStages(all stageReplicas, zone string) (inside, outside stageReplicas) {
 	if !d.places.Known() {
-		return all, side{}
+		return all, stageReplicas{}
 	}
-	inside.readers, outside.readers = d.split(all.readers, zone)
-	inside.generators, outside.generators = d.split(all.generators, zone)
-	lacksReaders := len(inside.readers) == 0 && len(outside.readers) > 0
-	if lacksReaders || len(inside.generators) == 0 {
-		return all, side{}
+	inside.prefill, outside.prefill = d.partitionByRegion(all.prefill, zone)
+	inside.decode, outside.decode = d.partitionByRegion(all.decode, zone)
+	lacksPrefill := len(inside.prefill) == 0 && len(outside.prefill) > 0
+	if lacksPrefill || len(inside.decode) == 0 {
+		return all, stageReplicas{}
 	}
 	return inside, outside
 }
 
-// split splits replicas into those of a zone's region and the others.
-func (d *Directory) split(replicas []*Replica, zone string) (inside, outside []*Replica) {
+// partitionByRegion splits replicas into those in a zone's region and the others.
+func (d *Directory) partitionByRegion(replicas []*Replica, zone string) (inside, outside []*Replica) {
 	if !d.places.Known() {
 		return replicas, nil
 	}
@@ -69,61 +69,64 @@
 	return inside, outside
 }
 
-// wayTimes are what it took of late to ask replicas of another region, beyond what the same
-// request takes inside: the ways there and back, and how far the estimates are off there.
-type wayTimes map[way]*wayTime
+// pathDelays are the recent additional delays of requests that cross from one region to another, compared
+// with the same request inside a region: the network delay both ways, and the error of the estimates for
+// the other region.
+type pathDelays map[regionPath]*pathDelay
 
-// way leads from one region to another.
-type way struct{ from, to string }
+// regionPath is the direction from one region to another.
+type regionPath struct{ from, to string }
 
-type wayTime struct {
+type pathDelay struct {
 	timeMeter
 	at time.Duration
 }
 
-// wayMemory is the time constant with which what was learned of a way fades. A way that has become
-// slow gets no requests that would show that it no longer is.
-const wayMemory = 10 * time.Second
+// pathDelayDecay is the time constant with which a measured path delay decays. Without decay a path that
+// was slow once would get no more requests, and so nothing would show that it has recovered.
+const pathDelayDecay = 10 * time.Second
 
-// observe is called with the mutex held.
-func (w wayTimes) observe(on way, now, took time.Duration) {
-	known, found := w[on]
+// observe records the delay of a request over a path. The caller must hold Directory.mutex.
+func (w pathDelays) observe(path regionPath, now, took time.Duration) {
+	known, found := w[path]
 	if !found {
-		known = &wayTime{}
-		w[on] = known
+		known = &pathDelay{}
+		w[path] = known
 	}
-	// What has faded must not come back with the next request: a way that was slow once would look
-	// slow again.
-	known.smoothed = w.typical(on, now)
+	// Store the decayed value before adding the sample. Otherwise the next request would restore the delay
+	// that has decayed, and a path that was slow once would look slow again.
+	known.smoothed = w.typical(path, now)
 	known.timeMeter.observe(took)
 	known.at = now
 }
 
-// typical returns the time of a way, 0 while it is not known.
-func (w wayTimes) typical(on way, now time.Duration) time.Duration {
-	known, found := w[on]
+// typical returns the decayed delay of a path, 0 if it is unknown.
+func (w pathDelays) typical(path regionPath, now time.Duration) time.Duration {
+	known, found := w[path]
 	if !found {
 		return 0
 	}
-	return time.Duration(float64(max(known.smoothed, 0)) * math.Exp(-(now-known.at).Seconds()/wayMemory.Seconds()))
+	return time.Duration(float64(max(known.smoothed, 0)) * math.Exp(-(now-known.at).Seconds()/pathDelayDecay.Seconds()))
 }
 
-// wayBetween returns the way between two zones, and whether they are of different regions.
-func (d *Directory) wayBetween(from, to string) (way, bool) {
+// regionPathBetween returns the path between the regions of two zones. The second result reports whether
+// the regions differ.
+func (d *Directory) regionPathBetween(from, to string) (regionPath, bool) {
 	if d.places.Between(from, to) != topology.OtherRegion {
-		return way{}, false
+		return regionPath{}, false
 	}
-	return way{from: d.places.RegionOf(from), to: d.places.RegionOf(to)}, true
+	return regionPath{from: d.places.RegionOf(from), to: d.places.RegionOf(to)}, true
 }
 
-// crossingTime is what a request of a zone takes longer at a replica of another region. A prompt
-// that is read apart goes there twice. It is called with the mutex held.
-func (d *Directory) crossingTime(zone string, replica *Replica, now time.Duration) time.Duration {
-	on, crosses := d.wayBetween(zone, replica.Zone)
+// crossRegionDelay returns the additional time that a request from a zone takes at a replica in another
+// region. A request whose prompt is prefilled on a prefill replica crosses twice. The caller must hold
+// d.mutex.
+func (d *Directory) crossRegionDelay(zone string, replica *Replica, now time.Duration) time.Duration {
+	path, crosses := d.regionPathBetween(zone, replica.Zone)
 	if !crosses {
 		return 0
 	}
-	once := d.ways.typical(on, now)
+	once := d.pathDelays.typical(path, now)
 	if replica.Stage == region.StagePrefill {
 		return 2 * once
 	}
@@ -131,74 +134,73 @@
 }
 
 const (
-	// zoneMove and regionMove are the factors by which the memory of prompts takes longer to get
-	// to another zone, and to another region, than its engine's link alone would take: what lies
-	// between is shared. A handover that is reckoned too short makes its caller wait.
-	zoneMove   = 2
-	regionMove = 10
+	// crossZoneTransferFactor and crossRegionTransferFactor are how many times longer a KV cache transfer
+	// takes to another zone, and to another region, than the engine's own link needs, because the network
+	// in between is shared. If a transfer is estimated too short, the caller waits for it.
+	crossZoneTransferFactor   = 2
+	crossRegionTransferFactor = 10
 )
 
-// moveFactor is the factor by which the memory of a prompt takes longer between two zones than in
-// one.
-func (d *Directory) moveFactor(from, to string) float64 {
+// transferFactor returns how many times longer a KV cache transfer takes between two zones than within one.
+func (d *Directory) transferFactor(from, to string) float64 {
 	switch d.places.Between(from, to) {
 	case topology.SameZone:
 		return 1
 	case topology.SameRegion:
-		return zoneMove
+		return crossZoneTransferFactor
 	default:
-		return regionMove
+		return crossRegionTransferFactor
 	}
 }
 
-// departure is a choice that leaves a region, with what it was made on.
-type departure struct {
+// crossRegionChoice describes a choice between replicas inside and outside a region, and what it was based
+// on.
+type crossRegionChoice struct {
 	service         string
 	reason          crossing.Reason
 	from            string
 	lease           *Lease
 	inside, outside crossing.Offer
-	// places are the replicas inside.
-	places int
+	// localReplicas is the number of candidates inside the region.
+	localReplicas int
 }
 
-// departureLog bounds the lines on choices that leave a region.
-type departureLog struct {
+// crossRegionLog limits the rate of log lines on choices of replicas in other regions.
+type crossRegionLog struct {
 	second  time.Duration
 	lines   int
 	omitted int
 }
 
-// maximumDepartures is the number of lines a second: enough to see a cause by, whatever the
-// load.
-const maximumDepartures = 10
+// crossRegionLinesPerSecond is enough to identify the cause, independent of the load.
+const crossRegionLinesPerSecond = 10
 
-// allows reports whether a line may be written now.
-func (l *departureLog) allows(now time.Duration) bool {
+// allows reports whether a line may be logged now.
+func (l *crossRegionLog) allows(now time.Duration) bool {
 	if second := now.Truncate(time.Second); second != l.second {
 		l.second, l.lines = second, 0
 	}
 	l.lines++
-	if l.lines > maximumDepartures {
+	if l.lines > crossRegionLinesPerSecond {
 		l.omitted++
 		return false
 	}
 	return true
 }
 
-// noteDeparture writes a line on a choice that leaves its region. It is called with the mutex held.
-func (d *Directory) noteDeparture(left departure, now time.Duration) {
-	replica := left.lease.Replica
-	if left.reason == crossing.Stays && d.places.Between(left.from, replica.Zone) == topology.OtherRegion {
-		left.reason, left.outside = crossing.NoStage, left.inside
-		left.inside = crossing.Offer{Outcome: crossing.Nowhere}
+// logCrossRegion logs a choice if its replica is in another region. The caller must hold d.mutex.
+func (d *Directory) logCrossRegion(decision crossRegionChoice, now time.Duration) {
+	replica := decision.lease.Replica
+	if decision.reason == crossing.Stays && d.places.Between(decision.from, replica.Zone) == topology.OtherRegion {
+		decision.reason, decision.outside = crossing.NoStage, decision.inside
+		decision.inside = crossing.Offer{Outcome: crossing.Nowhere}
 	}
-	if left.reason == crossing.Stays || !d.departures.allows(now) {
+	if decision.reason == crossing.Stays || !d.crossRegionLog.allows(now) {
 		return
 	}
-	d.logger.Info(event.RegionLeft, "service", left.service, "stage", replica.Stage, "replica", replica.ID,
-		"from", d.places.RegionOf(left.from), "to", d.places.RegionOf(replica.Zone), "reason", string(left.reason),
-		"replicas_inside", left.places, "inside", left.inside.Outcome.String(), "inside_ms", left.inside.Takes.Milliseconds(),
-		"outside", left.outside.Outcome.String(), "outside_ms", left.outside.Takes.Milliseconds(), "omitted", d.departures.omitted)
-	d.departures.omitted = 0
+	d.logger.Info(event.RegionLeft, "service", decision.service, "stage", replica.Stage, "replica", replica.ID,
+		"from", d.places.RegionOf(decision.from), "to", d.places.RegionOf(replica.Zone), "reason", string(decision.reason),
+		"replicas_inside", decision.localReplicas, "inside", decision.inside.Outcome.String(), "inside_ms", decision.inside.Takes.Milliseconds(),
+		"outside", decision.outside.Outcome.String(), "outside_ms", decision.outside.Takes.Milliseconds(), "omitted", d.crossRegionLog.omitted)
+	d.crossRegionLog.omitted = 0
 }
--- a/internal/relay/comeback.go
+++ b/internal/relay/comeback.go
@@ -6,31 +6,32 @@
 	"github.com/pierhaven/pierhaven/internal/region"
 )
 
-// callBack is when the next caller that is refused for a service should come back: a pace after the one
-// before, not before earliest nor after latest. It is called with the mutex held.
+// callBack schedules the retry of the next caller that is refused for a service: one interval (pace) after
+// the previous caller, and between earliest and latest. The caller must hold d.mutex.
 func (d *Directory) callBack(service string, earliest, pace, latest time.Duration) time.Duration {
-	at := d.returnAt[service] + pace
+	at := d.retryAt[service] + pace
 	if at < earliest {
-		// Processes that refuse their first callers together call them back apart.
+		// Add jitter, so that processes that refuse their first callers together do not have them retry
+		// together.
 		at = earliest + time.Duration(d.draw()*float64(pace))
 	}
 	at = min(at, latest)
-	d.returnAt[service] = at
+	d.retryAt[service] = at
 	return at
 }
 
-// leastLatency stands for the time that a request takes where none is known.
-const leastLatency = 50 * time.Millisecond
+// minimumLatency bounds the typical latency from below, and stands for it where none is known.
+const minimumLatency = 50 * time.Millisecond
 
-// restsReturn is in how long a caller should come back whose request of a rank no replica of a service takes
-// since all rest, or are as full as they may get; zero if one does not. Those who were refused here come back
-// one after the other, at this process's part of the pace at which the replicas serve when they are full.
+// restsReturn returns the time after which a caller should retry, if every replica of a service is in
+// backoff or at its learned limit for requests of a rank; 0 if one is not. Refused callers retry one after
+// the other, at this process's share of the rate at which the replicas serve requests when full.
 func (d *Directory) restsReturn(service string, rank int) time.Duration {
 	asking := d.askingNow()
 	if asking == 0 {
 		return 0
 	}
-	latency := max(d.typicalLatency(service), leastLatency.Seconds())
+	latency := max(d.typicalLatency(service), minimumLatency.Seconds())
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := d.clock()
@@ -51,7 +52,7 @@
 		}
 		slots += max(replica.Slots, 1)
 	}
-	if slots == 0 || len(d.withRoom(awake, rank, now)) > 0 {
+	if slots == 0 || len(d.belowLearnedLimit(awake, rank, now)) > 0 {
 		return 0
 	}
 	pace := time.Duration(latency / float64(slots) * float64(d.choosers()) * float64(time.Second))
--- a/internal/relay/costs.go
+++ b/internal/relay/costs.go
@@ -10,40 +10,40 @@
 )
 
 const (
-	// moveCaution is the factor by which a fetch may take longer than the link
-	// allows, because of other moves.
-	moveCaution = 2
-	// guessedMoveShare of the time that reading would take is what a fetch is taken
-	// for if the configuration does not tell the links' speed.
-	guessedMoveShare = 0.1
-	// directSlowness is the factor by which a generating replica reads more slowly.
-	directSlowness = 2
+	// transferMargin is how many times longer a KV cache transfer may take than the link's bandwidth
+	// allows, because other transfers share the link.
+	transferMargin = 2
+	// defaultTransferShare is the estimated transfer time, as a share of the prefill time that it saves, if
+	// the configuration does not state the links' bandwidth.
+	defaultTransferShare = 0.1
+	// decodePrefillSlowdown is how many times longer a prefill takes on a decode replica than on a prefill
+	// replica.
+	decodePrefillSlowdown = 2
 )
 
-// model returns what has been learned of a service's engines. It is called with the
-// mutex held.
-func (d *Directory) model(service string) *costmodel.Model {
-	model, found := d.models[service]
+// costModel returns the learned cost model of a service's engines. The caller must hold d.mutex.
+func (d *Directory) costModel(service string) *costmodel.Model {
+	model, found := d.costModels[service]
 	if !found {
 		model = &costmodel.Model{}
-		d.models[service] = model
+		d.costModels[service] = model
 	}
 	return model
 }
 
-// busyTime is for how long a replica reads tokens of a prompt. It is called with the
-// mutex held.
-func (d *Directory) busyTime(replica *Replica, request ReadRequest, missing int) time.Duration {
+// prefillTime returns how long a replica takes to prefill the missing tokens of a prompt. The caller must
+// hold d.mutex.
+func (d *Directory) prefillTime(replica *Replica, request ReadRequest, missing int) time.Duration {
 	work := costmodel.Work{Tokens: request.Prompt.Tokens, Missing: min(missing, request.Prompt.Tokens)}
-	return d.model(replica.Service).ReadTime(work) * slowness(replica)
+	return d.costModel(replica.Service).ReadTime(work) * slowness(replica)
 }
 
-// Costs tells what has been learned here of the engines of all services.
+// Costs returns the engine costs that this process has measured, for all services.
 func (d *Directory) Costs() []region.EngineCost {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	var costs []region.EngineCost
-	for service, model := range d.models {
+	for service, model := range d.costModels {
 		weights, samples := model.Own()
 		if samples == 0 {
 			continue
@@ -55,7 +55,7 @@
 	return costs
 }
 
-// TakeCosts notes what a peer has learned of engines.
+// TakeCosts merges engine costs that a peer has measured.
 func (d *Directory) TakeCosts(costs []region.EngineCost) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -67,49 +67,48 @@
 			continue
 		}
 		weights := costmodel.Weights{Fixed: each.Fixed, Token: each.Token, Pair: each.Pair}
-		d.model(each.Service).Hear(weights, each.Samples)
+		d.costModel(each.Service).Hear(weights, each.Samples)
 	}
 }
 
-// slowness is the factor by which a replica reads more slowly than one that only reads.
+// slowness returns how many times longer a prefill takes on a replica than on a prefill replica.
 func slowness(replica *Replica) time.Duration {
 	if replica.Stage == region.StageDecode {
-		return directSlowness
+		return decodePrefillSlowdown
 	}
 	return 1
 }
 
-// moveTime is for how long a prefix is under way between replicas, read being the time
-// that reading it would take. It is called with the mutex held.
-func (d *Directory) moveTime(from, to *Replica, tokens int, read time.Duration) time.Duration {
+// transferTime returns how long the KV cache of a prefix takes from one replica to another; read is the
+// prefill time that the transfer saves. The caller must hold d.mutex.
+func (d *Directory) transferTime(from, to *Replica, tokens int, read time.Duration) time.Duration {
 	engine := d.engines[to.Service]
 	if engine.LinkBitsPerSecond <= 0 || engine.TokenBytes <= 0 {
-		guessed := guessedMoveShare * float64(read)
+		guessed := defaultTransferShare * float64(read)
 		if d.places.Between(from.Zone, to.Zone) == topology.OtherRegion {
-			guessed *= regionMove / zoneMove
+			guessed *= crossRegionTransferFactor / crossZoneTransferFactor
 		}
 		return time.Duration(guessed)
 	}
-	seconds := moveCaution * float64(tokens) * float64(engine.TokenBytes) * bitsPerByte / engine.LinkBitsPerSecond
-	seconds *= d.moveFactor(from.Zone, to.Zone)
+	seconds := transferMargin * float64(tokens) * float64(engine.TokenBytes) * bitsPerByte / engine.LinkBitsPerSecond
+	seconds *= d.transferFactor(from.Zone, to.Zone)
 	return time.Duration(seconds * float64(time.Second))
 }
 
 const bitsPerByte = 8
 
-// excess is by how much longer than expected a prompt takes at a stage's replicas. It is
-// called with the mutex held.
-func (d *Directory) excess(service, stage string) time.Duration {
+// typicalOverrun returns by how much longer than estimated a prompt typically takes at a stage's replicas.
+// The caller must hold d.mutex.
+func (d *Directory) typicalOverrun(service, stage string) time.Duration {
 	if d.off[mechanism.Excess] {
 		return 0
 	}
-	return max(d.excesses[service+"/"+stage].typical(), 0)
+	return max(d.overruns[service+"/"+stage].typical(), 0)
 }
 
-// pace returns how fast a service's replicas read prompts, in tokens a second; 0 while
-// it is not known.
+// pace returns the prefill rate of a service's replicas in tokens per second, 0 if it is unknown.
 func (d *Directory) pace(service string) float64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.model(service).TokensPerSecond()
+	return d.costModel(service).TokensPerSecond()
 }
--- a/internal/relay/directory.go
+++ b/internal/relay/directory.go
@@ -17,112 +17,116 @@
 	"github.com/pierhaven/pierhaven/internal/traffic"
 )
 
-// Directory holds the replicas of all services, as the list names them, with
-// what this gateway has seen of each. It may be used concurrently.
+// Directory holds the listed replicas of all services, with what this gateway has observed of each. It is
+// safe for concurrent use.
 type Directory struct {
 	mutex sync.Mutex
 	clock func() time.Duration
 	zone  string
-	// places are the regions of the zones, and ways what it takes to get from one to another.
-	places     topology.Map
-	ways       wayTimes
-	departures departureLog
-	// listedAt is when the first list came.
-	listedAt time.Duration
-	// replicas are by Life.Name: a replica that starts again is another one, of which nothing is
-	// known, and what others tell of the one before is not counted for it.
+	// places maps zones to regions, and pathDelays holds the delays between regions.
+	places         topology.Map
+	pathDelays     pathDelays
+	crossRegionLog crossRegionLog
+	// firstListAt is when the first list was received.
+	firstListAt time.Duration
+	// replicas are by Life.Name: a replica that restarts is a new entry without history, and reports about
+	// its previous incarnation do not apply to it.
 	replicas map[string]*Replica
 	services map[string][]*Replica
-	// models are what has been learned of the services' engines, and engines what the
-	// configuration says of them.
-	models  map[string]*costmodel.Model
-	engines map[string]traffic.Engine
-	// handovers are the times from a prompt's having been read to its first event.
-	handovers timeMeters
-	// excesses are by how much longer than expected prompts have taken, by service and
-	// stage: what other gateways have placed there, and have not told of.
-	excesses timeMeters
+	// costModels are the learned costs of each service's engines, and engines their configuration.
+	costModels map[string]*costmodel.Model
+	engines    map[string]traffic.Engine
+	// handoverTimes are the times from the end of a prefill to the first event of the answer.
+	handoverTimes timeMeters
+	// overruns are by how much longer than estimated prefills have taken, by service and stage. They
+	// account for work that other gateways have placed there and not yet reported.
+	overruns timeMeters
 	reads    map[string]*readMeter
 	ranked   map[string]*rankedMeter
 	streams  map[string]streamMeters
 	placed   placements
-	// regionWords are when other regions last told of their work.
-	regionWords map[string]time.Duration
-	// grants numbers the coordinator's lives, and the coordinators, whose grants count.
+	// regionReportedAt is when each other region last reported its work.
+	regionReportedAt map[string]time.Duration
+	// grants is the generation of the coordinator's leases: it grows when the coordinator changes or
+	// forgets its leases, and only grants of the current generation count.
 	grants    uint64
 	onDropped func(address, life string)
-	// connected reports whether this process has a connection to a life; nil if it is not known.
+	// connected reports whether this process has a connection to an incarnation; nil if that is unknown.
 	connected func(address, life string) bool
-	// limited counts the replicas that name a limit, so that calls pay nothing while none does.
+	// limited counts the replicas that declare a rate limit, so that calls skip the check while there are
+	// none.
 	limited atomic.Int64
 	limits  *ratelimit.Table
 	onLimit func(word ratelimit.Word)
-	// gate keeps what replicas ask of this process; nil if they can ask for nothing.
+	// gate tracks what replicas ask of this process (backoff, leaving); nil if they can't ask for anything.
 	gate *backpressure.Gate
-	// onLeaving is told of each replica that says to this process that it leaves.
+	// onLeaving is called for each replica that announces to this process that it is leaving.
 	onLeaving func(life string)
-	// restRevision grows with each rest that is asked of this process, or of one that it places for.
+	// restRevision grows with each backoff that is requested of this process, or of one that it places for.
 	restRevision uint64
-	// returnAt is by service when the caller that was refused last, for limits or rests, should come back.
-	returnAt map[string]time.Duration
-	// rooms are what was found of the room at replicas, by service and stage.
-	rooms map[string]*room
-	// choosers is the number of processes that choose replicas, this one among them.
+	// retryAt is, by service, when the caller that was last refused because of rate limits or backoffs
+	// should retry.
+	retryAt map[string]time.Duration
+	// learnedLimits are the concurrency limits learned from refusals, by service and stage.
+	learnedLimits map[string]*room
+	// choosers returns the number of processes that choose replicas, including this one.
 	choosers func() int
-	// off are the mechanisms that are switched off.
+	// off are the disabled mechanisms.
 	off mechanism.Set
-	// draw returns a number from 0 up to 1. It decides between replicas that are rated alike.
+	// draw returns a random number in [0, 1). It breaks ties between replicas with about the same score.
 	draw   func() float64
 	logger logr.Logger
 }
 
-// SwitchOff switches mechanisms off. It is called before any use.
+// SwitchOff disables mechanisms. It must be called before any other use.
 func (d *Directory) SwitchOff(off mechanism.Set) { d.off = off }
 
-// KnowConnections has replicas preferred that this process is connected to. It is called before any use.
+// KnowConnections makes the directory prefer replicas to which this process has a connection. It must be
+// called before any other use.
 func (d *Directory) KnowConnections(connected func(address, life string) bool) {
 	d.connected = connected
 }
 
-// CountChoosers has the processes counted that choose replicas, this one among them. It is called before
-// any use.
+// CountChoosers sets the function that counts the processes that choose replicas, including this one. It
+// must be called before any other use.
 func (d *Directory) CountChoosers(choosers func() int) {
 	d.choosers = func() int { return max(choosers(), 1) }
 }
 
-// DrawFrom replaces the process's own randomness, so that a run in virtual time repeats: with
-// it one seed served 0.825 to 0.862 of the same load. It is called before any use.
+// DrawFrom replaces the process's random source, so that runs in virtual time are reproducible: with the
+// process's own, one seed served between 0.825 and 0.862 of the same load. It must be called before any
+// other use.
 func (d *Directory) DrawFrom(draw func() float64) { d.draw = draw }
 
-// NewDirectory returns an empty directory. onDropped is told of each life, by its name,
-// that is gone from the list.
+// NewDirectory returns an empty directory. onDropped is called with the address and the name of each
+// incarnation that is removed from the list.
 func NewDirectory(clock func() time.Duration, zone string, onDropped func(address, life string), logger logr.Logger) *Directory {
 	return &Directory{
-		clock:     clock,
-		zone:      zone,
-		replicas:  map[string]*Replica{},
-		services:  map[string][]*Replica{},
-		models:    map[string]*costmodel.Model{},
-		engines:   map[string]traffic.Engine{},
-		handovers: timeMeters{},
-		excesses:  timeMeters{},
-		reads:     map[string]*readMeter{},
-		ranked:    map[string]*rankedMeter{},
-		streams:   map[string]streamMeters{},
-		ways:      wayTimes{},
-		limits:    ratelimit.NewTable(),
-		returnAt:  map[string]time.Duration{},
-		onDropped: onDropped,
-		onLeaving: func(string) {},
-		choosers:  func() int { return 1 },
-		rooms:     map[string]*room{},
-		draw:      rand.Float64,
-		logger:    logger,
+		clock:         clock,
+		zone:          zone,
+		replicas:      map[string]*Replica{},
+		services:      map[string][]*Replica{},
+		costModels:    map[string]*costmodel.Model{},
+		engines:       map[string]traffic.Engine{},
+		handoverTimes: timeMeters{},
+		overruns:      timeMeters{},
+		reads:         map[string]*readMeter{},
+		ranked:        map[string]*rankedMeter{},
+		streams:       map[string]streamMeters{},
+		pathDelays:    pathDelays{},
+		limits:        ratelimit.NewTable(),
+		retryAt:       map[string]time.Duration{},
+		onDropped:     onDropped,
+		onLeaving:     func(string) {},
+		choosers:      func() int { return 1 },
+		learnedLimits: map[string]*room{},
+		draw:          rand.Float64,
+		logger:        logger,
 	}
 }
 
-// Replace takes a new list over, and fills in the lives that it does not tell. A replica that was
-// once seen draining stays so: a list that comes later by another way may be older.
+// Replace installs a new list, and fills in the incarnations that it does not state. A replica that was
+// once listed as draining stays so, because a list that arrives later by another path may be older.
 func (d *Directory) Replace(list []region.Replica) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -133,8 +137,8 @@
 		name := listed.Life().Name()
 		known, found := d.replicas[name]
 		if !found || known.Address != listed.Address {
-			// One that comes later has just begun, and keeps nothing.
-			known = &Replica{name: name, prefixes: newPrefixMemory(), keptKnown: len(d.replicas) > 0}
+			// Except in the first list, a new replica has just started and has nothing cached.
+			known = &Replica{name: name, prefixes: newPrefixCache(), cacheKnown: len(d.replicas) > 0}
 			known.asks = d.asksOf(backpressure.Peer{Address: listed.Address, Instance: name})
 		}
 		draining, leaving := known.Draining || listed.Draining, known.Leaving
@@ -143,7 +147,7 @@
 		if listed.Leaving {
 			d.noteLeaving(known)
 		}
-		known.room = d.roomOf(listed.Service, listed.Stage)
+		known.room = d.learnedLimitOf(listed.Service, listed.Stage)
 		known.Draining = draining
 		if known.leaves() {
 			known.tellStreams()
@@ -162,13 +166,13 @@
 		}
 	}
 	if len(d.replicas) == 0 {
-		d.listedAt = d.clock()
+		d.firstListAt = d.clock()
 	}
 	d.replicas = replicas
 	d.services = services
 }
 
-// keepLives fills in the lives that a list does not tell. It is called with the mutex held.
+// keepLives fills in the incarnations that a list does not state. The caller must hold d.mutex.
 func (d *Directory) keepLives(list []region.Replica) {
 	lives := make(map[string]region.Life, len(d.replicas))
 	for _, replica := range d.replicas {
@@ -187,8 +191,7 @@
 	return len(d.replicas)
 }
 
-// Misdirected notes that another incarnation answers at a replica's address: the
-// one that is listed has ended.
+// Misdirected records that another incarnation answers at a replica's address: the listed one has ended.
 func (d *Directory) Misdirected(replica *Replica) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -196,21 +199,21 @@
 	d.onDropped(replica.Address, replica.name)
 }
 
-// Ended notes that the process of a life has ended: it keeps nothing any more. A process that starts
-// in its place is sent requests under the life's name until the list shows it.
+// Ended records that the process of an incarnation has ended, and with it its cache. Until the list shows
+// the replacement, requests are sent to it under the old incarnation's name.
 func (d *Directory) Ended(life string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if replica, known := d.replicas[life]; known {
-		replica.prefixes = newPrefixMemory()
+		replica.prefixes = newPrefixCache()
 		replica.load, replica.loadAt = Load{}, 0
-		// What the process named has ended with it.
+		// The limit that the process declared ended with it.
 		d.takeLimit(ratelimit.Word{Replica: life}, d.clock())
 		d.forgetAsked(replica)
 	}
 }
 
-// SetEngine takes over what the configuration says of a service's engines.
+// SetEngine sets the configuration of a service's engines.
 func (d *Directory) SetEngine(service string, engine traffic.Engine) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/relay/directory_test.go
+++ b/internal/relay/directory_test.go
@@ -15,7 +15,7 @@
 	"github.com/pierhaven/pierhaven/internal/traffic"
 )
 
-// directory is a directory on a clock that tests move.
+// directory is a Directory with a clock that tests advance.
 type directory struct {
 	*relay.Directory
 	now     time.Duration
@@ -40,7 +40,7 @@
 	return relay.ReadRequest{Prompt: prompt, Objective: time.Second, AimLeft: time.Second, Left: 10 * time.Second}
 }
 
-// read leases the replica that is to read a prompt. There must be one that generates.
+// read leases the replica that is to prefill a prompt. A decode replica must exist.
 func (d *directory) read(prompt *relay.Prompt) *relay.Lease {
 	lease, err := d.PlaceReading("s", readRequest(prompt))
 	if err != nil {
@@ -49,8 +49,8 @@
 	return lease
 }
 
-// teach has a replica read prompts at a pace, so that the engines' times are known.
-func (d *directory) teach(tokensPerSecond int) {
+// learnPrefillRate completes prefills at a rate, so that the engines' costs are known.
+func (d *directory) learnPrefillRate(tokensPerSecond int) {
 	for index, tokens := range []int{1000, 4000, 16_000, 2000, 8000} {
 		lease := d.read(prompt(relay.PromptPart{ID: fmt.Sprintf("taught-%d", index), Tokens: tokens}))
 		d.now += time.Duration(tokens) * time.Second / time.Duration(tokensPerSecond)
@@ -67,7 +67,7 @@
 	return whole
 }
 
-func TestADrainingReplicaStaysSoUnderAnOlderList(t *testing.T) {
+func TestDrainingSurvivesAnOlderList(t *testing.T) {
 	d := newDirectory(replica("a", ""))
 	draining := replica("a", "")
 	draining.Draining = true
@@ -77,7 +77,7 @@
 	assert.Nil(t, d.PickAny("s", relay.Wanted{}))
 }
 
-func TestAReplicaThatIsGoneIsDroppedAndItsAddressMayComeAgain(t *testing.T) {
+func TestRemovedReplicaIsDroppedAndItsAddressCanBeReused(t *testing.T) {
 	d := newDirectory(replica("a", ""))
 	reused := replica("b", "")
 	reused.Address = "a:1"
@@ -86,7 +86,7 @@
 	assert.Equal(t, "b", d.PickAny("s", relay.Wanted{}).Replica.ID)
 }
 
-func TestPeersWorkDecidesAmongEqualReplicas(t *testing.T) {
+func TestPeerWorkBreaksTiesBetweenReplicas(t *testing.T) {
 	d := newDirectory(replica("g", region.StageDecode), replica("a", region.StagePrefill), replica("b", region.StagePrefill))
 	d.TakeOutstanding("peer", []region.OutstandingWork{{Replica: "a", Requests: 1, InTimeMicros: 400_000}}, true)
 	for range 10 {
@@ -104,18 +104,18 @@
 	assert.True(t, picked["a"] || picked["b"])
 }
 
-func TestAPeersChangesAddToWhatItToldBefore(t *testing.T) {
+func TestPeerUpdatesAreMergedIntoItsLastReport(t *testing.T) {
 	d := newDirectory(replica("a", ""), replica("b", ""), replica("c", ""))
 	d.TakeOutstanding("peer", []region.OutstandingWork{{Replica: "a", Requests: 5}, {Replica: "b", Requests: 5}}, true)
 	d.TakeOutstanding("peer", []region.OutstandingWork{{Replica: "b"}, {Replica: "c", Requests: 5}}, false)
 	lease := d.PickAny("s", relay.Wanted{})
-	assert.Equal(t, "b", lease.Replica.ID, "its work has ended, that at a still counts")
+	assert.Equal(t, "b", lease.Replica.ID, "the work at b has ended, that at a still counts")
 	lease.Release()
 	d.TakeOutstanding("peer", []region.OutstandingWork{{Replica: "b", Requests: 5}, {Replica: "c", Requests: 5}}, true)
-	assert.Equal(t, "a", d.PickAny("s", relay.Wanted{}).Replica.ID, "a whole message forgets what it does not name")
+	assert.Equal(t, "a", d.PickAny("s", relay.Wanted{}).Replica.ID, "a complete report replaces the earlier ones")
 }
 
-func TestAChoiceTellsWhatItWasMadeOn(t *testing.T) {
+func TestChoiceRecordsItsInputs(t *testing.T) {
 	d := newDirectory(replica("a", ""), replica("b", ""), replica("c", ""))
 	d.TakeOutstanding("peer", []region.OutstandingWork{
 		{Replica: "a", Requests: 2}, {Replica: "b", Requests: 9}, {Replica: "c", Requests: 9},
@@ -134,7 +134,7 @@
 	assert.Equal(t, 100*time.Millisecond, again.Choice.LoadAge)
 }
 
-func TestAPromptGoesWhereItsPrefixIsKept(t *testing.T) {
+func TestPromptGoesToReplicaWithCachedPrefix(t *testing.T) {
 	d := newDirectory(replica("g", region.StageDecode), replica("a", region.StagePrefill), replica("b", region.StagePrefill), replica("c", region.StagePrefill))
 	shared := relay.PromptPart{ID: "shared", Tokens: 10_000}
 	first := d.read(prompt(shared, relay.PromptPart{ID: "1", Tokens: 500}))
@@ -147,7 +147,7 @@
 	}
 }
 
-func TestABusyReplicasPrefixIsFetchedByAnother(t *testing.T) {
+func TestPrefixOfBusyReplicaIsFetched(t *testing.T) {
 	d := newDirectory(replica("g", region.StageDecode), replica("a", region.StagePrefill), replica("b", region.StagePrefill))
 	shared := relay.PromptPart{ID: "shared", Tokens: 10_000}
 	d.LearnKept(region.Life{ID: "a"}, []relay.PromptPart{shared})
@@ -158,7 +158,7 @@
 	assert.Equal(t, "a:1", lease.FetchFrom())
 }
 
-func TestAPrefixThatIsStillReadIsFetchedOnceItIsThere(t *testing.T) {
+func TestPrefixIsFetchedOnceItsPrefillIsDone(t *testing.T) {
 	shared := relay.PromptPart{ID: "shared", Tokens: 10_000}
 	d := newDirectory(replica("g", region.StageDecode), replica("a", region.StagePrefill), replica("b", region.StagePrefill))
 	d.TakePlaced([]region.PlacedPrompt{{
@@ -170,26 +170,26 @@
 	require.Equal(t, "b", early.Replica.ID)
 	early.Release()
 
-	told := newDirectory(replica("g", region.StageDecode), replica("a", region.StagePrefill), replica("b", region.StagePrefill))
+	receiver := newDirectory(replica("g", region.StageDecode), replica("a", region.StagePrefill), replica("b", region.StagePrefill))
 	placer := newDirectory(replica("g", region.StageDecode), replica("a", region.StagePrefill))
-	placer.teach(40_000)
-	taught := placer.Placed(0)
+	placer.learnPrefillRate(40_000)
+	learned := placer.Placed(0)
 	lease := placer.read(prompt(shared, relay.PromptPart{ID: "2", Tokens: 20_000}))
 	require.Equal(t, "a", lease.Replica.ID)
-	require.Empty(t, taught, "prompts that share nothing are not told")
+	require.Empty(t, learned, "prompts without a shared prefix are not reported")
 	placed := placer.Placed(0)
 	require.Len(t, placed, 1)
 	assert.Greater(t, placed[0].ReadyMillis, 500, "30,000 tokens take longer")
 	placer.now += time.Minute
-	assert.Zero(t, placer.Placed(0)[0].ReadyMillis, "it has been read since")
-	told.TakePlaced(placer.Placed(0))
-	told.TakeOutstanding("peer", []region.OutstandingWork{{Replica: "a", Requests: 3, InTimeMicros: 1_800_000}}, true)
-	next := told.read(whole)
+	assert.Zero(t, placer.Placed(0)[0].ReadyMillis, "its prefill is complete by now")
+	receiver.TakePlaced(placer.Placed(0))
+	receiver.TakeOutstanding("peer", []region.OutstandingWork{{Replica: "a", Requests: 3, InTimeMicros: 1_800_000}}, true)
+	next := receiver.read(whole)
 	require.Equal(t, "b", next.Replica.ID)
 	assert.Equal(t, "a:1", next.FetchFrom())
 }
 
-func TestAPrefixOfUnknownPlaceIsFetchedFromItsHome(t *testing.T) {
+func TestUnlocatedPrefixIsFetchedFromPreferredReplica(t *testing.T) {
 	shared := relay.PromptPart{ID: "shared", Tokens: 10_000}
 	idle := newDirectory(replica("g", region.StageDecode), replica("a", region.StagePrefill), replica("b", region.StagePrefill))
 	home := idle.read(prompt(shared, relay.PromptPart{ID: "1", Tokens: 500})).Replica
@@ -200,7 +200,7 @@
 	assert.Equal(t, home.Address, lease.FetchFrom())
 }
 
-func TestWhatDoesNotFitIsForgotten(t *testing.T) {
+func TestPrefixBeyondCacheCapacityIsEvicted(t *testing.T) {
 	d := newDirectory(replica("g", region.StageDecode), replica("a", region.StagePrefill), replica("b", region.StagePrefill))
 	d.SetEngine("s", traffic.Engine{CacheTokens: 15_000})
 	d.LearnKept(region.Life{ID: "a"}, []relay.PromptPart{{ID: "old", Tokens: 10_000}})
@@ -209,10 +209,10 @@
 	lease.Release()
 	old := prompt(relay.PromptPart{ID: "old", Tokens: 10_000}, relay.PromptPart{ID: "own", Tokens: 10})
 	picked := d.read(old)
-	assert.Empty(t, picked.FetchFrom(), "no replica keeps it any more")
+	assert.Empty(t, picked.FetchFrom(), "no replica has it cached any more")
 }
 
-func TestAReplicaThatAPeerCanNotReachIsAvoidedForAWhile(t *testing.T) {
+func TestReplicaUnreachableByPeerIsAvoided(t *testing.T) {
 	d := newDirectory(replica("a", ""), replica("b", ""))
 	d.TakeUnreachable([]string{"a", "unknown"})
 	for range 20 {
@@ -222,10 +222,10 @@
 	}
 	only := newDirectory(replica("a", ""))
 	only.TakeUnreachable([]string{"a"})
-	assert.NotNil(t, only.PickAny("s", relay.Wanted{}), "it is still better than none")
+	assert.NotNil(t, only.PickAny("s", relay.Wanted{}), "an avoided replica is better than none")
 }
 
-func TestDemandCountsStreamsThatHaveBegunAndPromptsToBeRead(t *testing.T) {
+func TestDemandCountsRunningStreamsAndPendingPrefills(t *testing.T) {
 	d := newDirectory(replica("g", region.StageDecode), replica("r", region.StagePrefill), replica("g", region.StageDecode), replica("x", ""))
 	lease := d.PickGenerator("s", relay.Wanted{}, "z")
 	demand := d.Demand(topology.Map{})
@@ -240,7 +240,7 @@
 	assert.Positive(t, d.Demand(topology.Map{})[0].Reading)
 }
 
-func TestDemandIsToldByTheRegionWhereTheWorkIs(t *testing.T) {
+func TestDemandIsReportedPerRegion(t *testing.T) {
 	far := replica("far", region.StageDecode)
 	far.Zone = "far-zone"
 	places := topology.Map{Regions: map[string]string{"z": "own", "far-zone": "other"}}
@@ -249,21 +249,21 @@
 		d.PickGenerator("s", relay.Wanted{}, "z").StreamBegun("route", false)
 	}
 	d.read(prompt(relay.PromptPart{ID: "p", Tokens: 60_000}))
-	told := d.Demand(places)
-	require.Len(t, told, 2)
-	assert.Equal(t, "own", told[0].Region)
-	assert.Equal(t, 1, told[0].Gateways)
-	assert.Positive(t, told[0].Reading)
-	assert.Equal(t, "other", told[1].Region)
-	assert.Zero(t, told[1].Gateways)
-	assert.EqualValues(t, 6, told[0].Generating+told[1].Generating)
-	assert.Positive(t, told[1].Generating)
-	assert.Len(t, d.Demand(topology.Map{}), 1, "without regions all is one")
+	demand := d.Demand(places)
+	require.Len(t, demand, 2)
+	assert.Equal(t, "own", demand[0].Region)
+	assert.Equal(t, 1, demand[0].Gateways)
+	assert.Positive(t, demand[0].Reading)
+	assert.Equal(t, "other", demand[1].Region)
+	assert.Zero(t, demand[1].Gateways)
+	assert.EqualValues(t, 6, demand[0].Generating+demand[1].Generating)
+	assert.Positive(t, demand[1].Generating)
+	assert.Len(t, d.Demand(topology.Map{}), 1, "without a region map all zones are one region")
 }
 
-// Symptom: replicas of a region that is cut off look idle, and all others send there when they
-// are short. Sequence: the region's word lapses. Cause: no word was taken for no work.
-func TestARegionWithoutWordIsKnownToBeSilent(t *testing.T) {
+// Guards against missing reports counting as no work: when a region is cut off and its reports expire, its
+// replicas would look idle, and all other regions would send there when they lack capacity.
+func TestRegionReportExpires(t *testing.T) {
 	d := newDirectory(replica("a", region.StageDecode))
 	assert.Negative(t, d.RegionWordAge("other"))
 	d.now = time.Minute
@@ -274,5 +274,5 @@
 	d.now += 100 * time.Millisecond
 	assert.Negative(t, d.RegionWordAge("other"))
 	d.TakeSums("other", "peer", nil, true, 4*time.Second)
-	assert.Negative(t, d.RegionWordAge("other"), "word that comes late is of no use")
+	assert.Negative(t, d.RegionWordAge("other"), "a report that arrives too late is ignored")
 }
--- a/internal/relay/fetch.go
+++ b/internal/relay/fetch.go
@@ -6,28 +6,27 @@
 	"github.com/pierhaven/pierhaven/internal/topology"
 )
 
-// offers reports whether others may fetch from the replica: one whose answers were
-// lost may, one that takes no connection may not.
-func (r *Replica) offers(now time.Duration) bool {
+// canServeFetches reports whether other replicas may fetch prefixes from this one: they may if its answers
+// were lost, but not if it accepts no connections.
+func (r *Replica) canServeFetches(now time.Duration) bool {
 	return !r.gone && !(r.unconnected && now < r.avoidUntil)
 }
 
-// unknownSource returns the replica of the target's region that keeps a prompt's shared
-// beginning if the gateway that first had it read there chose its home, as all do that find it
-// idle: this
-// gateway may not have heard of it. A fetch that finds nothing costs next to
-// nothing. It is called with the mutex held.
-func (d *Directory) unknownSource(target *Replica, prompt *Prompt, now time.Duration) *Replica {
-	for _, home := range d.homesOf(target.Service, target.Stage, prompt, now) {
-		if home != target && home.offers(now) && d.places.Between(home.Zone, target.Zone) != topology.OtherRegion {
-			return home
+// likelyPrefixSource returns a preferred replica of the prompt's shared prefix in the target's region, nil
+// if there is none. All gateways that find that replica idle choose it for the prefill, so it may have the
+// prefix cached although this gateway has not heard of it. A fetch that finds nothing costs next to
+// nothing. The caller must hold d.mutex.
+func (d *Directory) likelyPrefixSource(target *Replica, prompt *Prompt, now time.Duration) *Replica {
+	for _, preferred := range d.preferredReplicas(target.Service, target.Stage, prompt, now) {
+		if preferred != target && preferred.canServeFetches(now) && d.places.Between(preferred.Zone, target.Zone) != topology.OtherRegion {
+			return preferred
 		}
 	}
 	return nil
 }
 
-// FetchFrom returns the address from which the leased replica should fetch the
-// beginning of its prompt, empty if it should read all itself.
+// FetchFrom returns the address from which the leased replica should fetch the prefix of its prompt, empty
+// if it should prefill the whole prompt.
 func (l *Lease) FetchFrom() string {
 	if l.fetchFrom == nil {
 		return ""
--- a/internal/relay/lease.go
+++ b/internal/relay/lease.go
@@ -10,73 +10,73 @@
 	"github.com/pierhaven/pierhaven/internal/traffic"
 )
 
-// Lease is a place that a request takes up at a replica.
+// Lease is the place that a request holds on a replica.
 type Lease struct {
 	Replica *Replica
 	// Choice is what was known when the replica was chosen.
 	Choice    Choice
 	directory *Directory
 	begun     time.Duration
-	// beside are the requests that the replica had beside this one as it was chosen.
+	// beside is the number of other requests that the replica had when it was chosen.
 	beside int
-	// reading is the prompt that the replica has yet to read, nil if there is none.
+	// reading is the prompt that the replica has yet to prefill, nil if there is none.
 	reading *placedReading
-	// fetchFrom is the replica from which this one should fetch the prompt's
-	// beginning, nil if it should read all itself.
+	// fetchFrom is the replica from which this one should fetch the prompt's prefix, nil if it should
+	// prefill the whole prompt.
 	fetchFrom *Replica
 	released  bool
-	// stream is set once the stream has begun; eventAt is when its last event came.
-	stream  *streamMeter
-	eventAt time.Duration
+	// stream is set once the stream has begun; lastEventAt is when its last event arrived.
+	stream      *streamMeter
+	lastEventAt time.Duration
 	// leaving is closed when the replica of a stream leaves.
 	leaving chan struct{}
-	// grant is the coordinator's lease that this one stands for, nil if the gateway has
-	// chosen the replica itself.
+	// grant is the coordinator's lease that this one stands for, nil if the gateway has chosen the replica
+	// itself.
 	grant *grant
-	// permit is what a replica with a limit has been allowed the request by, nil if it names none or
-	// the request was sent; permitEnds is until when it may be kept back.
+	// permit allows the request to be sent to a replica with a rate limit, nil if the replica declares none
+	// or the request was sent; the permit may be held until permitEnds.
 	permit     *Permit
 	permitEnds time.Time
 }
 
-// lease is called with the mutex held.
+// lease creates a lease on a replica. The caller must hold d.mutex.
 func (d *Directory) lease(replica *Replica) *Lease {
 	replica.inFlight++
 	now := d.clock()
-	return &Lease{Replica: replica, directory: d, begun: now, beside: d.requestsBeside(replica, now), leaving: make(chan struct{})}
+	return &Lease{Replica: replica, directory: d, begun: now, beside: d.concurrentRequests(replica, now), leaving: make(chan struct{})}
 }
 
-// placedReading is a prompt that a replica has been given to read.
+// placedReading is a prompt that was assigned to a replica for prefill.
 type placedReading struct {
 	readEstimate
 	urgency Urgency
 	rank    int
 	work    costmodel.Work
-	// alone says that the replica had nothing else to read, as far as is known.
+	// alone says that the replica had no other prompts to prefill, as far as is known.
 	alone bool
-	// certain says that the replica keeps no more of the prompt than is known.
-	certain bool
-	// dueAt is when the prompt is expected to have been read.
-	dueAt time.Duration
-	// zone is that of the gateway which has the request.
+	// cacheKnown says that the replica has no more of the prompt cached than is known.
+	cacheKnown bool
+	// expectedAt is when the prefill is expected to be complete.
+	expectedAt time.Duration
+	// zone is that of the gateway that received the request.
 	zone string
-	// whole is for how long the replica would read the prompt if it kept nothing of it.
+	// whole is how long the prefill would take with nothing cached.
 	whole time.Duration
 }
 
-// readPrompt notes that the replica is to read a prompt, and chooses where its beginning is
-// fetched. It is called with the mutex held.
+// readPrompt records that the replica is to prefill a prompt, and chooses the replica to fetch its prefix
+// from. The caller must hold Directory.mutex.
 func (l *Lease) readPrompt(request ReadRequest, estimated readEstimate, urgency Urgency) {
 	d, replica, prompt := l.directory, l.Replica, request.Prompt
-	l.noteReading(request, estimated, urgency, d.busyTime(replica, request, prompt.Tokens))
+	l.noteReading(request, estimated, urgency, d.prefillTime(replica, request, prompt.Tokens))
 	l.fetchFrom = estimated.from
-	if l.fetchFrom == nil && estimated.missing > prompt.ownTokens() && !d.off[mechanism.Fetching] {
-		l.fetchFrom = d.unknownSource(replica, prompt, l.begun)
+	if l.fetchFrom == nil && estimated.missing > prompt.unsharedTokens() && !d.off[mechanism.Fetching] {
+		l.fetchFrom = d.likelyPrefixSource(replica, prompt, l.begun)
 	}
 }
 
-// noteReading notes that the replica is to read a prompt, which would take it whole if it kept
-// nothing of it. It is called with the mutex held.
+// noteReading records that the replica is to prefill a prompt; whole is how long that would take with
+// nothing cached. The caller must hold Directory.mutex.
 func (l *Lease) noteReading(request ReadRequest, estimated readEstimate, urgency Urgency, whole time.Duration) {
 	d, replica, prompt := l.directory, l.Replica, request.Prompt
 	l.reading = &placedReading{
@@ -85,34 +85,34 @@
 		rank:         request.Rank,
 		work:         costmodel.Work{Tokens: prompt.Tokens, Missing: estimated.missing},
 		alone:        replica.allReading(l.begun).before(Late) == 0,
-		certain:      d.knowsKept(replica) || estimated.missing <= prompt.ownTokens(),
+		cacheKnown:   d.knowsCached(replica) || estimated.missing <= prompt.unsharedTokens(),
 		zone:         request.Zone,
-		dueAt:        l.begun + estimated.reading() + d.model(replica.Service).Overhead(),
+		expectedAt:   l.begun + estimated.reading() + d.costModel(replica.Service).Overhead(),
 		whole:        whole,
 	}
 	d.noteRead(replica.Service, estimated.times(request, whole))
 	replica.reading[urgency] += estimated.busy
 	if urgency == Late {
-		replica.lateReads++
+		replica.latePrefills++
 	} else {
 		replica.ranked[request.Rank] += estimated.busy
 		d.rankedOf(replica.Service).place(request.Rank, estimated.busy)
 	}
 	d.rankedOf(replica.Service).tenants.place(request.Tenant, estimated.busy, l.begun)
-	replica.prefixes.learn(prompt.Parts, d.engines[replica.Service].CacheTokens, l.reading.dueAt)
-	d.placed.add(replica.name, prompt, l.reading.dueAt)
+	replica.prefixes.add(prompt.Parts, d.engines[replica.Service].CacheTokens, l.reading.expectedAt)
+	d.placed.add(replica.name, prompt, l.reading.expectedAt)
 }
 
-// strangeTime is for how long after its first list a process may have missed what replicas keep:
-// by then what is asked for often has been asked for here.
-const strangeTime = 10 * time.Second
+// cacheLearningTime is how long after its first list a process may lack knowledge of what replicas have
+// cached: by then frequently requested prefixes have passed through it.
+const cacheLearningTime = 10 * time.Second
 
-// knowsKept reports whether what a replica keeps is known. It is called with the mutex held.
-func (d *Directory) knowsKept(replica *Replica) bool {
-	return replica.keptKnown || d.clock()-d.listedAt > strangeTime
+// knowsCached reports whether it is known what a replica has cached. The caller must hold d.mutex.
+func (d *Directory) knowsCached(replica *Replica) bool {
+	return replica.cacheKnown || d.clock()-d.firstListAt > cacheLearningTime
 }
 
-// Release gives the place back. It may be called more than once.
+// Release frees the place. It may be called more than once.
 func (l *Lease) Release() {
 	l.returnPermit()
 	l.directory.mutex.Lock()
@@ -125,13 +125,13 @@
 	l.grantEnds()
 	if l.stream != nil {
 		l.stream.end(l.directory.clock())
-		l.streamLeaves()
+		l.removeStream()
 	}
 	l.readDone()
 }
 
-// StreamBegun notes that the replica generates for a request of a route. handedOver says
-// that another replica has read the prompt.
+// StreamBegun records that the replica has begun to generate for a request of a route. handedOver says that
+// another replica has prefilled the prompt.
 func (l *Lease) StreamBegun(route string, handedOver bool) {
 	d := l.directory
 	d.mutex.Lock()
@@ -143,17 +143,17 @@
 	}
 	stream := d.streams[service].of(route)
 	stream.begin(now)
-	l.streamComes(stream)
+	l.addStream(stream)
 	l.tell(region.LeaseEvent{Kind: region.LeaseBegun, HandedOver: handedOver})
 	if handedOver {
-		d.handovers.observe(service, now-l.begun)
+		d.handoverTimes.observe(service, now-l.begun)
 	}
 }
 
-// streamComes notes that a stream runs at the replica. It is called with the mutex held.
-func (l *Lease) streamComes(stream *streamMeter) {
+// addStream records that a stream runs on the replica. The caller must hold Directory.mutex.
+func (l *Lease) addStream(stream *streamMeter) {
 	l.stream = stream
-	l.eventAt = l.directory.clock()
+	l.lastEventAt = l.directory.clock()
 	l.Replica.generating++
 	if l.Replica.leaves() {
 		close(l.leaving)
@@ -165,14 +165,14 @@
 	l.Replica.streams[l] = struct{}{}
 }
 
-// streamLeaves notes that the stream runs there no more. It is called with the mutex held.
-func (l *Lease) streamLeaves() {
+// removeStream records that the stream no longer runs on the replica. The caller must hold Directory.mutex.
+func (l *Lease) removeStream() {
 	l.stream = nil
 	l.Replica.generating--
 	delete(l.Replica.streams, l)
 }
 
-// handStreamTo notes that a stream goes on at another replica.
+// handStreamTo moves the stream to another lease, on the replica where it continues.
 func (l *Lease) handStreamTo(target *Lease) {
 	l.directory.mutex.Lock()
 	defer l.directory.mutex.Unlock()
@@ -180,81 +180,82 @@
 		return
 	}
 	stream := l.stream
-	l.streamLeaves()
-	target.streamComes(stream)
+	l.removeStream()
+	target.addStream(stream)
 	target.tell(region.LeaseEvent{Kind: region.LeaseBegun})
 }
 
-// StreamWentOn notes that a further event of the stream has come.
+// StreamWentOn records the arrival of a further event of the stream.
 func (l *Lease) StreamWentOn() {
 	l.directory.mutex.Lock()
 	defer l.directory.mutex.Unlock()
 	now := l.directory.clock()
-	l.paused(now, now-l.eventAt)
-	l.eventAt = now
+	l.observePause(now, now-l.lastEventAt)
+	l.lastEventAt = now
 }
 
-// StreamPaused notes a pause between two events of the stream.
+// StreamPaused records a time between two events of the stream.
 func (l *Lease) StreamPaused(took time.Duration) {
 	l.directory.mutex.Lock()
 	defer l.directory.mutex.Unlock()
-	l.paused(l.directory.clock(), took)
+	l.observePause(l.directory.clock(), took)
 }
 
-// paused is called with the mutex held.
-func (l *Lease) paused(now, took time.Duration) {
+// observePause records a time between two events. The caller must hold Directory.mutex.
+func (l *Lease) observePause(now, took time.Duration) {
 	l.Replica.pause.observe(now, took)
 	l.tellPause(now, took)
 }
 
-// PromptRead notes that the prompt has been read.
+// PromptRead records that the prefill is complete.
 func (l *Lease) PromptRead() {
 	l.directory.mutex.Lock()
 	defer l.directory.mutex.Unlock()
 	l.Replica.progressAt = l.directory.clock()
 	l.tookWell(l.Replica.progressAt)
 	l.tell(region.LeaseEvent{Kind: region.LeaseRead})
-	l.noteExcess()
-	l.noteCost()
+	l.observeOverrun()
+	l.observeCost()
 	if l.reading != nil {
 		d := l.directory
-		d.sizesOf(l.Replica.Service, l.reading.rank).read[sizeClass(l.reading.work.Tokens)]++
+		d.sizesOf(l.Replica.Service, l.reading.rank).prefilled[sizeClass(l.reading.work.Tokens)]++
 	}
 	l.readDone()
 }
 
-// noteExcess learns by how much longer than expected a prompt has taken that waited for
-// no other class: inside its region that of the stage, else that of the way. It is called with the mutex held.
-func (l *Lease) noteExcess() {
+// observeOverrun records by how much longer than estimated a prefill took that did not wait for another
+// class: inside the region for the replica's stage, otherwise for the path to its region. The caller must
+// hold Directory.mutex.
+func (l *Lease) observeOverrun() {
 	if l.reading == nil || l.reading.urgency != InTime {
 		return
 	}
 	d, now := l.directory, l.directory.clock()
-	if on, crosses := d.wayBetween(l.reading.zone, l.Replica.Zone); crosses {
-		d.ways.observe(on, now, now-l.reading.dueAt)
+	if path, crosses := d.regionPathBetween(l.reading.zone, l.Replica.Zone); crosses {
+		d.pathDelays.observe(path, now, now-l.reading.expectedAt)
 		return
 	}
-	d.excesses.observe(l.Replica.Service+"/"+l.Replica.Stage, now-l.reading.dueAt)
+	d.overruns.observe(l.Replica.Service+"/"+l.Replica.Stage, now-l.reading.expectedAt)
 }
 
-// noteCost learns from a prompt that a reader has read with nothing else to do. What may
-// have been fetched tells little, and counts only while nothing is known. Of what a replica
-// may keep from before this process began nothing is learned: after a restart of all, prompts
-// that were kept taught a pace eight times the engines', and prompts were late for six seconds. It
-// is called with the mutex held.
-func (l *Lease) noteCost() {
-	if l.reading == nil || !l.reading.alone || !l.reading.certain || l.Replica.Stage != region.StagePrefill || l.directory.off[mechanism.LearnedCosts] {
+// observeCost updates the cost model from a prefill on a prefill replica that had nothing else to do. A
+// prompt that may have been fetched in part says little, and counts only while nothing is known. Nothing is
+// learned while it is unknown what the replica has cached from before this process started: after a restart
+// of all processes, cached prompts made the engines look eight times as fast as they are, and prompts were
+// late for six seconds. The caller must hold Directory.mutex.
+func (l *Lease) observeCost() {
+	if l.reading == nil || !l.reading.alone || !l.reading.cacheKnown || l.Replica.Stage != region.StagePrefill || l.directory.off[mechanism.LearnedCosts] {
 		return
 	}
-	model := l.directory.model(l.Replica.Service)
+	model := l.directory.costModel(l.Replica.Service)
 	if l.fetchFrom != nil && model.Known() {
 		return
 	}
 	model.Observe(l.reading.work, l.directory.clock()-l.begun)
 }
 
-// PromptKept notes that the replica now keeps a prompt, for peers too if the
-// replica generates: they were told of readers when the prompt was placed.
+// PromptKept records that the replica now has a prompt cached. For a decode replica it is reported to peers
+// too; for prefill replicas that was done when the prompt was placed.
 func (l *Lease) PromptKept(prompt *Prompt) {
 	l.directory.mutex.Lock()
 	defer l.directory.mutex.Unlock()
@@ -262,7 +263,7 @@
 	if l.Replica.Stage == region.StageDecode {
 		l.directory.placed.add(l.Replica.name, prompt, l.directory.clock())
 	}
-	l.Replica.prefixes.learn(prompt.Parts, l.directory.engines[l.Replica.Service].CacheTokens, l.directory.clock())
+	l.Replica.prefixes.add(prompt.Parts, l.directory.engines[l.Replica.Service].CacheTokens, l.directory.clock())
 }
 
 func (l *Lease) readDone() {
@@ -274,15 +275,15 @@
 		l.Replica.granted.reading[l.reading.urgency] -= l.reading.busy
 	}
 	if l.reading.urgency == Late {
-		l.Replica.lateReads--
+		l.Replica.latePrefills--
 	} else {
 		l.Replica.ranked[l.reading.rank] -= l.reading.busy
 	}
 	l.reading = nil
 }
 
-// Unreachable notes that the replica did not answer, after the request was handed
-// over or before.
+// Unreachable records that the replica did not answer. handedOver says that the request had been handed
+// over, i.e. that there was a connection.
 func (l *Lease) Unreachable(handedOver bool) {
 	l.directory.mutex.Lock()
 	defer l.directory.mutex.Unlock()
@@ -293,8 +294,8 @@
 		"failures", l.Replica.failures, "connected", handedOver)
 }
 
-// Refused notes that the replica refused the request, and wants to be left alone for a time by whom it has
-// refused; 0 if it asks for nothing.
+// Refused records that the replica refused the request and asked the sender to back off for a time; 0 if it
+// asked for none.
 func (l *Lease) Refused(rest time.Duration) {
 	l.directory.mutex.Lock()
 	defer l.directory.mutex.Unlock()
@@ -302,7 +303,7 @@
 	l.tell(region.LeaseEvent{Kind: region.LeaseFull, Micros: rest.Microseconds()})
 }
 
-// Misdirected notes that another incarnation answers at the replica's address.
+// Misdirected records that another incarnation answers at the replica's address.
 func (l *Lease) Misdirected() {
 	l.directory.Misdirected(l.Replica)
 	l.directory.mutex.Lock()
@@ -310,7 +311,7 @@
 	l.tell(region.LeaseEvent{Kind: region.LeaseMisdirected})
 }
 
-// Answered notes the replica's answer.
+// Answered records the replica's answer.
 func (l *Lease) Answered(failed bool, load *Load) {
 	l.directory.mutex.Lock()
 	defer l.directory.mutex.Unlock()
@@ -329,7 +330,7 @@
 	}
 }
 
-// missing are the prompt's tokens that the replica is to read.
+// missing returns the tokens of the prompt that the replica has to prefill.
 func (l *Lease) missing() int {
 	if l.reading == nil {
 		return 0
@@ -337,7 +338,7 @@
 	return l.reading.missing
 }
 
-// expectedWait is for how long other prompts are expected to be read before.
+// expectedWait returns how long the prompt is expected to wait for the prefill of others.
 func (l *Lease) expectedWait() time.Duration {
 	if l.reading == nil {
 		return 0
@@ -345,8 +346,8 @@
 	return l.reading.wait
 }
 
-// Rank orders the prompt, or the stream, at its replica: by the route's priority, what is
-// late behind all others.
+// Rank returns the scheduling rank of the prompt, or the stream, at its replica: the route's priority, or
+// the last rank for a late prompt.
 func (l *Lease) Rank(route *traffic.Route) int {
 	if l.reading != nil && l.reading.urgency == Late && !l.directory.off[mechanism.Ranks] {
 		return LastRank
--- a/internal/relay/life_test.go
+++ b/internal/relay/life_test.go
@@ -17,45 +17,44 @@
 	"github.com/pierhaven/pierhaven/internal/traffic"
 )
 
-// bornAt is a replica whose process started at a moment.
-func bornAt(born int64, replica region.Replica) region.Replica {
+// startedAt sets the time at which the replica's process started.
+func startedAt(born int64, replica region.Replica) region.Replica {
 	replica.Born = born
 	return replica
 }
 
-func nameAt(id string, born int64) string { return region.Life{ID: id, Born: born}.Name() }
+func incarnationName(id string, born int64) string { return region.Life{ID: id, Born: born}.Name() }
 
-// TestNothingKnownOfALifeCountsForTheNext has the replica start again under its id. What was
-// kept by id held for the new process too: it passed for busy, avoided and full, and for keeping the
-// prompts that the one before had read.
-func TestNothingKnownOfALifeCountsForTheNext(t *testing.T) {
+// A replica restarts under its id. When state was kept by id, the new process counted as busy, avoided and
+// full, and as having the prompts of its predecessor cached.
+func TestStateOfFormerIncarnationIsNotCarriedOver(t *testing.T) {
 	shared := relay.PromptPart{ID: "shared", Tokens: 8000}
 	prompted := prompt(shared, relay.PromptPart{ID: "own", Tokens: 100})
-	for name, know := range map[string]func(*directory){
-		"kept prefixes":    func(d *directory) { d.LearnKept(region.Life{ID: "a", Born: 5}, []relay.PromptPart{shared}) },
-		"placed by peers":  func(d *directory) { d.TakePlaced(placedAt(nameAt("a", 5), shared)) },
-		"failures":         func(d *directory) { d.PickAny("s", relay.Wanted{}).Unreachable(false) },
-		"refusals":         func(d *directory) { d.PickAny("s", relay.Wanted{}).Refused(0) },
-		"reported load":    func(d *directory) { d.PickAny("s", relay.Wanted{}).Answered(true, &relay.Load{Running: 4, Slots: 4}) },
-		"requests there":   func(d *directory) { d.PickAny("s", relay.Wanted{}) },
-		"misdirections":    func(d *directory) { d.PickAny("s", relay.Wanted{}).Misdirected() },
-		"peers' work":      func(d *directory) { d.TakeOutstanding("peer", workAt(nameAt("a", 5)), true) },
-		"peers' avoidance": func(d *directory) { d.TakeUnreachable([]string{nameAt("a", 5)}) },
+	for name, observe := range map[string]func(*directory){
+		"cached prefixes":    func(d *directory) { d.LearnKept(region.Life{ID: "a", Born: 5}, []relay.PromptPart{shared}) },
+		"placed by peers":    func(d *directory) { d.TakePlaced(placedAt(incarnationName("a", 5), shared)) },
+		"failures":           func(d *directory) { d.PickAny("s", relay.Wanted{}).Unreachable(false) },
+		"refusals":           func(d *directory) { d.PickAny("s", relay.Wanted{}).Refused(0) },
+		"reported load":      func(d *directory) { d.PickAny("s", relay.Wanted{}).Answered(true, &relay.Load{Running: 4, Slots: 4}) },
+		"requests in flight": func(d *directory) { d.PickAny("s", relay.Wanted{}) },
+		"misdirections":      func(d *directory) { d.PickAny("s", relay.Wanted{}).Misdirected() },
+		"peers' work":        func(d *directory) { d.TakeOutstanding("peer", workAt(incarnationName("a", 5)), true) },
+		"peers' avoidance":   func(d *directory) { d.TakeUnreachable([]string{incarnationName("a", 5)}) },
 		"draining": func(d *directory) {
-			draining := bornAt(5, replica("a", ""))
+			draining := startedAt(5, replica("a", ""))
 			draining.Draining = true
 			d.Replace([]region.Replica{draining, replica("busy", "")})
 		},
-		"a seen end":        func(d *directory) { d.Ended(nameAt("a", 5)) },
+		"an ended process":  func(d *directory) { d.Ended(incarnationName("a", 5)) },
 		"streams and moves": func(d *directory) { d.PickAny("s", relay.Wanted{}).StreamBegun("route", false) },
 	} {
 		for _, born := range []int64{9, 4} {
 			t.Run(name, func(t *testing.T) {
-				d := newDirectoryWithBusy(bornAt(5, replica("a", "")))
-				know(d)
-				d.Replace([]region.Replica{bornAt(born, replica("a", "")), replica("busy", "")})
-				assert.Contains(t, d.dropped, nameAt("a", 5))
-				fresh := newDirectoryWithBusy(bornAt(born, replica("a", "")))
+				d := newDirectoryWithBusy(startedAt(5, replica("a", "")))
+				observe(d)
+				d.Replace([]region.Replica{startedAt(born, replica("a", "")), replica("busy", "")})
+				assert.Contains(t, d.dropped, incarnationName("a", 5))
+				fresh := newDirectoryWithBusy(startedAt(born, replica("a", "")))
 				lease, expected := d.PickAny("s", relay.Wanted{}), fresh.PickAny("s", relay.Wanted{})
 				assert.Equal(t, "a", lease.Replica.ID)
 				assert.Equal(t, expected.Choice, lease.Choice)
@@ -67,7 +66,7 @@
 	}
 }
 
-// newDirectoryWithBusy has a second replica, which is chosen if the first one should not be.
+// newDirectoryWithBusy adds a second, busy replica, which is chosen only if the first one should not be.
 func newDirectoryWithBusy(first region.Replica) *directory {
 	d := newDirectory(first, replica("busy", ""))
 	d.TakeOutstanding("other", []region.OutstandingWork{{Replica: "busy", Requests: 2}}, true)
@@ -82,39 +81,38 @@
 	return []region.OutstandingWork{{Replica: life, Requests: 3, InTimeMicros: 400_000}}
 }
 
-// TestWordOfAFormerLifeCountsForNothing: it arrives after the list, since peers learn of it later.
-func TestWordOfAFormerLifeCountsForNothing(t *testing.T) {
+// Such reports arrive after the list, because peers learn of a restart later.
+func TestReportsOnFormerIncarnationAreIgnored(t *testing.T) {
 	shared := relay.PromptPart{ID: "shared", Tokens: 8000}
-	d := newDirectory(bornAt(9, replica("a", "")))
-	before := nameAt("a", 5)
+	d := newDirectory(startedAt(9, replica("a", "")))
+	before := incarnationName("a", 5)
 	d.TakeOutstanding("peer", workAt(before), true)
 	d.TakeUnreachable([]string{before})
 	d.TakePlaced(placedAt(before, shared))
 	d.LearnKept(region.Life{ID: "a", Born: 5}, []relay.PromptPart{shared})
 	d.Ended(before)
-	fresh := newDirectory(bornAt(9, replica("a", "")))
+	fresh := newDirectory(startedAt(9, replica("a", "")))
 	assert.Equal(t, fresh.PickAny("s", relay.Wanted{}).Choice, d.PickAny("s", relay.Wanted{}).Choice)
 	assert.Equal(t, fresh.Missing("a", prompt(shared)), d.Missing("a", prompt(shared)))
 	assert.Empty(t, d.Find([]string{before}))
 }
 
-// TestALeaseOfAFormerLifeEndsWithoutTheNextOnesCount: a request at the process before ends after the
-// list shows the new one.
-func TestALeaseOfAFormerLifeEndsWithoutTheNextOnesCount(t *testing.T) {
-	d := newDirectory(bornAt(5, replica("a", "")))
+// A request at the former process ends after the list shows the new one.
+func TestLeaseOnFormerIncarnationDoesNotAffectNext(t *testing.T) {
+	d := newDirectory(startedAt(5, replica("a", "")))
 	before := d.PickAny("s", relay.Wanted{})
-	d.Replace([]region.Replica{bornAt(9, replica("a", ""))})
+	d.Replace([]region.Replica{startedAt(9, replica("a", ""))})
 	after := d.PickAny("s", relay.Wanted{})
 	before.Unreachable(true)
 	before.Release()
-	assert.Equal(t, []region.OutstandingWork{{Replica: nameAt("a", 9), Requests: 1}}, d.Outstanding())
+	assert.Equal(t, []region.OutstandingWork{{Replica: incarnationName("a", 9), Requests: 1}}, d.Outstanding())
 	assert.Empty(t, d.Unreachable())
 	after.Release()
 	assert.Empty(t, d.Outstanding())
 }
 
-func TestAListWithoutStartsChangesNoLife(t *testing.T) {
-	d := newDirectory(bornAt(5, replica("a", "")))
+func TestListWithoutStartTimesKeepsIncarnations(t *testing.T) {
+	d := newDirectory(startedAt(5, replica("a", "")))
 	lease := d.PickAny("s", relay.Wanted{})
 	d.Replace([]region.Replica{replica("a", "")})
 	assert.Empty(t, d.dropped)
@@ -122,8 +120,8 @@
 	lease.Release()
 }
 
-// TestTheConnectionsOfAFormerLifeServeNoOther: one that its process never closed is silent for good.
-func TestTheConnectionsOfAFormerLifeServeNoOther(t *testing.T) {
+// A connection that the former process never closed would stay silent.
+func TestConnectionsAreNotReusedAcrossIncarnations(t *testing.T) {
 	w := newWorld(t)
 	connections := map[string]bool{}
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
@@ -135,14 +133,14 @@
 	listed := replica("a", "")
 	listed.Service, listed.Address = "service", server.Listener.Addr().String()
 	for _, born := range []int64{5, 5, 9} {
-		w.directory.Replace([]region.Replica{bornAt(born, listed)})
+		w.directory.Replace([]region.Replica{startedAt(born, listed)})
 		require.NoError(t, w.run(callOf(traffic.KindOnce, 1)).err)
 	}
 	assert.Len(t, connections, 2)
 }
 
-// TestAPromptWhoseHandleIsGoneIsReadAnew has the reader start again before the prompt is fetched.
-func TestAPromptWhoseHandleIsGoneIsReadAnew(t *testing.T) {
+// The prefill replica restarts before the prompt's KV cache is fetched.
+func TestPromptIsPrefilledAgainIfItsHandleIsLost(t *testing.T) {
 	w := newWorld(t)
 	w.add("reader", region.StagePrefill, func(writer http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(writer, "handle-1")
@@ -159,9 +157,9 @@
 	assert.Equal(t, text(1, 2), w.run(modelCall(8000, "own")).body.String())
 }
 
-// TestEachLifeThatEndsUnderARequestIsEvidence: a replica that came back under its id and ended again
-// counted as one, so that a request went on to end it time and again.
-func TestEachLifeThatEndsUnderARequestIsEvidence(t *testing.T) {
+// A replica that restarted under its id and ended again was counted once, so that a request went on to
+// crash it again and again.
+func TestEachIncarnationLostUnderARequestCounts(t *testing.T) {
 	w := newWorld(t)
 	guard := w.guarded()
 	call := callOf(traffic.KindOnce, 1)
@@ -169,31 +167,30 @@
 	for _, born := range []int64{5, 9, 12} {
 		w.replicas = nil
 		w.addMortal("a", "", nothing)
-		w.directory.Replace([]region.Replica{bornAt(born, w.replicas[0])})
+		w.directory.Replace([]region.Replica{startedAt(born, w.replicas[0])})
 		w.run(call)
 		ended[endsTold(t, guard, call.Digest(), 1)[0]] = true
 	}
 	assert.Len(t, ended, 3)
 }
 
-// TestAReplicaWhoseProcessHasEndedKeepsNoPrompt: until the list shows its successor, prompts were sent
-// there for what the process before had kept.
-func TestAReplicaWhoseProcessHasEndedKeepsNoPrompt(t *testing.T) {
+// Until the list showed the successor, prompts were sent there for prefixes that the former process had
+// cached.
+func TestEndedProcessHasEmptyCache(t *testing.T) {
 	shared := relay.PromptPart{ID: "shared", Tokens: 8000}
-	d := newDirectory(bornAt(5, replica("a", "")))
+	d := newDirectory(startedAt(5, replica("a", "")))
 	d.LearnKept(region.Life{ID: "a", Born: 5}, []relay.PromptPart{shared})
 	assert.Zero(t, d.Missing("a", prompt(shared)))
-	d.Ended(nameAt("a", 5))
+	d.Ended(incarnationName("a", 5))
 	assert.Equal(t, 8000, d.Missing("a", prompt(shared)))
 }
 
-// TestWhatOneProcessKnowsOfReplicasIsTakenOverByAnother has the order in which parts would give way kept, and lives that are not
-// listed passed over.
-func TestWhatOneProcessKnowsOfReplicasIsTakenOverByAnother(t *testing.T) {
+// The LRU order of the parts is preserved, and incarnations that are not listed are skipped.
+func TestCacheKnowledgeIsTransferredBetweenProcesses(t *testing.T) {
 	asked, other := newDirectory(replica("a", region.StageDecode)), newDirectory(replica("a", region.StageDecode))
 	kept, whole := asked.Kept(func(region.Replica) bool { return true })
 	assert.Empty(t, kept)
-	assert.False(t, whole, "it has not told yet")
+	assert.False(t, whole, "the replica has not reported yet")
 	life := replica("a", region.StageDecode)
 	asked.LearnKept(life.Life(), []relay.PromptPart{{ID: "old", Tokens: 10}, {ID: "new", Tokens: 20}})
 	kept, whole = asked.Kept(func(region.Replica) bool { return true })
@@ -204,11 +201,11 @@
 	assert.True(t, whole)
 	assert.Equal(t, kept, taken)
 	_, whole = other.Kept(func(region.Replica) bool { return false })
-	assert.True(t, whole, "it has none to ask")
+	assert.True(t, whole, "no replica was selected")
 }
 
-// heeding is a directory of a replica and of a busy one, with the gate that it heeds.
-func heeding(first region.Replica) (*directory, *backpressure.Gate) {
+// newDirectoryWithGate returns a directory of a replica and of a busy one, with the gate that it consults.
+func newDirectoryWithGate(first region.Replica) (*directory, *backpressure.Gate) {
 	d := newDirectoryWithBusy(first)
 	gate := backpressure.NewGate(backpressure.Options{
 		Clock: func() time.Duration { return time.Hour }, Leaving: testDialect{}.Leaving, Logger: logr.Discard(),
@@ -217,26 +214,26 @@
 	return d, gate
 }
 
-// askForAll has a life ask for a rest and say that it leaves.
-func askForAll(gate *backpressure.Gate, life string) {
+// requestBackoffAndLeave has an incarnation ask for a backoff and announce that it is leaving.
+func requestBackoffAndLeave(gate *backpressure.Gate, life string) {
 	peer := backpressure.Peer{Address: replica("a", "").Address, Instance: life}
 	gate.Hear(peer, http.StatusServiceUnavailable, http.Header{"Retry-After": {"600"}, "Leaving": {"1"}})
 }
 
-// A word of a life that has ended may come after the next one is listed.
-func TestWhatALifeAsksForDoesNotHoldTheNext(t *testing.T) {
-	before, next := nameAt("a", 5), nameAt("a", 9)
-	words := func(d *directory, gate *backpressure.Gate) {
-		askForAll(gate, before)
+// A report on an incarnation that has ended may arrive after the next one is listed.
+func TestBackoffOfFormerIncarnationDoesNotApplyToNext(t *testing.T) {
+	before, next := incarnationName("a", 5), incarnationName("a", 9)
+	sendReports := func(d *directory, gate *backpressure.Gate) {
+		requestBackoffAndLeave(gate, before)
 		d.TakeResting([]region.RestingReplica{{Replica: before, LeftMillis: 5000}})
 		d.TakeLeaving([]string{before})
 	}
-	d, gate := heeding(bornAt(5, replica("a", "")))
-	words(d, gate)
+	d, gate := newDirectoryWithGate(startedAt(5, replica("a", "")))
+	sendReports(d, gate)
 	assert.Equal(t, "busy", d.PickAny("s", relay.Wanted{}).Replica.ID)
-	d.Replace([]region.Replica{bornAt(9, replica("a", "")), replica("busy", "")})
-	words(d, gate)
-	fresh, _ := heeding(bornAt(9, replica("a", "")))
+	d.Replace([]region.Replica{startedAt(9, replica("a", "")), replica("busy", "")})
+	sendReports(d, gate)
+	fresh, _ := newDirectoryWithGate(startedAt(9, replica("a", "")))
 	lease, expected := d.PickAny("s", relay.Wanted{}), fresh.PickAny("s", relay.Wanted{})
 	assert.Equal(t, "a", lease.Replica.ID)
 	assert.Equal(t, expected.Choice, lease.Choice)
@@ -244,11 +241,11 @@
 	assert.NoError(t, gate.Permits(backpressure.Peer{Address: replica("a", "").Address, Instance: next}, true))
 }
 
-// Where no moments of starts are told, the next life has the name of the one before: what that has asked for
-// ends with its process, also for those who were told of it.
-func TestWhatALifeWithoutAMomentAskedForEndsWithItsProcess(t *testing.T) {
-	d, gate := heeding(replica("a", ""))
-	askForAll(gate, "a")
+// Without start times, the next incarnation has the name of the former one. What that has asked for ends
+// with its process, also for processes that learned of it from others.
+func TestBackoffEndsWithProcessOfUnknownStartTime(t *testing.T) {
+	d, gate := newDirectoryWithGate(replica("a", ""))
+	requestBackoffAndLeave(gate, "a")
 	assert.Equal(t, "busy", d.PickAny("s", relay.Wanted{}).Replica.ID)
 	d.Ended("a")
 	listed := replica("a", "")
--- a/internal/relay/outstanding.go
+++ b/internal/relay/outstanding.go
@@ -9,8 +9,8 @@
 	"github.com/pierhaven/pierhaven/internal/region"
 )
 
-// Outstanding lists this gateway's work at replicas, for its peers: that of its own choice,
-// not what a coordinator has placed for it and knows. It is in the order of their names.
+// Outstanding returns this gateway's work at replicas, for its peers, sorted by replica name. It covers
+// only replicas that the gateway chose itself; a coordinator knows the work that it has placed.
 func (d *Directory) Outstanding() []region.OutstandingWork {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -29,7 +29,7 @@
 	return work
 }
 
-// Unreachable lists the replicas, by their lives' names, that this gateway can't reach.
+// Unreachable returns the names of the incarnations that this gateway can't connect to.
 func (d *Directory) Unreachable() []string {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -44,15 +44,15 @@
 	return names
 }
 
-// hearsayAvoidance is how long a replica is avoided that a peer can't reach. It
-// is short: the fault may be the peer's.
-const hearsayAvoidance = 700 * time.Millisecond
+// peerReportAvoidance is how long a replica is avoided that a peer can't reach. It is short because the
+// fault may be the peer's.
+const peerReportAvoidance = 700 * time.Millisecond
 
-// TakeUnreachable notes the replicas that a peer can't reach.
+// TakeUnreachable records the replicas that a peer can't reach.
 func (d *Directory) TakeUnreachable(names []string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	until := d.clock() + hearsayAvoidance
+	until := d.clock() + peerReportAvoidance
 	for _, name := range names {
 		if replica, known := d.replicas[name]; known {
 			replica.avoidUntil = max(replica.avoidUntil, until)
@@ -60,62 +60,62 @@
 	}
 }
 
-// TakeOutstanding notes a peer's work at replicas: all of it, or what has changed.
+// TakeOutstanding records a peer's work at replicas: all of it (whole), or what has changed.
 func (d *Directory) TakeOutstanding(gateway string, work []region.OutstandingWork, whole bool) {
 	if d.off[mechanism.Peers] {
 		return
 	}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.takeWork(gateway, work, whole, d.clock())
+	d.recordPeerWork(gateway, work, whole, d.clock())
 }
 
-// TakeSums notes the work at replicas that a peer in another region has told, some time (age) ago.
-// What is older than peerMemory counts for nothing.
+// TakeSums records the work at replicas that a peer in another region reported some time (age) ago. Reports
+// older than peerReportLifetime are ignored.
 func (d *Directory) TakeSums(otherRegion, peer string, work []region.OutstandingWork, whole bool, age time.Duration) {
-	if d.off[mechanism.Peers] || age >= peerMemory {
+	if d.off[mechanism.Peers] || age >= peerReportLifetime {
 		return
 	}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	told := d.clock() - age
-	if d.regionWords == nil {
-		d.regionWords = map[string]time.Duration{}
+	reportedAt := d.clock() - age
+	if d.regionReportedAt == nil {
+		d.regionReportedAt = map[string]time.Duration{}
 	}
-	d.regionWords[otherRegion] = max(d.regionWords[otherRegion], told)
-	d.takeWork(peer, work, whole, told)
+	d.regionReportedAt[otherRegion] = max(d.regionReportedAt[otherRegion], reportedAt)
+	d.recordPeerWork(peer, work, whole, reportedAt)
 }
 
-// RegionWordAge is how old the newest word of another region's work is, negative if there is none
-// that counts: then nothing is known of how busy its replicas are.
+// RegionWordAge returns the age of the newest report of another region's work, or a negative value if there
+// is no current one: then it is unknown how busy its replicas are.
 func (d *Directory) RegionWordAge(otherRegion string) time.Duration {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	told, heard := d.regionWords[otherRegion]
-	age := d.clock() - told
-	if !heard || age >= peerMemory {
+	reportedAt, heard := d.regionReportedAt[otherRegion]
+	age := d.clock() - reportedAt
+	if !heard || age >= peerReportLifetime {
 		return -1
 	}
 	return age
 }
 
-// ReplicaRequests are the requests at a replica: all that are known of, and this process's own.
+// ReplicaRequests are the requests at a replica: all that are known, and this process's own.
 type ReplicaRequests struct{ All, Own int }
 
-// Requests returns the requests at each replica, by the name of its life.
+// Requests returns the requests at each replica, by the name of its incarnation.
 func (d *Directory) Requests() map[string]ReplicaRequests {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := d.clock()
 	requests := make(map[string]ReplicaRequests, len(d.replicas))
 	for id, replica := range d.replicas {
-		requests[id] = ReplicaRequests{All: replica.allInFlight(now), Own: replica.inFlight}
+		requests[id] = ReplicaRequests{All: replica.totalInFlight(now), Own: replica.inFlight}
 	}
 	return requests
 }
 
-// takeWork is called with the mutex held.
-func (d *Directory) takeWork(gateway string, work []region.OutstandingWork, whole bool, now time.Duration) {
+// recordPeerWork records the work that a gateway has reported. The caller must hold d.mutex.
+func (d *Directory) recordPeerWork(gateway string, work []region.OutstandingWork, whole bool, now time.Duration) {
 	if whole {
 		for _, replica := range d.replicas {
 			delete(replica.peers, gateway)
@@ -126,7 +126,7 @@
 		if !known {
 			continue
 		}
-		reading := toldReading(each)
+		reading := boundedReading(each)
 		if reading.before(Late) < replica.peers[gateway].reading.before(Late) {
 			replica.progressAt = now
 		}
@@ -141,33 +141,34 @@
 	}
 }
 
-// toldReading is the reading that a peer has told, each class bounded, so that no peer
-// can make a replica look busy for ever.
-func toldReading(work region.OutstandingWork) readingWork {
+// boundedReading returns the prefill work that a peer has reported. Each class is bounded, so that no peer
+// can make a replica look busy forever.
+func boundedReading(work region.OutstandingWork) readingWork {
 	bounded := func(micros int64) time.Duration {
-		return min(max(time.Duration(micros)*time.Microsecond, 0), maximumToldReading)
+		return min(max(time.Duration(micros)*time.Microsecond, 0), maximumPeerReading)
 	}
 	return readingWork{InTime: bounded(work.InTimeMicros), Late: bounded(work.LateMicros)}
 }
 
-// maximumToldReading bounds what one peer may tell of one replica.
-const maximumToldReading = time.Minute
+// maximumPeerReading bounds the prefill work of one class that one peer may report for one replica.
+const maximumPeerReading = time.Minute
 
-// placements are the prompts that this gateway has lately had read.
+// placements are the prompts that this gateway has recently placed for prefill.
 type placements struct {
 	recent   []placement
 	sequence uint64
 }
 
-// placement is a prompt that a replica is to have read at a time.
+// placement is a prompt with the time at which its replica is expected to have it cached.
 type placement struct {
 	region.PlacedPrompt
 	readyAt time.Duration
 }
 
 const (
-	// toldPlacements is how many placements are told at most with one message.
-	toldPlacements = 12
+	// maximumRecentPlacements is the largest number of placements that are kept, and so reported in one
+	// message.
+	maximumRecentPlacements = 12
 )
 
 func (p *placements) add(replica string, prompt *Prompt, readyAt time.Duration) {
@@ -180,13 +181,12 @@
 		placed.Parts = append(placed.Parts, region.PlacedPart{ID: part.ID, Tokens: part.Tokens})
 	}
 	p.recent = append(p.recent, placement{PlacedPrompt: placed, readyAt: readyAt})
-	if len(p.recent) > toldPlacements {
-		p.recent = p.recent[len(p.recent)-toldPlacements:]
+	if len(p.recent) > maximumRecentPlacements {
+		p.recent = p.recent[len(p.recent)-maximumRecentPlacements:]
 	}
 }
 
-// Placed returns the prompts placed after a sequence number, as far as they are
-// still known.
+// Placed returns the prompts placed after a sequence number, as far as they are still kept.
 func (d *Directory) Placed(after uint64) []region.PlacedPrompt {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -196,14 +196,14 @@
 		if each.Sequence <= after {
 			continue
 		}
-		told := each.PlacedPrompt
-		told.ReadyMillis = int(max(each.readyAt-now, 0).Milliseconds())
-		prompts = append(prompts, told)
+		reported := each.PlacedPrompt
+		reported.ReadyMillis = int(max(each.readyAt-now, 0).Milliseconds())
+		prompts = append(prompts, reported)
 	}
 	return prompts
 }
 
-// TakePlaced notes the prompts that a peer has placed.
+// TakePlaced records the prompts that a peer has placed.
 func (d *Directory) TakePlaced(prompts []region.PlacedPrompt) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -217,21 +217,22 @@
 			parts = append(parts, PromptPart{ID: part.ID, Tokens: part.Tokens})
 		}
 		readyAt := d.clock() + time.Duration(placed.ReadyMillis)*time.Millisecond
-		replica.prefixes.learn(parts, d.engines[replica.Service].CacheTokens, readyAt)
+		replica.prefixes.add(parts, d.engines[replica.Service].CacheTokens, readyAt)
 	}
 }
 
-// LearnKept notes the parts of prompts that a life of a replica says it keeps.
+// LearnKept records the parts of prompts that an incarnation of a replica reports as cached.
 func (d *Directory) LearnKept(life region.Life, parts []PromptPart) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if replica, known := d.replicas[life.Name()]; known {
-		replica.prefixes.learn(parts, d.engines[replica.Service].CacheTokens, d.clock())
-		replica.keptKnown = true
+		replica.prefixes.add(parts, d.engines[replica.Service].CacheTokens, d.clock())
+		replica.cacheKnown = true
 	}
 }
 
-// Kept tells what some replicas keep, as far as it is known, and whether it is known of all of them.
+// Kept returns what the selected replicas have cached, as far as it is known; whole reports whether it is
+// known for all of them.
 func (d *Directory) Kept(wanted func(replica region.Replica) bool) (kept []region.KeptParts, whole bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -240,7 +241,7 @@
 		if replica.Stage == "" || !wanted(replica.Replica) {
 			continue
 		}
-		if !d.knowsKept(replica) {
+		if !d.knowsCached(replica) {
 			whole = false
 			continue
 		}
@@ -249,7 +250,7 @@
 	return kept, whole
 }
 
-// TakeKept notes what another process knows that replicas keep.
+// TakeKept records what replicas have cached according to another process.
 func (d *Directory) TakeKept(kept []region.KeptParts) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -263,12 +264,12 @@
 		for index, part := range each.Parts {
 			parts[index] = PromptPart{ID: part.ID, Tokens: part.Tokens}
 		}
-		replica.prefixes.learn(parts, d.engines[replica.Service].CacheTokens, now)
-		replica.keptKnown = true
+		replica.prefixes.add(parts, d.engines[replica.Service].CacheTokens, now)
+		replica.cacheKnown = true
 	}
 }
 
-// ModelReplicas lists the replicas that have a stage.
+// ModelReplicas returns the replicas that have a stage.
 func (d *Directory) ModelReplicas() []region.Replica {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/relay/picker.go
+++ b/internal/relay/picker.go
@@ -12,13 +12,13 @@
 	"github.com/pierhaven/pierhaven/internal/topology"
 )
 
-// Wanted says which replicas may get a request.
+// Wanted restricts which replicas may get a request.
 type Wanted struct {
 	// Rank is that of the request's route.
 	Rank int
 	// Excluded are replicas that must not be chosen.
 	Excluded []*Replica
-	// Unlimited excludes all replicas that name a limit.
+	// Unlimited excludes all replicas that declare a rate limit.
 	Unlimited bool
 }
 
@@ -30,42 +30,41 @@
 	return slices.Contains(w.Excluded, replica)
 }
 
-// pick returns a lease on the best replica of a service that is wanted and passes a filter, or
-// nil. Avoided ones get something only if there is no other.
+// pick returns a lease on the best replica of a service that satisfies wanted and a filter, or nil. Avoided
+// replicas are chosen only if there is no other.
 func (d *Directory) pick(service string, wanted Wanted, passes func(*Replica) bool, rating loadScore) *Lease {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := d.clock()
-	candidates := d.soundCandidates(service, wanted, passes, now)
+	candidates := d.healthyCandidates(service, wanted, passes, now)
 	if len(candidates) == 0 {
 		return nil
 	}
 	return d.leaseLowest(service, candidates, rating, now)
 }
 
-// leaseLowest leases the candidate with the lowest score, in the region of the rating's zone if
-// the rule on crossings does not have it leave. It is called with the mutex held.
+// leaseLowest leases the candidate with the lowest score, inside the region of the rating's zone unless the
+// rules of package crossing prefer one outside. The caller must hold d.mutex.
 func (d *Directory) leaseLowest(service string, candidates []*Replica, rating loadScore, now time.Duration) *Lease {
-	inside, outside := d.split(candidates, rating.zone)
+	inside, outside := d.partitionByRegion(candidates, rating.zone)
 	if len(outside) == 0 {
 		return d.leaseChosen(lowest(inside, rating, now), len(candidates), now)
 	}
 	best, offer := bestOffer(inside, rating, now)
-	left := departure{service: service, from: rating.zone, inside: offer, places: len(inside)}
+	decision := crossRegionChoice{service: service, from: rating.zone, inside: offer, localReplicas: len(inside)}
 	if !crossing.Stay(offer, 0) {
-		there, offered := bestOffer(outside, rating, now)
-		left.outside = offered
-		if left.reason = crossing.Leave(offer, offered, 0); left.reason != crossing.Stays {
-			best = there
+		remote, offered := bestOffer(outside, rating, now)
+		decision.outside = offered
+		if decision.reason = crossing.Leave(offer, offered, 0); decision.reason != crossing.Stays {
+			best = remote
 		}
 	}
-	left.lease = d.leaseChosen(best, len(candidates), now)
-	d.noteDeparture(left, now)
-	return left.lease
+	decision.lease = d.leaseChosen(best, len(candidates), now)
+	d.logCrossRegion(decision, now)
+	return decision.lease
 }
 
-// leaseChosen leases a replica that was chosen among candidates. It is called with the mutex
-// held.
+// leaseChosen leases a replica that was chosen among a number of candidates. The caller must hold d.mutex.
 func (d *Directory) leaseChosen(best *Replica, candidates int, now time.Duration) *Lease {
 	choice := best.choice(now, candidates)
 	lease := d.lease(best)
@@ -73,8 +72,8 @@
 	return lease
 }
 
-// bestOffer returns the replica with the lowest score of one side, nil if there is none, and
-// what it offers: a replica with a free slot begins at once.
+// bestOffer returns the candidate with the lowest score, nil if there is none, and its offer: a replica
+// with a free slot can start at once.
 func bestOffer(candidates []*Replica, rating loadScore, now time.Duration) (*Replica, crossing.Offer) {
 	if len(candidates) == 0 {
 		return nil, crossing.Offer{Outcome: crossing.Nowhere}
@@ -86,9 +85,9 @@
 	return lowest(free, rating, now), crossing.Offer{Outcome: crossing.InTime}
 }
 
-// soundCandidates are the candidates that are not avoided, or all if there are none such.
-// It is called with the mutex held.
-func (d *Directory) soundCandidates(service string, wanted Wanted, passes func(*Replica) bool, now time.Duration) []*Replica {
+// healthyCandidates returns the candidates that are not avoided, or all if every one is. The caller must
+// hold d.mutex.
+func (d *Directory) healthyCandidates(service string, wanted Wanted, passes func(*Replica) bool, now time.Duration) []*Replica {
 	candidates := d.candidates(service, wanted, passes, now)
 	sound := slices.DeleteFunc(slices.Clone(candidates), func(r *Replica) bool { return r.avoided(now) })
 	if len(sound) > 0 && !d.off[mechanism.Ejection] {
@@ -97,8 +96,7 @@
 	return candidates
 }
 
-// candidates are the replicas of a service that may get a request. It is called
-// with the mutex held.
+// candidates returns the replicas of a service that may get a request. The caller must hold d.mutex.
 func (d *Directory) candidates(service string, wanted Wanted, passes func(*Replica) bool, now time.Duration) []*Replica {
 	var candidates, ending []*Replica
 	asking := d.askingNow()
@@ -113,10 +111,10 @@
 		}
 	}
 	if len(candidates) == 0 {
-		// Better served by one that leaves than by none.
+		// A replica that is leaving is better than none.
 		candidates = ending
 	}
-	return d.withRoom(candidates, wanted.Rank, now)
+	return d.belowLearnedLimit(candidates, wanted.Rank, now)
 }
 
 // lowest returns the candidate with the lowest score.
@@ -135,42 +133,42 @@
 type Choice struct {
 	// Candidates is the number of replicas that could have been chosen.
 	Candidates int
-	// InFlight are the requests there, of all gateways, and PeersAge is how old the
-	// oldest word of another gateway that counts is.
+	// InFlight is the number of requests there, of all gateways, and PeersAge the age of the oldest report
+	// of another gateway that it includes.
 	InFlight int
 	PeersAge time.Duration
 	// Occupancy is the estimated share of its slots in use.
 	Occupancy float64
-	// LoadAge is how old the replica's own account is, negative if it counts for
-	// nothing.
+	// LoadAge is the age of the load that the replica itself reported, negative if that is missing or too
+	// old to count.
 	LoadAge time.Duration
 }
 
-// choice notes what is known of a replica that is chosen.
+// choice returns what is known of a replica that is chosen.
 func (r *Replica) choice(now time.Duration, candidates int) Choice {
-	chosen := Choice{Candidates: candidates, InFlight: r.allInFlight(now), Occupancy: r.occupancy(now), LoadAge: now - r.loadAt}
-	if r.load.Slots == 0 || chosen.LoadAge > loadMemory {
+	chosen := Choice{Candidates: candidates, InFlight: r.totalInFlight(now), Occupancy: r.occupancy(now), LoadAge: now - r.loadAt}
+	if r.load.Slots == 0 || chosen.LoadAge > loadReportLifetime {
 		chosen.LoadAge = -time.Millisecond
 	}
 	for _, work := range r.peers {
-		if age := now - work.at; age < peerMemory {
+		if age := now - work.at; age < peerReportLifetime {
 			chosen.PeersAge = max(chosen.PeersAge, age)
 		}
 	}
 	return chosen
 }
 
-// loadScore rates by the estimated occupancy, from 0 (idle) upwards; 1 is a full
-// replica. Distance, failures and slowness add to it.
+// loadScore scores replicas by their estimated occupancy, from 0 (idle) upwards; 1 is a full replica.
+// Distance, failures and latency add to the score.
 type loadScore struct {
 	zone string
-	// distance is added for another zone.
+	// distance is added for a replica in another zone.
 	distance float64
-	// typicalLatency of the service's replicas in seconds, 0 if unknown.
+	// typicalLatency is that of the service's replicas in seconds, 0 if unknown.
 	typicalLatency float64
-	// draw decides between replicas that are rated alike.
+	// draw breaks ties between replicas with about the same score.
 	draw func() float64
-	// connected reports whether there is a connection to a life; nil if it counts for nothing.
+	// connected reports whether there is a connection to an incarnation; nil if connections don't count.
 	connected func(address, life string) bool
 }
 
@@ -178,16 +176,18 @@
 	errorWeight    = 2.0
 	slownessWeight = 0.1
 	jitterWeight   = 0.02
-	// refusingPenalty is what a replica that is expected to refuse counts for, in shares of its slots in use:
-	// it is tried once the others are full.
+	// refusingPenalty is added to the score of a replica that is expected to refuse, in shares of its
+	// slots: it is tried once the others are full.
 	refusingPenalty = 1
-	// connectedBonus is what a connection is worth, in shares of the slots in use: less than one request
-	// takes at a small replica, so that load goes before it. Without it each of many gateways hardly
-	// meets a replica twice, and each request waits for a connection to be made.
+	// connectedBonus is subtracted from the score of a replica that this process is connected to, in shares
+	// of its slots. It is less than one request adds at a small replica, so that load has precedence.
+	// Without it, each of many gateways rarely uses a replica twice, and each request waits for a new
+	// connection.
 	connectedBonus = 0.1
-	// roomBonus is what room under a limit is worth, in shares of the slots in use: more than a
-	// connection, so that a replica that gets little is not left out for getting little.
-	roomBonus = 0.15
+	// unusedLimitBonus is subtracted from the score of a replica that declares a rate limit and has
+	// capacity under it, in shares of its slots. It exceeds connectedBonus, so that a replica is not passed
+	// over for getting few requests.
+	unusedLimitBonus = 0.15
 )
 
 func (s loadScore) score(replica *Replica, now time.Duration) float64 {
@@ -202,8 +202,8 @@
 		score -= connectedBonus
 	}
 	if replica.limit.named {
-		// Its few answers say little of how fast it is.
-		return score - roomBonus
+		// Its few answers are too small a sample to compare its latency.
+		return score - unusedLimitBonus
 	}
 	if s.typicalLatency > 0 && replica.latency > s.typicalLatency {
 		score += slownessWeight * (replica.latency/s.typicalLatency - 1)
@@ -211,16 +211,15 @@
 	return score
 }
 
-// ownTokens are the tokens of the last part, which is not shared.
-func (p *Prompt) ownTokens() int {
+// unsharedTokens returns the tokens of the last part, which other prompts do not share.
+func (p *Prompt) unsharedTokens() int {
 	if len(p.Parts) == 0 {
 		return p.Tokens
 	}
 	return p.Parts[len(p.Parts)-1].Tokens
 }
 
-// sharedPart is the id of the last part that other prompts may share, empty if
-// there is none.
+// sharedPart returns the id of the last part that other prompts may share, empty if there is none.
 func (p *Prompt) sharedPart() string {
 	if len(p.Parts) < 2 {
 		return ""
@@ -228,51 +227,50 @@
 	return p.Parts[len(p.Parts)-2].ID
 }
 
-// homesOf returns the replicas of a stage at which a prompt's shared prefix belongs, one in each
-// region, none if it has no such prefix: those of rendezvous hashing of the longest shared
-// prefix. The choice depends on the incarnations alone, so that all gateways make the same. It
-// is called with the mutex held.
-func (d *Directory) homesOf(service, stage string, prompt *Prompt, now time.Duration) []*Replica {
+// preferredReplicas returns the replicas of a stage that are preferred for a prompt's shared prefix, one in
+// each region, none if there is no such prefix. They are selected by rendezvous hashing of the longest
+// shared prefix and the replicas' ids, so that all gateways select the same. The caller must hold d.mutex.
+func (d *Directory) preferredReplicas(service, stage string, prompt *Prompt, now time.Duration) []*Replica {
 	key := prompt.sharedPart()
 	if key == "" || d.off[mechanism.Homes] {
 		return nil
 	}
-	var homes []weightedHome
+	var preferred []weightedReplica
 	for _, replica := range d.services[service] {
 		if replica.ends() || replica.gone || replica.Stage != stage || now < replica.avoidUntil {
 			continue
 		}
-		homes = d.heaviest(homes, weightedHome{replica, xxhash.Sum64String(key + "/" + replica.ID)})
+		preferred = d.addIfHeaviest(preferred, weightedReplica{replica, xxhash.Sum64String(key + "/" + replica.ID)})
 	}
-	replicas := make([]*Replica, len(homes))
-	for index, home := range homes {
-		replicas[index] = home.replica
+	replicas := make([]*Replica, len(preferred))
+	for index, each := range preferred {
+		replicas[index] = each.replica
 	}
 	return replicas
 }
 
-// weightedHome is a replica with its weight for a prefix.
-type weightedHome struct {
+// weightedReplica is a replica with its rendezvous hash for a prefix.
+type weightedReplica struct {
 	replica *Replica
 	weight  uint64
 }
 
-// heaviest takes a replica among the homes if it has the greatest weight of its region.
-func (d *Directory) heaviest(homes []weightedHome, found weightedHome) []weightedHome {
-	for index := range homes {
-		if d.places.Between(homes[index].replica.Zone, found.replica.Zone) == topology.OtherRegion {
+// addIfHeaviest replaces the replica of the same region if the new one has a greater weight, or adds it if
+// there is none of its region.
+func (d *Directory) addIfHeaviest(preferred []weightedReplica, found weightedReplica) []weightedReplica {
+	for index := range preferred {
+		if d.places.Between(preferred[index].replica.Zone, found.replica.Zone) == topology.OtherRegion {
 			continue
 		}
-		if found.weight > homes[index].weight {
-			homes[index] = found
+		if found.weight > preferred[index].weight {
+			preferred[index] = found
 		}
-		return homes
+		return preferred
 	}
-	return append(homes, found)
+	return append(preferred, found)
 }
 
-// typicalLatency is the median over a service's replicas, in seconds; 0 if there
-// is none yet.
+// typicalLatency returns the median latency of a service's replicas in seconds, 0 if none is known.
 func (d *Directory) typicalLatency(service string) float64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -295,15 +293,14 @@
 	return d.pick(service, wanted, anyReplica, rating)
 }
 
-// PickGenerator leases a replica that generates, near a zone, for a prompt that has
-// been read.
+// PickGenerator leases a decode replica, near a zone, for a prompt that has been prefilled.
 func (d *Directory) PickGenerator(service string, wanted Wanted, zone string) *Lease {
 	return d.pick(service, wanted, ofStage(region.StageDecode), loadScore{zone: zone, distance: 0.05, draw: d.draw})
 }
 
-// PickRoom leases a replica that has room for a stream that an excluded one in a zone has to
-// give up, nil if there is none.
-func (d *Directory) PickRoom(service string, wanted Wanted, zone string) *Lease {
+// PickWithCapacity leases a replica with capacity for a stream that must move away from an excluded one in
+// a zone, nil if there is none.
+func (d *Directory) PickWithCapacity(service string, wanted Wanted, zone string) *Lease {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := d.clock()
--- a/internal/relay/placer.go
+++ b/internal/relay/placer.go
@@ -8,32 +8,32 @@
 	"github.com/pierhaven/pierhaven/internal/region"
 )
 
-// Placer chooses replicas for model requests: by what this gateway knows or, where there are
-// many gateways, by what a coordinator knows of the work of all.
+// Placer chooses replicas for model requests: from what this gateway knows or, where there are many
+// gateways, by asking a coordinator, which knows the work of all.
 type Placer struct {
 	Directory *Directory
-	// Remote asks a coordinator; nil asks none.
+	// Remote queries a coordinator; nil if there is none.
 	Remote *RemotePlacement
 }
 
-// RemotePlacement is how a coordinator is asked for leases.
+// RemotePlacement is the interface to a coordinator.
 type RemotePlacement struct {
-	// Ask asks a question within a time. The error says that the gateway has to choose by
-	// itself; by names the coordinator that has answered.
+	// Ask sends a query and waits for at most a given time (within). An error means that the gateway has to
+	// choose by itself; by names the coordinator that has answered.
 	Ask func(ctx context.Context, question *region.PlacementQuestion, within time.Duration) (answer *region.PlacementAnswer, by string, err error)
-	// Tell passes on what has happened at the replica of a lease. It does not block.
+	// Tell reports an event on a leased replica. It does not block.
 	Tell func(event region.LeaseEvent)
 }
 
 const (
-	// askShare of the objective is the longest that a coordinator is waited for; a gateway
+	// coordinatorTimeoutShare is the longest wait for a coordinator, as a share of the objective: a gateway
 	// that chooses by itself after that has lost little of the time.
-	askShare = 0.05
-	// longestAsk bounds the wait where the objective is long.
-	longestAsk = 100 * time.Millisecond
+	coordinatorTimeoutShare = 0.05
+	// maximumCoordinatorTimeout bounds the wait where the objective is long.
+	maximumCoordinatorTimeout = 100 * time.Millisecond
 )
 
-// Reading leases the replica that is to read a prompt, as Directory.PlaceReading does.
+// Reading leases the replica that is to prefill a prompt, as Directory.PlaceReading does.
 func (p *Placer) Reading(ctx context.Context, service string, request ReadRequest) (*Lease, error) {
 	lease, err := p.ask(ctx, region.PlaceRead, service, request, "", region.StagePrefill, region.StageDecode)
 	if lease != nil || err != nil {
@@ -42,7 +42,7 @@
 	return p.Directory.PlaceReading(service, request)
 }
 
-// Direct leases a generating replica that is to read a prompt itself, or returns nil.
+// Direct leases a decode replica that is to prefill a prompt itself, or returns nil.
 func (p *Placer) Direct(ctx context.Context, service string, request ReadRequest) *Lease {
 	if lease, _ := p.ask(ctx, region.PlaceDirect, service, request, "", region.StageDecode); lease != nil {
 		return lease
@@ -50,7 +50,7 @@
 	return p.Directory.PlaceDirect(service, request)
 }
 
-// Generator leases a replica that generates, near the zone of a prompt that has been read.
+// Generator leases a decode replica, near the zone where a prompt was prefilled.
 func (p *Placer) Generator(ctx context.Context, service string, request ReadRequest, zone string) *Lease {
 	if lease, _ := p.ask(ctx, region.PlaceGenerate, service, request, zone, region.StageDecode); lease != nil {
 		return lease
@@ -58,8 +58,7 @@
 	return p.Directory.PickGenerator(service, request.wanted(), zone)
 }
 
-// Room leases a replica that has room for a stream that another has to give up, nil if
-// there is none.
+// Room leases a replica with capacity for a stream that must move away from another, nil if there is none.
 func (p *Placer) Room(ctx context.Context, from *Lease, request ReadRequest) *Lease {
 	request.Excluded = append(slices.Clone(request.Excluded), from.Replica)
 	service, zone := from.Replica.Service, from.Replica.Zone
@@ -67,24 +66,24 @@
 	if lease != nil || err != nil {
 		return lease
 	}
-	return p.Directory.PickRoom(service, request.wanted(), zone)
+	return p.Directory.PickWithCapacity(service, request.wanted(), zone)
 }
 
-// ask asks a coordinator. Without a lease and an error the gateway has to choose by itself;
-// the error says that there is no place.
+// ask queries a coordinator. It returns neither a lease nor an error if the gateway has to choose by
+// itself, and an error if no replica has capacity.
 func (p *Placer) ask(ctx context.Context, kind region.PlacementKind, service string, request ReadRequest, near string, stages ...string) (*Lease, error) {
 	if p.Remote == nil || request.Unlimited {
-		// A coordinator is not told which replicas these are.
+		// A coordinator is not told which replicas have a rate limit.
 		return nil, nil
 	}
 	question := p.question(kind, service, request, near)
-	answer, by, err := p.Remote.Ask(ctx, question, askTime(request))
+	answer, by, err := p.Remote.Ask(ctx, question, coordinatorTimeout(request))
 	if err != nil {
 		return nil, nil
 	}
 	if answer.Outcome == region.PlacementNoRoom {
 		full := &noRoomError{until: micros(answer.UntilMicros), busy: micros(answer.BusyMicros)}
-		p.Directory.noteRefused(service, refusedTimes(request, full.busy))
+		p.Directory.recordRefused(service, refusedTimes(request, full.busy))
 		return nil, full
 	}
 	lease := p.Directory.takeGrant(&grant{id: question.Lease, by: by, tell: p.Remote.Tell}, answer, request, stages...)
@@ -94,13 +93,13 @@
 	return lease, nil
 }
 
-// askTime is how long a coordinator is waited for.
-func askTime(request ReadRequest) time.Duration {
-	return min(time.Duration(askShare*float64(request.Objective)), longestAsk)
+// coordinatorTimeout returns the longest wait for a coordinator's answer.
+func coordinatorTimeout(request ReadRequest) time.Duration {
+	return min(time.Duration(coordinatorTimeoutShare*float64(request.Objective)), maximumCoordinatorTimeout)
 }
 
-// question describes a request to a coordinator. Replicas that this gateway can't reach, and those that
-// want to be left alone by it, are excluded like those that were tried.
+// question creates the placement query for a request. It excludes the replicas that were tried, those that
+// this gateway can't reach, and those that have asked it to back off.
 func (p *Placer) question(kind region.PlacementKind, service string, request ReadRequest, near string) *region.PlacementQuestion {
 	asked := &region.PlacementQuestion{
 		Kind:            kind,
@@ -120,7 +119,7 @@
 		asked.Excluded = append(asked.Excluded, replica.name)
 	}
 	if kind == region.PlaceRoom {
-		// The stream's memory comes with it.
+		// The stream's KV cache moves with it, so that the prompt's parts don't matter.
 		return asked
 	}
 	for _, part := range request.Prompt.Parts {
@@ -129,13 +128,13 @@
 	return asked
 }
 
-// idleTime is for how long the replica of a lease has read nothing that anyone knows of.
+// idleTime returns for how long the replica of a lease has had no known prefill work.
 func (p *Placer) idleTime(ctx context.Context, lease *Lease) time.Duration {
 	if lease.grant == nil || p.Remote == nil {
 		return lease.IdleTime()
 	}
 	question := &region.PlacementQuestion{Lease: lease.grant.id, Kind: region.AskIdle}
-	answer, _, err := p.Remote.Ask(ctx, question, longestAsk)
+	answer, _, err := p.Remote.Ask(ctx, question, maximumCoordinatorTimeout)
 	if err != nil || answer.Outcome != region.PlacementGranted {
 		return lease.IdleTime()
 	}
--- a/internal/relay/prefix.go
+++ b/internal/relay/prefix.go
@@ -8,81 +8,80 @@
 	"github.com/pierhaven/pierhaven/internal/region"
 )
 
-// prefixMemory remembers the parts of prompts that a replica keeps: those read
-// there, least recently used first to go, as far as they fit into its memory.
-type prefixMemory struct {
-	order *list.List
-	parts map[string]*list.Element
-	held  int
+// prefixCache models which parts of prompts a replica has cached: those that it has processed, evicted in
+// LRU order as its capacity requires.
+type prefixCache struct {
+	order  *list.List
+	parts  map[string]*list.Element
+	tokens int
 }
 
-// unknownCapacity is assumed for replicas that don't tell their memory, in
-// tokens.
-const unknownCapacity = 200_000
+// defaultCacheTokens is the assumed cache capacity, in tokens, of replicas for which none is configured.
+const defaultCacheTokens = 200_000
 
-func newPrefixMemory() *prefixMemory {
-	return &prefixMemory{order: list.New(), parts: map[string]*list.Element{}}
+func newPrefixCache() *prefixCache {
+	return &prefixCache{order: list.New(), parts: map[string]*list.Element{}}
 }
 
-// keptPart is a part with the time from which on it can be fetched.
-type keptPart struct {
+// cachedPart is a part with the time from which it can be fetched.
+type cachedPart struct {
 	PromptPart
 	readyAt time.Duration
 }
 
-// list returns the parts, the one longest unused first.
-func (m *prefixMemory) list() []region.PlacedPart {
+// list returns the parts in LRU order, the least recently used first.
+func (m *prefixCache) list() []region.PlacedPart {
 	parts := make([]region.PlacedPart, 0, m.order.Len())
 	for each := m.order.Back(); each != nil; each = each.Prev() {
-		part := each.Value.(*keptPart)
+		part := each.Value.(*cachedPart)
 		parts = append(parts, region.PlacedPart{ID: part.ID, Tokens: part.Tokens})
 	}
 	return parts
 }
 
-// learn notes that a prompt is read by a replica that can keep a number of
-// tokens, and from when on others can fetch it there.
-func (m *prefixMemory) learn(parts []PromptPart, capacity int, readyAt time.Duration) {
+// add records that a replica with a cache capacity in tokens processes the parts of a prompt, which others
+// can fetch there from readyAt on.
+func (m *prefixCache) add(parts []PromptPart, capacity int, readyAt time.Duration) {
 	if capacity <= 0 {
-		capacity = unknownCapacity
+		capacity = defaultCacheTokens
 	}
 	for _, part := range parts {
 		m.touch(part, readyAt)
 	}
-	for m.held > capacity {
-		m.drop(m.order.Back())
+	for m.tokens > capacity {
+		m.evict(m.order.Back())
 	}
 }
 
-func (m *prefixMemory) touch(part PromptPart, readyAt time.Duration) {
+func (m *prefixCache) touch(part PromptPart, readyAt time.Duration) {
 	if known, found := m.parts[part.ID]; found {
-		kept := known.Value.(*keptPart)
+		kept := known.Value.(*cachedPart)
 		kept.readyAt = min(kept.readyAt, readyAt)
 		m.order.MoveToFront(known)
 		return
 	}
-	m.parts[part.ID] = m.order.PushFront(&keptPart{PromptPart: part, readyAt: readyAt})
-	m.held += part.Tokens
+	m.parts[part.ID] = m.order.PushFront(&cachedPart{PromptPart: part, readyAt: readyAt})
+	m.tokens += part.Tokens
 }
 
-func (m *prefixMemory) drop(oldest *list.Element) {
-	part := m.order.Remove(oldest).(*keptPart)
+func (m *prefixCache) evict(oldest *list.Element) {
+	part := m.order.Remove(oldest).(*cachedPart)
 	delete(m.parts, part.ID)
-	m.held -= part.Tokens
+	m.tokens -= part.Tokens
 }
 
-// missing returns the tokens of a prompt that have to be read: those from the
-// first part on that is not kept, or about to be.
-func (m *prefixMemory) missing(prompt *Prompt) int {
-	return max(prompt.Tokens-m.kept(prompt, math.MaxInt64), 0)
+// uncachedTokens returns the tokens of a prompt that have to be prefilled: those from the first part that
+// is neither cached nor about to be.
+func (m *prefixCache) uncachedTokens(prompt *Prompt) int {
+	return max(prompt.Tokens-m.cachedTokens(prompt, math.MaxInt64), 0)
 }
 
-// kept returns the tokens of a prompt's beginning that are ready at a time.
-func (m *prefixMemory) kept(prompt *Prompt, now time.Duration) int {
+// cachedTokens returns the tokens of a prompt's prefix that are cached at a time.
+func (m *prefixCache) cachedTokens(prompt *Prompt, now time.Duration) int {
 	kept := 0
 	for _, part := range prompt.Parts {
 		known, found := m.parts[part.ID]
-		if !found || known.Value.(*keptPart).readyAt > now {
+		if !found || known.Value.(*cachedPart).readyAt > now {
 			break
 		}
 		kept += part.Tokens
--- a/internal/relay/question.go
+++ b/internal/relay/question.go
@@ -7,7 +7,7 @@
 	"github.com/pierhaven/pierhaven/internal/region"
 )
 
-// Place answers a coordinator's question from this directory.
+// Place answers a placement query from this directory.
 func (d *Directory) Place(question *region.PlacementQuestion) (*Lease, *region.PlacementAnswer) {
 	request := d.requestOf(question)
 	var lease *Lease
@@ -20,7 +20,7 @@
 	case region.PlaceGenerate:
 		lease = d.PickGenerator(question.Service, request.wanted(), question.Near)
 	case region.PlaceRoom:
-		lease = d.PickRoom(question.Service, request.wanted(), question.Near)
+		lease = d.PickWithCapacity(question.Service, request.wanted(), question.Near)
 	}
 	answer := &region.PlacementAnswer{Outcome: region.PlacementNoReplica}
 	if lease != nil {
@@ -35,7 +35,7 @@
 	return lease, answer
 }
 
-// requestOf reads a question; what a gateway tells is bounded.
+// requestOf converts a query to a request, and bounds the values that the gateway has sent.
 func (d *Directory) requestOf(question *region.PlacementQuestion) ReadRequest {
 	prompt := PromptOf(question)
 	return ReadRequest{
@@ -52,18 +52,17 @@
 }
 
 const (
-	// longestTold bounds a time that a gateway tells.
+	// longestTold bounds times in queries.
 	longestTold = time.Hour
-	// mostTokens bounds the tokens that a gateway tells of a prompt, more than any engine's
-	// memory holds.
-	mostTokens = 1 << 26
+	// maximumTokens bounds token counts in queries. It is more than any engine's cache holds.
+	maximumTokens = 1 << 26
 )
 
 func boundedMicros(count int64) time.Duration {
 	return micros(min(max(count, 0), longestTold.Microseconds()))
 }
 
-// PromptOf is the prompt that a question is about.
+// PromptOf returns the prompt of a query.
 func PromptOf(question *region.PlacementQuestion) *Prompt {
 	prompt := &Prompt{Tokens: boundedTokens(question.Tokens)}
 	for _, part := range question.Parts {
@@ -72,10 +71,10 @@
 	return prompt
 }
 
-func boundedTokens(told int) int { return min(max(told, 0), mostTokens) }
+func boundedTokens(told int) int { return min(max(told, 0), maximumTokens) }
 
-// noteRefused counts a prompt that is refused as demand.
-func (d *Directory) noteRefused(service string, refused readTimes) {
+// recordRefused counts a refused prompt as demand.
+func (d *Directory) recordRefused(service string, refused readTimes) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.noteRead(service, refused)
--- a/internal/relay/reading.go
+++ b/internal/relay/reading.go
@@ -6,49 +6,47 @@
 	"github.com/pierhaven/pierhaven/internal/mechanism"
 )
 
-// ReadRequest is a prompt that is to be read, with what its caller expects.
+// ReadRequest is a prompt to be prefilled, with the limits of its request.
 type ReadRequest struct {
 	Prompt *Prompt
-	// Objective is the route's, up to the first event.
+	// Objective is the route's objective for the time to the first event.
 	Objective time.Duration
-	// TargetGap is the longest pause that the route's streams may make.
+	// TargetGap is the longest inter-token gap that the route's streams should have.
 	TargetGap time.Duration
-	// AimLeft is the time until the objective is missed, Left that until the caller's
-	// deadline.
+	// AimLeft is the time until the objective is missed, Left the time until the caller's deadline.
 	AimLeft time.Duration
 	Left    time.Duration
-	// Rank is the route's; replicas read the prompts of lower ones first.
+	// Rank is the route's; replicas prefill prompts of lower ranks first.
 	Rank int
-	// Tenant stands for the caller's tenant, 0 for none.
+	// Tenant identifies the caller's tenant, 0 for none.
 	Tenant uint64
-	// Zone is that of the gateway which has the request.
+	// Zone is that of the gateway that received the request.
 	Zone string
-	// Excluded are replicas that must not be chosen; Unlimited excludes all that name a limit.
+	// Excluded are replicas that must not be chosen; Unlimited excludes all that declare a rate limit.
 	Excluded  []*Replica
 	Unlimited bool
 }
 
-// wanted says which replicas may get the request.
+// wanted returns the restrictions on which replicas may get the request.
 func (r *ReadRequest) wanted() Wanted {
 	return Wanted{Rank: r.Rank, Excluded: r.Excluded, Unlimited: r.Unlimited}
 }
 
-// Urgency is the class in which a prompt is read. Replicas read the prompts of an
-// earlier class first.
+// Urgency is the scheduling class of a prefill. Replicas process the prompts of an earlier class first.
 type Urgency int
 
 const (
 	// InTime prompts are expected to be answered within their objective.
 	InTime Urgency = iota
-	// Late ones are not, and are read when no other waits.
+	// Late prompts are not, and are processed when no others wait.
 	Late
-	urgencies
+	urgencyCount
 )
 
-// readingWork is the time for which prompts keep a replica busy, by their urgency.
-type readingWork [urgencies]time.Duration
+// readingWork is the prefill work of a replica as a duration, by urgency.
+type readingWork [urgencyCount]time.Duration
 
-// before is the work that is done before a prompt of an urgency.
+// before returns the work that is done before a prompt of an urgency.
 func (w readingWork) before(urgency Urgency) time.Duration {
 	var sum time.Duration
 	for class := InTime; class <= urgency; class++ {
@@ -57,45 +55,45 @@
 	return sum
 }
 
-// readEstimate is how long a replica is expected to take until it has read a prompt.
+// readEstimate is the expected time until a replica has completed the prefill of a prompt.
 type readEstimate struct {
 	replica *Replica
-	// wait is for the prompts before it, move for a prefix that is fetched, and busy
-	// for the replica's own work on it.
+	// wait is for the prompts before it, move for the transfer of a fetched prefix, and busy for the
+	// replica's own work on it.
 	wait, move, busy time.Duration
-	// cross is what the ways to another region take.
-	cross time.Duration
+	// crossRegion is the delay of crossing to another region.
+	crossRegion time.Duration
 	// from is the replica to fetch a prefix from, nil if there is none.
 	from *Replica
-	// missing are the tokens to be read.
+	// missing is the number of tokens to prefill.
 	missing int
 }
 
-// total is the time until the prompt has been read, and is known to have been.
-func (e *readEstimate) total() time.Duration { return e.reading() + e.cross }
+// total returns the time until the prefill is complete and the gateway knows that it is.
+func (e *readEstimate) total() time.Duration { return e.reading() + e.crossRegion }
 
-// reading is the time until the replica has read the prompt.
+// reading returns the time until the replica has completed the prefill.
 func (e *readEstimate) reading() time.Duration { return e.wait + e.move + e.busy }
 
-// estimate is how long a replica takes to read a prompt of an urgency. It is called
-// with the mutex held.
-func (d *Directory) estimate(replica *Replica, request ReadRequest, urgency Urgency, sources []keeper, now time.Duration) readEstimate {
+// estimatePrefill estimates how long a replica takes to prefill a prompt of an urgency. The caller must
+// hold d.mutex.
+func (d *Directory) estimatePrefill(replica *Replica, request ReadRequest, urgency Urgency, sources []prefixSource, now time.Duration) readEstimate {
 	missing := d.missing(replica, request.Prompt)
 	estimated := readEstimate{
-		replica: replica,
-		wait:    d.waitBefore(replica, urgency, request, now),
-		busy:    d.busyTime(replica, request, missing),
-		missing: missing,
-		cross:   d.crossingTime(request.Zone, replica, now),
+		replica:     replica,
+		wait:        d.queueingTime(replica, urgency, request, now),
+		busy:        d.prefillTime(replica, request, missing),
+		missing:     missing,
+		crossRegion: d.crossRegionDelay(request.Zone, replica, now),
 	}
-	own := replica.prefixes.kept(request.Prompt, now)
+	own := replica.prefixes.cachedTokens(request.Prompt, now)
 	for _, source := range sources {
-		if source.replica == replica || source.kept <= own {
+		if source.replica == replica || source.cached <= own {
 			continue
 		}
-		left := request.Prompt.Tokens - source.kept
-		busy := d.busyTime(replica, request, left)
-		move := d.moveTime(source.replica, replica, source.kept-own, estimated.busy-busy)
+		left := request.Prompt.Tokens - source.cached
+		busy := d.prefillTime(replica, request, left)
+		move := d.transferTime(source.replica, replica, source.cached-own, estimated.busy-busy)
 		if busy+move < estimated.busy+estimated.move {
 			estimated.busy, estimated.move, estimated.from, estimated.missing = busy, move, source.replica, left
 		}
@@ -103,43 +101,43 @@
 	return estimated
 }
 
-// missing are the tokens of a prompt that a replica is expected to read. It is called with
-// the mutex held.
+// missing returns the tokens of a prompt that a replica is expected to prefill. The caller must hold
+// d.mutex.
 func (d *Directory) missing(replica *Replica, prompt *Prompt) int {
 	if d.off[mechanism.PrefixAffinity] {
 		return prompt.Tokens
 	}
-	return replica.prefixes.missing(prompt)
+	return replica.prefixes.uncachedTokens(prompt)
 }
 
-// keeper is a replica that keeps the beginning of a prompt.
-type keeper struct {
+// prefixSource is a replica that has the prefix of a prompt cached.
+type prefixSource struct {
 	replica *Replica
-	kept    int
+	cached  int
 }
 
-// keepers returns, for each zone, the replica that keeps the most of a prompt's
-// beginning and offers it. It is called with the mutex held.
-func (d *Directory) keepers(service string, prompt *Prompt, now time.Duration) []keeper {
+// prefixSources returns, for each zone, the replica with the longest cached prefix of a prompt that can be
+// fetched. The caller must hold d.mutex.
+func (d *Directory) prefixSources(service string, prompt *Prompt, now time.Duration) []prefixSource {
 	if d.off[mechanism.Fetching] {
 		return nil
 	}
-	var best []keeper
+	var best []prefixSource
 	for _, replica := range d.services[service] {
-		if !replica.offers(now) {
+		if !replica.canServeFetches(now) {
 			continue
 		}
-		if kept := replica.prefixes.kept(prompt, now); kept > 0 {
-			best = keepMost(best, keeper{replica: replica, kept: kept})
+		if kept := replica.prefixes.cachedTokens(prompt, now); kept > 0 {
+			best = keepLongest(best, prefixSource{replica: replica, cached: kept})
 		}
 	}
 	return best
 }
 
-func keepMost(best []keeper, found keeper) []keeper {
+func keepLongest(best []prefixSource, found prefixSource) []prefixSource {
 	for index := range best {
 		if best[index].replica.Zone == found.replica.Zone {
-			if found.kept > best[index].kept {
+			if found.cached > best[index].cached {
 				best[index] = found
 			}
 			return best
--- a/internal/relay/reading_test.go
+++ b/internal/relay/reading_test.go
@@ -18,31 +18,31 @@
 
 const pace = 40_000
 
-// newTaught returns a directory that has learned its engines' pace.
+// newTaught returns a directory that has learned its engines' prefill rate.
 func newTaught(replicas ...region.Replica) *directory {
 	d := newDirectory(replicas...)
-	d.teach(pace)
+	d.learnPrefillRate(pace)
 	return d
 }
 
-// ownPrompt shares nothing with others.
+// ownPrompt returns a prompt that shares no prefix with others.
 func ownPrompt(tokens int) *relay.Prompt {
 	return prompt(relay.PromptPart{ID: fmt.Sprintf("own-%d", tokens), Tokens: tokens})
 }
 
-// busy says that a peer keeps a replica reading for a time.
+// busy reports from a peer that a replica has prefill work for a time.
 func (d *directory) busy(replica string, reading time.Duration) {
 	d.TakeOutstanding("peer", []region.OutstandingWork{{Replica: replica, Requests: 1, InTimeMicros: reading.Microseconds()}}, true)
 }
 
-func TestAPromptThatCanNotBeReadInTimeBecomesALateOne(t *testing.T) {
+func TestPromptBeyondObjectiveBecomesLate(t *testing.T) {
 	d := newTaught(replica("r", region.StagePrefill), replica("g", region.StageDecode))
 	inTime := d.read(ownPrompt(20_000))
 	assert.Zero(t, inTime.Rank(&traffic.Route{}))
 	late := d.read(ownPrompt(20_001))
-	assert.Equal(t, relay.LastRank, late.Rank(&traffic.Route{}), "half a second behind another half, of one")
+	assert.Equal(t, relay.LastRank, late.Rank(&traffic.Route{}), "0.5 s of prefill behind another 0.5 s, with an objective of 1 s")
 	next := d.read(ownPrompt(4000))
-	assert.Zero(t, next.Rank(&traffic.Route{}), "what is late is read after all others")
+	assert.Zero(t, next.Rank(&traffic.Route{}), "late prompts are prefilled after all others")
 	inTime.Release()
 	late.Release()
 	next.Release()
@@ -51,11 +51,12 @@
 	assert.Equal(t, 3, d.read(ownPrompt(10)).Rank(&traffic.Route{Priority: 3}))
 }
 
-// A reader ends what it has begun: a prompt in time that comes behind a late one waits for it.
-func TestAPromptInTimeIsNotPlacedBehindALateOneThatHasBegun(t *testing.T) {
+// A prefill replica completes what it has started: an on-time prompt that arrives behind a late one waits
+// for it.
+func TestOnTimePromptAvoidsReplicaWithStartedLatePrefill(t *testing.T) {
 	d := newTaught(replica("a", region.StagePrefill), replica("b", region.StagePrefill), replica("g", region.StageDecode))
 	late := d.read(ownPrompt(80_000))
-	require.Equal(t, relay.LastRank, late.Rank(&traffic.Route{}), "two seconds of work, of one")
+	require.Equal(t, relay.LastRank, late.Rank(&traffic.Route{}), "2 s of prefill, with an objective of 1 s")
 	for number := range 8 {
 		short := d.read(prompt(relay.PromptPart{ID: fmt.Sprint("short-", number), Tokens: 400}))
 		assert.NotEqual(t, late.Replica, short.Replica)
@@ -64,29 +65,29 @@
 	late.Release()
 
 	d.TakeOutstanding("peer", []region.OutstandingWork{{Replica: "a", Requests: 1, LateMicros: 2_000_000}}, true)
-	assert.Equal(t, "b", d.read(ownPrompt(500)).Replica.ID, "a peer has told of one")
+	assert.Equal(t, "b", d.read(ownPrompt(500)).Replica.ID, "a peer has reported a late prompt")
 }
 
-func TestALatePromptIsRefusedWhereThereIsNoRoom(t *testing.T) {
+func TestLatePromptIsRefusedWithoutCapacity(t *testing.T) {
 	request := readRequest(ownPrompt(20_000))
-	t.Run("its caller will have left", func(t *testing.T) {
+	t.Run("the caller will have given up", func(t *testing.T) {
 		d := newTaught(replica("r", region.StagePrefill), replica("g", region.StageDecode))
 		d.busy("r", 12*time.Second)
 		_, err := d.PlaceReading("s", request)
 		require.Error(t, err)
 		assert.Equal(t, failure.RanNo, failure.AnswerFor(failure.Wrap(err, failure.BackEndRefused)).Ran)
 	})
-	t.Run("half of the slots are taken", func(t *testing.T) {
+	t.Run("half of the slots are in use", func(t *testing.T) {
 		d := newTaught(replica("r", region.StagePrefill), replica("g", region.StageDecode))
 		d.busy("r", 2*time.Second)
 		_, err := d.PlaceReading("s", request)
-		require.NoError(t, err, "1 of 4 is taken")
+		require.NoError(t, err, "1 of 4 slots is in use")
 		_, err = d.PlaceReading("s", request)
 		assert.Error(t, err)
 	})
 }
 
-func TestTheEnginesTimesAreToldToPeers(t *testing.T) {
+func TestEngineCostsAreSharedWithPeers(t *testing.T) {
 	taught := newTaught(replica("r", region.StagePrefill), replica("g", region.StageDecode))
 	costs := taught.Costs()
 	require.Len(t, costs, 1)
@@ -96,13 +97,13 @@
 	late := readRequest(ownPrompt(2 * pace))
 	lease, err := d.PlaceReading("s", late)
 	require.NoError(t, err)
-	assert.Equal(t, relay.LastRank, lease.Rank(&traffic.Route{}), "two seconds of work, of one")
-	assert.Empty(t, d.Costs(), "what was heard is not told again")
+	assert.Equal(t, relay.LastRank, lease.Rank(&traffic.Route{}), "2 s of prefill, with an objective of 1 s")
+	assert.Empty(t, d.Costs(), "costs from peers are not reported again")
 }
 
-func TestAGeneratorReadsAPromptOnlyIfItsStreamsHardlyNotice(t *testing.T) {
+func TestDecodeReplicaPrefillsOnlyWithinItsGapBudget(t *testing.T) {
 	asked := 0
-	read := func(d *directory, tokens int, gap time.Duration) string {
+	placedOn := func(d *directory, tokens int, gap time.Duration) string {
 		asked++
 		request := readRequest(prompt(relay.PromptPart{ID: fmt.Sprintf("short-%d", asked), Tokens: tokens}))
 		request.TargetGap = gap
@@ -113,27 +114,27 @@
 	}
 	d := newTaught(replica("r", region.StagePrefill), replica("g", region.StageDecode))
 	d.busy("r", 300*time.Millisecond)
-	assert.Equal(t, "g", read(d, 200, 150*time.Millisecond), "the reader is busy")
-	assert.Equal(t, "r", read(d, 200, 10*time.Millisecond), "a piece would hold streams up for too long")
+	assert.Equal(t, "g", placedOn(d, 200, 150*time.Millisecond), "the prefill replica is busy")
+	assert.Equal(t, "r", placedOn(d, 200, 10*time.Millisecond), "the prefill would exceed the inter-token gap")
 
-	assert.Equal(t, "r", read(d, 2000, 150*time.Millisecond), "it is too long")
+	assert.Equal(t, "r", placedOn(d, 2000, 150*time.Millisecond), "the prompt is too long")
 
 	stream := d.PickGenerator("s", relay.Wanted{}, "z")
 	stream.StreamBegun("route", false)
 	d.now += 140 * time.Millisecond
 	stream.StreamWentOn()
 	d.busy("r", 300*time.Millisecond)
-	assert.Equal(t, "r", read(d, 200, 150*time.Millisecond), "its streams pause for long already")
+	assert.Equal(t, "r", placedOn(d, 200, 150*time.Millisecond), "its streams already have long gaps")
 	d.now += 5 * time.Second
 	d.busy("r", 300*time.Millisecond)
-	assert.Equal(t, "g", read(d, 200, 150*time.Millisecond), "that was long ago")
+	assert.Equal(t, "g", placedOn(d, 200, 150*time.Millisecond), "the long gap is no longer recent")
 	d.busy("r", 0)
-	assert.Equal(t, "r", read(d, 200, 150*time.Millisecond), "the reader is idle")
+	assert.Equal(t, "r", placedOn(d, 200, 150*time.Millisecond), "the prefill replica is idle")
 }
 
-// What other gateways have placed at generators, and have not told of, shows in how long
-// prompts take there.
-func TestPromptsLeaveGeneratorsThatTakeLongerThanExpected(t *testing.T) {
+// Work that other gateways have placed at decode replicas, and not yet reported, shows in how long prefills
+// take there.
+func TestPromptsAvoidDecodeReplicasSlowerThanEstimated(t *testing.T) {
 	place := func(d *directory) *relay.Lease {
 		request := readRequest(ownPrompt(200))
 		request.TargetGap = 150 * time.Millisecond
@@ -155,7 +156,7 @@
 	}
 }
 
-func TestMovesBetweenReplicasTakeTheirTime(t *testing.T) {
+func TestPrefixTransferTimeDependsOnLinkBandwidth(t *testing.T) {
 	shared := relay.PromptPart{ID: "shared", Tokens: 8000}
 	for _, test := range []struct {
 		link  float64
@@ -177,7 +178,7 @@
 	}
 }
 
-func TestStreamsAreSpreadOverTheGenerators(t *testing.T) {
+func TestStreamsAreSpreadOverDecodeReplicas(t *testing.T) {
 	d := newDirectory(replica("a", region.StageDecode), replica("b", region.StageDecode), replica("c", region.StageDecode))
 	counts := map[string]int{}
 	for taken := 1; taken <= 6; taken++ {
@@ -192,7 +193,7 @@
 	d := newDirectory(replica("g", region.StageDecode))
 	d.SetEngine("s", traffic.Engine{SwitchTime: 3 * time.Second})
 	var running []*relay.Lease
-	// Ten streams a second, each for two seconds.
+	// Ten streams per second, each for two seconds.
 	for step := range 100 {
 		d.now = time.Duration(step) * 100 * time.Millisecond
 		lease := d.PickGenerator("s", relay.Wanted{}, "z")
@@ -206,7 +207,7 @@
 	demand := d.Demand(topology.Map{})[0]
 	assert.InDelta(t, 20, demand.Generating, 1)
 	assert.InDelta(t, 20, demand.Expected, 4)
-	// No more come, and half have ended: in three seconds nearly all will have.
+	// No more streams arrive, and half have ended: in three seconds nearly all will have.
 	for _, lease := range running[:10] {
 		lease.Release()
 	}
@@ -214,25 +215,25 @@
 	assert.Less(t, d.Demand(topology.Map{})[0].Expected, 12.0)
 }
 
-// Symptom: after all processes had been restarted, prompts were expected to be read eight times as
-// fast as they are, and a tenth of the callers had no answer for six seconds. Sequence: the replicas
-// keep prompts from before, the processes don't know of them, prompts that count as wholly missing
-// are answered at once. Cause: the engines' pace was learned from them.
-func TestNoPaceIsLearnedFromWhatReplicasMayKeepFromBefore(t *testing.T) {
+// Guards against learning costs from cached prompts: after a restart of all processes, replicas still have
+// prompts cached that the processes count as uncached, and answer them at once. When costs were learned
+// from these, prefills looked eight times as fast as they are, and a tenth of the callers had no answer for
+// six seconds.
+func TestNoPrefillRateIsLearnedWhileCacheIsUnknown(t *testing.T) {
 	d := newDirectory(replica("r", region.StagePrefill), replica("g", region.StageDecode))
-	read := func(id string) {
+	prefill := func(id string) {
 		lease := d.read(prompt(relay.PromptPart{ID: "shared-" + id, Tokens: 8000}, relay.PromptPart{ID: "own-" + id, Tokens: 400}))
 		d.now += 10 * time.Millisecond
 		lease.PromptRead()
 		lease.Release()
 	}
 	for number := range 5 {
-		read(fmt.Sprint(number))
+		prefill(fmt.Sprint(number))
 	}
 	assert.Empty(t, d.Costs())
 	d.LearnKept(region.Life{ID: "r"}, nil)
 	for number := range 5 {
-		read(fmt.Sprint("kept-", number))
+		prefill(fmt.Sprint("kept-", number))
 	}
-	assert.NotEmpty(t, d.Costs(), "what it keeps is known now")
+	assert.NotEmpty(t, d.Costs(), "the content of its cache is known now")
 }
--- a/internal/relay/replica.go
+++ b/internal/relay/replica.go
@@ -7,86 +7,87 @@
 	"github.com/pierhaven/pierhaven/internal/region"
 )
 
-// Replica is what this gateway knows of one incarnation of a back end. Its fields
-// are guarded by the Directory's mutex.
+// Replica is what this gateway knows of one incarnation of a back end. Its fields are guarded by
+// Directory.mutex.
 type Replica struct {
 	region.Replica
-	// name is that of its life.
+	// name is that of its incarnation.
 	name string
-	// inFlight counts this gateway's requests there; reading is for how long their
-	// prompts keep it busy that it has yet to read.
+	// inFlight is the number of this gateway's requests there, and reading their prefill work that is not
+	// yet complete.
 	inFlight int
 	reading  readingWork
-	// ranked is reading in time by the rank of its route.
+	// ranked is the InTime part of reading, by the rank of the route.
 	ranked [LastRank]time.Duration
-	// lateReads counts those of them that are late.
-	lateReads int
-	// progressAt is when it was last known to have read a prompt.
+	// latePrefills is the number of prompts in the Late part of reading.
+	latePrefills int
+	// progressAt is when it was last known to have completed a prefill.
 	progressAt time.Duration
-	// granted is the part of inFlight and reading that a coordinator has placed and counts
-	// itself.
+	// granted is the part of inFlight and reading that a coordinator has placed and counts itself.
 	granted grantedWork
-	// generating counts this gateway's streams there that have begun.
+	// generating is the number of this gateway's streams there that have begun.
 	generating int
-	// pause is the longest time of late between two events of the replica's streams.
+	// pause tracks the longest recent time between two events of the replica's streams.
 	pause peakMeter
 	// peers is the work that other gateways have placed there.
 	peers  map[string]peerWork
 	load   Load
 	loadAt time.Duration
-	// failures in a row, and the time until which the replica is avoided.
+	// failures is the number of consecutive failures; the replica is avoided until avoidUntil.
 	failures   int
 	avoidUntil time.Duration
-	// unconnected says that the last failure was that of making a connection.
+	// unconnected says that the last failure was a failure to connect.
 	unconnected bool
 	refusals    refusals
-	// room is that of its stage of its service.
+	// room is the learned limit of its service and stage.
 	room  *room
 	limit namedLimit
-	// leavingSince is when others were known to have heard that it leaves, by the gate's clock.
+	// leavingSince is when other processes were first known to have learned that it is leaving, by the
+	// gate's clock.
 	leavingSince time.Duration
-	// endSeen says that a process has ended which had the replica's name: what others have heard may be of it.
+	// endSeen says that a process with the replica's name has ended: what other processes have learned may
+	// be about that one.
 	endSeen bool
-	// asks is what the replica asks of this process, nil if that is nothing.
+	// asks is what the replica asks of this process, nil if nothing.
 	asks      *backpressure.Standing
 	latency   float64
 	errorRate float64
 	gone      bool
 	// streams are those of this gateway that run there.
 	streams  map[*Lease]struct{}
-	prefixes *prefixMemory
-	// keptKnown says that the replica keeps no more than is noted here: it has begun since, or has
-	// told.
-	keptKnown bool
+	prefixes *prefixCache
+	// cacheKnown says that the replica has nothing cached beyond what prefixes holds: it started after this
+	// process's first list, or has reported its cache.
+	cacheKnown bool
 }
 
-// peerWork is what another gateway told of its work at a replica.
+// peerWork is what another gateway has reported of its work at a replica.
 type peerWork struct {
 	requests int
 	reading  readingWork
 	at       time.Duration
 }
 
-// peerMemory is how long a gateway's word on its work counts: longer than the time
-// between two messages that tell all of it.
-const peerMemory = 3 * time.Second
+// peerReportLifetime is how long a gateway's report of its work counts: longer than the interval between
+// two complete reports.
+const peerReportLifetime = 3 * time.Second
 
-// allInFlight counts the requests of all gateways.
-func (r *Replica) allInFlight(now time.Duration) int {
+// totalInFlight returns the number of requests of all gateways.
+func (r *Replica) totalInFlight(now time.Duration) int {
 	sum := r.inFlight
 	for _, work := range r.peers {
-		if now-work.at < peerMemory {
+		if now-work.at < peerReportLifetime {
 			sum += work.requests
 		}
 	}
 	return sum
 }
 
-// allReading is what the replica has yet to read for all gateways, as each last told.
+// allReading returns the replica's remaining prefill work for all gateways, as each last reported it.
 func (r *Replica) allReading(now time.Duration) readingWork {
 	sum := r.reading
 	for _, work := range r.peers {
-		if now-work.at >= peerMemory {
+		if now-work.at >= peerReportLifetime {
 			continue
 		}
 		for urgency, busy := range work.reading {
@@ -96,26 +97,26 @@
 	return sum
 }
 
-// waitBefore is the work that a replica does before a request's prompt if it has an urgency. It is
-// called with the mutex held.
-func (d *Directory) waitBefore(replica *Replica, urgency Urgency, request ReadRequest, now time.Duration) time.Duration {
+// queueingTime returns the prefill work that a replica does before a prompt of an urgency. The caller must
+// hold d.mutex.
+func (d *Directory) queueingTime(replica *Replica, urgency Urgency, request ReadRequest, now time.Duration) time.Duration {
 	reading := replica.allReading(now)
 	if urgency == Late {
 		return reading.before(Late)
 	}
 	if reading[InTime] <= 0 {
-		return replica.begunLate(now)
+		return replica.startedLateWork(now)
 	}
 	return d.aheadOf(replica, request, now)
 }
 
-// begunLate is the late prompt that a replica with none in time is reading: what has been
-// begun is read to its end, whatever comes. Of a peer's late prompts no number is told,
-// and they count as one.
-func (r *Replica) begunLate(now time.Duration) time.Duration {
-	begun := r.reading[Late] / time.Duration(max(r.lateReads, 1))
+// startedLateWork returns the late prefill that a replica without on-time prompts is assumed to be
+// processing: once started, a prefill runs to completion, whatever arrives. Peers do not report the number
+// of their late prompts, which count as one.
+func (r *Replica) startedLateWork(now time.Duration) time.Duration {
+	begun := r.reading[Late] / time.Duration(max(r.latePrefills, 1))
 	for _, work := range r.peers {
-		if now-work.at < peerMemory {
+		if now-work.at < peerReportLifetime {
 			begun = max(begun, work.reading[Late])
 		}
 	}
@@ -123,29 +124,29 @@
 }
 
 const (
-	// firstAvoidance is how long a replica is avoided after a failure that
-	// shows that it can't be reached; it doubles with each further one.
-	firstAvoidance   = 500 * time.Millisecond
+	// initialAvoidance is how long a replica is avoided after a failure to connect or to answer; it doubles
+	// with each consecutive one.
+	initialAvoidance = 500 * time.Millisecond
 	maximumAvoidance = 4 * time.Second
-	// loadMemory is how long a replica's own account of its load counts.
-	loadMemory = time.Second
-	// smoothing is the weight of the newest observation in averages.
+	// loadReportLifetime is how long the load that a replica reports counts.
+	loadReportLifetime = time.Second
+	// smoothing is the weight of the newest observation in moving averages.
 	smoothing = 0.15
 )
 
 // avoided reports whether a replica should get no request now if another can.
 func (r *Replica) avoided(now time.Duration) bool { return now < r.avoidUntil }
 
-// refuses reports whether a replica is expected to refuse a request, or more than it has of this process.
+// refuses reports whether a replica is expected to refuse another request of this process.
 func (r *Replica) refuses(now time.Duration) bool {
 	return now < r.refusals.avoidUntil || !r.refusals.ramp.takes(r.inFlight)
 }
 
-// unreachable notes a failure of the connection or a silence.
+// unreachable records that the replica could not be connected to, or did not answer.
 func (r *Replica) unreachable(now time.Duration, unconnected bool) {
 	r.failures++
 	r.unconnected = unconnected
-	pause := min(firstAvoidance<<min(r.failures-1, 8), maximumAvoidance)
+	pause := min(initialAvoidance<<min(r.failures-1, 8), maximumAvoidance)
 	r.avoidUntil = now + pause
 	r.observeError(1)
 }
@@ -154,7 +155,7 @@
 	r.errorRate += smoothing * (failed - r.errorRate)
 }
 
-// answered notes an answer of the replica's own.
+// answered records an answer from the replica itself.
 func (r *Replica) answered(now time.Duration, latency time.Duration, failed bool) {
 	r.failures = 0
 	r.unconnected = false
@@ -172,29 +173,28 @@
 	r.latency += smoothing * (seconds - r.latency)
 }
 
-// occupancy estimates the share of the replica's slots in use: the greater of
-// what the gateways have placed there and the replica's last account, which
-// fades.
+// occupancy estimates the share of the replica's slots in use: the greater of what the gateways have placed
+// there and the replica's last reported load, which decays with age.
 func (r *Replica) occupancy(now time.Duration) float64 {
 	slots := float64(max(r.Slots, 1))
-	placed := float64(r.allInFlight(now)) / slots
+	placed := float64(r.totalInFlight(now)) / slots
 	age := now - r.loadAt
-	if r.load.Slots == 0 || age > loadMemory {
+	if r.load.Slots == 0 || age > loadReportLifetime {
 		return placed
 	}
 	reported := float64(r.load.Running+r.load.Waiting) / float64(r.load.Slots)
-	return max(placed, reported*(1-age.Seconds()/loadMemory.Seconds()))
+	return max(placed, reported*(1-age.Seconds()/loadReportLifetime.Seconds()))
 }
 
-// leaves reports whether the replica takes no new work, for good or until it has another
-// stage. It is called with the mutex held.
+// leaves reports whether the replica takes no new work, permanently or until it has another stage. The
+// caller must hold Directory.mutex.
 func (r *Replica) leaves() bool { return r.ends() || r.Stage == region.StageChanging }
 
-// ends reports whether the replica takes no new work until its life ends, as the list or its own answers
-// say. It is called with the mutex held.
+// ends reports whether the replica takes no new work until its incarnation ends, according to the list or
+// its own answers. The caller must hold Directory.mutex.
 func (r *Replica) ends() bool { return r.Leaves() || r.saysLeaving() }
 
-// tellStreams tells the streams that run there that the replica leaves.
+// tellStreams notifies the streams on the replica that it is leaving. The caller must hold Directory.mutex.
 func (r *Replica) tellStreams() {
 	for lease := range r.streams {
 		close(lease.leaving)
--- a/internal/relay/room.go
+++ b/internal/relay/room.go
@@ -6,137 +6,139 @@
 	"time"
 )
 
-// room is how many requests of this process the replicas of a stage of a service take, as those have shown
-// that have turned some away and asked for a rest. What is beyond would be turned away, too, and take one
-// replica after the other away for as long as they ask for. It is guarded by the Directory's mutex.
+// room is a concurrency limit for this process's requests at the replicas of one service and stage, learned
+// from replicas that have refused requests and asked for a backoff. Requests beyond it would be refused,
+// too, and put one replica after the other into backoff. It is guarded by Directory.mutex.
 type room struct {
-	// share is the number for each slot, 0 if nothing was found. It grows since it was found, doubling after a
-	// time.
-	share    float64
-	since    time.Duration
-	doubling time.Duration
-	// level is the number for each slot that the last finding came from, and certain says that it is in no
-	// doubt.
-	level   float64
-	certain bool
-	// taken is the most requests of all processes for each slot, as far as they were known, beside which a
-	// replica has taken one well of late; it fades since takenAt.
+	// share is the limit per slot as of since, 0 if there is none. It doubles every doublingTime.
+	share        float64
+	since        time.Duration
+	doublingTime time.Duration
+	// level is the number of requests per slot at the last refusal that counted, and confirmed says that
+	// there is no doubt about the limit.
+	level     float64
+	confirmed bool
+	// taken is the largest recent number of concurrent requests of all processes per slot, as far as known,
+	// with which a replica accepted one; it decays from takenAt on.
 	taken   float64
 	takenAt time.Duration
 }
 
 const (
-	// fullShare of what was found is used.
-	fullShare = 0.9
-	// rankShare of that is kept free of requests of a rank for each earlier one.
-	rankShare = 0.05
-	// restsToDouble is in how many rests the share doubles: to find out that there is no more room costs a
-	// rest, which should be a twentieth of the time. longestDoubling bounds that.
-	restsToDouble   = 140
-	longestDoubling = 5 * time.Minute
-	// doubtedShare of a rest, leastDoubted at least, is that time while a finding is in doubt: the replica may
-	// have refused for another reason than the requests that it had.
-	doubtedShare = 0.1
-	leastDoubted = 300 * time.Millisecond
-	// forgottenRoom is in how many doublings a finding is forgotten.
-	forgottenRoom = 4
-	// fewChoosers is how many processes for each slot may choose a replica so that the requests of one there
-	// tell how many there are of all.
-	fewChoosers = 2
-	// takenMemory is the time constant by which room.taken fades.
-	takenMemory = 10 * time.Second
+	// usableShare is the share of the observed level that is used.
+	usableShare = 0.9
+	// reservedSharePerRank is the share of that which is reserved for earlier ranks, per rank.
+	reservedSharePerRank = 0.05
+	// backoffsToDouble is the time in which the limit doubles, in backoffs: a probe that finds no more
+	// capacity costs a backoff, which should be a twentieth of the time. maximumDoubling bounds the time.
+	backoffsToDouble = 140
+	maximumDoubling  = 5 * time.Minute
+	// unconfirmedShare is the same time for an unconfirmed limit, as a share of the backoff, at least
+	// minimumUnconfirmed: the replica may have refused for a reason other than its number of requests.
+	unconfirmedShare   = 0.1
+	minimumUnconfirmed = 300 * time.Millisecond
+	// forgetAfterDoublings is the number of doublings after which a limit is dropped.
+	forgetAfterDoublings = 4
+	// maximumPlacersPerSlot is the largest number of placing processes per slot up to which this process's
+	// requests at one replica indicate how many all processes have there; beyond it, the whole stage is
+	// counted.
+	maximumPlacersPerSlot = 2
+	// takenDecay is the time constant with which room.taken decays.
+	takenDecay = 10 * time.Second
 )
 
-// tookWell notes that a replica with so many slots has taken a request well beside so many others.
+// tookWell records that a replica accepted a request in addition to a number of others (beside).
 func (r *room) tookWell(now time.Duration, slots, beside int) {
-	r.taken = max(r.takenNow(now), float64(beside)/float64(slots))
+	r.taken = max(r.decayedTaken(now), float64(beside)/float64(slots))
 	r.takenAt = now
 }
 
-func (r *room) takenNow(now time.Duration) float64 {
+func (r *room) decayedTaken(now time.Duration) float64 {
 	if r.taken == 0 {
 		return 0
 	}
-	return r.taken * math.Exp(-(now-r.takenAt).Seconds()/takenMemory.Seconds())
+	return r.taken * math.Exp(-(now-r.takenAt).Seconds()/takenDecay.Seconds())
 }
 
-// mayBeFull reports whether a replica with so many slots may be full that has turned a request away beside so
-// many others: one that refuses beside fewer than its like have taken one refuses for another reason.
+// mayBeFull reports whether a replica that refused a request in addition to a number of others (beside) may
+// be full. One that refuses at a lower level than others of its kind have accepted refuses for another
+// reason.
 func (r *room) mayBeFull(now time.Duration, slots, beside int) bool {
-	return beside >= slots || beside > 0 && float64(beside)/float64(slots) >= fullShare*r.takenNow(now)
+	return beside >= slots || beside > 0 && float64(beside)/float64(slots) >= usableShare*r.decayedTaken(now)
 }
 
-// found notes how many requests of this process for each slot replicas had of which one has turned another
-// away that began at a time, and has asked for a rest. certain says that it had as many of all as it has
-// slots.
+// found records the level, in requests of this process per slot, at which a replica refused a request that
+// began at a time, and asked for a backoff (rest). certain says that the replica had at least as many
+// requests of all processes as slots.
 func (r *room) found(now, begun, rest time.Duration, level float64, certain bool) {
 	share := level
 	if before := r.now(now); before > 0 {
-		// Several that refuse at once for another reason say the same, but not again at that level.
-		again := begun > r.since && level >= fullShare*r.level
-		certain = certain || again || r.certain
-		// One finding goes by chance.
-		share = (level + before/fullShare) / 2
+		// Several replicas that refuse at once for another reason agree, but do not refuse again later at
+		// about that level.
+		again := begun > r.since && level >= usableShare*r.level
+		certain = certain || again || r.confirmed
+		// Average with the previous limit, since a single refusal is a random sample.
+		share = (level + before/usableShare) / 2
 	}
-	r.share, r.since, r.level, r.certain = fullShare*share, now, level, certain
-	r.doubling = max(time.Duration(doubtedShare*float64(rest)), leastDoubted)
+	r.share, r.since, r.level, r.confirmed = usableShare*share, now, level, certain
+	r.doublingTime = max(time.Duration(unconfirmedShare*float64(rest)), minimumUnconfirmed)
 	if certain {
-		r.doubling = restsToDouble * min(rest, longestDoubling)
+		r.doublingTime = backoffsToDouble * min(rest, maximumDoubling)
 	}
-	r.doubling = min(r.doubling, longestDoubling)
+	r.doublingTime = min(r.doublingTime, maximumDoubling)
 }
 
-// now is the share that may be used, 0 if there is no bound.
+// now returns the current limit per slot, 0 if there is none.
 func (r *room) now(now time.Duration) float64 {
 	if r.share == 0 {
 		return 0
 	}
-	doublings := float64(now-r.since) / float64(r.doubling)
-	if doublings > forgottenRoom {
+	doublings := float64(now-r.since) / float64(r.doublingTime)
+	if doublings > forgetAfterDoublings {
 		r.share = 0
 		return 0
 	}
 	return r.share * math.Exp2(doublings)
 }
 
-// takes reports whether so many slots with so many requests of this process have room for another one. draw
-// is a number from 0 up to 1: where there is room for some requests and a part, the part is taken as often
-// as it says.
+// takes reports whether a number of slots with a number of this process's requests may take another one.
+// draw is a random number in [0, 1): a fractional limit is rounded up with a probability equal to the
+// fraction. At least one request is always allowed.
 func takes(share float64, slots, requests int, draw float64) bool {
 	return float64(requests) < max(math.Floor(share*float64(slots)+draw), 1)
 }
 
-// roomOf is that of a stage of a service. It is called with the mutex held.
-func (d *Directory) roomOf(service, stage string) *room {
+// learnedLimitOf returns the learned limit of a service and stage. The caller must hold d.mutex.
+func (d *Directory) learnedLimitOf(service, stage string) *room {
 	key := service + "/" + stage
-	known, found := d.rooms[key]
+	known, found := d.learnedLimits[key]
 	if !found {
 		known = &room{}
-		d.rooms[key] = known
+		d.learnedLimits[key] = known
 	}
 	return known
 }
 
-// requestsBeside are those of all processes at the replica beside one of this process. What others choose is
-// told by some of them only, and late: they may have as many there as this process. It is called with the
-// mutex held.
-func (d *Directory) requestsBeside(replica *Replica, now time.Duration) int {
-	return max(replica.allInFlight(now)-1, (replica.inFlight-1)*d.choosers())
+// concurrentRequests estimates the requests of all processes at the replica, excluding one of this process.
+// Only some of the others report their work, with a delay, so each is assumed to have as many as this
+// process. The caller must hold d.mutex.
+func (d *Directory) concurrentRequests(replica *Replica, now time.Duration) int {
+	return max(replica.totalInFlight(now)-1, (replica.inFlight-1)*d.choosers())
 }
 
-// isFull reports whether a replica that has turned a request of this process away has as many others as slots.
-// It is called with the mutex held.
+// isFull reports whether a replica that refused a request of this process has at least as many others as
+// slots. The caller must hold d.mutex.
 func (d *Directory) isFull(replica *Replica, now time.Duration) bool {
-	return d.requestsBeside(replica, now) >= max(replica.Slots, 1)
+	return d.concurrentRequests(replica, now) >= max(replica.Slots, 1)
 }
 
-// noteFull notes what a full replica shows of the room at its kind that has turned a request of this process
-// away, and has asked for a rest. It is called with the mutex held.
+// noteFull updates the learned limit from a replica that refused a request of this process and asked for a
+// backoff (rest), if it may be full. The caller must hold d.mutex.
 func (d *Directory) noteFull(replica *Replica, now, begun, rest time.Duration) {
-	slots, all := max(replica.Slots, 1), d.requestsBeside(replica, now)
+	slots, all := max(replica.Slots, 1), d.concurrentRequests(replica, now)
 	full := replica.room.mayBeFull(now, slots, all)
-	if choosers := d.choosers(); choosers > fewChoosers*slots {
-		slots, all = d.atStage(replica, now)
+	if choosers := d.choosers(); choosers > maximumPlacersPerSlot*slots {
+		slots, all = d.stageLoad(replica, now)
 		full = all >= slots
 	}
 	if full {
@@ -144,28 +146,28 @@
 	}
 }
 
-// atStage are the slots of the replicas of a replica's kind that do not rest, and the requests there of all
-// processes beside one that was turned away. It is called with the mutex held.
-func (d *Directory) atStage(replica *Replica, now time.Duration) (slots, requests int) {
+// stageLoad returns the slots of the replicas of a replica's service and stage that are not in backoff, and
+// the requests of all processes there, excluding a refused one. The caller must hold d.mutex.
+func (d *Directory) stageLoad(replica *Replica, now time.Duration) (slots, requests int) {
 	asking := d.askingNow()
 	own, all := -1, -1
 	for _, each := range d.services[replica.Service] {
 		if each.room == replica.room && !each.gone && (each == replica || !each.rests(asking)) {
 			slots += max(each.Slots, 1)
 			own += each.inFlight
-			all += each.allInFlight(now)
+			all += each.totalInFlight(now)
 		}
 	}
 	return slots, max(all, own*d.choosers())
 }
 
-// withRoom are those of some replicas of a stage of a service that have room for a request of a rank, as
-// far as full ones have shown. It is called with the mutex held.
-func (d *Directory) withRoom(candidates []*Replica, rank int, now time.Duration) []*Replica {
+// belowLearnedLimit returns the candidates, all of one service and stage, that are below the learned limit
+// for requests of a rank, nil if the stage as a whole is not. The caller must hold d.mutex.
+func (d *Directory) belowLearnedLimit(candidates []*Replica, rank int, now time.Duration) []*Replica {
 	if len(candidates) == 0 {
 		return candidates
 	}
-	share := candidates[0].room.now(now) * (1 - rankShare*float64(rank))
+	share := candidates[0].room.now(now) * (1 - reservedSharePerRank*float64(rank))
 	if share == 0 {
 		return candidates
 	}
--- a/internal/relay/sizes.go
+++ b/internal/relay/sizes.go
@@ -6,63 +6,65 @@
 	"time"
 )
 
-// sizeMeter keeps how many prompts of one rank were asked for and how many were read, by their size. Large
-// ones wait longer for room and are late sooner, so that under load nearly all that is turned away is
-// large: by the meter those are found that are served far less often than others.
+// sizeMeter counts how many prompts of one rank arrived and how many were prefilled, by size. Large prompts
+// need longer to find capacity and are late sooner, so that under load nearly all refused prompts are
+// large. The meter finds the sizes that are served far less often than others.
 type sizeMeter struct {
-	asked, read [sizeClasses]float64
-	at          time.Duration
+	arrivals, prefilled [sizeClasses]float64
+	at                  time.Duration
 }
 
 const (
-	// sizeClasses are four for each doubling of a prompt's tokens, up to a million.
-	sizeClasses      = 4 * 20
-	classesADoubling = 4
-	// sizeMemory is the time constant of a sizeMeter: some of the largest tenth have come meanwhile where
-	// one prompt a second comes.
-	sizeMemory = 20 * time.Second
-	// fairShare of the rate at which all of a rank are read is what the largest are read at, at least:
-	// their callers wait no less urgently. More would turn many small prompts away for a few large ones.
-	fairShare = 0.55
-	// leastAsked is the number of prompts before which nothing is concluded.
-	leastAsked = 3.0
+	// sizeClasses are four per doubling of a prompt's tokens, up to a million.
+	sizeClasses        = 4 * 20
+	classesPerDoubling = 4
+	// sizeDecay is the time constant of a sizeMeter: in that time, some of the largest tenth of the prompts
+	// arrive at a rate of one prompt per second.
+	sizeDecay = 20 * time.Second
+	// minimumServedShare is the lowest rate at which the largest prompts of a rank should be prefilled,
+	// relative to the rate of all: their callers wait no less urgently. A higher share would refuse many
+	// small prompts for a few large ones.
+	minimumServedShare = 0.55
+	// minimumArrivals is the number of prompts below which no conclusion is drawn.
+	minimumArrivals = 3.0
 )
 
-// sizeClass is the class of a number of tokens.
+// sizeClass returns the class of a number of tokens.
 func sizeClass(tokens int) int {
 	if tokens < 1 {
 		return 0
 	}
 	doublings := bits.Len(uint(tokens)) - 1
 	part := float64(tokens)/math.Exp2(float64(doublings)) - 1
-	return min(classesADoubling*doublings+int(classesADoubling*part), sizeClasses-1)
+	return min(classesPerDoubling*doublings+int(classesPerDoubling*part), sizeClasses-1)
 }
 
 func (m *sizeMeter) fade(now time.Duration) {
-	left := math.Exp(-(now - m.at).Seconds() / sizeMemory.Seconds())
+	left := math.Exp(-(now - m.at).Seconds() / sizeDecay.Seconds())
 	m.at = now
-	for class := range m.asked {
-		m.asked[class] *= left
-		m.read[class] *= left
+	for class := range m.arrivals {
+		m.arrivals[class] *= left
+		m.prefilled[class] *= left
 	}
 }
 
-// isShort reports whether prompts of a number of tokens and more are read far less often than all.
-func (m *sizeMeter) isShort(tokens int) bool {
-	var asked, read, largeAsked, largeRead float64
+// isUnderserved reports whether prompts with at least a number of tokens are prefilled far less often than
+// all.
+func (m *sizeMeter) isUnderserved(tokens int) bool {
+	var arrived, prefilled, largeArrived, largePrefilled float64
 	from := sizeClass(tokens)
-	for class := range m.asked {
-		asked += m.asked[class]
-		read += m.read[class]
+	for class := range m.arrivals {
+		arrived += m.arrivals[class]
+		prefilled += m.prefilled[class]
 		if class >= from {
-			largeAsked += m.asked[class]
-			largeRead += m.read[class]
+			largeArrived += m.arrivals[class]
+			largePrefilled += m.prefilled[class]
 		}
 	}
-	return largeAsked >= leastAsked && largeRead/largeAsked < fairShare*read/asked
+	return largeArrived >= minimumArrivals && largePrefilled/largeArrived < minimumServedShare*prefilled/arrived
 }
 
-// sizesOf is called with the mutex held.
+// sizesOf returns the meter of a service and rank. The caller must hold d.mutex.
 func (d *Directory) sizesOf(service string, rank int) *sizeMeter {
 	meter := d.rankedOf(service)
 	if meter.sizes[rank] == nil {
@@ -71,17 +73,17 @@
 	return meter.sizes[rank]
 }
 
-// noteAsked counts a prompt that is to be read. It is called with the mutex held.
-func (d *Directory) noteAsked(service string, request ReadRequest, now time.Duration) {
+// recordArrival counts a prompt that is to be prefilled. The caller must hold d.mutex.
+func (d *Directory) recordArrival(service string, request ReadRequest, now time.Duration) {
 	sizes := d.sizesOf(service, request.Rank)
 	sizes.fade(now)
-	sizes.asked[sizeClass(request.Prompt.Tokens)]++
+	sizes.arrivals[sizeClass(request.Prompt.Tokens)]++
 }
 
-// isPutBehind reports whether a prompt that would be late is read with those in time all the same: when
-// prompts as large are read far less often than others, and it will be read before its caller leaves.
-// Without it, at 3 times the capacity, the largest tenth was read 0.04 times as often as all. It is called
-// with the mutex held.
-func (d *Directory) isPutBehind(service string, request ReadRequest, best *readEstimate) bool {
-	return best.total() < request.lateLeft() && d.sizesOf(service, request.Rank).isShort(request.Prompt.Tokens)
+// promotesLate reports whether a prompt that would be late is queued with those in time: when prompts of
+// its size are prefilled far less often than others, and its prefill will complete before its caller is
+// expected to give up. Without this, at 3 times the capacity, the largest tenth was prefilled 0.04 times as
+// often as all. The caller must hold d.mutex.
+func (d *Directory) promotesLate(service string, request ReadRequest, best *readEstimate) bool {
+	return best.total() < request.lateLeft() && d.sizesOf(service, request.Rank).isUnderserved(request.Prompt.Tokens)
 }
