--- a/internal/relay/border.go
+++ b/internal/relay/border.go
@@ -12,16 +12,16 @@
 
 // KnowPlaces sets the map from zones to regions. It must be called before any other use; without it all
 // zones count as one region.
-func (d *Directory) KnowPlaces(places topology.Map) { d.places = places }
+func (d *Directory) KnowPlaces(places topology.Map) { d.regions = places }
 
 // distance returns how far apart two replicas are.
 func (d *Directory) distance(from, to *Replica) topology.Distance {
-	return d.places.Between(from.Zone, to.Zone)
+	return d.regions.Between(from.Zone, to.Zone)
 }
 
 // distanceTo returns how far a replica is from the directory's own zone.
 func (d *Directory) distanceTo(replica *Replica) topology.Distance {
-	return d.places.Between(d.zone, replica.Zone)
+	return d.regions.Between(d.zone, replica.Zone)
 }
 
 // stageReplicas are candidate replicas by stage.
@@ -29,9 +29,9 @@
 
 func (s *stageReplicas) count() int { return len(s.prefill) + len(s.decode) }
 
-// stages returns the replicas that may prefill a request's prompt, and those that may decode its answer.
-// The caller must hold d.mutex.
-func (d *Directory) stages(service string, request ReadRequest, now time.Duration) stageReplicas {
+// replicasByStage returns the replicas that may prefill a request's prompt, and those that may decode its
+// answer. The caller must hold d.mutex.
+func (d *Directory) replicasByStage(service string, request ReadRequest, now time.Duration) stageReplicas {
 	return stageReplicas{
 		prefill: d.healthyCandidates(service, request.wanted(), ofStage(region.StagePrefill), now),
 		decode:  d.healthyCandidates(service, request.wanted(), ofStage(region.StageDecode), now),
@@ -42,7 +42,7 @@
 // decode replica, or has no prefill replica while others do, all replicas count as inside, and the
 // estimates alone account for the cost of crossing regions.
 func (d *Directory) partitionStages(all stageReplicas, zone string) (inside, outside stageReplicas) {
-	if !d.places.Known() {
+	if !d.regions.Known() {
 		return all, stageReplicas{}
 	}
 	inside.prefill, outside.prefill = d.partitionByRegion(all.prefill, zone)
@@ -56,11 +56,11 @@
 
 // partitionByRegion splits replicas into those in a zone's region and the others.
 func (d *Directory) partitionByRegion(replicas []*Replica, zone string) (inside, outside []*Replica) {
-	if !d.places.Known() {
+	if !d.regions.Known() {
 		return replicas, nil
 	}
 	for _, replica := range replicas {
-		if d.places.Between(zone, replica.Zone) == topology.OtherRegion {
+		if d.regions.Between(zone, replica.Zone) == topology.OtherRegion {
 			outside = append(outside, replica)
 		} else {
 			inside = append(inside, replica)
@@ -112,10 +112,10 @@
 // regionPathBetween returns the path between the regions of two zones. The second result reports whether
 // the regions differ.
 func (d *Directory) regionPathBetween(from, to string) (regionPath, bool) {
-	if d.places.Between(from, to) != topology.OtherRegion {
+	if d.regions.Between(from, to) != topology.OtherRegion {
 		return regionPath{}, false
 	}
-	return regionPath{from: d.places.RegionOf(from), to: d.places.RegionOf(to)}, true
+	return regionPath{from: d.regions.RegionOf(from), to: d.regions.RegionOf(to)}, true
 }
 
 // crossRegionDelay returns the additional time that a request from a zone takes at a replica in another
@@ -143,7 +143,7 @@
 
 // transferFactor returns how many times longer a KV cache transfer takes between two zones than within one.
 func (d *Directory) transferFactor(from, to string) float64 {
-	switch d.places.Between(from, to) {
+	switch d.regions.Between(from, to) {
 	case topology.SameZone:
 		return 1
 	case topology.SameRegion:
@@ -191,7 +191,7 @@
 // logCrossRegion logs a choice if its replica is in another region. The caller must hold d.mutex.
 func (d *Directory) logCrossRegion(decision crossRegionChoice, now time.Duration) {
 	replica := decision.lease.Replica
-	if decision.reason == crossing.Stays && d.places.Between(decision.from, replica.Zone) == topology.OtherRegion {
+	if decision.reason == crossing.Stays && d.regions.Between(decision.from, replica.Zone) == topology.OtherRegion {
 		decision.reason, decision.outside = crossing.NoStage, decision.inside
 		decision.inside = crossing.Offer{Outcome: crossing.Nowhere}
 	}
@@ -199,7 +199,7 @@
 		return
 	}
 	d.logger.Info(event.RegionLeft, "service", decision.service, "stage", replica.Stage, "replica", replica.ID,
-		"from", d.places.RegionOf(decision.from), "to", d.places.RegionOf(replica.Zone), "reason", string(decision.reason),
+		"from", d.regions.RegionOf(decision.from), "to", d.regions.RegionOf(replica.Zone), "reason", string(decision.reason),
 		"replicas_inside", decision.localReplicas, "inside", decision.inside.Outcome.String(), "inside_ms", decision.inside.Takes.Milliseconds(),
 		"outside", decision.outside.Outcome.String(), "outside_ms", decision.outside.Takes.Milliseconds(), "omitted", d.crossRegionLog.omitted)
 	d.crossRegionLog.omitted = 0
--- a/internal/relay/costs.go
+++ b/internal/relay/costs.go
@@ -85,7 +85,7 @@
 	engine := d.engines[to.Service]
 	if engine.LinkBitsPerSecond <= 0 || engine.TokenBytes <= 0 {
 		guessed := defaultTransferShare * float64(read)
-		if d.places.Between(from.Zone, to.Zone) == topology.OtherRegion {
+		if d.regions.Between(from.Zone, to.Zone) == topology.OtherRegion {
 			guessed *= crossRegionTransferFactor / crossZoneTransferFactor
 		}
 		return time.Duration(guessed)
--- a/internal/relay/directory.go
+++ b/internal/relay/directory.go
@@ -23,8 +23,8 @@
 	mutex sync.Mutex
 	clock func() time.Duration
 	zone  string
-	// places maps zones to regions, and pathDelays holds the delays between regions.
-	places         topology.Map
+	// regions maps zones to regions, and pathDelays holds the delays between regions.
+	regions        topology.Map
 	pathDelays     pathDelays
 	crossRegionLog crossRegionLog
 	// firstListAt is when the first list was received.
--- a/internal/relay/fetch.go
+++ b/internal/relay/fetch.go
@@ -18,7 +18,7 @@
 // nothing. The caller must hold d.mutex.
 func (d *Directory) likelyPrefixSource(target *Replica, prompt *Prompt, now time.Duration) *Replica {
 	for _, preferred := range d.preferredReplicas(target.Service, target.Stage, prompt, now) {
-		if preferred != target && preferred.canServeFetches(now) && d.places.Between(preferred.Zone, target.Zone) != topology.OtherRegion {
+		if preferred != target && preferred.canServeFetches(now) && d.regions.Between(preferred.Zone, target.Zone) != topology.OtherRegion {
 			return preferred
 		}
 	}
--- a/internal/relay/lease.go
+++ b/internal/relay/lease.go
@@ -127,7 +127,7 @@
 		l.stream.end(l.directory.clock())
 		l.removeStream()
 	}
-	l.readDone()
+	l.prefillDone()
 }
 
 // StreamBegun records that the replica has begun to generate for a request of a route. handedOver says that
@@ -203,7 +203,7 @@
 
 // observePause records a time between two events. The caller must hold Directory.mutex.
 func (l *Lease) observePause(now, took time.Duration) {
-	l.Replica.pause.observe(now, took)
+	l.Replica.tokenGap.observe(now, took)
 	l.tellPause(now, took)
 }
 
@@ -220,7 +220,7 @@
 		d := l.directory
 		d.sizesOf(l.Replica.Service, l.reading.rank).prefilled[sizeClass(l.reading.work.Tokens)]++
 	}
-	l.readDone()
+	l.prefillDone()
 }
 
 // observeOverrun records by how much longer than estimated a prefill took that did not wait for another
@@ -266,7 +266,7 @@
 	l.Replica.prefixes.add(prompt.Parts, l.directory.engines[l.Replica.Service].CacheTokens, l.directory.clock())
 }
 
-func (l *Lease) readDone() {
+func (l *Lease) prefillDone() {
 	if l.reading == nil {
 		return
 	}
@@ -296,11 +296,11 @@
 
 // Refused records that the replica refused the request and asked the sender to back off for a time; 0 if it
 // asked for none.
-func (l *Lease) Refused(rest time.Duration) {
+func (l *Lease) Refused(backoff time.Duration) {
 	l.directory.mutex.Lock()
 	defer l.directory.mutex.Unlock()
-	l.directory.noteRefusal(l, rest)
-	l.tell(region.LeaseEvent{Kind: region.LeaseFull, Micros: rest.Microseconds()})
+	l.directory.noteRefusal(l, backoff)
+	l.tell(region.LeaseEvent{Kind: region.LeaseFull, Micros: backoff.Microseconds()})
 }
 
 // Misdirected records that another incarnation answers at the replica's address.
--- a/internal/relay/outstanding.go
+++ b/internal/relay/outstanding.go
@@ -233,7 +233,7 @@
 
 // Kept returns what the selected replicas have cached, as far as it is known; whole reports whether it is
 // known for all of them.
-func (d *Directory) Kept(wanted func(replica region.Replica) bool) (kept []region.KeptParts, whole bool) {
+func (d *Directory) Kept(wanted func(replica region.Replica) bool) (cached []region.KeptParts, whole bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	whole = len(d.replicas) > 0
@@ -245,17 +245,17 @@
 			whole = false
 			continue
 		}
-		kept = append(kept, region.KeptParts{Replica: name, Parts: replica.prefixes.list()})
+		cached = append(cached, region.KeptParts{Replica: name, Parts: replica.prefixes.list()})
 	}
-	return kept, whole
+	return cached, whole
 }
 
 // TakeKept records what replicas have cached according to another process.
-func (d *Directory) TakeKept(kept []region.KeptParts) {
+func (d *Directory) TakeKept(cached []region.KeptParts) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := d.clock()
-	for _, each := range kept {
+	for _, each := range cached {
 		replica, known := d.replicas[each.Replica]
 		if !known {
 			continue
--- a/internal/relay/picker.go
+++ b/internal/relay/picker.go
@@ -259,7 +259,7 @@
 // there is none of its region.
 func (d *Directory) addIfHeaviest(preferred []weightedReplica, found weightedReplica) []weightedReplica {
 	for index := range preferred {
-		if d.places.Between(preferred[index].replica.Zone, found.replica.Zone) == topology.OtherRegion {
+		if d.regions.Between(preferred[index].replica.Zone, found.replica.Zone) == topology.OtherRegion {
 			continue
 		}
 		if found.weight > preferred[index].weight {
--- a/internal/relay/placement.go
+++ b/internal/relay/placement.go
@@ -26,7 +26,7 @@
 	defer d.mutex.Unlock()
 	now := d.clock()
 	d.costModel(service).Expect(request.Prompt.Tokens, request.Objective)
-	all := d.stages(service, request, now)
+	all := d.replicasByStage(service, request, now)
 	d.rankedOf(service).observe(now, all.prefill)
 	d.recordArrival(service, request, now)
 	if len(all.decode) == 0 {
@@ -156,7 +156,7 @@
 			best, bestScore = estimated, score
 		}
 	}
-	held := best.wait + best.busy + best.replica.pause.longest(now)
+	held := best.wait + best.busy + best.replica.tokenGap.longest(now)
 	return best, held <= time.Duration(prefillGapShare*float64(request.TargetGap))
 }
 
--- a/internal/relay/prefix.go
+++ b/internal/relay/prefix.go
@@ -55,8 +55,8 @@
 
 func (m *prefixCache) touch(part PromptPart, readyAt time.Duration) {
 	if known, found := m.parts[part.ID]; found {
-		kept := known.Value.(*cachedPart)
-		kept.readyAt = min(kept.readyAt, readyAt)
+		cached := known.Value.(*cachedPart)
+		cached.readyAt = min(cached.readyAt, readyAt)
 		m.order.MoveToFront(known)
 		return
 	}
@@ -78,13 +78,13 @@
 
 // cachedTokens returns the tokens of a prompt's prefix that are cached at a time.
 func (m *prefixCache) cachedTokens(prompt *Prompt, now time.Duration) int {
-	kept := 0
+	cached := 0
 	for _, part := range prompt.Parts {
 		known, found := m.parts[part.ID]
 		if !found || known.Value.(*cachedPart).readyAt > now {
 			break
 		}
-		kept += part.Tokens
+		cached += part.Tokens
 	}
-	return kept
+	return cached
 }
--- a/internal/relay/question.go
+++ b/internal/relay/question.go
@@ -71,7 +71,7 @@
 	return prompt
 }
 
-func boundedTokens(told int) int { return min(max(told, 0), maximumTokens) }
+func boundedTokens(reported int) int { return min(max(reported, 0), maximumTokens) }
 
 // recordRefused counts a refused prompt as demand.
 func (d *Directory) recordRefused(service string, refused readTimes) {
--- a/internal/relay/reading.go
+++ b/internal/relay/reading.go
@@ -127,8 +127,8 @@
 		if !replica.canServeFetches(now) {
 			continue
 		}
-		if kept := replica.prefixes.cachedTokens(prompt, now); kept > 0 {
-			best = keepLongest(best, prefixSource{replica: replica, cached: kept})
+		if cached := replica.prefixes.cachedTokens(prompt, now); cached > 0 {
+			best = keepLongest(best, prefixSource{replica: replica, cached: cached})
 		}
 	}
 	return best
--- a/internal/relay/reading_test.go
+++ b/internal/relay/reading_test.go
@@ -30,8 +30,8 @@
 	return prompt(relay.PromptPart{ID: fmt.Sprintf("own-%d", tokens), Tokens: tokens})
 }
 
-// busy reports from a peer that a replica has prefill work for a time.
-func (d *directory) busy(replica string, reading time.Duration) {
+// reportPeerWork reports from a peer that a replica has prefill work for a time.
+func (d *directory) reportPeerWork(replica string, reading time.Duration) {
 	d.TakeOutstanding("peer", []region.OutstandingWork{{Replica: replica, Requests: 1, InTimeMicros: reading.Microseconds()}}, true)
 }
 
@@ -72,14 +72,14 @@
 	request := readRequest(ownPrompt(20_000))
 	t.Run("the caller will have given up", func(t *testing.T) {
 		d := newTaught(replica("r", region.StagePrefill), replica("g", region.StageDecode))
-		d.busy("r", 12*time.Second)
+		d.reportPeerWork("r", 12*time.Second)
 		_, err := d.PlaceReading("s", request)
 		require.Error(t, err)
 		assert.Equal(t, failure.RanNo, failure.AnswerFor(failure.Wrap(err, failure.BackEndRefused)).Ran)
 	})
 	t.Run("half of the slots are in use", func(t *testing.T) {
 		d := newTaught(replica("r", region.StagePrefill), replica("g", region.StageDecode))
-		d.busy("r", 2*time.Second)
+		d.reportPeerWork("r", 2*time.Second)
 		_, err := d.PlaceReading("s", request)
 		require.NoError(t, err, "1 of 4 slots is in use")
 		_, err = d.PlaceReading("s", request)
@@ -113,7 +113,7 @@
 		return lease.Replica.ID
 	}
 	d := newTaught(replica("r", region.StagePrefill), replica("g", region.StageDecode))
-	d.busy("r", 300*time.Millisecond)
+	d.reportPeerWork("r", 300*time.Millisecond)
 	assert.Equal(t, "g", placedOn(d, 200, 150*time.Millisecond), "the prefill replica is busy")
 	assert.Equal(t, "r", placedOn(d, 200, 10*time.Millisecond), "the prefill would exceed the inter-token gap")
 
@@ -123,12 +123,12 @@
 	stream.StreamBegun("route", false)
 	d.now += 140 * time.Millisecond
 	stream.StreamWentOn()
-	d.busy("r", 300*time.Millisecond)
+	d.reportPeerWork("r", 300*time.Millisecond)
 	assert.Equal(t, "r", placedOn(d, 200, 150*time.Millisecond), "its streams already have long gaps")
 	d.now += 5 * time.Second
-	d.busy("r", 300*time.Millisecond)
+	d.reportPeerWork("r", 300*time.Millisecond)
 	assert.Equal(t, "g", placedOn(d, 200, 150*time.Millisecond), "the long gap is no longer recent")
-	d.busy("r", 0)
+	d.reportPeerWork("r", 0)
 	assert.Equal(t, "r", placedOn(d, 200, 150*time.Millisecond), "the prefill replica is idle")
 }
 
@@ -138,7 +138,7 @@
 	place := func(d *directory) *relay.Lease {
 		request := readRequest(ownPrompt(200))
 		request.TargetGap = 150 * time.Millisecond
-		d.busy("r", 300*time.Millisecond)
+		d.reportPeerWork("r", 300*time.Millisecond)
 		lease, err := d.PlaceReading("s", request)
 		require.NoError(t, err)
 		return lease
@@ -169,7 +169,7 @@
 		d := newTaught(replica("g", region.StageDecode), replica("a", region.StagePrefill), replica("b", region.StagePrefill))
 		d.SetEngine("s", traffic.Engine{TokenBytes: 1000, LinkBitsPerSecond: test.link})
 		d.LearnKept(region.Life{ID: "b"}, []relay.PromptPart{shared})
-		d.busy("b", 900*time.Millisecond)
+		d.reportPeerWork("b", 900*time.Millisecond)
 		lease := d.read(prompt(shared, relay.PromptPart{ID: "own", Tokens: 100}))
 		require.Equal(t, "a", lease.Replica.ID)
 		if test.fetch != "" {
--- a/internal/relay/replica.go
+++ b/internal/relay/replica.go
@@ -27,8 +27,8 @@
 	granted grantedWork
 	// generating is the number of this gateway's streams there that have begun.
 	generating int
-	// pause tracks the longest recent time between two events of the replica's streams.
-	pause peakMeter
+	// tokenGap tracks the longest recent time between two events of the replica's streams.
+	tokenGap peakMeter
 	// peers is the work that other gateways have placed there.
 	peers  map[string]peerWork
 	load   Load
--- a/internal/relay/room.go
+++ b/internal/relay/room.go
@@ -10,8 +10,8 @@
 // from replicas that have refused requests and asked for a backoff. Requests beyond it would be refused,
 // too, and put one replica after the other into backoff. It is guarded by Directory.mutex.
 type room struct {
-	// share is the limit per slot as of since, 0 if there is none. It doubles every doublingTime.
-	share        float64
+	// perSlotLimit is the limit per slot as of since, 0 if there is none. It doubles every doublingTime.
+	perSlotLimit float64
 	since        time.Duration
 	doublingTime time.Duration
 	// level is the number of requests per slot at the last refusal that counted, and confirmed says that
@@ -47,9 +47,9 @@
 	takenDecay = 10 * time.Second
 )
 
-// tookWell records that a replica accepted a request in addition to a number of others (beside).
-func (r *room) tookWell(now time.Duration, slots, beside int) {
-	r.taken = max(r.decayedTaken(now), float64(beside)/float64(slots))
+// tookWell records that a replica accepted a request in addition to a number of others.
+func (r *room) tookWell(now time.Duration, slots, others int) {
+	r.taken = max(r.decayedTaken(now), float64(others)/float64(slots))
 	r.takenAt = now
 }
 
@@ -60,45 +60,45 @@
 	return r.taken * math.Exp(-(now-r.takenAt).Seconds()/takenDecay.Seconds())
 }
 
-// mayBeFull reports whether a replica that refused a request in addition to a number of others (beside) may
-// be full. One that refuses at a lower level than others of its kind have accepted refuses for another
+// mayBeFull reports whether a replica that refused a request in addition to a number of others may be full.
+// One that refuses at a lower level than others of its kind have accepted refuses for another
 // reason.
-func (r *room) mayBeFull(now time.Duration, slots, beside int) bool {
-	return beside >= slots || beside > 0 && float64(beside)/float64(slots) >= usableShare*r.decayedTaken(now)
+func (r *room) mayBeFull(now time.Duration, slots, others int) bool {
+	return others >= slots || others > 0 && float64(others)/float64(slots) >= usableShare*r.decayedTaken(now)
 }
 
-// found records the level, in requests of this process per slot, at which a replica refused a request that
-// began at a time, and asked for a backoff (rest). certain says that the replica had at least as many
+// update records the level, in requests of this process per slot, at which a replica refused a request that
+// began at a time, and asked for a backoff. confirmed says that the replica had at least as many
 // requests of all processes as slots.
-func (r *room) found(now, begun, rest time.Duration, level float64, certain bool) {
+func (r *room) update(now, begun, backoff time.Duration, level float64, confirmed bool) {
 	share := level
-	if before := r.now(now); before > 0 {
+	if before := r.perSlot(now); before > 0 {
 		// Several replicas that refuse at once for another reason agree, but do not refuse again later at
 		// about that level.
 		again := begun > r.since && level >= usableShare*r.level
-		certain = certain || again || r.confirmed
+		confirmed = confirmed || again || r.confirmed
 		// Average with the previous limit, since a single refusal is a random sample.
 		share = (level + before/usableShare) / 2
 	}
-	r.share, r.since, r.level, r.confirmed = usableShare*share, now, level, certain
-	r.doublingTime = max(time.Duration(unconfirmedShare*float64(rest)), minimumUnconfirmed)
-	if certain {
-		r.doublingTime = backoffsToDouble * min(rest, maximumDoubling)
+	r.perSlotLimit, r.since, r.level, r.confirmed = usableShare*share, now, level, confirmed
+	r.doublingTime = max(time.Duration(unconfirmedShare*float64(backoff)), minimumUnconfirmed)
+	if confirmed {
+		r.doublingTime = backoffsToDouble * min(backoff, maximumDoubling)
 	}
 	r.doublingTime = min(r.doublingTime, maximumDoubling)
 }
 
-// now returns the current limit per slot, 0 if there is none.
-func (r *room) now(now time.Duration) float64 {
-	if r.share == 0 {
+// perSlot returns the current limit per slot, 0 if there is none.
+func (r *room) perSlot(now time.Duration) float64 {
+	if r.perSlotLimit == 0 {
 		return 0
 	}
 	doublings := float64(now-r.since) / float64(r.doublingTime)
 	if doublings > forgetAfterDoublings {
-		r.share = 0
+		r.perSlotLimit = 0
 		return 0
 	}
-	return r.share * math.Exp2(doublings)
+	return r.perSlotLimit * math.Exp2(doublings)
 }
 
 // takes reports whether a number of slots with a number of this process's requests may take another one.
@@ -133,8 +133,8 @@
 }
 
 // noteFull updates the learned limit from a replica that refused a request of this process and asked for a
-// backoff (rest), if it may be full. The caller must hold d.mutex.
-func (d *Directory) noteFull(replica *Replica, now, begun, rest time.Duration) {
+// backoff, if it may be full. The caller must hold d.mutex.
+func (d *Directory) noteFull(replica *Replica, now, begun, backoff time.Duration) {
 	slots, all := max(replica.Slots, 1), d.concurrentRequests(replica, now)
 	full := replica.room.mayBeFull(now, slots, all)
 	if choosers := d.choosers(); choosers > maximumPlacersPerSlot*slots {
@@ -142,7 +142,7 @@
 		full = all >= slots
 	}
 	if full {
-		replica.room.found(now, begun, rest, float64(all)/float64(d.choosers()*slots), all >= slots)
+		replica.room.update(now, begun, backoff, float64(all)/float64(d.choosers()*slots), all >= slots)
 	}
 }
 
@@ -167,7 +167,7 @@
 	if len(candidates) == 0 {
 		return candidates
 	}
-	share := candidates[0].room.now(now) * (1 - reservedSharePerRank*float64(rank))
+	share := candidates[0].room.perSlot(now) * (1 - reservedSharePerRank*float64(rank))
 	if share == 0 {
 		return candidates
 	}
