--- a/internal/planner/benchmark_test.go
+++ b/internal/planner/benchmark_test.go
@@ -8,7 +8,8 @@
 	"github.com/pierhaven/pierhaven/internal/api/engineapi"
 )
 
-// benchmarkInput is a zone whose demand swings between prompts and answers.
+// benchmarkInput returns the input of a zone whose prompt tokens double and halve
+// again every 50 steps.
 func benchmarkInput(engines, models, step int) Input {
 	input := Input{
 		GatewaysExpected: 68, GatewaysReporting: 68,
@@ -39,8 +40,9 @@
 	return input
 }
 
-// BenchmarkPlacement is the work of a step that searches all engines in vain: one
-// model is short, and the only one that could spare an engine may not change.
+// BenchmarkPlacement measures a step whose search visits all engines without finding
+// a move: one model is below its minimum, and the engines of the only model that
+// could spare one may not change.
 func BenchmarkPlacement(b *testing.B) {
 	const models = 13
 	for _, engines := range []int{66, 264, 528} {
@@ -62,14 +64,14 @@
 			for step := range b.N {
 				output := planner.Step(time.Duration(step)*time.Second, input)
 				if step > 20 && (len(output.Unplaced) != 1 || output.Unplaced[0].Hold != HoldNoEngine) {
-					b.Fatalf("no search: %+v", output)
+					b.Fatalf("no placement search ran: %+v", output)
 				}
 			}
 		})
 	}
 }
 
-// BenchmarkStep is the planner's work in a second, by the engines of a zone.
+// BenchmarkStep measures one step of the planner, by the number of engines in a zone.
 func BenchmarkStep(b *testing.B) {
 	const models, steps = 13, 100
 	for _, engines := range []int{66, 132, 264, 528} {
--- a/internal/planner/decide.go
+++ b/internal/planner/decide.go
@@ -7,7 +7,7 @@
 	"github.com/pierhaven/pierhaven/internal/api/engineapi"
 )
 
-// roles in the order in which they are considered.
+// roles lists the roles in the order in which changes are considered.
 var roles = []engineapi.Role{engineapi.RolePrefill, engineapi.RoleDecode, engineapi.RoleMixed}
 
 // decide chooses the changes of one step.
@@ -17,12 +17,12 @@
 		return Output{Hold: HoldStale}
 	case input.Rules.MaximumAway <= 0:
 		return Output{Hold: HoldForbidden}
-	case now-p.startAt < p.options.WarmUp:
+	case now-p.startedAt < p.options.WarmUp:
 		return Output{Hold: HoldWarmingUp}
 	}
-	free := input.Rules.MaximumAway - countAway(input.Engines)
+	remaining := input.Rules.MaximumAway - countAway(input.Engines)
 	output := Output{Hold: HoldNoDemand}
-	p.place(now, &input, &free, &output)
+	p.place(now, &input, &remaining, &output)
 	if len(input.Demand) == 0 {
 		if output.Hold != HoldNone {
 			output.Hold = HoldStale
@@ -30,106 +30,109 @@
 		return output
 	}
 	for index := range input.Models {
-		p.decideWithin(now, elapsed, input, input.Models[index], &free, &output)
+		p.decideWithinBounds(now, elapsed, input, input.Models[index], &remaining, &output)
 	}
 	return output
 }
 
-// decideWithin chooses the changes for one model, within the engines that may
-// still go away in the zone and of the model.
-func (p *Planner) decideWithin(now, elapsed time.Duration, input Input, model Model, free *int, output *Output) {
+// decideWithinBounds chooses the changes for one model. It limits them to the
+// engines that may still go away in the zone and among the model's own.
+func (p *Planner) decideWithinBounds(now, elapsed time.Duration, input Input, model Model, remaining *int, output *Output) {
 	input.Rules = input.rulesOf(&model)
 	if input.Rules.MaximumAway <= 0 {
-		p.note(output, HoldForbidden, nil)
+		p.recordHold(output, HoldForbidden, nil)
 		return
 	}
-	most := min(*free, input.Rules.MaximumAway-countAwayOf(input.Engines, model.Name))
-	left := most
-	p.decideModel(now, elapsed, input, model, &left, output)
-	*free -= most - left
+	allowed := min(*remaining, input.Rules.MaximumAway-countModelAway(input.Engines, model.Name))
+	remainingOfModel := allowed
+	p.decideModel(now, elapsed, input, model, &remainingOfModel, output)
+	*remaining -= allowed - remainingOfModel
 }
 
-// decideModel chooses the changes for one model, within the engines that may
-// still go away.
-func (p *Planner) decideModel(now, elapsed time.Duration, input Input, model Model, free *int, output *Output) {
+// decideModel chooses the changes for one model; remaining is the number of engines
+// that may still go away.
+func (p *Planner) decideModel(now, elapsed time.Duration, input Input, model Model, remaining *int, output *Output) {
 	state := p.model(model.Name)
 	load := state.forecast.workload()
 	if load.Requests <= 0 {
 		return
 	}
-	// An engine that changes stays for the dwell time at least, so a change is
-	// judged over it, too; but the present mix isn't expected to last so long.
+	// A changed engine keeps its role for at least the minimum dwell, so the change
+	// is evaluated over the dwell too. The present demand isn't expected to last
+	// that long, so the dwell is evaluated with the long-term demand.
 	horizon := p.options.Horizon + input.Rules.MinimumDwell
-	judge := judge{
-		speed:         state.speed.speed(),
-		load:          load,
-		usual:         state.usual.workload(),
-		goals:         goalsOf(model),
-		price:         input.Rules.Price,
-		horizon:       horizon.Seconds(),
-		usualShare:    float64(input.Rules.MinimumDwell) / float64(horizon),
-		changeSeconds: p.fleet.changeSeconds,
-		atOnce:        float64(input.Rules.MaximumAway),
+	evaluator := splitEvaluator{
+		speed:             state.speed.speed(),
+		load:              load,
+		longTermLoad:      state.longTerm.workload(),
+		objectives:        objectivesOf(model),
+		price:             input.Rules.Price,
+		horizon:           horizon.Seconds(),
+		longTermShare:     float64(input.Rules.MinimumDwell) / float64(horizon),
+		changeSeconds:     p.fleet.meanChangeSeconds,
+		maximumConcurrent: float64(input.Rules.MaximumAway),
 	}
 	present := splitOf(input.Engines, model.Name)
-	best := judge.best(present)
-	gainRate := judge.goodputNow(best.split) - judge.goodputNow(present)
-	gain := func(split Split) float64 { return judge.goodputNow(split) - judge.goodputNow(present) }
-	state.regret.add(elapsed, p.options.RegretTimeConstant, gain, present, best.split)
+	best := evaluator.best(present)
+	gainRate := evaluator.goodputNow(best.split) - evaluator.goodputNow(present)
+	gain := func(split Split) float64 { return evaluator.goodputNow(split) - evaluator.goodputNow(present) }
+	state.regret.update(elapsed, p.options.RegretTimeConstant, gain, present, best.split)
 	if best.split == present || gainRate < p.options.MinimumGain*load.Requests {
-		p.note(output, HoldWellPlaced, nil)
+		p.recordHold(output, HoldWellPlaced, nil)
 		return
 	}
-	proposal := p.proposal(now, input, model, judge, present, best)
-	if *free <= 0 {
-		p.note(output, HoldAway, &proposal)
+	proposal := p.proposal(now, input, model, evaluator, present, best)
+	if *remaining <= 0 {
+		p.recordHold(output, HoldAway, &proposal)
 		return
 	}
-	if opposed(present, state.regret.towards, best.split) || state.regret.lost < p.options.RegretShare*best.cost {
-		p.note(output, HoldUnsettled, &proposal)
+	if oppositeDirections(present, state.regret.target, best.split) || state.regret.lostGoodput < p.options.RegretShare*best.cost {
+		p.recordHold(output, HoldUnsettled, &proposal)
 		return
 	}
-	p.change(now, input, model, judge, present, best, &proposal, free, output)
+	p.changeRoles(now, input, model, evaluator, present, best, &proposal, remaining, output)
 }
 
-// change makes as many of the wanted changes as may be made at once.
-func (p *Planner) change(now time.Duration, input Input, model Model, judge judge, present Split, best verdict, proposal *Proposal, free *int, output *Output) {
-	taken := make(map[string]bool)
-	for *free > 0 {
-		from, to, found := judge.nextMove(present, best.split)
+// changeRoles makes changes towards the best split, up to the number of engines
+// that may still go away.
+func (p *Planner) changeRoles(now time.Duration, input Input, model Model, evaluator splitEvaluator, present Split, best evaluation, proposal *Proposal, remaining *int, output *Output) {
+	picked := make(map[string]bool)
+	for *remaining > 0 {
+		from, to, found := evaluator.nextChange(present, best.split)
 		if !found {
 			return
 		}
 		proposal.From, proposal.To = from, to
 		if input.Rules.Permit != nil && !input.Rules.Permit(*proposal) {
-			p.note(output, HoldPolicy, proposal)
+			p.recordHold(output, HoldPolicy, proposal)
 			return
 		}
-		engine, hold := p.pick(now, input, model.Name, from, taken)
+		engine, hold := p.pickEngine(now, input, model.Name, from, picked)
 		if engine == nil {
-			p.note(output, hold, proposal)
+			p.recordHold(output, hold, proposal)
 			return
 		}
-		taken[engine.ID] = true
+		picked[engine.ID] = true
 		target := engine.Desired
 		target.Role = to
 		output.Changes = append(output.Changes, Change{EngineID: engine.ID, Target: target, Reason: "the mix of prompt and output tokens has moved"})
 		output.Hold, output.Best = HoldNone, proposal
 		present = present.with(from, -1).with(to, 1)
-		*free--
+		*remaining--
 	}
 }
 
-// pick chooses the engine that changes: the one with the least to lose.
-func (p *Planner) pick(now time.Duration, input Input, model string, from engineapi.Role, taken map[string]bool) (*EngineStatus, Hold) {
+// pickEngine chooses the engine in a role whose change is least disruptive. Without
+// one it returns the reason.
+func (p *Planner) pickEngine(now time.Duration, input Input, model string, from engineapi.Role, picked map[string]bool) (*EngineStatus, Hold) {
 	hold := HoldNoEngine
 	var candidates []*EngineStatus
 	for index := range input.Engines {
 		status := &input.Engines[index]
-		if status.Desired.Model != model || status.Desired.Role != from || taken[status.ID] || !changeable(*status) {
+		if status.Desired.Model != model || status.Desired.Role != from || picked[status.ID] || !changeable(*status) {
 			continue
 		}
-		if now-p.fleet.engines[status.ID].since < input.Rules.MinimumDwell {
+		if now-p.fleet.engines[status.ID].configuredAt < input.Rules.MinimumDwell {
 			hold = HoldDwell
 			continue
 		}
@@ -138,29 +141,29 @@
 	if len(candidates) == 0 {
 		return nil, hold
 	}
-	return slices.MinFunc(candidates, lessToLose), HoldNone
+	return slices.MinFunc(candidates, compareDisruption), HoldNone
 }
 
-// changeable reports whether an engine may be given an order now. An engine that
-// a silent gateway may still dispatch to is left alone.
+// changeable reports whether an engine may be given a new configuration now. An
+// engine to which an unresponsive gateway may still dispatch must not be changed.
 func changeable(status EngineStatus) bool {
 	return usable(status) && status.Phase == engineapi.PhaseServing && !status.Draining && !status.Isolated
 }
 
-func (p *Planner) proposal(now time.Duration, input Input, model Model, judge judge, present Split, best verdict) Proposal {
-	prefill, decode := utilisation(judge.speed, present, judge.load, judge.goals)
+func (p *Planner) proposal(now time.Duration, input Input, model Model, evaluator splitEvaluator, present Split, best evaluation) Proposal {
+	prefill, decode := utilisation(evaluator.speed, present, evaluator.load, evaluator.objectives)
 	proposal := Proposal{
 		Model:              model.Name,
 		Gain:               best.gain,
-		Price:              judge.price,
-		PromptRate:         judge.load.Requests * judge.load.PromptTokens,
-		OutputRate:         judge.load.Requests * judge.load.OutputTokens,
+		Price:              evaluator.price,
+		PromptRate:         evaluator.load.Requests * evaluator.load.PromptTokens,
+		OutputRate:         evaluator.load.Requests * evaluator.load.OutputTokens,
 		PrefillUtilisation: prefill,
 		DecodeUtilisation:  decode,
 		Prefill:            present.Prefill,
 		Decode:             present.Decode,
 		Mixed:              present.Mixed,
-		SinceLastChange:    now - p.fleet.lastChange,
+		SinceLastChange:    now - p.fleet.lastChangeAt,
 	}
 	for _, demand := range input.Demand {
 		if demand.Model == model.Name {
@@ -170,15 +173,15 @@
 	return proposal
 }
 
-// note explains why nothing changes; the first reason that names a proposal
-// stays.
-func (p *Planner) note(output *Output, hold Hold, proposal *Proposal) {
+// recordHold records why nothing changes. Once a change has been made or a reason
+// with a proposal recorded, the output stays as it is.
+func (p *Planner) recordHold(output *Output, hold Hold, proposal *Proposal) {
 	if output.Hold == HoldNone || output.Best != nil {
 		return
 	}
 	output.Hold, output.Best = hold, proposal
 }
 
-func goalsOf(model Model) Goals {
+func objectivesOf(model Model) Goals {
 	return Goals{FirstToken: model.FirstToken.Seconds(), BetweenTokens: model.BetweenTokens.Seconds()}
 }
--- a/internal/planner/fleet.go
+++ b/internal/planner/fleet.go
@@ -6,25 +6,26 @@
 	"github.com/pierhaven/pierhaven/internal/api/engineapi"
 )
 
-// engineRecord is what the planner remembers of an engine.
+// engineRecord is the planner's state for one engine.
 type engineRecord struct {
 	desired engineapi.Configuration
-	// since is when the engine last came into its configuration.
-	since time.Duration
-	// awaySince is when it last went away for a change, negative if it is not.
+	// configuredAt is when the engine's role or model last changed, or when it last
+	// returned from a change.
+	configuredAt time.Duration
+	// awaySince is when the engine went away for a change, notAway if it isn't away.
 	awaySince time.Duration
 	report    engineapi.LoadReport
-	// measuredAt is when the report was measured.
+	// measuredAt is when the engine took the measurements in the report.
 	measuredAt time.Duration
-	seen       bool
+	hasReport  bool
 }
 
-// fleet remembers the engines of the zone.
+// fleet keeps the state of the zone's engines between steps.
 type fleet struct {
 	engines map[string]*engineRecord
-	// changeSeconds is the mean time that a change takes an engine away.
-	changeSeconds float64
-	lastChange    time.Duration
+	// meanChangeSeconds is the smoothed time for which a change keeps an engine away.
+	meanChangeSeconds float64
+	lastChangeAt      time.Duration
 }
 
 const (
@@ -34,18 +35,18 @@
 )
 
 func newFleet() *fleet {
-	return &fleet{engines: make(map[string]*engineRecord), changeSeconds: initialChangeSeconds}
+	return &fleet{engines: make(map[string]*engineRecord), meanChangeSeconds: initialChangeSeconds}
 }
 
-// observe notes the engines' states, and calls measured with what new load
-// reports say.
+// observe records the engines' states, and calls measured with the difference
+// between each new load report and the one before.
 func (f *fleet) observe(now time.Duration, engines []EngineStatus, measured func(EngineStatus, interval)) {
 	present := make(map[string]bool, len(engines))
 	for _, status := range engines {
 		present[status.ID] = true
 		record, found := f.engines[status.ID]
 		if !found {
-			record = &engineRecord{desired: status.Desired, since: -maximumDwell, awaySince: notAway}
+			record = &engineRecord{desired: status.Desired, configuredAt: -presumedDwell, awaySince: notAway}
 			f.engines[status.ID] = record
 		}
 		f.observeChange(now, record, status)
@@ -60,14 +61,16 @@
 
 const (
 	notAway = time.Duration(-1)
-	// maximumDwell is long enough for an engine that was here before the planner.
-	maximumDwell = 24 * time.Hour
+	// presumedDwell is how long an engine is assumed to have had its configuration
+	// when the planner first sees it, so that the minimum dwell doesn't delay its
+	// first change.
+	presumedDwell = 24 * time.Hour
 )
 
 func (f *fleet) observeChange(now time.Duration, record *engineRecord, status EngineStatus) {
 	if record.desired.Role != status.Desired.Role || record.desired.Model != status.Desired.Model {
-		record.since = now
-		f.lastChange = now
+		record.configuredAt = now
+		f.lastChangeAt = now
 	}
 	record.desired = status.Desired
 	if !status.Reachable {
@@ -80,29 +83,29 @@
 		record.awaySince = now
 	case !isAway && record.awaySince != notAway:
 		took := min((now - record.awaySince).Seconds(), maximumChangeSeconds)
-		f.changeSeconds += changeSecondsWeight * (took - f.changeSeconds)
+		f.meanChangeSeconds += changeSecondsWeight * (took - f.meanChangeSeconds)
 		record.awaySince = notAway
-		record.since = now
+		record.configuredAt = now
 	}
 }
 
 func (r *engineRecord) observeReport(now time.Duration, status EngineStatus, measured func(EngineStatus, interval)) {
 	at := now - status.LoadAge
-	if r.seen && status.Load.Sequence == r.report.Sequence && status.Load.Incarnation == r.report.Incarnation {
+	if r.hasReport && status.Load.Sequence == r.report.Sequence && status.Load.Incarnation == r.report.Incarnation {
 		return
 	}
-	if found, ok := between(r.report, status.Load, (at - r.measuredAt).Seconds()); r.seen && ok {
+	if found, ok := intervalBetween(r.report, status.Load, (at - r.measuredAt).Seconds()); r.hasReport && ok {
 		measured(status, found)
 	}
-	r.report, r.measuredAt, r.seen = status.Load, at, status.Load.Sequence > 0
+	r.report, r.measuredAt, r.hasReport = status.Load, at, status.Load.Sequence > 0
 }
 
-// away reports whether a planned change keeps the engine from serving.
+// away reports whether a planned change keeps the engine from serving requests.
 func away(status EngineStatus) bool {
 	return status.Draining || status.Phase == engineapi.PhaseChanging || status.Phase == engineapi.PhaseHalfDone
 }
 
-// countAway is the number of engines that a planned change keeps away.
+// countAway returns the number of engines that are away for a planned change.
 func countAway(engines []EngineStatus) int {
 	count := 0
 	for _, status := range engines {
@@ -113,8 +116,9 @@
 	return count
 }
 
-// countAwayOf is the number of a model's engines that a planned change keeps away.
-func countAwayOf(engines []EngineStatus, model string) int {
+// countModelAway returns the number of a model's engines that are away for a
+// planned change.
+func countModelAway(engines []EngineStatus, model string) int {
 	count := 0
 	for _, status := range engines {
 		if status.Desired.Model == model && status.Reachable && away(status) {
@@ -129,8 +133,8 @@
 	return status.Reachable && status.Phase != engineapi.PhaseLeaving && !status.Pinned
 }
 
-// splitOf counts the roles of a model's usable engines, those that change
-// counted as what they will be.
+// splitOf counts a model's usable engines by role. Engines that are changing count
+// in their new role and model.
 func splitOf(engines []EngineStatus, model string) Split {
 	var split Split
 	for _, status := range engines {
@@ -142,7 +146,7 @@
 	return split
 }
 
-// with adds engines of a role.
+// with returns the split with count engines of a role added.
 func (s Split) with(role engineapi.Role, count int) Split {
 	switch role {
 	case engineapi.RolePrefill:
@@ -155,7 +159,7 @@
 	return s
 }
 
-// count returns the engines of a role.
+// count returns the number of engines in a role.
 func (s Split) count(role engineapi.Role) int {
 	switch role {
 	case engineapi.RolePrefill:
--- a/internal/planner/forecast.go
+++ b/internal/planner/forecast.go
@@ -5,72 +5,73 @@
 	"time"
 )
 
-// forecast follows the demand for one model. Rates are smoothed so that the
-// noise of single arrivals doesn't show; a ratio corrects what gateways announce by
-// what engines then computed.
+// forecast estimates the demand for one model. Rates are smoothed exponentially to
+// suppress the noise of single arrivals. Prompt tokens reported by gateways are
+// corrected by the share that engines had to compute.
 type forecast struct {
 	timeConstant time.Duration
-	known        bool
-	at           time.Duration
-	requests     float64
-	prompt       float64
-	output       float64
-	// promptRatio is the computed part of the announced prompt tokens: the rest
-	// was cached.
-	promptRatio float64
+	initialized  bool
+	updatedAt    time.Duration
+	requestRate  float64
+	promptRate   float64
+	outputRate   float64
+	// uncachedShare is the share of requested prompt tokens that engines computed;
+	// the rest was cached.
+	uncachedShare float64
 }
 
 const (
-	initialRatio    = 0.9
-	minimumRatio    = 0.2
-	ratioWeight     = 0.05
-	minimumRequests = 0.2
+	initialUncachedShare = 0.9
+	minimumUncachedShare = 0.2
+	uncachedShareWeight  = 0.05
+	minimumRequestRate   = 0.2
 )
 
 func newForecast(timeConstant time.Duration) *forecast {
-	return &forecast{timeConstant: timeConstant, promptRatio: initialRatio}
+	return &forecast{timeConstant: timeConstant, uncachedShare: initialUncachedShare}
 }
 
-// observe takes a demand report in.
+// observe updates the smoothed rates from a demand report.
 func (f *forecast) observe(now time.Duration, demand Demand) {
-	if !f.known {
-		f.requests, f.prompt, f.output = demand.Requests, demand.PromptTokens, demand.OutputTokens
-		f.known, f.at = true, now
+	if !f.initialized {
+		f.requestRate, f.promptRate, f.outputRate = demand.Requests, demand.PromptTokens, demand.OutputTokens
+		f.initialized, f.updatedAt = true, now
 		return
 	}
-	weight := 1 - math.Exp(-float64(now-f.at)/float64(f.timeConstant))
-	f.requests += weight * (demand.Requests - f.requests)
-	f.prompt += weight * (demand.PromptTokens - f.prompt)
-	f.output += weight * (demand.OutputTokens - f.output)
-	f.at = now
+	weight := 1 - math.Exp(-float64(now-f.updatedAt)/float64(f.timeConstant))
+	f.requestRate += weight * (demand.Requests - f.requestRate)
+	f.promptRate += weight * (demand.PromptTokens - f.promptRate)
+	f.outputRate += weight * (demand.OutputTokens - f.outputRate)
+	f.updatedAt = now
 }
 
-// observeComputed compares the prompts that engines computed with those that were
-// announced, while nearly nothing is being refused or late: an engine that can't
-// keep up computes less than was asked for, and that must not pass for a cache.
-func (f *forecast) observeComputed(demand Demand, promptRate float64) {
-	if demand.Missed > 0.02*demand.Requests || f.requests < minimumRequests {
+// observeComputedPrompts updates uncachedShare from the rate of prompt tokens that
+// engines computed. It does so only while at most 2% of requests miss their
+// objectives: overloaded engines compute less than is requested, which must not be
+// mistaken for cache hits.
+func (f *forecast) observeComputedPrompts(demand Demand, computedRate float64) {
+	if demand.Missed > 0.02*demand.Requests || f.requestRate < minimumRequestRate {
 		return
 	}
-	f.promptRatio = blendRatio(f.promptRatio, promptRate, f.prompt)
+	f.uncachedShare = updateUncachedShare(f.uncachedShare, computedRate, f.promptRate)
 }
 
-func blendRatio(ratio, computed, announced float64) float64 {
-	if announced <= 0 || computed <= 0 {
-		return ratio
+func updateUncachedShare(share, computed, requested float64) float64 {
+	if requested <= 0 || computed <= 0 {
+		return share
 	}
-	sample := min(max(computed/announced, minimumRatio), 1)
-	return ratio + ratioWeight*(sample-ratio)
+	sample := min(max(computed/requested, minimumUncachedShare), 1)
+	return share + uncachedShareWeight*(sample-share)
 }
 
-// workload is the forecast of the demand.
+// workload returns the forecast, or a zero Workload if demand is negligible.
 func (f *forecast) workload() Workload {
-	if f.requests < minimumRequests {
+	if f.requestRate < minimumRequestRate {
 		return Workload{}
 	}
 	return Workload{
-		Requests:     f.requests,
-		PromptTokens: f.prompt / f.requests * f.promptRatio,
-		OutputTokens: max(1, f.output/f.requests),
+		Requests:     f.requestRate,
+		PromptTokens: f.promptRate / f.requestRate * f.uncachedShare,
+		OutputTokens: max(1, f.outputRate/f.requestRate),
 	}
 }
--- a/internal/planner/judge.go
+++ b/internal/planner/judge.go
@@ -4,84 +4,84 @@
 	"github.com/pierhaven/pierhaven/internal/api/engineapi"
 )
 
-// judge weighs splits against each other under one forecast.
-type judge struct {
+// splitEvaluator compares splits of a model's engines under one forecast.
+type splitEvaluator struct {
 	speed Speed
-	// load is the demand now, usual what it is in the long run.
-	load  Workload
-	usual Workload
-	goals Goals
-	price float64
-	// horizon is the time, in seconds, over which a change must pay, and
-	// usualShare the part of it for which the usual demand is expected.
+	// load is the present demand, longTermLoad the long-term demand.
+	load         Workload
+	longTermLoad Workload
+	objectives   Goals
+	price        float64
+	// horizon is the time, in seconds, over which a change must be worthwhile, and
+	// longTermShare the part of it for which the long-term demand is expected.
 	horizon       float64
-	usualShare    float64
+	longTermShare float64
 	changeSeconds float64
-	// atOnce is the number of engines that may change at the same time.
-	atOnce float64
+	// maximumConcurrent is the maximum number of engines that change at the same time.
+	maximumConcurrent float64
 }
 
-// verdict is what a split is worth.
-type verdict struct {
+// evaluation compares a split with the present one.
+type evaluation struct {
 	split   Split
 	goodput float64
-	// gain is the expected goodput over the horizon against staying, in
-	// requests, less what is lost during the changes.
+	// gain is the expected gain in goodput over the horizon, in requests, compared
+	// with keeping the present split, less the goodput lost during the changes.
 	gain float64
-	// cost is what the changes cost: their price and the goodput lost by them.
+	// cost is the price of the changes plus the goodput lost during them.
 	cost float64
-	// worth is gain less price.
-	worth float64
+	// netGain is gain less the price of the changes.
+	netGain float64
 }
 
-// goodput is a split's mean goodput over the horizon.
-func (j judge) goodput(split Split) float64 {
-	now := j.goodputNow(split)
-	if j.usualShare <= 0 {
+// goodput returns a split's mean goodput over the horizon.
+func (e splitEvaluator) goodput(split Split) float64 {
+	now := e.goodputNow(split)
+	if e.longTermShare <= 0 {
 		return now
 	}
-	return (1-j.usualShare)*now + j.usualShare*Goodput(j.speed, split, j.usual, j.goals)
+	return (1-e.longTermShare)*now + e.longTermShare*Goodput(e.speed, split, e.longTermLoad, e.objectives)
 }
 
-// goodputNow is a split's goodput under the present demand.
-func (j judge) goodputNow(split Split) float64 {
-	return Goodput(j.speed, split, j.load, j.goals)
+// goodputNow returns a split's goodput under the present demand.
+func (e splitEvaluator) goodputNow(split Split) float64 {
+	return Goodput(e.speed, split, e.load, e.objectives)
 }
 
-// best returns the split with the highest worth; staying is worth 0.
-func (j judge) best(present Split) verdict {
-	now := j.goodput(present)
-	best := verdict{split: present, goodput: now}
+// best returns the split with the highest net gain, which is 0 for the present one.
+func (e splitEvaluator) best(present Split) evaluation {
+	presentGoodput := e.goodput(present)
+	best := evaluation{split: present, goodput: presentGoodput}
 	for _, split := range Splits(present.Engines()) {
 		if split == present {
 			continue
 		}
-		if weighed := j.weigh(present, now, split); weighed.worth > best.worth {
-			best = weighed
+		if result := e.evaluate(present, presentGoodput, split); result.netGain > best.netGain {
+			best = result
 		}
 	}
 	return best
 }
 
-// weigh compares a split with the present one.
-func (j judge) weigh(present Split, now float64, split Split) verdict {
-	weighed := verdict{split: split, goodput: j.goodput(split)}
+// evaluate compares a split with the present one, whose goodput is presentGoodput.
+func (e splitEvaluator) evaluate(present Split, presentGoodput float64, split Split) evaluation {
+	result := evaluation{split: split, goodput: e.goodput(split)}
 	changes := float64(present.changesTo(split))
-	duration := changes / max(1, min(j.atOnce, changes)) * j.changeSeconds
-	after := max(0, j.horizon-duration)
-	// While the engines change, the fleet lacks them; on average the goodput is
-	// half-way, less the part of the engines that are away.
-	missing := min(j.atOnce, changes) / max(float64(present.Engines()), 1)
-	lost := min(duration, j.horizon) * min(now, weighed.goodput) * missing
-	weighed.gain = (weighed.goodput-now)*(after+duration/2) - lost
-	weighed.cost = changes*j.price + lost
-	weighed.worth = weighed.gain - changes*j.price
-	return weighed
+	duration := changes / max(1, min(e.maximumConcurrent, changes)) * e.changeSeconds
+	after := max(0, e.horizon-duration)
+	// During the changes, goodput is on average half-way between the two splits,
+	// less the share of the engines that are away.
+	missing := min(e.maximumConcurrent, changes) / max(float64(present.Engines()), 1)
+	lost := min(duration, e.horizon) * min(presentGoodput, result.goodput) * missing
+	result.gain = (result.goodput-presentGoodput)*(after+duration/2) - lost
+	result.cost = changes*e.price + lost
+	result.netGain = result.gain - changes*e.price
+	return result
 }
 
-// nextMove returns the single change towards a split that leaves the highest
-// goodput.
-func (j judge) nextMove(present, wanted Split) (from, to engineapi.Role, found bool) {
+// nextChange returns the single change of role towards the wanted split that gives
+// the highest goodput.
+func (e splitEvaluator) nextChange(present, wanted Split) (from, to engineapi.Role, found bool) {
 	highest := -1.0
 	for _, source := range roles {
 		if present.count(source) <= wanted.count(source) {
@@ -91,7 +91,7 @@
 			if present.count(target) >= wanted.count(target) {
 				continue
 			}
-			goodput := j.goodput(present.with(source, -1).with(target, 1))
+			goodput := e.goodput(present.with(source, -1).with(target, 1))
 			if goodput > highest {
 				from, to, highest, found = source, target, goodput, true
 			}
--- a/internal/planner/placement.go
+++ b/internal/planner/placement.go
@@ -8,268 +8,275 @@
 	"github.com/pierhaven/pierhaven/internal/api/engineapi"
 )
 
-// Placement says which engines run a model, and what of it.
+// Placement decides which engines may run a model, with which version and adapters.
 type Placement interface {
-	// HasRules is false if nothing is stated: the model may run anywhere, and no
-	// engine is moved because of it.
+	// HasRules reports whether the model has placement rules. Without rules it may
+	// run on any engine, and no engine is moved because of it.
 	HasRules() bool
-	// Of returns the version and the adapters that an engine should have, which
-	// now has some of this model's adapters. The version is empty if the rules
-	// don't take the engine.
+	// Of returns the version and the adapters that an engine should have; present
+	// are the adapters of this model that it has now. The version is empty if the
+	// rules don't allow the model on the engine.
 	Of(engineID string, present []string) (version string, adapters []string)
 }
 
-// Unplaced is a model whose placement is not as its rules state.
+// Unplaced is a model whose placement does not yet satisfy its rules.
 type Unplaced struct {
 	Model string
-	// Engines counts those that run the model, or will, as the rules state;
-	// Misplaced those that run it against the rules.
+	// Engines is the number of engines that run the model, or will after their
+	// change, as the rules allow; Misplaced is the number that run it against them.
 	Engines   int
 	Minimum   int
 	Misplaced int
-	// Hold is why nothing is changed now, HoldNone if something is.
+	// Hold is the reason why nothing is changed now.
 	Hold Hold
 }
 
-// placer makes the changes of one step that bring the engines where the rules
-// of placement state. It works on a copy of the engines, in which its own changes
-// show.
+// placer chooses the changes of one step that move engines and load adapters as the
+// placement rules require. It works on a copy of the engines, to which it applies
+// its own changes.
 type placer struct {
-	planner *Planner
-	now     time.Duration
-	input   *Input
-	free    *int
-	output  *Output
-	sites   []*site
-	byModel map[string]*site
+	planner   *Planner
+	now       time.Duration
+	input     *Input
+	remaining *int
+	output    *Output
+	pools     []*modelPool
+	byModel   map[string]*modelPool
 }
 
-// site is a model with the engines that it has.
-type site struct {
+// modelPool is a model and a summary of the engines that run it.
+type modelPool struct {
 	model Model
 	rules Rules
-	// configured is false for a model that only engines name.
+	// configured is false for a model that some engine has but the configuration
+	// doesn't.
 	configured bool
-	// placed counts usable engines that have the model as its rules state, or
-	// will; misplaced those that have it against them.
+	// placed is the number of usable engines that have the model, or will after
+	// their change, as its rules allow; misplaced is the number that have it
+	// against them.
 	placed    int
 	misplaced int
-	// away counts engines that a planned change to the model, or of it, keeps away.
+	// away is the number of the model's engines, by desired configuration, that are
+	// away for a planned change.
 	away int
-	// serving are the engines that run the model now.
+	// serving counts, by role, the engines that serve the model now.
 	serving Split
-	// moving says that an engine is on its way from or to the model.
-	moving bool
-	// inUse says that requests come in for the model.
-	inUse bool
+	// moveInProgress is set while an engine is moving from or to the model.
+	moveInProgress bool
+	// hasDemand is set if requests arrive for the model.
+	hasDemand bool
 }
 
 // place moves engines between models and loads adapters, one engine at a time for
-// each model. Minimums come first, then engines that no rule takes where they
-// are, then adapters.
-func (p *Planner) place(now time.Duration, input *Input, free *int, output *Output) {
+// each model. Each model is first brought to its minimum and then relieved of
+// misplaced engines; adapters are loaded last.
+func (p *Planner) place(now time.Duration, input *Input, remaining *int, output *Output) {
 	if !slices.ContainsFunc(input.Models, func(model Model) bool { return model.Placement != nil && model.Placement.HasRules() }) {
 		return
 	}
 	input.Engines = slices.Clone(input.Engines)
-	placer := &placer{planner: p, now: now, input: input, free: free, output: output, byModel: map[string]*site{}}
-	placer.survey()
-	for _, site := range placer.sites {
-		hold := placer.fill(site)
+	placer := &placer{planner: p, now: now, input: input, remaining: remaining, output: output, byModel: map[string]*modelPool{}}
+	placer.countEngines()
+	for _, pool := range placer.pools {
+		hold := placer.fillMinimum(pool)
 		if hold == HoldNone {
-			hold = placer.clear(site)
+			hold = placer.moveMisplaced(pool)
 		}
 		if hold != HoldNone {
-			output.Unplaced = append(output.Unplaced, site.unplaced(hold))
+			output.Unplaced = append(output.Unplaced, pool.unplaced(hold))
 		}
 	}
-	for _, site := range placer.sites {
-		placer.loadAdapters(site)
+	for _, pool := range placer.pools {
+		placer.loadAdapters(pool)
 	}
 }
 
-func (s *site) unplaced(hold Hold) Unplaced {
-	return Unplaced{Model: s.model.Name, Engines: s.placed, Minimum: s.model.Minimum, Misplaced: s.misplaced, Hold: hold}
+func (m *modelPool) unplaced(hold Hold) Unplaced {
+	return Unplaced{Model: m.model.Name, Engines: m.placed, Minimum: m.model.Minimum, Misplaced: m.misplaced, Hold: hold}
 }
 
-// survey counts the engines of each model.
-func (p *placer) survey() {
+// countEngines builds the pool of each model.
+func (p *placer) countEngines() {
 	for _, model := range p.input.Models {
-		site := p.add(model)
-		site.configured = true
-		site.inUse = p.planner.model(model.Name).forecast.workload().Requests > leastRequests
-		site.away = countAwayOf(p.input.Engines, model.Name)
+		pool := p.addPool(model)
+		pool.configured = true
+		pool.hasDemand = p.planner.model(model.Name).forecast.workload().Requests > minimumDemandRate
+		pool.away = countModelAway(p.input.Engines, model.Name)
 	}
 	for index := range p.input.Engines {
 		engine := &p.input.Engines[index]
 		if !usable(*engine) || engine.Desired.Model == "" {
 			continue
 		}
-		p.count(engine)
+		p.countEngine(engine)
 	}
 }
 
-// leastRequests is the rate, a second, from which a model counts as in use.
-const leastRequests = 0.01
+// minimumDemandRate is the request rate, a second, above which a model has demand.
+const minimumDemandRate = 0.01
 
-func (p *placer) add(model Model) *site {
-	added := &site{model: model, rules: p.input.rulesOf(&model)}
-	p.sites = append(p.sites, added)
+func (p *placer) addPool(model Model) *modelPool {
+	added := &modelPool{model: model, rules: p.input.rulesOf(&model)}
+	p.pools = append(p.pools, added)
 	p.byModel[model.Name] = added
 	return added
 }
 
-func (p *placer) count(engine *EngineStatus) {
-	site, found := p.byModel[engine.Desired.Model]
+func (p *placer) countEngine(engine *EngineStatus) {
+	pool, found := p.byModel[engine.Desired.Model]
 	if !found {
-		site = p.add(Model{Name: engine.Desired.Model})
+		pool = p.addPool(Model{Name: engine.Desired.Model})
 	}
-	if site.takes(engine) {
-		site.placed++
+	if pool.allows(engine) {
+		pool.placed++
 	} else {
-		site.misplaced++
+		pool.misplaced++
 	}
 	if serves(engine) {
-		site.serving = site.serving.with(engine.Desired.Role, 1)
+		pool.serving = pool.serving.with(engine.Desired.Role, 1)
 	}
 	if engine.Observed.Model == engine.Desired.Model {
 		return
 	}
-	site.moving = true
+	pool.moveInProgress = true
 	if left, found := p.byModel[engine.Observed.Model]; found {
-		left.moving = true
+		left.moveInProgress = true
 	}
 }
 
-// serves reports whether an engine runs what it should.
+// serves reports whether an engine serves the model of its desired configuration.
 func serves(engine *EngineStatus) bool {
 	return usable(*engine) && engine.Phase == engineapi.PhaseServing && !engine.Draining &&
 		engine.Observed.Model == engine.Desired.Model
 }
 
-// takes reports whether the rules of a model take an engine.
-func (s *site) takes(engine *EngineStatus) bool {
-	version, _ := s.of(engine)
+// allows reports whether the model's rules allow it on an engine.
+func (m *modelPool) allows(engine *EngineStatus) bool {
+	version, _ := m.configurationFor(engine)
 	return version != ""
 }
 
-// of returns the version and adapters of a model for an engine.
-func (s *site) of(engine *EngineStatus) (version string, adapters []string) {
+// configurationFor returns the version and adapters that an engine should have to
+// run the model. The version is empty if the rules don't allow it there.
+func (m *modelPool) configurationFor(engine *EngineStatus) (version string, adapters []string) {
 	var present []string
-	if engine.Desired.Model == s.model.Name {
+	if engine.Desired.Model == m.model.Name {
 		present = engine.Desired.Adapters
 	}
 	switch {
-	case !s.configured:
+	case !m.configured:
 		return "", nil
-	case s.model.Placement == nil:
-		return s.model.Version, present
+	case m.model.Placement == nil:
+		return m.model.Version, present
 	default:
-		return s.model.Placement.Of(engine.ID, present)
+		return m.model.Placement.Of(engine.ID, present)
 	}
 }
 
-func (s *site) hasRules() bool {
-	return s.configured && s.model.Placement != nil && s.model.Placement.HasRules()
+func (m *modelPool) hasRules() bool {
+	return m.configured && m.model.Placement != nil && m.model.Placement.HasRules()
 }
 
-// fill moves an engine to a model that has fewer than its minimum.
-func (p *placer) fill(site *site) Hold {
-	if !site.configured {
+// fillMinimum moves an engine to a model that has fewer engines than its minimum.
+// It returns the reason if none can be moved.
+func (p *placer) fillMinimum(pool *modelPool) Hold {
+	if !pool.configured {
 		return HoldNone
 	}
-	state := p.planner.model(site.model.Name)
-	if site.placed >= site.model.Minimum {
-		state.short = false
+	state := p.planner.model(pool.model.Name)
+	if pool.placed >= pool.model.Minimum {
+		state.belowMinimum = false
 		return HoldNone
 	}
-	if !state.short {
-		state.short, state.shortSince = true, p.now
+	if !state.belowMinimum {
+		state.belowMinimum, state.belowMinimumSince = true, p.now
 	}
-	if hold := p.unsatisfiable(site); hold != HoldNone {
+	if hold := p.unsatisfiable(pool); hold != HoldNone {
 		return hold
 	}
-	if p.now-state.shortSince < p.planner.options.PlacementDelay {
-		return HoldMayPass
+	if p.now-state.belowMinimumSince < p.planner.options.PlacementDelay {
+		return HoldRecentShortage
 	}
-	moves, hold := p.searchFor(site)
-	return p.carryOut(moves, hold, fmt.Sprintf("model %s has fewer engines than its minimum", site.model.Name))
+	moves, hold := p.findMoves(pool)
+	return p.applyBestMove(moves, hold, fmt.Sprintf("model %s has fewer engines than its minimum", pool.model.Name))
 }
 
-// unsatisfiable says why the engines can't meet the minimums, whatever they run.
-func (p *placer) unsatisfiable(site *site) Hold {
-	engines, taken, minimums := 0, 0, 0
+// unsatisfiable returns the reason why no assignment of the engines can satisfy the
+// minimums, HoldNone if none is found.
+func (p *placer) unsatisfiable(pool *modelPool) Hold {
+	engines, allowed, minimums := 0, 0, 0
 	for index := range p.input.Engines {
 		engine := &p.input.Engines[index]
 		if !usable(*engine) || engine.Desired.Model == "" {
 			continue
 		}
 		engines++
-		if site.takes(engine) {
-			taken++
+		if pool.allows(engine) {
+			allowed++
 		}
 	}
-	for _, each := range p.sites {
-		minimums += each.model.Minimum
+	for _, other := range p.pools {
+		minimums += other.model.Minimum
 	}
 	switch {
 	case minimums > engines:
-		return HoldMinimums
-	case taken < site.model.Minimum:
-		return HoldTakesTooFew
+		return HoldMinimumsExceedEngines
+	case allowed < pool.model.Minimum:
+		return HoldRulesTakeTooFew
 	default:
 		return HoldNone
 	}
 }
 
-// clear moves an engine away that runs a model whose rules don't take it, to a
-// model whose rules do.
-func (p *placer) clear(site *site) Hold {
-	if site.misplaced == 0 {
+// moveMisplaced moves an engine whose present model isn't allowed on it to a model
+// whose rules allow it. It returns the reason if no engine can be moved.
+func (p *placer) moveMisplaced(pool *modelPool) Hold {
+	if pool.misplaced == 0 {
 		return HoldNone
 	}
 	var moves []move
-	hold := HoldNowhere
+	hold := HoldNoRule
 	for index := range p.input.Engines {
 		engine := &p.input.Engines[index]
-		if !usable(*engine) || engine.Desired.Model != site.model.Name || site.takes(engine) {
+		if !usable(*engine) || engine.Desired.Model != pool.model.Name || pool.allows(engine) {
 			continue
 		}
 		to := p.destination(engine)
 		if to == nil {
 			continue
 		}
-		obstacle := p.obstacle(engine, site, to)
+		blocker := p.moveBlocker(engine, pool, to)
 		switch {
-		case !p.spares(engine, site):
-			hold = firstOf(hold, HoldNoSpare)
-		case obstacle != HoldNone:
-			hold = firstOf(hold, obstacle)
+		case !p.canSpare(engine, pool):
+			hold = moreSpecificHold(hold, HoldNoSpare)
+		case blocker != HoldNone:
+			hold = moreSpecificHold(hold, blocker)
 		default:
-			moves = append(moves, p.newMove(engine, site, to))
+			moves = append(moves, p.newMove(engine, pool, to))
 		}
 	}
-	return p.carryOut(moves, hold, fmt.Sprintf("no rule of model %s takes the engine", site.model.Name))
+	return p.applyBestMove(moves, hold, fmt.Sprintf("no rule of model %s takes the engine", pool.model.Name))
 }
 
-// firstOf keeps the first reason that is more than that there is nowhere to go.
-func firstOf(known, next Hold) Hold {
-	if known == HoldNowhere || known == HoldNoSpare {
+// moreSpecificHold returns the first reason found other than the two default ones,
+// HoldNoRule and HoldNoSpare, which any later reason replaces.
+func moreSpecificHold(known, next Hold) Hold {
+	if known == HoldNoRule || known == HoldNoSpare {
 		return next
 	}
 	return known
 }
 
-// destination is the model furthest from its minimum of those whose rules take an
-// engine, nil if there is none.
-func (p *placer) destination(engine *EngineStatus) *site {
-	var best *site
-	for _, site := range p.sites {
-		if site.model.Name == engine.Desired.Model || !site.hasRules() || !site.takes(engine) {
+// destination returns, of the other models whose rules allow the engine, the one
+// with the fewest engines relative to its minimum, nil if there is none.
+func (p *placer) destination(engine *EngineStatus) *modelPool {
+	var best *modelPool
+	for _, pool := range p.pools {
+		if pool.model.Name == engine.Desired.Model || !pool.hasRules() || !pool.allows(engine) {
 			continue
 		}
-		if best == nil || site.placed-site.model.Minimum < best.placed-best.model.Minimum {
-			best = site
+		if best == nil || pool.placed-pool.model.Minimum < best.placed-best.model.Minimum {
+			best = pool
 		}
 	}
 	return best
--- a/internal/planner/placementmove.go
+++ b/internal/planner/placementmove.go
@@ -8,60 +8,61 @@
 	"github.com/pierhaven/pierhaven/internal/api/engineapi"
 )
 
-// move is an engine that may go from a model to another.
+// move is a possible move of an engine from one model to another.
 type move struct {
 	engine *EngineStatus
-	from   *site
-	to     *site
-	// whole says that what remains of the model can still serve, and last that
-	// nothing remains of a model in use.
-	whole bool
-	last  bool
+	from   *modelPool
+	to     *modelPool
+	// keepsServing is false if the move would take the model's ability to serve
+	// while engines remain that serve it. takesLast is set if the move takes the
+	// last serving engine of a model with demand.
+	keepsServing bool
+	takesLast    bool
 }
 
-func (p *placer) newMove(engine *EngineStatus, from, to *site) move {
-	left := from.serving
+func (p *placer) newMove(engine *EngineStatus, from, to *modelPool) move {
+	remaining := from.serving
 	if serves(engine) {
-		left = left.with(engine.Desired.Role, -1)
+		remaining = remaining.with(engine.Desired.Role, -1)
 	}
 	return move{
 		engine: engine, from: from, to: to,
-		whole: left.Engines() == 0 || canServe(left) || !canServe(from.serving),
-		last:  left.Engines() == 0 && from.inUse,
+		keepsServing: remaining.Engines() == 0 || canServe(remaining) || !canServe(from.serving),
+		takesLast:    remaining.Engines() == 0 && from.hasDemand,
 	}
 }
 
-// canServe reports whether the engines of a split can read and generate.
+// canServe reports whether a split has engines for both prefill and decode.
 func canServe(split Split) bool {
 	return split.Mixed > 0 || split.Prefill > 0 && split.Decode > 0
 }
 
-// searchFor finds the moves of which one brings the engines nearer to a model's
-// minimum: into the model itself, or, if no engine that it takes can be spared,
-// into a model that could then spare one. It is a breadth-first search for a
-// shortest augmenting path, of which the far end is moved first, so that no model
-// falls below its minimum on the way.
-func (p *placer) searchFor(short *site) ([]move, Hold) {
+// findMoves returns candidate moves, any one of which is a step towards the minimum
+// of the model short of engines. They go to the model itself or, if no engine
+// allowed there can be spared, to a model that could then spare one. It is a
+// breadth-first search for a shortest augmenting path. The move at its far end is
+// made first, so that no model falls below its minimum in between.
+func (p *placer) findMoves(short *modelPool) ([]move, Hold) {
 	hold := HoldNoSpare
-	seen := map[*site]bool{short: true}
-	for level := []*site{short}; len(level) > 0; {
+	seen := map[*modelPool]bool{short: true}
+	for level := []*modelPool{short}; len(level) > 0; {
 		var moves []move
-		var next []*site
+		var next []*modelPool
 		for _, to := range level {
 			for index := range p.input.Engines {
 				engine := &p.input.Engines[index]
 				from := p.byModel[engine.Desired.Model]
-				if from == nil || from == to || !usable(*engine) || !to.takes(engine) {
+				if from == nil || from == to || !usable(*engine) || !to.allows(engine) {
 					continue
 				}
-				spared := p.spares(engine, from)
-				obstacle := p.obstacle(engine, from, to)
+				spared := p.canSpare(engine, from)
+				blocker := p.moveBlocker(engine, from, to)
 				switch {
-				case spared && obstacle == HoldNone:
+				case spared && blocker == HoldNone:
 					moves = append(moves, p.newMove(engine, from, to))
 				case spared:
-					hold = firstOf(hold, obstacle)
-				case obstacle == HoldNone && !seen[from]:
+					hold = moreSpecificHold(hold, blocker)
+				case blocker == HoldNone && !seen[from]:
 					seen[from] = true
 					next = append(next, from)
 				}
@@ -75,80 +76,83 @@
 	return nil, hold
 }
 
-// spares reports whether a model keeps its minimum without an engine. A model in
-// use doesn't give its last engine away while its rules take it.
-func (p *placer) spares(engine *EngineStatus, from *site) bool {
+// canSpare reports whether a model keeps its minimum without an engine. A model with
+// demand doesn't give up its last allowed engine.
+func (p *placer) canSpare(engine *EngineStatus, from *modelPool) bool {
 	serving, placed := from.serving.Engines(), from.placed
 	if serves(engine) {
 		serving--
 	}
-	if !from.takes(engine) {
+	if !from.allows(engine) {
 		return serving >= from.model.Minimum
 	}
-	least := from.model.Minimum
-	if from.inUse {
-		least = max(least, 1)
+	minimum := from.model.Minimum
+	if from.hasDemand {
+		minimum = max(minimum, 1)
 	}
-	return serving >= least && placed-1 >= least
+	return serving >= minimum && placed-1 >= minimum
 }
 
-// obstacle says why an engine may not be ordered from a model to another now.
-func (p *placer) obstacle(engine *EngineStatus, from, to *site) Hold {
+// moveBlocker returns the reason why an engine may not be moved between two models
+// now, HoldNone if it may.
+func (p *placer) moveBlocker(engine *EngineStatus, from, to *modelPool) Hold {
 	switch {
 	case from.rules.MaximumAway <= 0 || to.rules.MaximumAway <= 0:
 		return HoldForbidden
-	case from.moving || to.moving:
-		return HoldMoving
+	case from.moveInProgress || to.moveInProgress:
+		return HoldMoveInProgress
 	case !changeable(*engine):
 		return HoldNoEngine
-	case p.held(engine, from.rules) || p.held(engine, to.rules):
+	case p.withinDwell(engine, from.rules) || p.withinDwell(engine, to.rules):
 		return HoldDwell
-	case engine.GivenUp != nil && p.gaveUp(engine, p.target(engine, to)):
-		return HoldGivenUp
-	case from.isFull() || to.isFull():
+	case engine.GivenUp != nil && p.recentlyAbandoned(engine, p.target(engine, to)):
+		return HoldAbandoned
+	case from.atAwayBound() || to.atAwayBound():
 		return HoldAway
 	default:
 		return HoldNone
 	}
 }
 
-// isFull reports whether as many engines of the model are away as may be.
-func (s *site) isFull() bool { return s.away >= s.rules.MaximumAway }
+// atAwayBound reports whether the maximum number of the model's engines are away.
+func (m *modelPool) atAwayBound() bool { return m.away >= m.rules.MaximumAway }
 
-// carryOut makes the move with the least to lose. hold is why there is none.
-func (p *placer) carryOut(moves []move, hold Hold, reason string) Hold {
+// applyBestMove makes the least disruptive move. Without moves it returns hold, the
+// reason why there are none.
+func (p *placer) applyBestMove(moves []move, hold Hold, reason string) Hold {
 	if len(moves) == 0 {
 		return hold
 	}
-	if *p.free <= 0 {
+	if *p.remaining <= 0 {
 		return HoldAway
 	}
 	best := slices.MinFunc(moves, compareMoves)
-	if !best.whole {
-		return p.joinRoles(best)
+	if !best.keepsServing {
+		return p.convertToMixed(best)
 	}
-	best.from.moving, best.to.moving = true, true
+	best.from.moveInProgress, best.to.moveInProgress = true, true
 	if serves(best.engine) {
 		best.from.serving = best.from.serving.with(best.engine.Desired.Role, -1)
 	}
-	if best.from.takes(best.engine) {
+	if best.from.allows(best.engine) {
 		best.from.placed--
 	} else {
 		best.from.misplaced--
 	}
 	best.to.placed++
-	p.order(best.engine, p.target(best.engine, best.to), reason)
+	p.assign(best.engine, p.target(best.engine, best.to), reason)
 	return HoldNone
 }
 
-// compareMoves puts the move first that costs least: of an engine that is not
-// where it should be, from a model that goes on serving.
+// compareMoves orders moves by how disruptive they are. Moves of misplaced engines
+// come first, then those that don't take the last engine of a model with demand,
+// then those after which the model can still serve.
 func compareMoves(a, b move) int {
 	return cmp.Or(
-		falseFirst(a.from.takes(a.engine), b.from.takes(b.engine)),
-		falseFirst(a.last, b.last),
-		falseFirst(!a.whole, !b.whole),
-		lessToLose(a.engine, b.engine),
+		falseFirst(a.from.allows(a.engine), b.from.allows(b.engine)),
+		falseFirst(a.takesLast, b.takesLast),
+		falseFirst(!a.keepsServing, !b.keepsServing),
+		compareDisruption(a.engine, b.engine),
 	)
 }
 
@@ -163,19 +167,19 @@
 	}
 }
 
-// joinRoles lets an engine of a model read and generate, so that the model can
-// spare another.
-func (p *placer) joinRoles(wanted move) Hold {
+// convertToMixed gives another engine of the model the mixed role, so that the model
+// can still serve after the wanted move, which a later step makes.
+func (p *placer) convertToMixed(wanted move) Hold {
 	var best *EngineStatus
 	for index := range p.input.Engines {
 		engine := &p.input.Engines[index]
 		if engine == wanted.engine || engine.Desired.Model != wanted.from.model.Name || !serves(engine) {
 			continue
 		}
-		if !changeable(*engine) || p.held(engine, wanted.from.rules) {
+		if !changeable(*engine) || p.withinDwell(engine, wanted.from.rules) {
 			continue
 		}
-		if best == nil || lessToLose(engine, best) < 0 {
+		if best == nil || compareDisruption(engine, best) < 0 {
 			best = engine
 		}
 	}
@@ -185,23 +189,23 @@
 	target := best.Desired
 	target.Role = engineapi.RoleMixed
 	wanted.from.serving = wanted.from.serving.with(best.Desired.Role, -1)
-	wanted.from.moving = true
-	p.order(best, target, "so that its model can spare another engine")
+	wanted.from.moveInProgress = true
+	p.assign(best, target, "so that its model can spare another engine")
 	return HoldNone
 }
 
-// target is what an engine gets that moves to a model.
-func (p *placer) target(engine *EngineStatus, to *site) engineapi.Configuration {
-	version, adapters := to.of(engine)
+// target returns the configuration of an engine that moves to a model.
+func (p *placer) target(engine *EngineStatus, to *modelPool) engineapi.Configuration {
+	version, adapters := to.configurationFor(engine)
 	return engineapi.Configuration{
 		Role: p.role(to), Model: to.model.Name, Version: p.version(to, version), Adapters: adapters,
 	}
 }
 
-// version is the one that most engines of a model should run, or that of the rule
-// if there are none: a version is brought in by a rollout, which watches it and
-// takes it back, and not by a move.
-func (p *placer) version(to *site, ofRule string) string {
+// version returns the desired version of most engines of a model, or the rule's
+// version if it has no engines. New versions are introduced by rollouts, which
+// monitor them and roll them back, and not by moves.
+func (p *placer) version(to *modelPool, ruleVersion string) string {
 	counts := map[string]int{}
 	for index := range p.input.Engines {
 		engine := &p.input.Engines[index]
@@ -209,29 +213,30 @@
 			counts[engine.Desired.Version]++
 		}
 	}
-	most := ofRule
+	mostCommon := ruleVersion
 	for _, version := range slices.Sorted(maps.Keys(counts)) {
-		if counts[version] > counts[most] {
-			most = version
+		if counts[version] > counts[mostCommon] {
+			mostCommon = version
 		}
 	}
-	return most
+	return mostCommon
 }
 
-// role is the one in which a further engine serves the model's present demand
-// best; an engine that reads and generates if that makes no difference.
-func (p *placer) role(to *site) engineapi.Role {
+// role returns the role in which an additional engine increases the goodput under
+// the model's present demand most; mixed if the role makes no difference.
+func (p *placer) role(to *modelPool) engineapi.Role {
 	state := p.planner.model(to.model.Name)
 	present := splitOf(p.input.Engines, to.model.Name)
 	best, highest := engineapi.RoleMixed, 0.0
 	for _, role := range []engineapi.Role{engineapi.RoleMixed, engineapi.RolePrefill, engineapi.RoleDecode} {
-		goodput := Goodput(state.speed.speed(), present.with(role, 1), state.forecast.workload(), goalsOf(to.model))
-		if goodput > highest+minimumDifference {
+		goodput := Goodput(state.speed.speed(), present.with(role, 1), state.forecast.workload(), objectivesOf(to.model))
+		if goodput > highest+minimumGoodputDifference {
 			best, highest = role, goodput
 		}
 	}
 	return best
 }
 
-// minimumDifference in goodput, in requests a second, between roles.
-const minimumDifference = 1e-6
+// minimumGoodputDifference is the difference in goodput, in requests a second, above
+// which a role counts as better than another.
+const minimumGoodputDifference = 1e-6
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -8,31 +8,33 @@
 // Options are the settings of a Planner.
 type Options struct {
 	// Horizon is the time for which the present demand is expected to last. A
-	// change must pay over it and the minimum dwell, for which the usual demand
-	// is expected.
+	// change must be worthwhile over the horizon plus the minimum dwell, during
+	// which the long-term demand is expected.
 	Horizon time.Duration
-	// UsualTimeConstant smooths the usual demand.
-	UsualTimeConstant time.Duration
-	// DemandTimeConstant smooths the demand.
+	// LongTermTimeConstant is the smoothing time constant of the long-term demand.
+	LongTermTimeConstant time.Duration
+	// DemandTimeConstant is the smoothing time constant of the present demand.
 	DemandTimeConstant time.Duration
-	// RegretShare is the part of a change's whole cost that must have been lost
-	// already, by not having made it, before it is made. It is what keeps the
-	// planner from following swings that end before a change pays.
+	// RegretShare is the part of a change's total cost that must already have
+	// been lost by not making the change before it is made. It keeps the planner
+	// from following swings of demand that end before a change is worthwhile.
 	RegretShare float64
-	// RegretTimeConstant is how long a loss is remembered.
+	// RegretTimeConstant is the decay time constant of the lost goodput.
 	RegretTimeConstant time.Duration
-	// MinimumGain is the least relative gain in goodput that counts.
+	// MinimumGain is the smallest gain in goodput, as a share of the requested
+	// rate, for which roles are changed.
 	MinimumGain float64
-	// MaximumInputAge: older load reports or demand stop all changes.
+	// MaximumInputAge is the age above which demand, or the load reports of most
+	// engines, stop all changes.
 	MaximumInputAge time.Duration
-	// MinimumReportingShare is the part of the gateways that must report.
+	// MinimumReportingShare is the share of gateways that must report demand.
 	MinimumReportingShare float64
-	// PlacementDelay is how long a model must have been short of engines before
-	// one is moved to it.
+	// PlacementDelay is how long a model must have been below its minimum number
+	// of engines before one is moved to it.
 	PlacementDelay time.Duration
-	// WarmUp is the time before the first change.
+	// WarmUp is the time from the first step during which nothing is changed.
 	WarmUp time.Duration
-	// Prior is the speed assumed until it has been measured.
+	// Prior is the initial value of each model's speed estimate.
 	Prior Speed
 }
 
@@ -40,7 +42,7 @@
 func DefaultOptions() Options {
 	return Options{
 		Horizon:               60 * time.Second,
-		UsualTimeConstant:     2 * time.Minute,
+		LongTermTimeConstant:  2 * time.Minute,
 		DemandTimeConstant:    3 * time.Second,
 		RegretShare:           0.3,
 		RegretTimeConstant:    15 * time.Second,
@@ -62,29 +64,30 @@
 
 // Planner is the planner of one zone.
 type Planner struct {
-	options Options
-	fleet   *fleet
-	models  map[string]*modelState
-	started bool
-	startAt time.Duration
-	last    time.Duration
+	options    Options
+	fleet      *fleet
+	models     map[string]*modelState
+	started    bool
+	startedAt  time.Duration
+	lastStepAt time.Duration
 }
 
-// modelState is what the planner knows of one model.
+// modelState is the planner's state for one model.
 type modelState struct {
 	forecast *forecast
-	usual    *forecast
+	longTerm *forecast
 	speed    *speedEstimator
 	regret   regret
-	// short says that the model has fewer engines than its minimum, since
-	// shortSince.
-	short      bool
-	shortSince time.Duration
-	// promptRate is what the engines computed of late, in tokens a second.
-	promptRate float64
+	// belowMinimum is set while the model has fewer engines than its minimum;
+	// belowMinimumSince is when that began.
+	belowMinimum      bool
+	belowMinimumSince time.Duration
+	// computedPromptRate is the smoothed rate at which the engines computed prompt
+	// tokens, in tokens a second.
+	computedPromptRate float64
 }
 
-// New returns a planner that knows nothing yet.
+// New returns a planner without any observations.
 func New(options Options) *Planner {
 	return &Planner{options: options, fleet: newFleet(), models: make(map[string]*modelState)}
 }
@@ -94,7 +97,7 @@
 	if !found {
 		state = &modelState{
 			forecast: newForecast(p.options.DemandTimeConstant),
-			usual:    newForecast(p.options.UsualTimeConstant),
+			longTerm: newForecast(p.options.LongTermTimeConstant),
 			speed:    newSpeedEstimator(p.options.Prior),
 		}
 		p.models[name] = state
@@ -102,22 +105,22 @@
 	return state
 }
 
-// Step takes the input in and decides on the changes to be made now. Call it
+// Step records the input and decides which changes to make now. Callers run it
 // about once a second.
 func (p *Planner) Step(now time.Duration, input Input) Output {
 	if !p.started {
-		p.started, p.startAt, p.last = true, now, now
+		p.started, p.startedAt, p.lastStepAt = true, now, now
 	}
-	elapsed := now - p.last
-	p.last = now
-	stale := p.stale(input)
+	elapsed := now - p.lastStepAt
+	p.lastStepAt = now
+	stale := p.isStale(input)
 	if !stale {
 		p.observe(now, input)
 	}
 	return p.decide(now, elapsed, input, stale)
 }
 
-// observe takes demand and load reports in.
+// observe updates the estimates from demand and load reports.
 func (p *Planner) observe(now time.Duration, input Input) {
 	computed := make(map[string]float64)
 	p.fleet.observe(now, input.Engines, func(status EngineStatus, measured interval) {
@@ -132,22 +135,23 @@
 	for _, demand := range input.Demand {
 		state := p.model(demand.Model)
 		state.forecast.observe(now, demand)
-		state.usual.observe(now, demand)
+		state.longTerm.observe(now, demand)
 		if promptRate, measured := computed[demand.Model]; measured {
-			state.promptRate += rateWeight * (promptRate - state.promptRate)
-			state.forecast.observeComputed(demand, state.promptRate)
-			state.usual.promptRatio = state.forecast.promptRatio
+			state.computedPromptRate += promptRateWeight * (promptRate - state.computedPromptRate)
+			state.forecast.observeComputedPrompts(demand, state.computedPromptRate)
+			state.longTerm.uncachedShare = state.forecast.uncachedShare
 		}
 	}
 }
 
-// rateWeight smooths the engines' computed rates, over about as many seconds as
-// the demand.
-const rateWeight = 0.3
+// promptRateWeight is the smoothing weight of the computed prompt rate in each
+// step. At a step a second its time constant is about that of the demand.
+const promptRateWeight = 0.3
 
-// stale reports whether too little is known to change anything. That no model is
-// asked for is no lack of knowledge: it only leaves roles alone.
-func (p *Planner) stale(input Input) bool {
+// isStale reports whether the input is too incomplete or too old to change
+// anything. Input without any demand isn't stale: roles are left as they are, but
+// placement goes on.
+func (p *Planner) isStale(input Input) bool {
 	if input.GatewaysExpected == 0 {
 		return true
 	}
@@ -163,49 +167,51 @@
 	return p.mostReportsStale(input)
 }
 
-// mostReportsStale reports whether the load of more than half of the engines is
-// too old.
+// mostReportsStale reports whether the load reports of more than half of the
+// reachable engines are too old.
 func (p *Planner) mostReportsStale(input Input) bool {
-	reachable, old := 0, 0
+	reachable, stale := 0, 0
 	for _, status := range input.Engines {
 		if !status.Reachable {
 			continue
 		}
 		reachable++
 		if status.LoadAge > p.options.MaximumInputAge {
-			old++
+			stale++
 		}
 	}
-	return 2*old > reachable
+	return 2*stale > reachable
 }
 
-// regret adds up the goodput that was lost by not having changed towards a split,
-// less what was won by it while the demand swung back; it fades.
+// regret accumulates the goodput lost by not having changed towards the target
+// split, less the goodput gained by staying while demand swung back. The sum
+// decays exponentially.
 type regret struct {
-	towards Split
-	lost    float64
+	target      Split
+	lostGoodput float64
 }
 
-// add takes the time since the last step in. gain is the rate of goodput that a
-// split has over the present one now, and wanted the best split.
-func (r *regret) add(elapsed, timeConstant time.Duration, gain func(Split) float64, from, wanted Split) {
-	if r.towards.Engines() != from.Engines() {
-		r.towards, r.lost = wanted, 0
+// update adds the loss of the time elapsed since the last step. gain returns the
+// goodput rate by which a split exceeds the present one under the present demand;
+// from is the present split and wanted the best one.
+func (r *regret) update(elapsed, timeConstant time.Duration, gain func(Split) float64, from, wanted Split) {
+	if r.target.Engines() != from.Engines() {
+		r.target, r.lostGoodput = wanted, 0
 	}
-	if !opposed(from, r.towards, wanted) && wanted != from {
-		r.towards = wanted
+	if !oppositeDirections(from, r.target, wanted) && wanted != from {
+		r.target = wanted
 	}
-	r.lost *= math.Exp(-float64(elapsed) / float64(timeConstant))
-	r.lost += gain(r.towards) * elapsed.Seconds()
-	if r.lost <= 0 {
-		r.towards, r.lost = wanted, 0
+	r.lostGoodput *= math.Exp(-float64(elapsed) / float64(timeConstant))
+	r.lostGoodput += gain(r.target) * elapsed.Seconds()
+	if r.lostGoodput <= 0 {
+		r.target, r.lostGoodput = wanted, 0
 	}
 }
 
-// opposed reports whether two wanted splits lie on different sides of the
-// present one.
-func opposed(from, before, after Split) bool {
-	prompts := (before.Prefill - from.Prefill) * (after.Prefill - from.Prefill)
+// oppositeDirections reports whether two wanted splits change the number of
+// prefill or of decode engines in opposite directions from the present split.
+func oppositeDirections(from, before, after Split) bool {
+	prefills := (before.Prefill - from.Prefill) * (after.Prefill - from.Prefill)
 	decodes := (before.Decode - from.Decode) * (after.Decode - from.Decode)
-	return prompts < 0 || decodes < 0
+	return prefills < 0 || decodes < 0
 }
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -14,27 +14,27 @@
 
 const testModel = "booking"
 
-// zone feeds a planner with what a zone of engines of the true speed would report,
-// and carries its changes out.
+// zone simulates, for one planner, the reports of a zone of engines with trueSpeed,
+// and carries out the planner's changes.
 type zone struct {
-	planner *Planner
-	now     time.Duration
-	input   Input
-	reports map[string]*workedEngine
-	back    map[string]time.Duration
-	changes []madeChange
+	planner  *Planner
+	now      time.Duration
+	input    Input
+	reports  map[string]*fakeEngine
+	returnAt map[string]time.Duration
+	changes  []timedChange
 }
 
-type madeChange struct {
+type timedChange struct {
 	at time.Duration
 	Change
 }
 
-// changeTime is how long a change keeps an engine away.
+// changeTime is the time for which a change keeps an engine away.
 const changeTime = 6 * time.Second
 
 func newZone(options Options, split Split) *zone {
-	made := &zone{planner: New(options), reports: map[string]*workedEngine{}, back: map[string]time.Duration{}}
+	made := &zone{planner: New(options), reports: map[string]*fakeEngine{}, returnAt: map[string]time.Duration{}}
 	add := func(role engineapi.Role, count int) {
 		for range count {
 			id := fmt.Sprintf("e%d", len(made.input.Engines))
@@ -42,7 +42,7 @@
 			made.input.Engines = append(made.input.Engines, EngineStatus{
 				ID: id, Desired: configuration, Observed: configuration, Phase: engineapi.PhaseServing, Reachable: true,
 			})
-			made.reports[id] = &workedEngine{report: engineapi.LoadReport{Incarnation: 1, KVCapacityTokens: 180_000}}
+			made.reports[id] = &fakeEngine{report: engineapi.LoadReport{Incarnation: 1, KVCapacityTokens: 180_000}}
 		}
 	}
 	add(engineapi.RolePrefill, split.Prefill)
@@ -54,14 +54,15 @@
 	return made
 }
 
-// demand of two kinds of requests.
+// Demand of two kinds of requests.
 var (
 	promptHeavy = Demand{Model: testModel, Requests: 20, PromptTokens: 20 * 1000, OutputTokens: 20 * 14}
 	outputHeavy = Demand{Model: testModel, Requests: 25, PromptTokens: 25 * 180, OutputTokens: 25 * 260}
 )
 
-// second lets a second pass under a demand and carries out what the planner wants.
-func (z *zone) second(demand Demand) Output {
+// tick advances the time by a second under a demand and carries out the planner's
+// changes.
+func (z *zone) tick(demand Demand) Output {
 	z.now += time.Second
 	z.input.Demand = []Demand{demand}
 	for index := range z.input.Engines {
@@ -69,11 +70,11 @@
 	}
 	output := z.planner.Step(z.now, z.input)
 	for _, change := range output.Changes {
-		z.changes = append(z.changes, madeChange{z.now, change})
+		z.changes = append(z.changes, timedChange{z.now, change})
 		for index := range z.input.Engines {
 			if status := &z.input.Engines[index]; status.ID == change.EngineID {
 				status.Desired, status.Draining = change.Target, true
-				z.back[status.ID] = z.now + changeTime
+				z.returnAt[status.ID] = z.now + changeTime
 			}
 		}
 	}
@@ -81,7 +82,7 @@
 }
 
 func (z *zone) work(status *EngineStatus) {
-	if status.Draining && z.now >= z.back[status.ID] {
+	if status.Draining && z.now >= z.returnAt[status.ID] {
 		status.Draining, status.Observed = false, status.Desired
 	}
 	prompts, sequences := 300, 10
@@ -96,25 +97,25 @@
 	status.Load = engine.report
 }
 
-func (z *zone) seconds(count int, demand Demand) {
+func (z *zone) run(count int, demand Demand) {
 	for range count {
-		z.second(demand)
+		z.tick(demand)
 	}
 }
 
 func (z *zone) split() Split { return splitOf(z.input.Engines, testModel) }
 
-func TestThePlannerFollowsAShift(t *testing.T) {
+func TestPlannerFollowsDemandShift(t *testing.T) {
 	z := newZone(DefaultOptions(), Split{Prefill: 2, Decode: 1})
-	z.seconds(60, promptHeavy)
-	require.Empty(t, z.changes, "the split suits the mix")
-	z.seconds(60, outputHeavy)
+	z.run(60, promptHeavy)
+	require.Empty(t, z.changes, "the split suits the demand")
+	z.run(60, outputHeavy)
 	require.NotEmpty(t, z.changes)
 	assert.Equal(t, 1, z.split().Prefill)
 	assert.Less(t, z.changes[0].at, 80*time.Second)
 }
 
-// blend is a demand between the two kinds.
+// blend mixes the two kinds of demand; share is the prompt-heavy part.
 func blend(share float64) Demand {
 	return Demand{
 		Model:        testModel,
@@ -124,48 +125,48 @@
 	}
 }
 
-// TestSwingsAroundTheDecisionLimitAreNotFollowed: a mix that swings about the point
-// where the best split changes causes no change beyond the first.
-func TestSwingsAroundTheDecisionLimitAreNotFollowed(t *testing.T) {
+// TestOscillatingDemandCausesNoRepeatedChanges guards against roles changing back and
+// forth when demand swings around the point at which the best split changes.
+func TestOscillatingDemandCausesNoRepeatedChanges(t *testing.T) {
 	swing := func(z *zone) int {
 		for range 30 {
-			z.seconds(5, blend(0.25))
-			z.seconds(5, blend(0.55))
+			z.run(5, blend(0.25))
+			z.run(5, blend(0.55))
 		}
 		return len(z.changes)
 	}
-	guarded := newZone(DefaultOptions(), Split{Prefill: 1, Decode: 1, Mixed: 1})
-	assert.LessOrEqual(t, swing(guarded), 2)
+	damped := newZone(DefaultOptions(), Split{Prefill: 1, Decode: 1, Mixed: 1})
+	assert.LessOrEqual(t, swing(damped), 2)
 
 	options := DefaultOptions()
 	options.RegretShare, options.MinimumGain, options.DemandTimeConstant = 0, 0, 100*time.Millisecond
-	unguarded := newZone(options, Split{Prefill: 1, Decode: 1, Mixed: 1})
-	unguarded.input.Rules = Rules{MaximumAway: 1}
-	assert.Greater(t, swing(unguarded), 4, "the same swings without the guards, so the test can fail")
+	undamped := newZone(options, Split{Prefill: 1, Decode: 1, Mixed: 1})
+	undamped.input.Rules = Rules{MaximumAway: 1}
+	assert.Greater(t, swing(undamped), 4, "without regret, minimum gain and smoothing the same swings must cause changes")
 }
 
-func TestWhatHoldsChangesBack(t *testing.T) {
+func TestRoleChangeHolds(t *testing.T) {
 	cases := map[string]struct {
 		change func(*zone)
 		hold   Hold
 	}{
-		"demand of too few gateways": {func(z *zone) { z.input.GatewaysReporting = 1 }, HoldStale},
+		"demand from too few gateways": {func(z *zone) { z.input.GatewaysReporting = 1 }, HoldStale},
 		"old load reports": {func(z *zone) {
 			for index := range z.input.Engines {
 				z.input.Engines[index].LoadAge = time.Minute
 			}
 		}, HoldStale},
 		"no gateway":                {func(z *zone) { z.input.GatewaysExpected, z.input.GatewaysReporting = 0, 0 }, HoldStale},
-		"no engine may be away":     {func(z *zone) { z.input.Rules.MaximumAway = 0 }, HoldForbidden},
+		"maximum away of 0":         {func(z *zone) { z.input.Rules.MaximumAway = 0 }, HoldForbidden},
 		"a price above any gain":    {func(z *zone) { z.input.Rules.Price = 1e6 }, HoldWellPlaced},
 		"the policy's condition":    {func(z *zone) { z.input.Rules.Permit = func(Proposal) bool { return false } }, HoldPolicy},
-		"an engine is away already": {func(z *zone) { z.input.Engines[2].Draining = true; z.back["e2"] = time.Hour }, HoldAway},
-		"operators pinned the engines": {func(z *zone) {
+		"an engine is already away": {func(z *zone) { z.input.Engines[2].Draining = true; z.returnAt["e2"] = time.Hour }, HoldAway},
+		"engines pinned by an operator": {func(z *zone) {
 			for index := range z.input.Engines {
 				z.input.Engines[index].Pinned = true
 			}
 		}, HoldWellPlaced},
-		"a silent gateway may still dispatch": {func(z *zone) {
+		"an unresponsive gateway may still dispatch": {func(z *zone) {
 			for index := range z.input.Engines {
 				z.input.Engines[index].Isolated = true
 			}
@@ -173,18 +174,19 @@
 	}
 	for name, test := range cases {
 		z := newZone(DefaultOptions(), Split{Prefill: 2, Decode: 1})
-		z.seconds(40, promptHeavy)
+		z.run(40, promptHeavy)
 		test.change(z)
 		holds := map[Hold]bool{}
 		for range 40 {
-			holds[z.second(outputHeavy).Hold] = true
+			holds[z.tick(outputHeavy).Hold] = true
 		}
 		assert.Empty(t, z.changes, name)
 		assert.True(t, holds[test.hold], "%s: held by %v", name, holds)
 	}
 }
 
-// TestEachModelHasItsOwnRules: another model's rules neither hold nor permit.
+// TestEachModelHasItsOwnRules guards against applying the zone's price or condition to
+// a model that has rules of its own. Only a zone bound of 0 forbids its changes.
 func TestEachModelHasItsOwnRules(t *testing.T) {
 	permissive := Rules{Price: 2, MinimumDwell: 5 * time.Second, MaximumAway: 1}
 	cases := map[string]struct {
@@ -192,18 +194,18 @@
 		model   Rules
 		changes bool
 	}{
-		"permissive":               {Rules{Price: 1e6, MaximumAway: 1}, permissive, true},
-		"a price above any gain":   {permissive, Rules{Price: 1e6, MaximumAway: 1}, false},
-		"a condition":              {permissive, Rules{MaximumAway: 1, Permit: func(Proposal) bool { return false }}, false},
-		"changes forbidden":        {permissive, Rules{}, false},
-		"changes forbidden by all": {Rules{}, permissive, false},
+		"permissive":                {Rules{Price: 1e6, MaximumAway: 1}, permissive, true},
+		"a price above any gain":    {permissive, Rules{Price: 1e6, MaximumAway: 1}, false},
+		"a condition":               {permissive, Rules{MaximumAway: 1, Permit: func(Proposal) bool { return false }}, false},
+		"changes forbidden":         {permissive, Rules{}, false},
+		"changes forbidden in zone": {Rules{}, permissive, false},
 	}
 	for name, test := range cases {
 		z := newZone(DefaultOptions(), Split{Prefill: 2, Decode: 1})
 		z.input.Rules = test.zone
 		z.input.Models[0].Rules = &test.model
-		z.seconds(40, promptHeavy)
-		z.seconds(60, outputHeavy)
+		z.run(40, promptHeavy)
+		z.run(60, outputHeavy)
 		assert.Equal(t, test.changes, len(z.changes) > 0, name)
 	}
 }
@@ -212,8 +214,8 @@
 	z := newZone(DefaultOptions(), Split{Prefill: 2, Decode: 1})
 	z.input.Rules.MinimumDwell = 40 * time.Second
 	for range 4 {
-		z.seconds(60, promptHeavy)
-		z.seconds(60, outputHeavy)
+		z.run(60, promptHeavy)
+		z.run(60, outputHeavy)
 	}
 	require.NotEmpty(t, z.changes)
 	last := map[string]time.Duration{}
@@ -225,8 +227,9 @@
 	}
 }
 
-// TestThePlannerKeepsItsRulesWhateverItIsTold draws inputs without sense.
-func TestThePlannerKeepsItsRulesWhateverItIsTold(t *testing.T) {
+// TestChangesObeyRulesOnArbitraryInput checks the rules on random inputs, including
+// implausible ones.
+func TestChangesObeyRulesOnArbitraryInput(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		options := DefaultOptions()
 		options.RegretShare, options.WarmUp, options.MinimumGain = 0, 0, 0
@@ -252,17 +255,17 @@
 			}
 			awayBefore := countAway(z.input.Engines)
 			before := append([]EngineStatus(nil), z.input.Engines...)
-			output := z.second(demand)
+			output := z.tick(demand)
 			if len(output.Changes) == 0 {
 				continue
 			}
-			require.Equal(t, 2, z.input.GatewaysReporting, "changed on half of the demand")
+			require.Equal(t, 2, z.input.GatewaysReporting, "changed with only part of the gateways reporting")
 			require.LessOrEqual(t, demand.Age, options.MaximumInputAge)
 			require.LessOrEqual(t, awayBefore+len(output.Changes), z.input.Rules.MaximumAway+awayBefore)
 			require.LessOrEqual(t, len(output.Changes), z.input.Rules.MaximumAway)
 			for _, change := range output.Changes {
 				status := statusOf(before, change.EngineID)
-				require.True(t, status.Reachable && !status.Isolated, "an order for an engine that may not get one")
+				require.True(t, status.Reachable && !status.Isolated, "changed an engine that must not be changed")
 				require.NotEqual(t, status.Desired.Role, change.Target.Role)
 				require.Equal(t, status.Desired.Model, change.Target.Model)
 				if at, found := last[change.EngineID]; found {
@@ -295,12 +298,12 @@
 			PromptTokens: rapid.Float64Range(1, 3000).Draw(t, "prompt"),
 			OutputTokens: rapid.Float64Range(1, 800).Draw(t, "output"),
 		}
-		goals := Goals{FirstToken: 0.32, BetweenTokens: 0.029}
-		goodput := Goodput(truth, split, load, goals)
+		objectives := Goals{FirstToken: 0.32, BetweenTokens: 0.029}
+		goodput := Goodput(trueSpeed, split, load, objectives)
 		require.GreaterOrEqual(t, goodput, 0.0)
 		require.LessOrEqual(t, goodput, load.Requests+1e-9)
 		if split.Prefill+split.Mixed == 0 || split.Decode+split.Mixed == 0 {
-			require.Zero(t, goodput, "nobody reads, or nobody generates")
+			require.Zero(t, goodput, "no engine can prefill, or none can decode")
 		}
 	})
 }
@@ -309,9 +312,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		split := Split{Prefill: rapid.IntRange(1, 5).Draw(t, "prefill"), Decode: rapid.IntRange(1, 5).Draw(t, "decode")}
 		load := Workload{Requests: rapid.Float64Range(1, 100).Draw(t, "requests"), PromptTokens: 500, OutputTokens: 80}
-		goals := Goals{FirstToken: 0.32, BetweenTokens: 0.029}
-		less := Goodput(truth, split, load, goals)
-		require.GreaterOrEqual(t, Goodput(truth, split.with(engineapi.RoleDecode, 1), load, goals), less-1e-9)
-		require.GreaterOrEqual(t, Goodput(truth, split.with(engineapi.RolePrefill, 1), load, goals), 0.98*less)
+		objectives := Goals{FirstToken: 0.32, BetweenTokens: 0.029}
+		less := Goodput(trueSpeed, split, load, objectives)
+		require.GreaterOrEqual(t, Goodput(trueSpeed, split.with(engineapi.RoleDecode, 1), load, objectives), less-1e-9)
+		require.GreaterOrEqual(t, Goodput(trueSpeed, split.with(engineapi.RolePrefill, 1), load, objectives), 0.98*less)
 	})
 }
--- a/internal/planner/policyinput/placement.go
+++ b/internal/planner/policyinput/placement.go
@@ -6,7 +6,7 @@
 	"github.com/pierhaven/pierhaven/internal/policy"
 )
 
-// Placement says which version of a model each engine should run.
+// Placement decides which engines may run a model, with which version and adapters.
 type Placement struct {
 	model dynamic.Model
 	rules []placementRule
@@ -20,8 +20,8 @@
 // HasRules implements planner.Placement.
 func (p *Placement) HasRules() bool { return len(p.rules) > 0 }
 
-// Minimum is the least number of engines for the model: the largest that one of
-// its rules states.
+// Minimum returns the minimum number of engines for the model, the largest of its
+// rules' minimums.
 func (p *Placement) Minimum() int {
 	minimum := 0
 	for _, rule := range p.rules {
@@ -30,8 +30,8 @@
 	return minimum
 }
 
-// NewPlacement runs the placement rules of the policy that governs a model; a
-// nil program has none.
+// NewPlacement evaluates the placement rules of the policy that governs a model; a
+// nil program has no rules.
 func NewPlacement(model dynamic.Model, program *policy.Program, engines []planner.EngineStatus, zone policy.Zone, clock policy.Clock) Placement {
 	placement := Placement{model: model}
 	if program == nil {
@@ -46,10 +46,10 @@
 	return placement
 }
 
-// Of returns the version and the adapters of the first rule that takes an engine.
-// Without rules they are the model's version and the adapters that the engine
-// has. The version is empty for an engine that no rule takes: it keeps what it
-// has.
+// Of returns the version and the adapters of the first rule that allows the engine.
+// Without rules they are the model's version and the present adapters. If no rule
+// allows the engine, the version is empty, which leaves the engine's version and
+// adapters unchanged.
 func (p *Placement) Of(engineID string, present []string) (version string, adapters []string) {
 	for _, rule := range p.rules {
 		if rule.allowed(engineID) {
--- a/internal/planner/policyinput/policyinput.go
+++ b/internal/planner/policyinput/policyinput.go
@@ -1,6 +1,6 @@
-// Package policyinput turns operators' policies into what the planner decides
-// on: where models may run, and the rules of role changes. The controller and
-// the check of policies against a trace share it.
+// Package policyinput evaluates operators' policies for the planner: on which
+// engines models may run, and the rules for role changes. The controller and the
+// check of policies against a trace share it.
 package policyinput
 
 import (
@@ -11,11 +11,11 @@
 	"github.com/pierhaven/pierhaven/internal/policy"
 )
 
-// BuiltinMaximumAway bounds the engines of a zone that change at the same time
-// where there is no policy.
+// BuiltinMaximumAway is the maximum number of engines of a zone that change at the
+// same time if there is no policy.
 const BuiltinMaximumAway = 1
 
-// Apply fills in models and rules of an input that has its engines and demand.
+// Apply sets the models and rules of an input whose engines and demand are set.
 func Apply(input *planner.Input, models []dynamic.Model, policies *policy.Set, zone policy.Zone, clock policy.Clock) {
 	input.Rules = planner.Rules{MaximumAway: MaximumAway(policies)}
 	for _, model := range models {
@@ -24,8 +24,8 @@
 	}
 }
 
-// Model joins a model with the rules and the placement of the policy that governs it; a nil program is
-// the built-in policy.
+// Model returns the planner's model, with the rules and the placement of the policy
+// that governs it; a nil program is the built-in policy.
 func Model(model dynamic.Model, program *policy.Program, input *planner.Input, zone policy.Zone, clock policy.Clock) planner.Model {
 	rules := Rules(program, input.Demand, zone, clock)
 	placement := NewPlacement(model, program, input.Engines, zone, clock)
@@ -40,7 +40,8 @@
 	}
 }
 
-// Allowed says which engines a placement rule takes.
+// Allowed evaluates a placement rule and returns a function that reports whether it
+// allows an engine.
 func Allowed(program *policy.Program, rule int, engines []planner.EngineStatus, zone policy.Zone, clock policy.Clock) func(string) bool {
 	allowed := map[string]bool{}
 	for index, engine := range engines {
@@ -56,10 +57,10 @@
 	return func(engineID string) bool { return allowed[engineID] }
 }
 
-// MaximumAway bounds the engines of a zone that change at the same time, whatever
-// they run: the smallest bound of a policy that permits changes, so that no
-// policy's bound is ever exceeded. A policy with a bound of 0 forbids changes of
-// the engines of its models only; if all do, the bound is 0.
+// MaximumAway returns the maximum number of engines of a zone, of all models, that
+// change at the same time: the smallest bound of the policies that permit changes,
+// so that no policy's bound is ever exceeded. A policy with a bound of 0 forbids
+// changes only of its own models' engines; if all bounds are 0, the result is 0.
 func MaximumAway(policies *policy.Set) int {
 	programs := policies.Programs()
 	if len(programs) == 0 {
@@ -75,7 +76,8 @@
 	return smallest
 }
 
-// ModelMaximumAway bounds the engines of a model that change at the same time.
+// ModelMaximumAway returns the maximum number of a model's engines that change at
+// the same time; a nil program is the built-in policy.
 func ModelMaximumAway(program *policy.Program) int {
 	if program == nil {
 		return BuiltinMaximumAway
@@ -83,7 +85,7 @@
 	return program.Document().RoleChange.MaximumAway
 }
 
-// Rules runs the role-change rule of the policy that governs a model; a nil
+// Rules evaluates the role-change rule of the policy that governs a model; a nil
 // program is the built-in policy.
 func Rules(program *policy.Program, demand []planner.Demand, zone policy.Zone, clock policy.Clock) planner.Rules {
 	if program == nil {
@@ -107,18 +109,18 @@
 		PrefillUtilisation: proposal.PrefillUtilisation, DecodeUtilisation: proposal.DecodeUtilisation,
 		SinceLast: proposal.SinceLastChange.Seconds(),
 	}
-	for _, seen := range demand {
-		if seen.Model == proposal.Model {
+	for _, modelDemand := range demand {
+		if modelDemand.Model == proposal.Model {
 			variables.Demand = policy.Demand{
-				Requests: seen.Requests, PromptTokens: seen.PromptTokens, OutputTokens: seen.OutputTokens,
-				Queued: seen.Queued, OldestWait: seen.OldestWait.Seconds(), Missed: seen.Missed, Age: seen.Age.Seconds(),
+				Requests: modelDemand.Requests, PromptTokens: modelDemand.PromptTokens, OutputTokens: modelDemand.OutputTokens,
+				Queued: modelDemand.Queued, OldestWait: modelDemand.OldestWait.Seconds(), Missed: modelDemand.Missed, Age: modelDemand.Age.Seconds(),
 			}
 		}
 	}
 	return variables
 }
 
-// DescribeZone sums up the engines of a zone for the programs.
+// DescribeZone summarizes the engines of a zone for policy programs.
 func DescribeZone(name string, engines []planner.EngineStatus, gateways int) policy.Zone {
 	zone := policy.Zone{Name: name, Gateways: gateways}
 	for _, engine := range engines {
--- a/internal/planner/policyinput/policyinput_test.go
+++ b/internal/planner/policyinput/policyinput_test.go
@@ -30,7 +30,7 @@
 	assert.Equal(t, policy.Zone{Name: "z", Engines: 3, Prefill: 1, Decode: 1, Mixed: 1, Away: 1, Gateways: 2}, zone)
 }
 
-func TestTheFirstRuleThatTakesAnEngineHolds(t *testing.T) {
+func TestFirstMatchingPlacementRuleApplies(t *testing.T) {
 	model := dynamic.Model{Name: "m", Version: "1"}
 	place := func(rules ...dynamic.PlacementRule) policyinput.Placement {
 		program, problems := policy.Compile(dynamic.Policy{Name: "p", Placement: rules})
@@ -42,7 +42,7 @@
 	other := dynamic.PlacementRule{Model: "other", Version: "9"}
 	failing := dynamic.PlacementRule{Model: "m", Version: "4", Condition: "1 % (zone.gateways - 2) == 1"}
 	_, problems := policy.Compile(dynamic.Policy{Name: "p", Placement: []dynamic.PlacementRule{failing}})
-	require.NotEmpty(t, problems, "two gateways are the check's sample")
+	require.NotEmpty(t, problems, "the compiler's check evaluates the condition with two gateways")
 	cases := map[string]struct {
 		rules   []dynamic.PlacementRule
 		engine  string
@@ -50,7 +50,7 @@
 	}{
 		"first of two":         {[]dynamic.PlacementRule{other, first, second}, "b", "2"},
 		"second of two":        {[]dynamic.PlacementRule{second, first}, "b", "3"},
-		"none takes":           {[]dynamic.PlacementRule{first, second}, "c", ""},
+		"no rule allows it":    {[]dynamic.PlacementRule{first, second}, "c", ""},
 		"no rule":              {nil, "a", "1"},
 		"only another model's": {[]dynamic.PlacementRule{other}, "a", "1"},
 	}
@@ -65,7 +65,7 @@
 	assert.Equal(t, []string{"kept"}, adapters)
 }
 
-func TestRulesComeFromThePolicyThatGovernsTheModel(t *testing.T) {
+func TestRulesComeFromPolicyOfModel(t *testing.T) {
 	builtin := policyinput.Rules(nil, nil, policy.Zone{}, evening)
 	assert.Equal(t, planner.Rules{MaximumAway: policyinput.BuiltinMaximumAway}, builtin)
 	set := policy.CompileSet([]dynamic.Policy{{
@@ -80,7 +80,7 @@
 	models := []dynamic.Model{{Name: "free"}, {Name: "m"}, {Name: "other"}}
 	policyinput.Apply(&input, models, set, policy.Zone{}, evening)
 	require.Len(t, input.Models, len(models))
-	assert.Equal(t, &builtin, input.Models[0].Rules, "no policy governs it")
+	assert.Equal(t, &builtin, input.Models[0].Rules, "no policy governs the model")
 	rules := input.Models[1].Rules
 	assert.InDelta(t, 1, rules.Price, 0)
 	assert.Equal(t, 1500*time.Millisecond, rules.MinimumDwell)
@@ -92,11 +92,11 @@
 	proposal.Gain, proposal.Model = 3, "other"
 	assert.False(t, rules.Permit(proposal), "another model's queue")
 	assert.InDelta(t, 100, input.Models[2].Rules.Price, 0)
-	assert.True(t, input.Models[2].Rules.Permit(proposal), "its own policy sets no condition")
-	assert.Equal(t, 2, input.Rules.MaximumAway, "a policy that forbids changes speaks of its own models")
+	assert.True(t, input.Models[2].Rules.Permit(proposal), "the model's own policy has no condition")
+	assert.Equal(t, 2, input.Rules.MaximumAway, "a policy that forbids changes applies to its own models only")
 }
 
-func TestTheZonesBoundIsTheSmallestThatPermitsChanges(t *testing.T) {
+func TestZoneBoundIsSmallestNonzeroBound(t *testing.T) {
 	cases := map[string]struct {
 		bounds []int
 		want   int
--- a/internal/planner/speed.go
+++ b/internal/planner/speed.go
@@ -15,106 +15,109 @@
 	StepBase       float64
 	PerSequence    float64
 	PerPromptToken float64
-	// ChunkTokens is the number of prompt tokens that a mixed engine takes into
-	// one step.
+	// ChunkTokens is the number of prompt tokens that a mixed engine processes in
+	// one step (chunked prefill).
 	ChunkTokens float64
-	// MaximumSequences bounds a batch.
+	// MaximumSequences is the maximum number of sequences in a batch.
 	MaximumSequences float64
-	// KVCapacity is the KV cache memory, in tokens.
+	// KVCapacity is the capacity of the KV cache, in tokens.
 	KVCapacity float64
 }
 
 // Workload is the demand for one model in one zone.
 type Workload struct {
-	// Requests a second.
+	// Requests is the number of requests a second.
 	Requests float64
-	// PromptTokens and OutputTokens are the means of one request; prompt tokens
-	// that are cached don't count.
+	// PromptTokens and OutputTokens are means per request. Cached prompt tokens
+	// aren't counted.
 	PromptTokens float64
 	OutputTokens float64
 }
 
-// Goals are a model's objectives, in seconds. A request keeps them if its first
-// token comes within FirstToken, and lateGaps of its later tokens at most come
-// more than BetweenTokens after the one before.
+// Goals are a model's latency objectives, in seconds. A request meets them if its
+// first token arrives within FirstToken, and at most maximumLateTokenShare of its
+// later tokens arrive more than BetweenTokens after the previous one.
 type Goals struct {
 	FirstToken    float64
 	BetweenTokens float64
 }
 
-// lateGaps is the share of a request's tokens that may come late: the objective
-// is on the 95th percentile.
-const lateGaps = 0.05
+// maximumLateTokenShare is the share of a request's tokens that may be late: the
+// objective is on the 95th percentile.
+const maximumLateTokenShare = 0.05
 
 // Split is the number of engines in each role.
 type Split struct {
 	Prefill, Decode, Mixed int
 }
 
-// Engines is the number of engines in the split.
+// Engines returns the number of engines in the split.
 func (s Split) Engines() int { return s.Prefill + s.Decode + s.Mixed }
 
-// changesTo is the number of engines that must change their role.
+// changesTo returns the number of engines that must change their role to reach
+// another split.
 func (s Split) changesTo(other Split) int {
 	return max(0, other.Prefill-s.Prefill) + max(0, other.Decode-s.Decode) + max(0, other.Mixed-s.Mixed)
 }
 
-// prefillSeconds is the time to read one prompt on a prefill engine.
+// prefillSeconds returns the time to prefill one prompt on a prefill engine.
 func (s Speed) prefillSeconds(load Workload) float64 {
 	return s.StepBase + s.PerPromptToken*max(load.PromptTokens, 1)
 }
 
-// mixedPrefillSeconds is the time to read one prompt on a mixed engine, chunk by
-// chunk, with a batch of decode sequences in each step.
+// mixedPrefillSeconds returns the time to prefill one prompt on a mixed engine,
+// chunk by chunk, with a batch of decode sequences in each step.
 func (s Speed) mixedPrefillSeconds(load Workload, sequences float64) float64 {
 	chunks := max(1, load.PromptTokens/max(s.ChunkTokens, 1))
 	perStep := s.StepBase + s.PerSequence*sequences
 	return chunks*perStep + s.PerPromptToken*load.PromptTokens
 }
 
-// mixedRate is the number of whole requests a second that a mixed engine serves
-// with a batch of so many sequences: each takes its share of OutputTokens steps and
-// the reading of its prompt, during which the others wait.
+// mixedRate returns the number of requests a second that a mixed engine prefills
+// and decodes with a batch of so many sequences. The sequences share OutputTokens
+// decode steps, and the prefill of each prompt delays all of them.
 func (s Speed) mixedRate(load Workload, sequences float64) float64 {
 	steps := max(load.OutputTokens, 1) * (s.StepBase + s.PerSequence*sequences)
-	reading := sequences * s.PerPromptToken * load.PromptTokens
-	return sequences / (steps + reading)
+	prefill := sequences * s.PerPromptToken * load.PromptTokens
+	return sequences / (steps + prefill)
 }
 
-// largestBatch is the number of sequences with which a decode step keeps the
-// objective.
-func (s Speed) largestBatch(load Workload, goals Goals) float64 {
-	byTime := (goals.BetweenTokens*decodeMargin - s.StepBase) / max(s.PerSequence, 1e-9)
+// maximumBatch returns the largest number of sequences with which a decode step
+// meets the objective between tokens and the batch fits in the KV cache and in
+// MaximumSequences.
+func (s Speed) maximumBatch(load Workload, objectives Goals) float64 {
+	byTime := (objectives.BetweenTokens*decodeMargin - s.StepBase) / max(s.PerSequence, 1e-9)
 	context := load.PromptTokens + load.OutputTokens/2
 	byMemory := s.KVCapacity * memoryMargin / max(context, 1)
 	return max(0, min(byTime, byMemory, s.MaximumSequences))
 }
 
-// decodeRate is the number of requests a second that a decode engine carries.
-func (s Speed) decodeRate(load Workload, goals Goals) float64 {
-	batch := s.largestBatch(load, goals)
+// decodeRate returns the number of requests a second that a decode engine sustains.
+func (s Speed) decodeRate(load Workload, objectives Goals) float64 {
+	batch := s.maximumBatch(load, objectives)
 	step := s.StepBase + s.PerSequence*batch
 	return batch / step / max(load.OutputTokens, 1)
 }
 
 const (
-	// decodeMargin and memoryMargin keep a little room under the objective and
-	// the memory's size.
+	// decodeMargin and memoryMargin leave headroom below the objective and below
+	// the KV cache's capacity.
 	decodeMargin = 0.95
 	memoryMargin = 0.9
 )
 
-// chunkStepSeconds is the duration of a mixed step with a prompt's chunk, whole or
-// as long as the prompt.
+// chunkStepSeconds returns the duration of a mixed step with a full prompt chunk, or
+// with the whole prompt if that is shorter.
 func (s Speed) chunkStepSeconds(load Workload, sequences float64) float64 {
 	return s.StepBase + s.PerSequence*sequences + s.PerPromptToken*min(s.ChunkTokens, load.PromptTokens)
 }
 
-// smoothShare is the share of answers that keep the objective between tokens on
-// a mixed engine of whose steps a share carries prompt chunks: those with few
-// enough of such steps, by the binomial distribution.
-func (s Speed) smoothShare(load Workload, goals Goals, sequences, chunkShare float64) float64 {
-	if s.chunkStepSeconds(load, sequences) <= goals.BetweenTokens || chunkShare <= 0 {
+// tokenGapShare returns the share of answers that meet the objective between tokens
+// on a mixed engine, where chunkShare of the steps carry prompt chunks. If such
+// steps exceed the objective, it is the binomial probability that at most
+// maximumLateTokenShare of an answer's steps carry one.
+func (s Speed) tokenGapShare(load Workload, objectives Goals, sequences, chunkShare float64) float64 {
+	if s.chunkStepSeconds(load, sequences) <= objectives.BetweenTokens || chunkShare <= 0 {
 		return 1
 	}
 	if chunkShare >= 1 {
@@ -124,21 +127,21 @@
 	if gaps == 0 {
 		return 1
 	}
-	return distuv.Binomial{N: gaps, P: chunkShare}.CDF(math.Floor(lateGaps * gaps))
+	return distuv.Binomial{N: gaps, P: chunkShare}.CDF(math.Floor(maximumLateTokenShare * gaps))
 }
 
-// missShare is the share of first tokens that come too late in front of servers
-// with a service time, at a utilisation; an approximation of the waiting time in
-// M/D/c by an exponential tail (Tijms, A First Course in Stochastic Models,
-// section 9.5), with a steeper exponent, as routing sends each request where it
-// waits least; fitted to simulated splits.
-func missShare(utilisation, servers, service, allowed float64) float64 {
-	if allowed <= service {
+// lateShare returns the share of first tokens that miss the deadline, for a number
+// of servers with a service time at a utilisation. It approximates the waiting time
+// in M/D/c by an exponential tail (Tijms, A First Course in Stochastic Models,
+// section 9.5). The exponent is steeper because routing sends each request where
+// it waits least; it is fitted to simulated splits.
+func lateShare(utilisation, servers, service, deadline float64) float64 {
+	if deadline <= service {
 		return 1
 	}
 	if utilisation >= 1 {
 		return 1
 	}
-	exponent := 3 * servers * (1 - utilisation) * (allowed - service) / service
+	exponent := 3 * servers * (1 - utilisation) * (deadline - service) / service
 	return utilisation * math.Exp(-exponent)
 }
