--- a/internal/admission/item.go
+++ b/internal/admission/item.go
@@ -11,34 +11,36 @@
 	// ID is the request id.
 	ID     string
 	Tenant string
-	// Weight is the tenant's share in fair queueing; 0 counts as 1.
+	// Weight is the tenant's weight in fair queueing; 0 counts as 1.
 	Weight float64
-	// Priority: a higher one is served first, whatever the tenant.
+	// Priority orders items of all tenants; a higher one is served first.
 	Priority int
-	// Rank orders a tenant's requests of one priority; higher goes first. It
-	// comes from the policy's ranking program.
+	// Rank orders a tenant's requests of one priority; a higher one is served
+	// first. It comes from the policy's ranking program.
 	Rank float64
-	// Cost is the work that the request brings, in tokens.
+	// Cost is the amount of work for the request, in tokens.
 	Cost float64
-	// Deadline is the time by which Service must have passed, 0 for none.
+	// Deadline is the time by which what Service predicts must be complete, 0 for
+	// none.
 	Deadline time.Duration
-	// Since is when the request first came to any gateway; 0 stands for the time
-	// of the offer. A request that was handed on by another zone's gateway has
-	// used a part of its time there.
+	// Since is when the first gateway received the request; 0 means the time of
+	// the offer. A request that another zone's gateway has forwarded has spent
+	// part of its time there.
 	Since time.Duration
-	// Service is the predicted time from dispatch to what the deadline is
-	// about: the first token or the whole answer.
+	// Service is the predicted time from dispatch to the event that the deadline
+	// applies to: the first token or the end of the answer.
 	Service time.Duration
-	// Value is the gateway's own, carried along.
+	// Value is the caller's data; the queue does not use it.
 	Value any
 
-	arrivedAt time.Duration
+	offeredAt time.Duration
 	sequence  uint64
-	reviewed  bool
+	// reviewed is set once the first review has let the item stay.
+	reviewed bool
 }
 
-// ArrivedAt is the time at which the item was offered.
-func (i *Item) ArrivedAt() time.Duration { return i.arrivedAt }
+// OfferedAt returns the time at which the item was offered to the queue.
+func (i *Item) OfferedAt() time.Duration { return i.offeredAt }
 
 func (i *Item) weight() float64 {
 	if i.Weight <= 0 {
@@ -47,16 +49,16 @@
 	return i.Weight
 }
 
-// Refusal is the final answer to a request that isn't served. It is given at
-// once; RetryAfter says when to come back.
+// Refusal is the final answer to a request that isn't served. It is returned as
+// soon as it is decided; RetryAfter is the time after which to retry.
 type Refusal struct {
 	Kind       failure.Kind
 	RetryAfter time.Duration
-	// PredictedWait is what the decision was based on.
+	// PredictedWait is the queueing time that the queue predicted for the item.
 	PredictedWait time.Duration
 }
 
-// Refused is a queued item that was given up on.
+// Refused is a queued item that was refused before it was served.
 type Refused struct {
 	Item    *Item
 	Refusal Refusal
--- a/internal/admission/length.go
+++ b/internal/admission/length.go
@@ -1,35 +1,36 @@
 package admission
 
-// AnswerLengths learns how much of their limits answers use, so that the length
-// of an answer can be expected before it begins. The ratio is learned, not the
-// length: when the mix moves from short answers to long ones, the short ones end
-// first, and their mean length would hide the long ones.
+// AnswerLengths predicts the length of an answer before it begins. It learns the
+// ratio of answer lengths to their limits rather than the mean length: when the
+// workload shifts from short answers to long ones, the short ones end first, and
+// their mean would underestimate the long ones.
 type AnswerLengths struct {
 	limit, answered float64
 }
 
-// NewAnswerLengths returns an estimate that expects answers up to their limits.
+// NewAnswerLengths returns an estimator that initially expects answers to reach
+// their limits.
 func NewAnswerLengths() *AnswerLengths {
-	return &AnswerLengths{limit: priorAnswerTokens, answered: priorAnswerTokens}
+	return &AnswerLengths{limit: priorLimitTokens, answered: priorLimitTokens}
 }
 
 const (
-	// priorAnswerTokens is the weight of the prior, in tokens.
-	priorAnswerTokens = 2000
-	// lengthMemory is the part of what was learned that each answer leaves.
-	lengthMemory = 0.98
+	// priorLimitTokens is the weight of the initial ratio of 1, in tokens.
+	priorLimitTokens = 2000
+	// lengthDecay is the factor by which each answer decays the earlier samples.
+	lengthDecay = 0.98
 )
 
-// Answered takes in an answer that ended by itself, and the limit it was given.
+// Answered records the length of an answer that ended by itself, and its limit.
 func (a *AnswerLengths) Answered(limit, tokens int) {
 	if limit <= 0 {
 		return
 	}
-	a.limit = lengthMemory*a.limit + float64(limit)
-	a.answered = lengthMemory*a.answered + float64(min(tokens, limit))
+	a.limit = lengthDecay*a.limit + float64(limit)
+	a.answered = lengthDecay*a.answered + float64(min(tokens, limit))
 }
 
-// Expected is the expected length of an answer with a limit, in tokens.
+// Expected returns the expected length of an answer with a limit, in tokens.
 func (a *AnswerLengths) Expected(limit int) int {
 	return min(max(int(float64(limit)*a.answered/a.limit), 1), max(limit, 1))
 }
--- a/internal/admission/length_test.go
+++ b/internal/admission/length_test.go
@@ -8,16 +8,17 @@
 
 func TestAnswerLengthsLearnTheRatio(t *testing.T) {
 	lengths := NewAnswerLengths()
-	assert.Equal(t, 300, lengths.Expected(300), "limits count until answers were seen")
+	assert.Equal(t, 300, lengths.Expected(300), "without samples the estimate is the limit")
 	for range 500 {
 		lengths.Answered(400, 100)
 	}
 	assert.InDelta(t, 100, lengths.Expected(400), 5)
 }
 
-// TestShortAnswersDontHideLongOnes is the fault that made the planner blind: while
-// long answers were still under way, the mean of the ended ones fell.
-func TestShortAnswersDontHideLongOnes(t *testing.T) {
+// TestShortAnswersDoNotLowerEstimateOfLongOnes guards against underestimating the
+// demand that the planner works with: while long answers are still running, only
+// short ones have ended, so a mean of the lengths would fall.
+func TestShortAnswersDoNotLowerEstimateOfLongOnes(t *testing.T) {
 	lengths := NewAnswerLengths()
 	for range 500 {
 		lengths.Answered(16, 14)
--- a/internal/admission/options.go
+++ b/internal/admission/options.go
@@ -4,33 +4,35 @@
 
 // Options are the settings of a Queue.
 type Options struct {
-	// MaximumItems and MaximumTenantItems bound the queue.
+	// MaximumItems and MaximumTenantItems bound the number of items in the queue
+	// and of each tenant's items.
 	MaximumItems       int
 	MaximumTenantItems int
-	// Margin is the part of the time left that the predicted wait may take; the
-	// rest covers errors of the prediction.
+	// Margin is the fraction of the time left before an item's deadline, less its
+	// Service, that the predicted wait may take; the rest covers prediction errors.
 	Margin float64
-	// ReviewShare is the part of an item's time after which it is looked at
-	// once more. Behind it an item is only given up at its deadline, unless the
-	// queue is overloaded: then whatever still waits is refused at its review.
+	// ReviewShare is the fraction of the time from Item.Since to the deadline after
+	// which an item is reviewed: it is refused if the queue is overloaded or the
+	// predicted wait no longer fits. An item that stays is refused only at the last
+	// time at which it could be served by its deadline.
 	ReviewShare float64
-	// OverloadShare is the part of the items that must have been refused of
-	// late for the queue to count as overloaded; 0 switches that off. Long
-	// waits are for passing bursts: while more comes than can be served, they
-	// only make refusals late ("controlled delay", Maurer, Fail at Scale, ACM
-	// Queue 2015, with refusals in place of a standing queue as the sign).
+	// OverloadShare is the fraction of recent items of which more must have been
+	// refused for the queue to count as overloaded; 0 disables the detection. Long
+	// waits only help with transient bursts: while more requests arrive than can be
+	// served, they only delay refusals ("controlled delay", Maurer, Fail at Scale,
+	// ACM Queue 2015, with refusals in place of a standing queue as the signal).
 	OverloadShare float64
-	// RateTimeConstant smooths the measured drain rate.
+	// RateTimeConstant is the time constant for smoothing the measured drain rate.
 	RateTimeConstant time.Duration
-	// InitialRate is the drain rate assumed before any was measured, in cost a
-	// second; 0 means that nothing is refused for its predicted wait until then.
+	// InitialRate is the drain rate assumed until one has been measured, in cost a
+	// second; 0 means that until then no item is refused for its predicted wait.
 	InitialRate float64
-	// MinimumRetryAfter and MaximumRetryAfter bound the retry advice.
+	// MinimumRetryAfter and MaximumRetryAfter bound Refusal.RetryAfter.
 	MinimumRetryAfter time.Duration
 	MaximumRetryAfter time.Duration
 }
 
-// DefaultOptions returns the settings that the experiments use.
+// DefaultOptions returns the default settings, which the experiments use too.
 func DefaultOptions() Options {
 	return Options{
 		MaximumItems:       4096,
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -9,35 +9,36 @@
 	"github.com/pierhaven/pierhaven/internal/failure"
 )
 
-// Queue is a bounded queue in front of the engines of one model. Priorities are
-// strict; among the tenants of one priority the work served is shared by weight
-// (start-time fair queueing, Goyal, Vin and Cheng, IEEE/ACM ToN 1997); a
-// tenant's own items go by rank.
+// Queue is a bounded queue of the requests for one model. Priorities are strict;
+// tenants of the same priority share the service by weight (start-time fair
+// queueing, Goyal, Vin and Cheng, IEEE/ACM ToN 1997); a tenant's own items are
+// ordered by rank.
 type Queue struct {
 	options Options
 	items   map[string]*Item
-	// levels are sorted by falling priority.
-	levels []*level
-	// reviews holds the items with a deadline by the time of their next review.
+	// levels are sorted by descending priority.
+	levels []*priorityLevel
+	// reviews holds the items with a deadline, ordered by their next review.
 	reviews *btree.BTreeG[review]
-	// virtual is the virtual time of the tenant served last; finish is each
-	// tenant's own virtual time.
-	virtual  float64
-	finish   map[string]float64
-	perOwner map[string]int
-	rate     drainRate
-	sequence uint64
-	// refusedShare is the part of the items that were refused of late.
-	refusedShare float64
+	// virtualTime is the virtual start time of the item served last; finishTimes
+	// holds for each tenant the virtual finish time of the item served last, at
+	// which its next item starts.
+	virtualTime   float64
+	finishTimes   map[string]float64
+	itemsByTenant map[string]int
+	rate          drainRate
+	sequence      uint64
+	// refusalRate is the moving average of the fraction of refused items.
+	refusalRate float64
 }
 
-// review is the time at which an item is to be looked at.
+// review is the time at which to decide again whether an item stays.
 type review struct {
 	at   time.Duration
 	item *Item
 }
 
-func reviewsBefore(a, b review) bool {
+func reviewLess(a, b review) bool {
 	if a.at != b.at {
 		return a.at < b.at
 	}
@@ -47,71 +48,73 @@
 // NewQueue returns an empty queue.
 func NewQueue(options Options) *Queue {
 	return &Queue{
-		options:  options,
-		items:    make(map[string]*Item),
-		reviews:  btree.NewG(btreeDegree, reviewsBefore),
-		finish:   make(map[string]float64),
-		perOwner: make(map[string]int),
-		rate:     newDrainRate(options),
+		options:       options,
+		items:         make(map[string]*Item),
+		reviews:       btree.NewG(btreeDegree, reviewLess),
+		finishTimes:   make(map[string]float64),
+		itemsByTenant: make(map[string]int),
+		rate:          newDrainRate(options),
 	}
 }
 
-// Offer puts an item into the queue, or refuses it at once.
+// Offer adds an item to the queue, or refuses it immediately.
 func (q *Queue) Offer(now time.Duration, item *Item) *Refusal {
 	q.sequence++
 	item.sequence = q.sequence
-	item.arrivedAt = now
+	item.offeredAt = now
 	if item.Since <= 0 || item.Since > now {
 		item.Since = now
 	}
-	refusal := q.overBound(item)
+	refusal := q.checkBounds(item)
 	if refusal == nil {
-		refusal = q.tooLate(now, item)
+		refusal = q.checkDeadline(now, item)
 	}
 	if refusal != nil {
-		q.decided(true)
+		q.recordDecision(true)
 		return refusal
 	}
 	q.insert(now, item)
 	return nil
 }
 
-// decided notes whether an item was refused or served.
-func (q *Queue) decided(refused bool) {
+// recordDecision updates the refusal rate with an item that was refused or
+// served.
+func (q *Queue) recordDecision(refused bool) {
 	sample := 0.0
 	if refused {
 		sample = 1
 	}
-	q.refusedShare += refusedWeight * (sample - q.refusedShare)
+	q.refusalRate += refusalSampleWeight * (sample - q.refusalRate)
 }
 
-// refusedWeight is the weight of a new sample in the refused share.
-const refusedWeight = 1.0 / 32
+// refusalSampleWeight is the weight of a new sample in the refusal rate.
+const refusalSampleWeight = 1.0 / 32
 
-// Overloaded reports whether more comes than can be served, and not just in a
-// passing burst.
+// Overloaded reports whether the refusal rate shows that more requests arrive
+// than can be served, and not only in a transient burst.
 func (q *Queue) Overloaded() bool {
-	return q.options.OverloadShare > 0 && q.refusedShare > q.options.OverloadShare
+	return q.options.OverloadShare > 0 && q.refusalRate > q.options.OverloadShare
 }
 
-func (q *Queue) overBound(item *Item) *Refusal {
+func (q *Queue) checkBounds(item *Item) *Refusal {
 	full := len(q.items) >= q.options.MaximumItems
-	tenantFull := q.perOwner[item.Tenant] >= q.options.MaximumTenantItems
+	tenantFull := q.itemsByTenant[item.Tenant] >= q.options.MaximumTenantItems
 	if !full && !tenantFull {
 		return nil
 	}
-	wait, _ := q.rate.wait(q.costAhead(item))
-	return &Refusal{Kind: failure.QueueFull, RetryAfter: q.advice(wait), PredictedWait: wait}
+	wait, _ := q.rate.drainTime(q.costAhead(item))
+	return &Refusal{Kind: failure.QueueFull, RetryAfter: q.boundedRetryAfter(wait), PredictedWait: wait}
 }
 
-// tooLate refuses an item whose predicted wait doesn't fit its deadline. The
-// longer the predicted wait or the nearer the deadline, the sooner it refuses.
-func (q *Queue) tooLate(now time.Duration, item *Item) *Refusal {
+// checkDeadline refuses an item whose predicted wait doesn't fit its deadline: it is
+// more than Options.Margin of the slack, which is the time left before the deadline
+// less the predicted service time, or there is no slack.
+func (q *Queue) checkDeadline(now time.Duration, item *Item) *Refusal {
 	if item.Deadline <= 0 {
 		return nil
 	}
 	slack := item.Deadline - now - item.Service
-	wait, known := q.rate.wait(q.costAhead(item))
+	wait, known := q.rate.drainTime(q.costAhead(item))
 	if !known {
 		wait = 0
 	}
@@ -120,99 +123,101 @@
 	}
 	return &Refusal{
 		Kind:          failure.DeadlineTooShort,
-		RetryAfter:    q.advice(wait - slack),
+		RetryAfter:    q.boundedRetryAfter(wait - slack),
 		PredictedWait: wait,
 	}
 }
 
-// advice bounds the retry advice.
-func (q *Queue) advice(wait time.Duration) time.Duration {
+// boundedRetryAfter limits a time to the bounds of Refusal.RetryAfter.
+func (q *Queue) boundedRetryAfter(wait time.Duration) time.Duration {
 	return min(max(wait, q.options.MinimumRetryAfter), q.options.MaximumRetryAfter)
 }
 
 func (q *Queue) insert(now time.Duration, item *Item) {
 	q.rate.setBusy(now, true)
 	q.items[item.ID] = item
-	q.perOwner[item.Tenant]++
+	q.itemsByTenant[item.Tenant]++
 	q.level(item.Priority).add(item)
-	q.finish[item.Tenant] = max(q.finish[item.Tenant], q.virtual)
+	q.finishTimes[item.Tenant] = max(q.finishTimes[item.Tenant], q.virtualTime)
 	if item.Deadline > 0 {
 		q.reviews.ReplaceOrInsert(review{q.reviewTime(item), item})
 	}
 }
 
-// reviewTime is when an item is looked at next: once early, then at the last
-// moment at which serving it makes sense.
+// reviewTime returns when an item is reviewed next: first early, and then at the
+// last time at which it could be served by its deadline.
 func (q *Queue) reviewTime(item *Item) time.Duration {
 	if !item.reviewed {
-		allowed := float64(item.Deadline - item.Since)
-		return max(item.arrivedAt, item.Since+time.Duration(q.options.ReviewShare*allowed))
+		timeLimit := float64(item.Deadline - item.Since)
+		return max(item.offeredAt, item.Since+time.Duration(q.options.ReviewShare*timeLimit))
 	}
 	return item.Deadline - item.Service
 }
 
-func (q *Queue) level(priority int) *level {
-	index, found := slices.BinarySearchFunc(q.levels, priority, func(l *level, wanted int) int {
+func (q *Queue) level(priority int) *priorityLevel {
+	index, found := slices.BinarySearchFunc(q.levels, priority, func(l *priorityLevel, wanted int) int {
 		return wanted - l.priority
 	})
 	if !found {
-		q.levels = slices.Insert(q.levels, index, newLevel(priority))
+		q.levels = slices.Insert(q.levels, index, newPriorityLevel(priority))
 	}
 	return q.levels[index]
 }
 
-// costAhead is the cost that is served before an item: all of higher
-// priorities, and of its own priority what fair sharing puts in front.
+// costAhead returns the cost that is served before an item: that of all higher
+// priorities, and the part of its own priority that fair queueing serves first.
 func (q *Queue) costAhead(item *Item) float64 {
 	ahead := 0.0
-	for _, each := range q.levels {
-		if each.priority > item.Priority {
-			ahead += each.cost
+	for _, level := range q.levels {
+		if level.priority > item.Priority {
+			ahead += level.cost
 		}
-		if each.priority == item.Priority {
-			ahead += fairCostAhead(each, item)
+		if level.priority == item.Priority {
+			ahead += fairCostAhead(level, item)
 		}
 	}
 	return ahead
 }
 
-func fairCostAhead(each *level, item *Item) float64 {
-	tenant, found := each.tenants[item.Tenant]
-	own, others := 0.0, each.totalWeight()
+// fairCostAhead returns the cost of the item's own priority that is served before
+// it, assuming that all tenants there keep items waiting.
+func fairCostAhead(level *priorityLevel, item *Item) float64 {
+	tenant, found := level.tenants[item.Tenant]
+	own, others := 0.0, level.totalWeight()
 	if found {
 		own = tenant.costBefore(item)
 		others -= tenant.weight
 	}
 	shared := (own + item.Cost) * (others + item.weight()) / item.weight()
-	return min(each.cost, max(own, shared-item.Cost))
+	return min(level.cost, max(own, shared-item.Cost))
 }
 
-// Next takes out the item to be served now. The items that are first of their
-// tenants are shown to accept in order, until it takes one; accept returns false
+// Next removes and returns the next item to serve. It calls accept for the first
+// item of each tenant in order, until accept returns true; accept returns false
 // for an item that can't be dispatched at present. Next returns nil if none can.
 func (q *Queue) Next(now time.Duration, accept func(*Item) bool) *Item {
-	for _, each := range q.levels {
-		for _, tenant := range q.fairOrder(each) {
+	for _, level := range q.levels {
+		for _, tenant := range q.fairOrder(level) {
 			item, _ := tenant.items.Min()
 			if !accept(item) {
 				continue
 			}
-			q.serve(now, item)
+			q.markServed(now, item)
 			return item
 		}
 	}
 	return nil
 }
 
-// fairOrder returns a level's tenants by virtual time, then name.
-func (q *Queue) fairOrder(each *level) []*tenantQueue {
-	order := make([]*tenantQueue, 0, len(each.tenants))
-	for _, tenant := range each.tenants {
+// fairOrder returns a level's tenants ordered by virtual finish time, then name.
+func (q *Queue) fairOrder(level *priorityLevel) []*tenantQueue {
+	order := make([]*tenantQueue, 0, len(level.tenants))
+	for _, tenant := range level.tenants {
 		order = append(order, tenant)
 	}
 	slices.SortFunc(order, func(a, b *tenantQueue) int {
-		if q.finish[a.name] != q.finish[b.name] {
-			if q.finish[a.name] < q.finish[b.name] {
+		if q.finishTimes[a.name] != q.finishTimes[b.name] {
+			if q.finishTimes[a.name] < q.finishTimes[b.name] {
 				return -1
 			}
 			return 1
@@ -225,66 +230,67 @@
 	return order
 }
 
-func (q *Queue) serve(now time.Duration, item *Item) {
-	start := max(q.finish[item.Tenant], q.virtual)
-	q.virtual = start
-	q.finish[item.Tenant] = start + item.Cost/item.weight()
-	q.rate.served(now, item.Cost)
-	q.decided(false)
-	q.drop(now, item)
+func (q *Queue) markServed(now time.Duration, item *Item) {
+	start := max(q.finishTimes[item.Tenant], q.virtualTime)
+	q.virtualTime = start
+	q.finishTimes[item.Tenant] = start + item.Cost/item.weight()
+	q.rate.recordServed(now, item.Cost)
+	q.recordDecision(false)
+	q.removeItem(now, item)
 }
 
-// Remove takes an item out without serving it, when its caller went away.
+// Remove removes an item without serving it, for example because its caller has
+// disconnected. It returns nil if there is no such item.
 func (q *Queue) Remove(now time.Duration, id string) *Item {
 	item, found := q.items[id]
 	if !found {
 		return nil
 	}
-	q.drop(now, item)
+	q.removeItem(now, item)
 	return item
 }
 
-func (q *Queue) drop(now time.Duration, item *Item) {
+func (q *Queue) removeItem(now time.Duration, item *Item) {
 	delete(q.items, item.ID)
 	q.level(item.Priority).remove(item)
 	if item.Deadline > 0 {
 		q.reviews.Delete(review{q.reviewTime(item), item})
 	}
-	q.perOwner[item.Tenant]--
-	if q.perOwner[item.Tenant] == 0 {
-		delete(q.perOwner, item.Tenant)
+	q.itemsByTenant[item.Tenant]--
+	if q.itemsByTenant[item.Tenant] == 0 {
+		delete(q.itemsByTenant, item.Tenant)
 	}
 	if len(q.items) == 0 {
 		q.rate.setBusy(now, false)
-		clear(q.finish)
-		q.virtual = 0
+		clear(q.finishTimes)
+		q.virtualTime = 0
 	}
 }
 
-// Expire gives up the items whose review says that they can't be served in
-// time. Call it at NextReview.
+// Expire reviews the items whose review is due, and removes and returns those
+// that are refused. It is to be called at NextReview.
 func (q *Queue) Expire(now time.Duration) []Refused {
-	var given []Refused
+	var expired []Refused
 	for {
 		first, found := q.reviews.Min()
 		if !found || first.at > now {
-			return given
+			return expired
 		}
 		if refusal := q.review(now, first.item); refusal != nil {
-			q.decided(true)
-			q.drop(now, first.item)
-			given = append(given, Refused{Item: first.item, Refusal: *refusal})
+			q.recordDecision(true)
+			q.removeItem(now, first.item)
+			expired = append(expired, Refused{Item: first.item, Refusal: *refusal})
 		}
 	}
 }
 
-// review looks at an item; nil lets it stay.
+// review decides whether an item stays in the queue; nil means that it does.
 func (q *Queue) review(now time.Duration, item *Item) *Refusal {
 	if item.reviewed || q.Overloaded() {
-		wait, _ := q.rate.wait(q.costAhead(item))
-		return &Refusal{Kind: failure.DeadlineTooShort, RetryAfter: q.advice(wait), PredictedWait: wait}
+		wait, _ := q.rate.drainTime(q.costAhead(item))
+		return &Refusal{Kind: failure.DeadlineTooShort, RetryAfter: q.boundedRetryAfter(wait), PredictedWait: wait}
 	}
-	if refusal := q.tooLate(now, item); refusal != nil {
+	if refusal := q.checkDeadline(now, item); refusal != nil {
 		return refusal
 	}
 	q.reviews.Delete(review{q.reviewTime(item), item})
@@ -305,27 +311,27 @@
 // Cost returns the cost of all items, in tokens.
 func (q *Queue) Cost() float64 {
 	total := 0.0
-	for _, each := range q.levels {
-		total += each.cost
+	for _, level := range q.levels {
+		total += level.cost
 	}
 	return total
 }
 
-// OldestWait returns the age of the oldest item.
+// OldestWait returns the longest time that an item has been in the queue.
 func (q *Queue) OldestWait(now time.Duration) time.Duration {
 	oldest := time.Duration(0)
 	for _, item := range q.items {
-		oldest = max(oldest, now-item.arrivedAt)
+		oldest = max(oldest, now-item.offeredAt)
 	}
 	return oldest
 }
 
 // TenantLen returns the number of a tenant's items.
-func (q *Queue) TenantLen(tenant string) int { return q.perOwner[tenant] }
+func (q *Queue) TenantLen(tenant string) int { return q.itemsByTenant[tenant] }
 
-// PredictedWait returns the wait of an item behind all others, 0 if nothing is
-// known of the rate yet.
+// PredictedWait returns the predicted wait of an item behind all others, 0 if the
+// drain rate is not known yet.
 func (q *Queue) PredictedWait() time.Duration {
-	wait, _ := q.rate.wait(q.Cost())
+	wait, _ := q.rate.drainTime(q.Cost())
 	return wait
 }
--- a/internal/admission/rate.go
+++ b/internal/admission/rate.go
@@ -5,35 +5,35 @@
 	"time"
 )
 
-// drainRate measures how much cost leaves a queue in a second while there is any
-// in it: the cost served by the busy time that it took, both with exponential
-// forgetting over busy time. Places come free in bursts with gaps between them,
-// because engines batch; the quotient of the two sums takes in both alike.
+// drainRate measures the cost a second that is served from a queue while it is
+// not empty: the cost served divided by the busy time, both decayed exponentially
+// over busy time. Because engines batch, items are served in bursts with gaps
+// between them; the quotient of the two sums covers both bursts and gaps.
 type drainRate struct {
 	timeConstant time.Duration
-	initial      float64
-	// cost and busyTime are the two sums; busyTime is in seconds.
+	initialRate  float64
+	// cost and busyTime are the two decayed sums; busyTime is in seconds.
 	cost     float64
 	busyTime float64
 	busy     bool
-	// seenAt is the time up to which busy time is counted.
-	seenAt time.Duration
+	// updatedAt is the time up to which busy time has been counted.
+	updatedAt time.Duration
 }
 
-// rateWindow is the least busy time that a rate is taken over.
-const rateWindow = 250 * time.Millisecond
+// minimumBusyTime is the busy time needed before the measured rate is used.
+const minimumBusyTime = 250 * time.Millisecond
 
 func newDrainRate(options Options) drainRate {
-	return drainRate{timeConstant: options.RateTimeConstant, initial: options.InitialRate}
+	return drainRate{timeConstant: options.RateTimeConstant, initialRate: options.InitialRate}
 }
 
-// setBusy notes whether items are waiting; only busy time is measured.
+// setBusy records whether items are waiting; only that time is measured.
 func (d *drainRate) setBusy(now time.Duration, busy bool) {
 	d.advance(now)
 	d.busy = busy
 }
 
-func (d *drainRate) served(now time.Duration, cost float64) {
+func (d *drainRate) recordServed(now time.Duration, cost float64) {
 	if !d.busy {
 		return
 	}
@@ -41,30 +41,32 @@
 	d.cost += cost
 }
 
-// advance counts busy time up to now and forgets accordingly.
+// advance counts busy time up to now and decays both sums accordingly.
 func (d *drainRate) advance(now time.Duration) {
-	span := now - d.seenAt
-	d.seenAt = now
+	span := now - d.updatedAt
+	d.updatedAt = now
 	if !d.busy || span <= 0 {
 		return
 	}
-	kept := math.Exp(-span.Seconds() / d.timeConstant.Seconds())
-	d.cost *= kept
-	// The integral of the forgetting over the span, so that a steady service
-	// gives its own rate from the first window on.
-	d.busyTime = d.busyTime*kept + d.timeConstant.Seconds()*(1-kept)
+	decay := math.Exp(-span.Seconds() / d.timeConstant.Seconds())
+	d.cost *= decay
+	// Adding the integral of the decay over the span gives the exact rate of a
+	// steady service from the start.
+	d.busyTime = d.busyTime*decay + d.timeConstant.Seconds()*(1-decay)
 }
 
-// perSecond is the rate; known is false before any measurement.
+// perSecond returns the rate; known is false if there is neither a measured nor an
+// initial rate.
 func (d *drainRate) perSecond() (rate float64, known bool) {
-	if d.busyTime < rateWindow.Seconds() {
-		return d.initial, d.initial > 0
+	if d.busyTime < minimumBusyTime.Seconds() {
+		return d.initialRate, d.initialRate > 0
 	}
 	return d.cost / d.busyTime, true
 }
 
-// wait is the time to serve a cost; known is false before any measurement.
-func (d *drainRate) wait(cost float64) (wait time.Duration, known bool) {
+// drainTime returns the time to serve a cost; known is false if the rate is not
+// known, or if both are 0.
+func (d *drainRate) drainTime(cost float64) (wait time.Duration, known bool) {
 	rate, known := d.perSecond()
 	if !known {
 		return 0, false
--- a/internal/admission/rate_test.go
+++ b/internal/admission/rate_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Engines that batch end many answers at once, so places come free in bursts.
-// The measured rate is that of the bursts and the gaps between them together.
-func TestTheDrainRateOfBurstsIsTheirMean(t *testing.T) {
+// Engines that batch finish many answers at once, so items are served in bursts.
+// The measured rate has to cover the bursts and the gaps between them.
+func TestDrainRateAveragesBurstsAndGaps(t *testing.T) {
 	const (
 		burst = 64
 		cost  = 80.0
@@ -32,13 +32,13 @@
 			for range 5 {
 				now += gap
 				for range burst {
-					rate.served(now, cost)
+					rate.recordServed(now, cost)
 				}
 				if each.emptied {
 					rate.setBusy(now, false)
 					rate.setBusy(now, true)
 				}
-				wait, known := rate.wait(mean)
+				wait, known := rate.drainTime(mean)
 				require.True(t, known)
 				require.InDelta(t, gap.Seconds(), wait.Seconds(), 0.3)
 			}
@@ -46,37 +46,37 @@
 	}
 }
 
-// Time in which nothing waits says nothing about the rate.
-func TestTheDrainRateLeavesIdleTimeOut(t *testing.T) {
+// Time during which the queue is empty must not lower the measured rate.
+func TestDrainRateExcludesIdleTime(t *testing.T) {
 	rate := newDrainRate(DefaultOptions())
 	now := time.Duration(0)
 	for range 10 {
 		rate.setBusy(now, true)
 		for range 5 {
 			now += 100 * time.Millisecond
-			rate.served(now, 100)
+			rate.recordServed(now, 100)
 		}
 		rate.setBusy(now, false)
 		now += time.Minute
 	}
-	wait, known := rate.wait(1000)
+	wait, known := rate.drainTime(1000)
 	require.True(t, known)
 	require.InDelta(t, 1, wait.Seconds(), 0.1)
 }
 
-// The newest seconds count more than old ones.
-func TestTheDrainRateFollowsAChange(t *testing.T) {
+// Recent seconds weigh more than older ones.
+func TestDrainRateFollowsChange(t *testing.T) {
 	rate := newDrainRate(DefaultOptions())
 	now := time.Duration(0)
 	rate.setBusy(now, true)
 	serve := func(perSecond int, seconds int) {
 		for range perSecond * seconds {
 			now += time.Second / time.Duration(perSecond)
-			rate.served(now, 1)
+			rate.recordServed(now, 1)
 		}
 	}
 	serve(100, 20)
 	serve(10, 20)
-	wait, _ := rate.wait(10)
+	wait, _ := rate.drainTime(10)
 	require.InDelta(t, 1, wait.Seconds(), 0.2)
 }
--- a/internal/admission/shares.go
+++ b/internal/admission/shares.go
@@ -7,32 +7,33 @@
 
 // ShareOptions are the settings of a ShareCalculator.
 type ShareOptions struct {
-	// Valid is how long a share may be used without renewal. It is more than
-	// two of the intervals in which gateways name a tenant.
+	// Valid is how long a share may be used without renewal. It is more than two
+	// of the intervals at which gateways report a tenant's usage.
 	Valid time.Duration
-	// Floor is the part of a tenant's budget that is spread evenly over the
-	// gateways whatever they ask for, so that a first request isn't refused.
+	// Floor is the fraction of a tenant's budget that is divided evenly among the
+	// gateways whatever their demand, so that a first request isn't refused.
 	Floor float64
-	// Smoothing is the weight of a new usage report in a gateway's demand.
+	// Smoothing is the weight of a new usage report in the moving average of a
+	// gateway's demand.
 	Smoothing float64
 }
 
-// DefaultShareOptions returns the settings that the experiments use.
+// DefaultShareOptions returns the default settings.
 func DefaultShareOptions() ShareOptions {
 	return ShareOptions{Valid: 65 * time.Second, Floor: 0.2, Smoothing: 0.5}
 }
 
-// ShareCalculator is the zone group leader's side of tenant budgets: it leases
-// parts of each tenant's budget to the gateways, by their demand. At no time is
-// the sum of the leases in force above the budget: a share that shrinks is
-// handed on only after the old lease has run out.
+// ShareCalculator divides tenant budgets among gateways at the leader of the zone
+// group: it leases parts of each tenant's budget to the gateways, by their demand.
+// The sum of the active leases never exceeds the budget: the part by which a share
+// shrinks is leased to others only after the old lease has expired.
 type ShareCalculator struct {
 	options ShareOptions
-	// evenUntil ends the time in which shares that an earlier leader granted
-	// may be in force, and in which the demand is not known. Until then all
-	// gateways get equal parts, which together are no more than the budget.
-	evenUntil time.Duration
-	tenants   map[string]*tenantShares
+	// equalSharesUntil is the end of the time in which shares granted by an earlier
+	// leader may still be valid and in which the demand is not known. Until then
+	// all gateways get equal shares, whose sum does not exceed the budget.
+	equalSharesUntil time.Duration
+	tenants          map[string]*tenantShares
 }
 
 // tenantShares is the state of one tenant.
@@ -41,32 +42,31 @@
 	leases map[string]lease
 }
 
-// lease holds the grants to a gateway that may still be in force, the newest last.
-// An answer may have been lost, so a gateway may believe in any of them. Each
-// grant is higher than those behind it: lower ones before it don't matter.
+// lease holds the grants to a gateway that may still be in use, the newest last.
+// Replies may be lost, so the gateway may be using any of them. Each grant has a
+// higher rate than those after it: a grant makes earlier, lower ones irrelevant.
 type lease struct {
 	grants []grant
 }
 
-// grant is what a gateway may use: until until at most rate, and afterwards the
-// stale part of it.
+// grant is the rate that a gateway may use up to the time until, and of which it
+// may use staleShareFactor afterwards.
 type grant struct {
 	rate  float64
 	until time.Duration
 }
 
-// Share is a granted part of a budget.
+// Share is the part of a budget that is granted to a gateway.
 type Share struct {
-	// TokensPerSecond and BurstTokens are the gateway's part.
 	TokensPerSecond float64
 	BurstTokens     float64
 	Valid           time.Duration
 }
 
-// NewShareCalculator returns the calculator of a leader that begins now: without
-// leases.
+// NewShareCalculator returns the calculator of a leader whose term starts now. It
+// knows of no leases.
 func NewShareCalculator(now time.Duration, options ShareOptions) *ShareCalculator {
-	return &ShareCalculator{options: options, evenUntil: now + options.Valid, tenants: make(map[string]*tenantShares)}
+	return &ShareCalculator{options: options, equalSharesUntil: now + options.Valid, tenants: make(map[string]*tenantShares)}
 }
 
 func (c *ShareCalculator) tenant(name string) *tenantShares {
@@ -78,14 +78,15 @@
 	return shares
 }
 
-// Usage notes what a gateway's callers wanted, in tokens a second.
-func (c *ShareCalculator) Usage(gatewayID, tenant string, wanted float64) {
+// Usage records the rate that a gateway's callers requested, in tokens a second.
+func (c *ShareCalculator) Usage(gatewayID, tenant string, tokensPerSecond float64) {
 	shares := c.tenant(tenant)
-	known := shares.demand[gatewayID]
-	shares.demand[gatewayID] = known + c.options.Smoothing*(wanted-known)
+	smoothed := shares.demand[gatewayID]
+	shares.demand[gatewayID] = smoothed + c.options.Smoothing*(tokensPerSecond-smoothed)
 }
 
-// Forget ends a gateway's leases, once its session has ended for good.
+// Forget deletes a gateway's demand and leases. It must be called only after
+// the gateway's session has ended for good.
 func (c *ShareCalculator) Forget(gatewayID string) {
 	for _, shares := range c.tenants {
 		delete(shares.demand, gatewayID)
@@ -94,24 +95,25 @@
 }
 
 // Renew grants a gateway its share of a tenant's budget. gateways lists all
-// with open sessions, the asking one included.
+// gateways with open sessions, including this one.
 func (c *ShareCalculator) Renew(now time.Duration, gatewayID, tenant string, budget, burst float64, gateways []string) Share {
 	shares := c.tenant(tenant)
 	target := budget / float64(max(len(gateways), 1))
-	if now >= c.evenUntil {
+	if now >= c.equalSharesUntil {
 		target = c.target(shares, gatewayID, budget, gateways)
 	}
 	committed := shares.committedToOthers(now, gatewayID)
 	granted := max(0, min(target, budget-committed))
-	shares.grant(now, gatewayID, granted, c.options.Valid)
-	part := 0.0
+	shares.addGrant(now, gatewayID, granted, c.options.Valid)
+	fraction := 0.0
 	if budget > 0 {
-		part = granted / budget
+		fraction = granted / budget
 	}
-	return Share{TokensPerSecond: granted, BurstTokens: burst * part, Valid: c.options.Valid}
+	return Share{TokensPerSecond: granted, BurstTokens: burst * fraction, Valid: c.options.Valid}
 }
 
-// target is the gateway's fair part: an even floor, and the rest by demand.
+// target returns the gateway's fair share: an equal part of the floor, and a part
+// of the rest in proportion to its demand.
 func (c *ShareCalculator) target(shares *tenantShares, gatewayID string, budget float64, gateways []string) float64 {
 	count := float64(max(len(gateways), 1))
 	total := 0.0
@@ -125,8 +127,8 @@
 	return budget*c.options.Floor/count + byDemand
 }
 
-// committedToOthers is the most that the other gateways may use at a time from
-// now on, until they renew.
+// committedToOthers returns the highest rate that the other gateways may use
+// together from now on, until they renew.
 func (s *tenantShares) committedToOthers(now time.Duration, gatewayID string) float64 {
 	ids := make([]string, 0, len(s.leases))
 	for id := range s.leases {
@@ -136,31 +138,33 @@
 	total := 0.0
 	for _, id := range ids {
 		if id != gatewayID {
-			total += s.leases[id].most(now)
+			total += s.leases[id].maximumRate(now)
 		}
 	}
 	return total
 }
 
-func (s *tenantShares) grant(now time.Duration, gatewayID string, granted float64, valid time.Duration) {
-	var kept []grant
+// addGrant adds a grant to a gateway's lease. It drops earlier grants that are not
+// higher, and those that expired at least valid ago.
+func (s *tenantShares) addGrant(now time.Duration, gatewayID string, rate float64, valid time.Duration) {
+	var retained []grant
 	for _, old := range s.leases[gatewayID].grants {
-		if old.rate > granted && now < old.until+valid {
-			kept = append(kept, old)
+		if old.rate > rate && now < old.until+valid {
+			retained = append(retained, old)
 		}
 	}
-	s.leases[gatewayID] = lease{grants: append(kept, grant{rate: granted, until: now + valid})}
+	s.leases[gatewayID] = lease{grants: append(retained, grant{rate: rate, until: now + valid})}
 }
 
-// most is the highest rate that the gateway may be using.
-func (l lease) most(now time.Duration) float64 {
-	most := 0.0
+// maximumRate returns the highest rate that the gateway may be using.
+func (l lease) maximumRate(now time.Duration) float64 {
+	maximum := 0.0
 	for _, each := range l.grants {
 		rate := each.rate
 		if now >= each.until {
 			rate *= staleShareFactor
 		}
-		most = max(most, rate)
+		maximum = max(maximum, rate)
 	}
-	return most
+	return maximum
 }
--- a/internal/admission/shares_test.go
+++ b/internal/admission/shares_test.go
@@ -10,38 +10,38 @@
 	"pgregory.net/rapid"
 )
 
-// believed is what a gateway may go by: any grant of which it may have the answer.
-type believed struct {
+// heldShare is a share that a gateway has received and may be using.
+type heldShare struct {
 	share Share
 	at    time.Duration
 }
 
-func (b believed) rate(now time.Duration) float64 {
-	if now >= b.at+b.share.Valid {
-		return b.share.TokensPerSecond * staleShareFactor
+func (h heldShare) rate(now time.Duration) float64 {
+	if now >= h.at+h.share.Valid {
+		return h.share.TokensPerSecond * staleShareFactor
 	}
-	return b.share.TokensPerSecond
+	return h.share.TokensPerSecond
 }
 
-// TestLeasesNeverExceedTheBudget loses answers: a gateway then goes on with the
-// share that it has.
+// TestLeasesNeverExceedTheBudget drops random replies: the gateway then continues
+// to use the share that it has.
 func TestLeasesNeverExceedTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const budget = 10_000.0
 		calculator := NewShareCalculator(0, DefaultShareOptions())
 		gateways := []string{"g1", "g2", "g3"}
-		known := map[string]believed{}
+		held := map[string]heldShare{}
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 20_000).Draw(t, "wait")) * time.Millisecond
 			id := rapid.SampledFrom(gateways).Draw(t, "gateway")
 			calculator.Usage(id, "tenant", rapid.Float64Range(0, 30_000).Draw(t, "wanted"))
 			share := calculator.Renew(now, id, "tenant", budget, budget, gateways)
-			if !rapid.Bool().Draw(t, "the answer is lost") || known[id].at+share.Valid < now {
-				known[id] = believed{share: share, at: now}
+			if !rapid.Bool().Draw(t, "the answer is lost") || held[id].at+share.Valid < now {
+				held[id] = heldShare{share: share, at: now}
 			}
 			total := 0.0
-			for _, each := range known {
+			for _, each := range held {
 				total += each.rate(now)
 			}
 			require.LessOrEqual(t, total, budget*(1+1e-9))
@@ -49,9 +49,9 @@
 	})
 }
 
-// TestASmallerShareIsHandedOn: renewals that come before the lease has run out
-// must not prolong the grants before them.
-func TestASmallerShareIsHandedOn(t *testing.T) {
+// Renewals before the lease has expired must not prolong earlier grants: the part
+// that an idle gateway no longer gets would never become free for others.
+func TestRenewalsDoNotProlongEarlierGrants(t *testing.T) {
 	options := DefaultShareOptions()
 	calculator := NewShareCalculator(0, options)
 	gateways := []string{"busy", "idle"}
@@ -64,7 +64,7 @@
 	assert.InDelta(t, 900, busy.TokensPerSecond, 1)
 }
 
-func TestSharesFollowTheDemand(t *testing.T) {
+func TestSharesFollowDemand(t *testing.T) {
 	calculator := NewShareCalculator(0, DefaultShareOptions())
 	gateways := []string{"busy", "idle"}
 	var busy, idle Share
@@ -79,7 +79,7 @@
 	assert.Positive(t, idle.TokensPerSecond, "a first request of a quiet gateway must not be refused")
 }
 
-func TestATenantLimitWithoutARenewalHalves(t *testing.T) {
+func TestExpiredShareIsHalved(t *testing.T) {
 	limit := NewTenantLimit(0, 100, 100)
 	limit.SetShare(0, 100, 100, 10*time.Second)
 	spend := func(from, until time.Duration) float64 {
@@ -91,11 +91,11 @@
 		}
 		return total
 	}
-	assert.InDelta(t, 1100, spend(0, 10*time.Second), 60, "the rate and one burst")
-	assert.InDelta(t, 500, spend(10*time.Second, 20*time.Second), 60, "the stale half")
+	assert.InDelta(t, 1100, spend(0, 10*time.Second), 60, "the full rate and one burst")
+	assert.InDelta(t, 500, spend(10*time.Second, 20*time.Second), 60, "half the rate once the share has expired")
 }
 
-func TestARefusedTenantIsToldWhenToComeBack(t *testing.T) {
+func TestRefusedTenantGetsRetryAfter(t *testing.T) {
 	limit := NewTenantLimit(0, 10, 10)
 	ok, _ := limit.Allow(0, 10)
 	require.True(t, ok)
@@ -103,10 +103,10 @@
 	require.False(t, ok)
 	assert.InDelta(t, 1, after.Seconds(), 0.01)
 	ok, _ = limit.Allow(after, 10)
-	assert.True(t, ok, "the advice is right")
+	assert.True(t, ok, "the request is allowed after the returned time")
 }
 
-func TestForgettingAGatewayFreesItsShare(t *testing.T) {
+func TestForgetReleasesGatewayLeases(t *testing.T) {
 	calculator := NewShareCalculator(0, DefaultShareOptions())
 	for index := range 2 {
 		calculator.Renew(0, fmt.Sprint("g", index), "tenant", 1000, 1000, []string{"g0", "g1"})
--- a/internal/admission/tenantqueue.go
+++ b/internal/admission/tenantqueue.go
@@ -2,10 +2,11 @@
 
 import "github.com/google/btree"
 
-// btreeDegree is the usual degree for small items.
+// btreeDegree is a common degree for small items.
 const btreeDegree = 16
 
-// tenantQueue holds one tenant's items of one priority, by rank and arrival.
+// tenantQueue holds one tenant's items of one priority, ordered by rank and
+// arrival.
 type tenantQueue struct {
 	name   string
 	weight float64
@@ -14,10 +15,10 @@
 }
 
 func newTenantQueue(name string, weight float64) *tenantQueue {
-	return &tenantQueue{name: name, weight: weight, items: btree.NewG(btreeDegree, ranksBefore)}
+	return &tenantQueue{name: name, weight: weight, items: btree.NewG(btreeDegree, rankLess)}
 }
 
-func ranksBefore(a, b *Item) bool {
+func rankLess(a, b *Item) bool {
 	if a.Rank != b.Rank {
 		return a.Rank > b.Rank
 	}
@@ -38,7 +39,7 @@
 	return true
 }
 
-// costBefore is the cost of the items that go before one.
+// costBefore returns the cost of the tenant's items that are served before one.
 func (t *tenantQueue) costBefore(item *Item) float64 {
 	before := 0.0
 	t.items.AscendLessThan(item, func(other *Item) bool {
@@ -48,18 +49,18 @@
 	return before
 }
 
-// level holds the tenants of one priority.
-type level struct {
+// priorityLevel holds the queues of all tenants with items of one priority.
+type priorityLevel struct {
 	priority int
 	cost     float64
 	tenants  map[string]*tenantQueue
 }
 
-func newLevel(priority int) *level {
-	return &level{priority: priority, tenants: make(map[string]*tenantQueue)}
+func newPriorityLevel(priority int) *priorityLevel {
+	return &priorityLevel{priority: priority, tenants: make(map[string]*tenantQueue)}
 }
 
-func (l *level) add(item *Item) {
+func (l *priorityLevel) add(item *Item) {
 	tenant, found := l.tenants[item.Tenant]
 	if !found {
 		tenant = newTenantQueue(item.Tenant, item.weight())
@@ -69,7 +70,7 @@
 	l.cost += item.Cost
 }
 
-func (l *level) remove(item *Item) {
+func (l *priorityLevel) remove(item *Item) {
 	tenant, found := l.tenants[item.Tenant]
 	if !found || !tenant.remove(item) {
 		return
@@ -80,7 +81,7 @@
 	}
 }
 
-func (l *level) totalWeight() float64 {
+func (l *priorityLevel) totalWeight() float64 {
 	total := 0.0
 	for _, tenant := range l.tenants {
 		total += tenant.weight
--- a/internal/admission/usage_test.go
+++ b/internal/admission/usage_test.go
@@ -7,23 +7,23 @@
 	"github.com/stretchr/testify/require"
 )
 
-// told lists the seconds at which a tenant's use is told, when wanted(second)
-// tokens are asked for in each second.
-func told(limit *TenantLimit, seconds int, wanted func(second int) float64) []int {
-	var at []int
+// reportSeconds returns the seconds at which a tenant's usage is reported, when
+// requested(second) tokens are requested in each second.
+func reportSeconds(limit *TenantLimit, seconds int, requested func(second int) float64) []int {
+	var reports []int
 	for second := 1; second <= seconds; second++ {
 		now := time.Duration(second) * time.Second
-		if tokens := wanted(second); tokens > 0 {
+		if tokens := requested(second); tokens > 0 {
 			limit.Allow(now, tokens)
 		}
 		if _, due := limit.DueUsage(now); due {
-			at = append(at, second)
+			reports = append(reports, second)
 		}
 	}
-	return at
+	return reports
 }
 
-func TestUsageIsToldSparsely(t *testing.T) {
+func TestUsageIsReportedSparsely(t *testing.T) {
 	tests := map[string]struct {
 		wanted func(second int) float64
 		want   []int
@@ -35,26 +35,26 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			require.Equal(t, test.want, told(NewTenantLimit(0, 1000, 1000), 60, test.wanted))
+			require.Equal(t, test.want, reportSeconds(NewTenantLimit(0, 1000, 1000), 60, test.wanted))
 		})
 	}
 }
 
-func TestUsageBeyondTheShareIsToldSooner(t *testing.T) {
-	times := told(NewTenantLimit(0, 100, 1000), 60, func(int) float64 { return 800 })
-	require.Greater(t, len(times), 10, "refused requests hurry the telling")
+func TestUsageAboveShareIsReportedSooner(t *testing.T) {
+	times := reportSeconds(NewTenantLimit(0, 100, 1000), 60, func(int) float64 { return 800 })
+	require.Greater(t, len(times), 10, "refused requests cause early reports")
 	for index := 1; index < len(times); index++ {
 		require.GreaterOrEqual(t, times[index]-times[index-1], 3)
 	}
 }
 
-func TestUsageOfATenantWithoutABudgetIsNotTold(t *testing.T) {
-	require.Empty(t, told(NewTenantLimit(0, 0, 0), 60, func(int) float64 { return 10 }))
+func TestUsageWithoutBudgetIsNotReported(t *testing.T) {
+	require.Empty(t, reportSeconds(NewTenantLimit(0, 0, 0), 60, func(int) float64 { return 10 }))
 }
 
-// A leader that has just begun knows neither the demand nor the leases of the
-// one before it: what it grants first must stay within the budget by itself.
-func TestANewLeaderGrantsEqualParts(t *testing.T) {
+// A new leader knows neither the demand nor the leases of the previous one: its
+// first grants must stay within the budget by themselves.
+func TestNewLeaderGrantsEqualShares(t *testing.T) {
 	options := DefaultShareOptions()
 	calculator := NewShareCalculator(time.Minute, options)
 	gateways := []string{"a", "b", "c", "d"}
@@ -68,7 +68,8 @@
 	require.Greater(t, calculator.Renew(later, "a", "tenant", 1000, 1000, gateways).TokensPerSecond, 250.0)
 }
 
-// Whatever the order of renewals, the leases in force never exceed the budget.
+// The sum of the valid leases must not exceed the budget while the gateways renew in
+// turn and the demand moves between them.
 func TestLeasesInForceStayWithinTheBudget(t *testing.T) {
 	options := DefaultShareOptions()
 	calculator := NewShareCalculator(0, options)
@@ -78,7 +79,7 @@
 	for second := range 600 {
 		now := time.Duration(second) * time.Second
 		gateway := gateways[second%len(gateways)]
-		// The demand wanders from one gateway to the next.
+		// The demand moves from one gateway to the next.
 		calculator.Usage(gateway, "tenant", float64((second*37+len(gateway))%500))
 		shares[gateway] = calculator.Renew(now, gateway, "tenant", 1000, 1000, gateways)
 		grantedAt[gateway] = now
