--- a/internal/request/answer.go
+++ b/internal/request/answer.go
@@ -7,28 +7,29 @@
 	"github.com/pierhaven/pierhaven/internal/failure"
 )
 
-// AttemptAccepted says that an engine has queued an attempt and which version
-// of the model answers.
+// AttemptAccepted handles an engine's acceptance of an attempt, which it has
+// queued. version is the model version that will answer; if tokens of another
+// version have been relayed, the attempt fails.
 func (m *Machine) AttemptAccepted(now time.Duration, attemptID, version string) []Output {
-	m.begin()
+	m.resetOutputs()
 	if !m.isCurrent(attemptID) || m.current.accepted || m.current.prefill {
 		return m.outputs
 	}
 	m.current.handedOver = true
 	m.current.accepted = true
 	m.current.version = version
-	m.current.progressBy = now + m.parameters.FirstTokenTimeout
+	m.current.progressDeadline = now + m.parameters.FirstTokenTimeout
 	if m.version != "" && m.version != version {
 		return m.attemptFailed(now, failure.AnswerBroken, "another model version answered")
 	}
 	return m.outputs
 }
 
-// Piece gives tokens of an attempt's answer; offset is the index of the first
-// of them in the whole answer. Repeated tokens are dropped; a gap ends the
-// attempt, and the answer is resumed elsewhere.
+// Piece handles tokens of an attempt's answer; offset is the index of the first
+// of them in the whole answer. Tokens that have been relayed already are dropped.
+// A gap ends the attempt, and the answer is resumed at another engine.
 func (m *Machine) Piece(now time.Duration, attemptID string, offset int, tokens []string) []Output {
-	m.begin()
+	m.resetOutputs()
 	if !m.isCurrent(attemptID) {
 		return m.outputs
 	}
@@ -39,28 +40,29 @@
 		return m.attemptFailed(now, failure.AnswerBroken, "a piece of the answer is missing")
 	}
 	if m.current.target == nil {
-		m.current.progressBy = now + m.parameters.StallTimeout
+		m.current.progressDeadline = now + m.parameters.StallTimeout
 	}
 	repeated := m.relayed - offset
 	if repeated >= len(tokens) {
 		return m.outputs
 	}
-	fresh := tokens[repeated:]
-	if m.overlong(len(fresh)) {
+	newTokens := tokens[repeated:]
+	if m.exceedsMaximumTokens(len(newTokens)) {
 		return m.attemptFailed(now, failure.AnswerBroken, "the answer is longer than asked for")
 	}
 	m.version = m.current.version
-	m.current.produced = true
-	m.ranYes = true
-	m.relayed += len(fresh)
-	m.repicks = 0
-	m.emit(Relay{Tokens: fresh})
+	m.current.hasOutput = true
+	m.hasRun = true
+	m.relayed += len(newTokens)
+	m.pickRetries = 0
+	m.emit(Relay{Tokens: newTokens})
 	return m.outputs
 }
 
-// End says that an attempt's answer is whole and has total tokens.
+// End handles the end of an attempt's complete answer of total tokens. If that is
+// not the number of tokens relayed, the attempt fails.
 func (m *Machine) End(now time.Duration, attemptID string, total int, reason engineapi.FinishReason, promptTokens, cachedTokens int) []Output {
-	m.begin()
+	m.resetOutputs()
 	if !m.isCurrent(attemptID) {
 		return m.outputs
 	}
@@ -68,7 +70,7 @@
 		return m.attemptFailed(now, failure.AnswerBroken, "the answer ended at the wrong place")
 	}
 	m.current = attempt{}
-	m.ranYes = true
+	m.hasRun = true
 	m.phase = phaseDone
 	m.emit(Finish{
 		Reason:   reason,
@@ -78,21 +80,23 @@
 	return m.outputs
 }
 
-// PrefillDone says that the first stage is done and where its KV cache is.
+// PrefillDone handles the completion of the prefill stage, with the location of
+// its KV cache, and dispatches the decode stage.
 func (m *Machine) PrefillDone(now time.Duration, attemptID, version string, kv engineapi.KVSource) []Output {
-	m.begin()
+	m.resetOutputs()
 	if !m.isCurrent(attemptID) || !m.current.prefill {
 		return m.outputs
 	}
 	if m.version != "" && m.version != version {
 		return m.attemptFailed(now, failure.AnswerBroken, "another model version read the prompt")
 	}
-	m.ranYes = true
+	m.hasRun = true
 	m.kv = &kv
 	m.kvVersion = version
-	return m.dispatch(now, m.decoder, false)
+	return m.dispatch(now, m.decodeEngine, false)
 }
 
-func (m *Machine) overlong(fresh int) bool {
-	return m.parameters.MaximumTokens > 0 && m.relayed+fresh > m.parameters.MaximumTokens
+// exceedsMaximumTokens reports whether the answer would be longer than requested.
+func (m *Machine) exceedsMaximumTokens(newTokens int) bool {
+	return m.parameters.MaximumTokens > 0 && m.relayed+newTokens > m.parameters.MaximumTokens
 }
--- a/internal/request/dispatch.go
+++ b/internal/request/dispatch.go
@@ -10,13 +10,13 @@
 
 func (m *Machine) pick() []Output {
 	m.phase = phasePicking
-	m.emit(m.pickFor(false))
+	m.emit(m.newPick(false))
 	return m.outputs
 }
 
-// pickFor is the Pick for the next attempt; withoutKV leaves the exported KV
-// cache out of account.
-func (m *Machine) pickFor(withoutKV bool) Pick {
+// newPick returns the Pick for the next attempt; if withoutKV is set, it ignores the
+// exported KV cache.
+func (m *Machine) newPick(withoutKV bool) Pick {
 	usesKV := m.kv != nil && !withoutKV
 	version := m.version
 	if version == "" && usesKV {
@@ -30,10 +30,11 @@
 	}
 }
 
-// dispatchTo starts the first stage if there is one, else the only one.
+// dispatchTo dispatches the prefill stage if there is a prefill engine and no KV
+// cache yet, else the request to the decode engine.
 func (m *Machine) dispatchTo(now time.Duration, decode Engine, prefill *Engine) []Output {
 	if prefill != nil && m.kv == nil {
-		m.decoder = decode
+		m.decodeEngine = decode
 		return m.dispatch(now, *prefill, true)
 	}
 	return m.dispatch(now, decode, false)
@@ -43,15 +44,15 @@
 	m.dispatched++
 	m.phase = phaseRunning
 	m.current = attempt{
-		id:         m.parameters.AttemptPrefix + "-" + strconv.Itoa(m.dispatched),
-		engine:     engine,
-		prefill:    prefill,
-		usesKV:     m.kv != nil,
-		progressBy: now + m.parameters.AcceptTimeout,
+		id:               m.parameters.AttemptPrefix + "-" + strconv.Itoa(m.dispatched),
+		engine:           engine,
+		prefill:          prefill,
+		usesKV:           m.kv != nil,
+		progressDeadline: now + m.parameters.AcceptTimeout,
 	}
 	version := m.version
 	if prefill {
-		m.current.progressBy = now + m.parameters.FirstTokenTimeout
+		m.current.progressDeadline = now + m.parameters.FirstTokenTimeout
 	}
 	if version == "" && m.kv != nil {
 		version = m.kvVersion
@@ -67,31 +68,33 @@
 	return m.outputs
 }
 
-// attemptFailed gives up the current attempt, which may have run.
+// attemptFailed cancels the current attempt, which may have run, and retries the
+// request.
 func (m *Machine) attemptFailed(now time.Duration, kind failure.Kind, detail string) []Output {
 	m.abandonCurrent(true)
 	return m.retry(now, kind, detail)
 }
 
-// abandonCurrent cancels the current attempt and counts it as possibly run;
-// failed says that its engine is to blame.
+// abandonCurrent cancels the current attempt, if there is one, and records that it
+// may have run; failed is set if its engine is the cause.
 func (m *Machine) abandonCurrent(failed bool) {
 	if m.phase != phaseRunning {
 		return
 	}
 	m.emit(Cancel{AttemptID: m.current.id, Engine: m.current.engine, Failed: failed})
 	m.exclude(m.current.engine)
-	if m.losesKV() {
+	if m.mayLoseKV() {
 		m.dropKV()
 	}
-	m.ranUnknown = true
+	m.mayHaveRun = true
 	m.current = attempt{}
 }
 
-// losesKV reports whether the exported KV cache is lost with the current
-// attempt: its engine may have fetched it, and has shown nothing for it.
-func (m *Machine) losesKV() bool {
-	return m.current.usesKV && !m.current.produced
+// mayLoseKV reports whether the exported KV cache has to be considered lost if the
+// current attempt ends: its engine may have fetched it, but has not produced any
+// output.
+func (m *Machine) mayLoseKV() bool {
+	return m.current.usesKV && !m.current.hasOutput
 }
 
 func (m *Machine) exclude(engine Engine) {
--- a/internal/request/doc.go
+++ b/internal/request/doc.go
@@ -1,8 +1,11 @@
-// Package request is the life of one repeatable request, a model call, as a
-// pure state machine: which attempts are made, which of their answers are
-// relayed, and what the caller is told at the end. It has no goroutines, clock,
-// sockets or randomness; the gateway and the simulator run the same code.
+// Package request implements the lifecycle of one request as a pure state
+// machine. Machine is for repeatable requests, the model calls: it decides which
+// attempts are made, which parts of their answers are relayed, and what result the
+// caller gets. OnceOnly is for requests that must not be repeated. Neither has
+// goroutines, clock, sockets or randomness; the gateway and the simulator run the
+// same code.
 //
-// Every time is on the process's monotonic clock. Every method returns the
-// outputs to act on, in order; the returned slice is valid until the next call.
+// All times are on the process's monotonic clock. The methods for events return
+// the outputs to carry out, in order; the returned slice is valid until the next
+// call.
 package request
--- a/internal/request/machine.go
+++ b/internal/request/machine.go
@@ -11,12 +11,13 @@
 const Never = time.Duration(1<<63 - 1)
 
 const (
-	// repickDelay is the wait before a back end is looked for again for a
-	// request that has lost one.
-	repickDelay = 100 * time.Millisecond
-	// maximumRepicks bounds those waits; with text sent there is more to lose.
-	maximumRepicks        = 5
-	maximumRepicksRelayed = 50
+	// pickRetryDelay is the delay before the next Pick of a request that has lost
+	// its engine and found no other.
+	pickRetryDelay = 100 * time.Millisecond
+	// maximumPickRetries bounds the number of these delays. The bound is higher once
+	// tokens have been relayed, since more work would be lost.
+	maximumPickRetries        = 5
+	maximumPickRetriesRelayed = 50
 )
 
 type phase int
@@ -33,47 +34,55 @@
 type Machine struct {
 	parameters Parameters
 	phase      phase
-	// dispatched counts attempts, for their ids; tries counts those that the
-	// retry policy is asked about (the two stages of a try count once).
+	// dispatched counts attempts, for their ids; tries is the count that the retry
+	// policy gets, in which prefill and decode of one try count once.
 	dispatched int
 	tries      int
 	current    attempt
-	relayed    int
-	// version is pinned by the first token that is relayed.
-	version   string
-	excluded  []string
-	repicks   int
-	wakeAt    time.Duration
+	// relayed is the number of tokens relayed.
+	relayed int
+	// version is fixed by the first relayed token.
+	version  string
+	excluded []string
+	// pickRetries counts the delays since the last relayed token, for a further
+	// Pick or to ask the retry policy again.
+	pickRetries int
+	// wakeAt is the end of the wait in phaseWaiting.
+	wakeAt time.Duration
+	// kv is the exported KV cache, nil for none, and kvVersion its model version.
 	kv        *engineapi.KVSource
 	kvVersion string
-	// decoder takes the second stage once the prefill engine is done.
-	decoder    Engine
-	ranYes     bool
-	ranUnknown bool
-	// asking is set while the retry policy has to be asked again; lastKind and
-	// lastDetail are of the failure that it is asked about.
-	asking     bool
-	lastKind   failure.Kind
-	lastDetail string
-	outputs    []Output
+	// decodeEngine gets the decode stage once the prefill is done.
+	decodeEngine Engine
+	// hasRun and mayHaveRun are set if any attempt has, or may have, run.
+	hasRun     bool
+	mayHaveRun bool
+	// policyPending is set while the retry policy has to be asked again after a
+	// wait; lastKind and lastDetail describe the failure in question.
+	policyPending bool
+	lastKind      failure.Kind
+	lastDetail    string
+	outputs       []Output
 }
 
-// attempt is the one attempt whose answers count at present.
+// attempt is the current attempt; events of all others are ignored.
 type attempt struct {
-	id         string
-	engine     Engine
-	prefill    bool
-	usesKV     bool
+	id      string
+	engine  Engine
+	prefill bool
+	usesKV  bool
+	// handedOver is set once the first byte has been written.
 	handedOver bool
 	accepted   bool
 	version    string
-	produced   bool
+	// hasOutput is set once a token of the attempt has been relayed.
+	hasOutput bool
 	// target is set while the attempt is being moved.
 	target *moveTarget
-	// progressBy is when the attempt is given up unless something arrives.
-	progressBy time.Duration
-	// excusedAt is progressBy as a pause of the gateway has set it, 0 if none has.
-	excusedAt time.Duration
+	// progressDeadline is when the attempt fails unless there is progress before.
+	progressDeadline time.Duration
+	// extendedDeadline is the progressDeadline that Paused has set, 0 for none.
+	extendedDeadline time.Duration
 }
 
 // New returns the machine of a request that has not started.
@@ -87,14 +96,14 @@
 // Relayed returns the number of tokens relayed so far.
 func (m *Machine) Relayed() int { return m.relayed }
 
-// Current returns the id and engine of the attempt whose answers count, if any.
+// Current returns the id and engine of the current attempt, if there is one.
 func (m *Machine) Current() (string, Engine, bool) {
 	return m.current.id, m.current.engine, m.phase == phaseRunning
 }
 
-// Start begins the request.
+// Start starts the request.
 func (m *Machine) Start(now time.Duration) []Output {
-	m.begin()
+	m.resetOutputs()
 	if m.phase != phaseNew {
 		return m.outputs
 	}
@@ -104,10 +113,10 @@
 	return m.pick()
 }
 
-// Picked gives the back end that a Pick asked for. prefill is the engine of the
-// first stage, nil if decode does both.
+// Picked handles the result of a Pick. prefill is the engine for the prefill stage,
+// nil if decode does both.
 func (m *Machine) Picked(now time.Duration, decode Engine, prefill *Engine) []Output {
-	m.begin()
+	m.resetOutputs()
 	if m.phase != phasePicking {
 		return m.outputs
 	}
@@ -115,80 +124,82 @@
 	return m.dispatchTo(now, decode, prefill)
 }
 
-// NoBackEnd answers a Pick that found nothing. A request that has lost a back
-// end looks again for a bounded time; one that never had any is refused.
+// NoBackEnd handles a Pick that found no engine. A request that has lost an engine
+// retries the Pick a limited number of times; one that never had any is refused.
 func (m *Machine) NoBackEnd(now, retryAfter time.Duration) []Output {
-	m.begin()
+	m.resetOutputs()
 	if m.phase != phasePicking {
 		return m.outputs
 	}
-	limit := maximumRepicks
+	limit := maximumPickRetries
 	if m.relayed > 0 {
-		limit = maximumRepicksRelayed
+		limit = maximumPickRetriesRelayed
 	}
-	if m.tries == 0 || m.repicks >= limit {
-		return m.refuse(m.exhaustedKind(failure.NoBackEnd), retryAfter, "no back end is left")
+	if m.tries == 0 || m.pickRetries >= limit {
+		return m.refuse(m.finalKind(failure.NoBackEnd), retryAfter, "no back end is left")
 	}
-	m.repicks++
+	m.pickRetries++
 	m.excluded = m.excluded[:0]
-	m.wait(now + repickDelay)
+	m.waitUntil(now + pickRetryDelay)
 	return m.outputs
 }
 
-// Rejected answers a Pick that admission turned down; retryAfter is the advice
-// to the caller.
+// Rejected handles a Pick for which admission refused the request; retryAfter is
+// the time after which the caller should retry.
 func (m *Machine) Rejected(_ time.Duration, kind failure.Kind, retryAfter time.Duration, detail string) []Output {
-	m.begin()
+	m.resetOutputs()
 	if m.phase != phasePicking {
 		return m.outputs
 	}
 	return m.refuse(kind, retryAfter, detail)
 }
 
-// HandedOver says that the first byte of an attempt was written. From then on
-// no claim that it was never sent is believed.
+// HandedOver records that the first byte of an attempt was written. From then on
+// AttemptBroken assumes that the attempt may have run, even if its handedOver is
+// false.
 func (m *Machine) HandedOver(attemptID string) []Output {
-	m.begin()
+	m.resetOutputs()
 	if m.isCurrent(attemptID) {
 		m.current.handedOver = true
 	}
 	return m.outputs
 }
 
-// AttemptRefused says that an engine refused an attempt before running it, by a
-// Refusal that carries the attempt's id, or that it was never sent.
+// AttemptRefused handles an engine's refusal of an attempt before running it, by a
+// Refusal that carries the attempt's id, or an attempt that was never sent.
 func (m *Machine) AttemptRefused(now time.Duration, attemptID string, reason engineapi.RefusalReason) []Output {
-	m.begin()
+	m.resetOutputs()
 	if !m.isCurrent(attemptID) {
 		return m.outputs
 	}
 	if m.current.accepted {
 		return m.attemptFailed(now, failure.AnswerBroken, "refused after accepting")
 	}
-	lost := m.current
+	refused := m.current
 	m.current = attempt{}
 	switch reason {
 	case engineapi.RefusalBadRequest:
 		return m.refuse(failure.MalformedRequest, 0, "the engine can't take this request")
 	case engineapi.RefusalKVMissing:
-		if lost.usesKV {
+		if refused.usesKV {
 			m.dropKV()
-			return m.retrySame(now, lost.engine)
+			return m.retryOnSameEngine(now, refused.engine)
 		}
 	}
-	m.exclude(lost.engine)
+	m.exclude(refused.engine)
 	return m.retry(now, failure.BackEndRefused, "refused: "+string(reason))
 }
 
-// AttemptBroken says that an attempt's connection failed or its stream ended
-// early. handedOver is false only with proof that no byte was written.
+// AttemptBroken handles a failed connection or a premature end of an attempt's
+// stream. handedOver is false only with proof that no byte was written.
 func (m *Machine) AttemptBroken(now time.Duration, attemptID string, handedOver bool, detail string) []Output {
-	m.begin()
+	m.resetOutputs()
 	if !m.isCurrent(attemptID) {
 		return m.outputs
 	}
 	if m.current.target != nil {
-		// It ends because it is moved; Exported or the time goes on.
+		// The attempt ended because it is being moved; Exported or the export
+		// timeout continues the request.
 		return m.outputs
 	}
 	if !handedOver && !m.current.handedOver && !m.current.accepted {
@@ -199,9 +210,9 @@
 	return m.attemptFailed(now, failure.AnswerBroken, detail)
 }
 
-// CallerGone ends the request because nobody waits for it.
+// CallerGone ends the request because its caller has disconnected.
 func (m *Machine) CallerGone(time.Duration) []Output {
-	m.begin()
+	m.resetOutputs()
 	if m.phase == phaseDone {
 		return m.outputs
 	}
@@ -209,46 +220,47 @@
 	return m.refuse(failure.CallerGone, 0, "the caller went away")
 }
 
-// Cut ends the request because its gateway stops before it is finished.
+// Cut ends the request because its gateway stops before the request is complete.
 func (m *Machine) Cut(time.Duration) []Output {
-	m.begin()
+	m.resetOutputs()
 	if m.phase == phaseDone {
 		return m.outputs
 	}
 	m.abandonCurrent(false)
-	return m.refuse(m.exhaustedKind(failure.Leaving), 0, "the gateway had to stop")
+	return m.refuse(m.finalKind(failure.Leaving), 0, "the gateway had to stop")
 }
 
-// Tick tells the time; it acts on the deadline, timeouts and waits.
+// Tick handles the passing of time: deadline, timeouts and waits.
 func (m *Machine) Tick(now time.Duration) []Output {
-	m.begin()
+	m.resetOutputs()
 	switch {
 	case m.phase == phaseNew || m.phase == phaseDone:
 	case m.expired(now):
 		m.abandonCurrent(false)
 		return m.refuse(failure.DeadlineExceeded, 0, "the deadline passed")
 	case m.phase == phaseWaiting && now >= m.wakeAt:
-		return m.wake(now)
-	case m.phase == phaseRunning && now >= m.current.progressBy && m.current.target != nil:
-		return m.finishMove(now, nil)
-	case m.phase == phaseRunning && now >= m.current.progressBy:
+		return m.resumeAfterWait(now)
+	case m.phase == phaseRunning && now >= m.current.progressDeadline && m.current.target != nil:
+		return m.completeMove(now, nil)
+	case m.phase == phaseRunning && now >= m.current.progressDeadline:
 		return m.attemptFailed(now, failure.AnswerBroken, "the engine fell silent")
 	}
 	return m.outputs
 }
 
-// Paused says that the gateway itself stood still: that long the engine could not be heard, which
-// is not its silence. An engine is given the time of one pause after each thing that arrives: a
-// gateway that is always late would else never give up a dead one.
+// Paused handles a pause of the gateway process, during which it could not receive
+// what the engine sent: if the current attempt has timed out, its timeout is extended
+// to now+pause. This happens only once until the next progress; otherwise a gateway
+// that is always late would never time out a dead engine.
 func (m *Machine) Paused(now, pause time.Duration) {
-	if m.phase != phaseRunning || now < m.current.progressBy || m.current.excusedAt == m.current.progressBy {
+	if m.phase != phaseRunning || now < m.current.progressDeadline || m.current.extendedDeadline == m.current.progressDeadline {
 		return
 	}
-	m.current.progressBy = now + pause
-	m.current.excusedAt = m.current.progressBy
+	m.current.progressDeadline = now + pause
+	m.current.extendedDeadline = m.current.progressDeadline
 }
 
-// NextWake is when Tick has to be called at the latest, Never for not at all.
+// NextWake returns the time by which Tick has to be called, Never if it need not.
 func (m *Machine) NextWake() time.Duration {
 	wake := Never
 	if m.phase == phaseDone || m.phase == phaseNew {
@@ -261,12 +273,12 @@
 	case phaseWaiting:
 		wake = min(wake, m.wakeAt)
 	case phaseRunning:
-		wake = min(wake, m.current.progressBy)
+		wake = min(wake, m.current.progressDeadline)
 	}
 	return wake
 }
 
-func (m *Machine) begin() {
+func (m *Machine) resetOutputs() {
 	clear(m.outputs)
 	m.outputs = m.outputs[:0]
 }
@@ -281,16 +293,17 @@
 	return m.parameters.Deadline > 0 && now >= m.parameters.Deadline
 }
 
-func (m *Machine) wait(until time.Duration) {
+func (m *Machine) waitUntil(until time.Duration) {
 	m.phase = phaseWaiting
 	m.wakeAt = until
 }
 
-// wake goes on after a wait.
-func (m *Machine) wake(now time.Duration) []Output {
-	if !m.asking {
+// resumeAfterWait asks the retry policy again if that is pending, else for another
+// engine.
+func (m *Machine) resumeAfterWait(now time.Duration) []Output {
+	if !m.policyPending {
 		return m.pick()
 	}
-	m.asking = false
+	m.policyPending = false
 	return m.retry(now, m.lastKind, m.lastDetail)
 }
--- a/internal/request/machine_test.go
+++ b/internal/request/machine_test.go
@@ -27,7 +27,7 @@
 	return machine
 }
 
-// answerOfVersion is the whole answer; each model version has its own.
+// answerOfVersion returns the complete answer of a model version, different for each.
 func answerOfVersion(version string) []string {
 	tokens := make([]string, testTokens)
 	for index := range tokens {
@@ -36,10 +36,10 @@
 	return tokens
 }
 
-func engineNamed(id string) Engine { return Engine{ID: id, Address: "127.0.0.1:1"} }
+func testEngine(id string) Engine { return Engine{ID: id, Address: "127.0.0.1:1"} }
 
-// only returns the one output of a type, or fails.
-func only[T Output](t require.TestingT, outputs []Output) T {
+// requireOne returns the only output of a type, or fails the test.
+func requireOne[T Output](t require.TestingT, outputs []Output) T {
 	var found []T
 	for _, output := range outputs {
 		if matching, ok := output.(T); ok {
@@ -51,69 +51,69 @@
 }
 
 func startRunning(t *testing.T, machine *Machine) Dispatch {
-	only[Pick](t, machine.Start(0))
-	return only[Dispatch](t, machine.Picked(0, engineNamed("e1"), nil))
+	requireOne[Pick](t, machine.Start(0))
+	return requireOne[Dispatch](t, machine.Picked(0, testEngine("e1"), nil))
 }
 
-func TestAResumedAnswerGoesOnWhereItBroke(t *testing.T) {
+func TestAnswerResumesAfterLastRelayedToken(t *testing.T) {
 	machine := newTestMachine()
 	first := startRunning(t, machine)
 	tokens := answerOfVersion("1")
 	machine.AttemptAccepted(0, first.AttemptID, "1")
-	require.Equal(t, tokens[:5], only[Relay](t, machine.Piece(0, first.AttemptID, 0, tokens[:5])).Tokens)
-	pick := only[Pick](t, machine.AttemptBroken(1, first.AttemptID, true, "reset"))
+	require.Equal(t, tokens[:5], requireOne[Relay](t, machine.Piece(0, first.AttemptID, 0, tokens[:5])).Tokens)
+	pick := requireOne[Pick](t, machine.AttemptBroken(1, first.AttemptID, true, "reset"))
 	require.Equal(t, Pick{Version: "1", Excluded: []string{"e1"}, Relayed: 5}, pick)
-	second := only[Dispatch](t, machine.Picked(1, engineNamed("e2"), nil))
+	second := requireOne[Dispatch](t, machine.Picked(1, testEngine("e2"), nil))
 	require.NotEqual(t, first.AttemptID, second.AttemptID)
 	require.Equal(t, 5, second.ResumeOffset)
 	require.Equal(t, "1", second.Version)
-	require.Empty(t, machine.Piece(1, first.AttemptID, 5, tokens[5:6]), "a late piece of the broken attempt")
+	require.Empty(t, machine.Piece(1, first.AttemptID, 5, tokens[5:6]), "a late piece of the failed attempt is ignored")
 	machine.AttemptAccepted(1, second.AttemptID, "1")
-	require.Equal(t, tokens[5:], only[Relay](t, machine.Piece(1, second.AttemptID, 5, tokens[5:])).Tokens)
-	finish := only[Finish](t, machine.End(2, second.AttemptID, testTokens, engineapi.FinishStop, 3, 1))
+	require.Equal(t, tokens[5:], requireOne[Relay](t, machine.Piece(1, second.AttemptID, 5, tokens[5:])).Tokens)
+	finish := requireOne[Finish](t, machine.End(2, second.AttemptID, testTokens, engineapi.FinishStop, 3, 1))
 	require.Equal(t, Usage{PromptTokens: 3, CachedTokens: 1, OutputTokens: testTokens}, finish.Usage)
 	require.True(t, machine.Done())
 }
 
-func TestAnotherVersionNeverGoesOn(t *testing.T) {
+func TestAnswerIsNotResumedByAnotherVersion(t *testing.T) {
 	machine := newTestMachine()
 	first := startRunning(t, machine)
 	machine.AttemptAccepted(0, first.AttemptID, "1")
 	machine.Piece(0, first.AttemptID, 0, answerOfVersion("1")[:2])
 	machine.AttemptBroken(1, first.AttemptID, true, "reset")
-	second := only[Dispatch](t, machine.Picked(1, engineNamed("e2"), nil))
+	second := requireOne[Dispatch](t, machine.Picked(1, testEngine("e2"), nil))
 	outputs := machine.AttemptAccepted(1, second.AttemptID, "2")
-	require.Equal(t, second.AttemptID, only[Cancel](t, outputs).AttemptID)
-	only[Pick](t, outputs)
+	require.Equal(t, second.AttemptID, requireOne[Cancel](t, outputs).AttemptID)
+	requireOne[Pick](t, outputs)
 }
 
-func TestTwoStagesHandTheCacheOver(t *testing.T) {
+func TestPrefillPassesKVCacheToDecode(t *testing.T) {
 	machine := newTestMachine()
 	machine.Start(0)
-	reader := engineNamed("p1")
-	prefill := only[Dispatch](t, machine.Picked(0, engineNamed("d1"), &reader))
+	prefillEngine := testEngine("p1")
+	prefill := requireOne[Dispatch](t, machine.Picked(0, testEngine("d1"), &prefillEngine))
 	require.True(t, prefill.Prefill)
 	kv := engineapi.KVSource{Address: "127.0.0.1:9", Handle: "h"}
-	decode := only[Dispatch](t, machine.PrefillDone(1, prefill.AttemptID, "1", kv))
+	decode := requireOne[Dispatch](t, machine.PrefillDone(1, prefill.AttemptID, "1", kv))
 	require.Equal(t, "d1", decode.Engine.ID)
 	require.Equal(t, &kv, decode.KV)
 	require.Equal(t, "1", decode.Version)
-	again := only[Dispatch](t, machine.AttemptRefused(2, decode.AttemptID, engineapi.RefusalKVMissing))
+	again := requireOne[Dispatch](t, machine.AttemptRefused(2, decode.AttemptID, engineapi.RefusalKVMissing))
 	require.Equal(t, "d1", again.Engine.ID)
-	require.Nil(t, again.KV, "the prompt is read anew")
+	require.Nil(t, again.KV, "the prompt is prefilled again")
 }
 
-func TestAnEndBeforeTheLastTokenIsResumed(t *testing.T) {
+func TestPrematureEndIsResumed(t *testing.T) {
 	machine := newTestMachine()
 	first := startRunning(t, machine)
 	machine.AttemptAccepted(0, first.AttemptID, "1")
 	machine.Piece(0, first.AttemptID, 0, answerOfVersion("1")[:5])
 	outputs := machine.End(1, first.AttemptID, testTokens, engineapi.FinishStop, 1, 0)
-	only[Cancel](t, outputs)
-	require.Equal(t, 5, only[Pick](t, outputs).Relayed)
+	requireOne[Cancel](t, outputs)
+	require.Equal(t, 5, requireOne[Pick](t, outputs).Relayed)
 }
 
-func TestRefusalsSayTheTruth(t *testing.T) {
+func TestRefusalKindAndRan(t *testing.T) {
 	cases := []struct {
 		name  string
 		steps func(t *testing.T, m *Machine) []Output
@@ -134,24 +134,24 @@
 		{"every engine refused", func(t *testing.T, m *Machine) []Output {
 			outputs := m.AttemptRefused(0, startRunning(t, m).AttemptID, engineapi.RefusalOverloaded)
 			for range 3 {
-				only[Pick](t, outputs)
-				next := only[Dispatch](t, m.Picked(0, engineNamed("e2"), nil))
+				requireOne[Pick](t, outputs)
+				next := requireOne[Dispatch](t, m.Picked(0, testEngine("e2"), nil))
 				outputs = m.AttemptRefused(0, next.AttemptID, engineapi.RefusalOverloaded)
 			}
 			return outputs
 		}, failure.BackEndRefused, failure.RanNo},
-		{"a silent engine", func(t *testing.T, m *Machine) []Output {
+		{"an engine that sends nothing", func(t *testing.T, m *Machine) []Output {
 			startRunning(t, m)
 			m.Tick(time.Second)
 			return m.Tick(time.Minute)
 		}, failure.DeadlineExceeded, failure.RanUnknown},
-		{"the deadline in mid-stream", func(t *testing.T, m *Machine) []Output {
+		{"the deadline passes during the stream", func(t *testing.T, m *Machine) []Output {
 			running := startRunning(t, m)
 			m.AttemptAccepted(0, running.AttemptID, "1")
 			m.Piece(0, running.AttemptID, 0, []string{"x"})
 			return m.Tick(time.Minute)
 		}, failure.DeadlineExceeded, failure.RanYes},
-		{"never sent is not believed after the first byte", func(t *testing.T, m *Machine) []Output {
+		{"not handed over is ignored after the first byte", func(t *testing.T, m *Machine) []Output {
 			running := startRunning(t, m)
 			m.HandedOver(running.AttemptID)
 			m.AttemptBroken(0, running.AttemptID, false, "")
@@ -166,20 +166,22 @@
 	}
 	for _, each := range cases {
 		t.Run(each.name, func(t *testing.T) {
-			refusal := only[Refuse](t, each.steps(t, newTestMachine()))
+			refusal := requireOne[Refuse](t, each.steps(t, newTestMachine()))
 			require.Equal(t, each.kind, refusal.Kind)
 			require.Equal(t, each.ran, refusal.Ran)
 		})
 	}
 }
 
-// history is what has truly happened in a property test.
+// history records what has happened in a property test, to check the machine's
+// outputs.
 type history struct {
 	t       *rapid.T
 	machine *Machine
 	now     time.Duration
 	relayed []string
-	// attempts are all that were dispatched, with the version that answers.
+	// attempts are all dispatched attempts; versions holds the model version that
+	// answers each.
 	attempts []Dispatch
 	versions map[string]string
 	// mayHaveRun holds attempts that were handed over and not refused.
@@ -187,79 +189,81 @@
 	finished   bool
 }
 
-func (h *history) take(outputs []Output) {
+func (h *history) apply(outputs []Output) {
 	for index := 0; index < len(outputs); index++ {
-		switch asked := outputs[index].(type) {
+		switch output := outputs[index].(type) {
 		case Pick:
-			defer h.pick(asked)
+			defer h.answerPick(output)
 		case Dispatch:
-			h.attempts = append(h.attempts, asked)
-			h.versions[asked.AttemptID] = h.version(asked)
-			h.mayHaveRun[asked.AttemptID] = true
+			h.attempts = append(h.attempts, output)
+			h.versions[output.AttemptID] = h.drawVersion(output)
+			h.mayHaveRun[output.AttemptID] = true
 		case Relay:
-			h.relayed = append(h.relayed, asked.Tokens...)
+			h.relayed = append(h.relayed, output.Tokens...)
 		case Finish:
 			require.False(h.t, h.finished)
 			h.finished = true
 		case Refuse:
-			if asked.Ran == failure.RanNo {
+			if output.Ran == failure.RanNo {
 				require.Empty(h.t, h.relayed)
 				for id, may := range h.mayHaveRun {
-					require.False(h.t, may, "not run is claimed, but %s may have run", id)
+					require.False(h.t, may, "reported as not run, but %s may have run", id)
 				}
 			}
 		}
 	}
 }
 
-func (h *history) version(asked Dispatch) string {
-	if asked.Version != "" && rapid.IntRange(0, 3).Draw(h.t, "honest") > 0 {
-		return asked.Version
+func (h *history) drawVersion(dispatch Dispatch) string {
+	if dispatch.Version != "" && rapid.IntRange(0, 3).Draw(h.t, "requested version") > 0 {
+		return dispatch.Version
 	}
 	return rapid.SampledFrom([]string{"1", "2"}).Draw(h.t, "version")
 }
 
-func (h *history) pick(Pick) {
-	if rapid.IntRange(0, 5).Draw(h.t, "none") == 0 {
-		h.take(h.machine.NoBackEnd(h.now, 0))
+func (h *history) answerPick(Pick) {
+	if rapid.IntRange(0, 5).Draw(h.t, "no engine") == 0 {
+		h.apply(h.machine.NoBackEnd(h.now, 0))
 		return
 	}
-	engine := engineNamed(rapid.SampledFrom([]string{"e1", "e2", "e3"}).Draw(h.t, "engine"))
+	engine := testEngine(rapid.SampledFrom([]string{"e1", "e2", "e3"}).Draw(h.t, "engine"))
 	var prefill *Engine
 	if rapid.IntRange(0, 3).Draw(h.t, "stages") == 0 {
-		reader := engineNamed("p1")
-		prefill = &reader
+		prefillEngine := testEngine("p1")
+		prefill = &prefillEngine
 	}
-	h.take(h.machine.Picked(h.now, engine, prefill))
+	h.apply(h.machine.Picked(h.now, engine, prefill))
 }
 
-// nextEvent is what a faultless engine would say next, now and then cut short.
-func (h *history) nextEvent(newest Dispatch) {
+// expectedEvent applies the next event that a correct engine would send, or
+// sometimes a premature end of the answer.
+func (h *history) expectedEvent(newest Dispatch) {
 	id, version := newest.AttemptID, h.versions[newest.AttemptID]
 	from := len(h.relayed)
 	switch {
 	case newest.Prefill:
-		h.take(h.machine.PrefillDone(h.now, id, version, engineapi.KVSource{Handle: id}))
+		h.apply(h.machine.PrefillDone(h.now, id, version, engineapi.KVSource{Handle: id}))
 	case !h.machine.current.accepted:
-		h.take(h.machine.AttemptAccepted(h.now, id, version))
+		h.apply(h.machine.AttemptAccepted(h.now, id, version))
 	case rapid.IntRange(0, 9).Draw(h.t, "ends early") == 0:
-		h.take(h.machine.End(h.now, id, testTokens, engineapi.FinishStop, 1, 0))
+		h.apply(h.machine.End(h.now, id, testTokens, engineapi.FinishStop, 1, 0))
 	case from < testTokens:
 		to := rapid.IntRange(from+1, testTokens).Draw(h.t, "next to")
-		h.take(h.machine.Piece(h.now, id, from, answerOfVersion(version)[from:to]))
+		h.apply(h.machine.Piece(h.now, id, from, answerOfVersion(version)[from:to]))
 	default:
-		h.take(h.machine.End(h.now, id, testTokens, engineapi.FinishStop, 1, 0))
+		h.apply(h.machine.End(h.now, id, testTokens, engineapi.FinishStop, 1, 0))
 	}
 }
 
-// event draws an event of any attempt so far, true to its version but at any
-// time, in any order, any number of times, whole or not.
-func (h *history) event() {
+// drawEvent applies an expected event of the newest attempt or a random event of any
+// attempt. A random event has the attempt's version, but may come at any time, in
+// any order and any number of times, with any part of the answer.
+func (h *history) drawEvent() {
 	if len(h.attempts) == 0 {
 		return
 	}
 	if rapid.IntRange(0, 9).Draw(h.t, "in order") > 2 {
-		h.nextEvent(h.attempts[len(h.attempts)-1])
+		h.expectedEvent(h.attempts[len(h.attempts)-1])
 		return
 	}
 	chosen := h.attempts[rapid.IntRange(0, len(h.attempts)-1).Draw(h.t, "attempt")]
@@ -267,31 +271,31 @@
 	tokens := answerOfVersion(version)
 	switch rapid.IntRange(0, 9).Draw(h.t, "event") {
 	case 0, 1:
-		h.take(h.machine.AttemptAccepted(h.now, id, version))
+		h.apply(h.machine.AttemptAccepted(h.now, id, version))
 	case 2, 3, 4, 5:
 		from := rapid.IntRange(0, testTokens-1).Draw(h.t, "from")
 		if rapid.Bool().Draw(h.t, "next") {
 			from = min(len(h.relayed), testTokens-1)
 		}
 		to := rapid.IntRange(from, testTokens).Draw(h.t, "to")
-		h.take(h.machine.Piece(h.now, id, from, tokens[from:to]))
+		h.apply(h.machine.Piece(h.now, id, from, tokens[from:to]))
 	case 6:
-		h.take(h.machine.End(h.now, id, testTokens, engineapi.FinishStop, 1, 0))
+		h.apply(h.machine.End(h.now, id, testTokens, engineapi.FinishStop, 1, 0))
 	case 7:
-		h.take(h.machine.AttemptBroken(h.now, id, true, ""))
+		h.apply(h.machine.AttemptBroken(h.now, id, true, ""))
 	case 8:
 		if current, _, running := h.machine.Current(); running && current == id && !h.machine.current.accepted {
 			h.mayHaveRun[id] = false
 		}
 		reason := rapid.SampledFrom([]engineapi.RefusalReason{engineapi.RefusalOverloaded, engineapi.RefusalKVMissing}).Draw(h.t, "reason")
-		h.take(h.machine.AttemptRefused(h.now, id, reason))
+		h.apply(h.machine.AttemptRefused(h.now, id, reason))
 	case 9:
-		h.take(h.machine.PrefillDone(h.now, id, version, engineapi.KVSource{Handle: id}))
+		h.apply(h.machine.PrefillDone(h.now, id, version, engineapi.KVSource{Handle: id}))
 	}
 }
 
-// move moves the current attempt, now and then with two stages.
-func (h *history) move() {
+// drawMove moves the current attempt, sometimes with two stages.
+func (h *history) drawMove() {
 	pick, movable := h.machine.MovePick()
 	if !movable {
 		return
@@ -299,37 +303,37 @@
 	_, engine, _ := h.machine.Current()
 	require.Contains(h.t, pick.Excluded, engine.ID)
 	var prefill *Engine
-	if !pick.DecodeOnly && rapid.Bool().Draw(h.t, "moved in stages") {
-		reader := engineNamed("p2")
-		prefill = &reader
+	if !pick.DecodeOnly && rapid.Bool().Draw(h.t, "move with prefill") {
+		prefillEngine := testEngine("p2")
+		prefill = &prefillEngine
 	}
-	h.take(h.machine.Move(h.now, engineNamed("e4"), prefill))
+	h.apply(h.machine.Move(h.now, testEngine("e4"), prefill))
 	if rapid.Bool().Draw(h.t, "events meanwhile") {
-		h.event()
+		h.drawEvent()
 	}
 	var kv *engineapi.KVSource
 	if rapid.Bool().Draw(h.t, "exported") {
 		kv = &engineapi.KVSource{Handle: "moved"}
 	}
 	if id, _, running := h.machine.Current(); running && rapid.Bool().Draw(h.t, "answered") {
-		h.take(h.machine.Exported(h.now, id, kv))
+		h.apply(h.machine.Exported(h.now, id, kv))
 	}
 }
 
-func TestTheRelayedTextIsAlwaysAPrefixOfTheAnswer(t *testing.T) {
+func TestRelayedTokensArePrefixOfAnswer(t *testing.T) {
 	finished, resumed := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		h := &history{t: t, machine: newTestMachine(), versions: map[string]string{}, mayHaveRun: map[string]bool{}}
-		h.take(h.machine.Start(0))
+		h.apply(h.machine.Start(0))
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 11).Draw(t, "kind") {
 			case 0:
 				h.now += time.Duration(rapid.IntRange(0, 1500).Draw(t, "wait")) * time.Millisecond
-				h.take(h.machine.Tick(h.now))
+				h.apply(h.machine.Tick(h.now))
 			case 1:
-				h.move()
+				h.drawMove()
 			default:
-				h.event()
+				h.drawEvent()
 			}
 			require.LessOrEqual(t, len(h.relayed), testTokens)
 			if len(h.relayed) > 0 {
@@ -344,6 +348,6 @@
 			require.Equal(t, answerOfVersion(h.machine.version), h.relayed)
 		}
 	})
-	t.Logf("%d answers were whole, %d of them after more than one attempt", finished, resumed)
-	require.NotZero(t, resumed, "the property was never tried on a resumed answer")
+	t.Logf("%d answers were complete, %d of them after more than one attempt", finished, resumed)
+	require.NotZero(t, resumed, "no answer was resumed, so the property was not tested")
 }
--- a/internal/request/onceonly.go
+++ b/internal/request/onceonly.go
@@ -7,32 +7,34 @@
 	"github.com/pierhaven/pierhaven/internal/wire"
 )
 
-// OnceOnly is the state of one non-repeatable request under one attempt id: its
-// claim is committed before its one dispatch, and the claim ends by the stored
-// answer, by a release with proof that nothing ran, or as unknown.
+// OnceOnly is the state of one non-repeatable request under one attempt id. Its
+// claim is committed before its only dispatch. The claim ends with the stored
+// answer, with a release and proof that nothing ran, or with an unknown outcome.
 //
-// It may go on after its caller has been answered, until the claim has ended;
-// Done says when.
+// The machine may continue after the caller has been answered, until the claim has
+// ended and Done reports true.
 type OnceOnly struct {
 	parameters OnceOnlyParameters
 	phase      oncePhase
-	claimedAt  time.Duration
-	resends    int
-	// maybeClaimed is set if a claim may have been committed without a reply.
-	maybeClaimed bool
+	// claimedAt is when the claim was first sent.
+	claimedAt    time.Duration
+	claimResends int
+	// mayBeClaimed is set if a claim may have been committed without a reply.
+	mayBeClaimed bool
 	handedOver   bool
-	// told is set once the caller has its final answer, or has gone.
-	told    bool
-	outputs []OnceOutput
+	// callerAnswered is set once the caller has its final answer or has
+	// disconnected.
+	callerAnswered bool
+	outputs        []OnceOutput
 }
 
-// OnceOnlyParameters of one non-repeatable request.
+// OnceOnlyParameters are the parameters of one non-repeatable request.
 type OnceOnlyParameters struct {
 	// AttemptID is unique over all attempts of all processes.
 	AttemptID string
-	// Deadline is when the caller stops waiting, 0 for never.
+	// Deadline is when the caller stops waiting, 0 for none.
 	Deadline time.Duration
-	// ClaimResends bounds the claims sent again after a lost reply.
+	// ClaimResends bounds how often the claim is sent again after a lost reply.
 	ClaimResends int
 }
 
@@ -45,49 +47,49 @@
 	onceDone
 )
 
-// OnceOutput is one thing that a OnceOnly asks its surroundings to do.
+// OnceOutput is one action that a OnceOnly requests.
 type OnceOutput interface{ onceOutput() }
 
-// SendClaim asks to send the claim; the answer is given to Claimed or
-// ClaimFailed.
+// SendClaim asks to send the claim. The result goes to Claimed or ClaimFailed.
 type SendClaim struct{ AttemptID string }
 
-// DispatchOnce asks to hand the request to one back end. No byte may be written
-// after By. The answer is given to Answered, Refused or Broken.
+// DispatchOnce asks to send the request to one back end. No byte may be written
+// after By. The result goes to Answered, Refused, NotSent or Broken.
 type DispatchOnce struct {
 	AttemptID string
 	By        time.Duration
 }
 
-// StoreAnswer asks to complete the claim with the answer of its run.
+// StoreAnswer asks to complete the claim with the answer of its execution.
 type StoreAnswer struct {
 	AttemptID string
 	Status    int
 	Body      []byte
 }
 
-// EndClaim asks to release the claim. NotRun is true if the request provably
-// has not run and never will under this attempt; false marks it unknown.
+// EndClaim asks to end the claim without an answer. NotRun is true if the request
+// provably has not run and never will under this attempt, which releases the claim;
+// otherwise its outcome is recorded as unknown.
 type EndClaim struct {
 	AttemptID string
 	NotRun    bool
 }
 
-// AnswerOnce gives the caller the answer of the run, or the stored one of an
-// earlier run.
+// AnswerOnce asks to send the caller the answer of the execution or, if Stored is
+// set, the stored answer of an earlier one.
 type AnswerOnce struct {
 	Status int
 	Body   []byte
 	Stored bool
 }
 
-// RefuseOnce gives the caller a failure.
+// RefuseOnce asks to send the caller a failure.
 type RefuseOnce struct {
 	Kind   failure.Kind
 	Ran    failure.Ran
 	Detail string
-	// Retriable is set if the claim was released and a new attempt may be made
-	// at once.
+	// Retriable is set if the claim is released and a new attempt may be made
+	// immediately.
 	Retriable bool
 }
 
@@ -103,15 +105,17 @@
 	return &OnceOnly{parameters: parameters}
 }
 
-// Done reports whether the claim has ended and the caller has been told.
+// Done reports whether the claim has ended and the caller has been answered or has
+// disconnected.
 func (o *OnceOnly) Done() bool { return o.phase == onceDone }
 
-// Told reports whether the caller has its final answer or has gone.
-func (o *OnceOnly) Told() bool { return o.told }
+// CallerAnswered reports whether the caller has its final answer or has
+// disconnected.
+func (o *OnceOnly) CallerAnswered() bool { return o.callerAnswered }
 
-// Start begins with the claim.
+// Start starts the request with its claim.
 func (o *OnceOnly) Start(now time.Duration) []OnceOutput {
-	o.begin()
+	o.resetOutputs()
 	if o.phase != onceNew {
 		return o.outputs
 	}
@@ -121,14 +125,14 @@
 	return o.outputs
 }
 
-// Claimed takes the reply to the claim.
+// Claimed handles the reply to the claim.
 func (o *OnceOnly) Claimed(now time.Duration, reply *wire.ClaimReply) []OnceOutput {
-	o.begin()
+	o.resetOutputs()
 	if o.phase != onceClaiming {
 		return o.outputs
 	}
 	if reply.Status == wire.ClaimGranted {
-		o.granted(now, time.Duration(reply.DispatchMillis)*time.Millisecond)
+		o.handleGrant(now, time.Duration(reply.DispatchMillis)*time.Millisecond)
 		return o.outputs
 	}
 	o.phase = onceDone
@@ -136,7 +140,7 @@
 		o.answer(AnswerOnce{Status: reply.AnswerStatus, Body: reply.AnswerBody, Stored: true})
 		return o.outputs
 	}
-	if o.maybeClaimed && mayBeGrantedLater[reply.Status] {
+	if o.mayBeClaimed && mayBeGrantedLater[reply.Status] {
 		o.emit(EndClaim{AttemptID: o.parameters.AttemptID, NotRun: true})
 	}
 	refusal, found := claimRefusals[reply.Status]
@@ -147,8 +151,8 @@
 	return o.outputs
 }
 
-// claimRefusals are the answers to claims that were not granted. Ran speaks of
-// the key: a request that was sent before under it may have run.
+// claimRefusals are the failures for claims that were not granted. Ran is about the
+// idempotency key: an earlier request with that key may have run.
 var claimRefusals = map[wire.ClaimStatus]RefuseOnce{
 	wire.ClaimInProgress: {Kind: failure.InProgress, Ran: failure.RanUnknown},
 	wire.ClaimUnknown:    {Kind: failure.OutcomeUnknown, Ran: failure.RanUnknown},
@@ -160,9 +164,9 @@
 	wire.ClaimReleased:   {Kind: failure.NotReady, Ran: failure.RanUnknown, Detail: "the claim had been given back"},
 }
 
-// mayBeGrantedLater are the replies after which an earlier sending of the claim, if
-// it is still under way, could be granted: the key may have come free by then.
-// Nobody would use that grant, so the attempt is given back.
+// mayBeGrantedLater are the replies after which an earlier copy of the claim that is
+// still in flight could be granted, because the key may be free by then. Nothing
+// would use that grant, so the claim is released.
 var mayBeGrantedLater = map[wire.ClaimStatus]bool{
 	wire.ClaimInProgress: true,
 	wire.ClaimReused:     true,
@@ -170,33 +174,34 @@
 	wire.ClaimNotReady:   true,
 }
 
-// granted dispatches, unless the caller has been told otherwise or the window
-// has passed. The window counts from the first sending of the claim.
-func (o *OnceOnly) granted(now, window time.Duration) {
-	by := o.claimedAt + window
-	if o.told || now >= by {
-		o.notRun(failure.DeadlineExceeded, "the time to dispatch had passed", false)
+// handleGrant dispatches the request, unless the caller has been answered or has
+// disconnected, or the dispatch window has passed. The window starts when the claim
+// was first sent.
+func (o *OnceOnly) handleGrant(now, window time.Duration) {
+	deadline := o.claimedAt + window
+	if o.callerAnswered || now >= deadline {
+		o.endNotRun(failure.DeadlineExceeded, "the time to dispatch had passed", false)
 		return
 	}
 	o.phase = onceDispatched
-	o.emit(DispatchOnce{AttemptID: o.parameters.AttemptID, By: by})
+	o.emit(DispatchOnce{AttemptID: o.parameters.AttemptID, By: deadline})
 }
 
-// ClaimFailed says that the claim got no usable reply. delivered is false if it
-// certainly was not carried out.
+// ClaimFailed handles a claim without a usable reply. delivered is false if the
+// claim was certainly not committed.
 func (o *OnceOnly) ClaimFailed(_ time.Duration, kind failure.Kind, delivered bool, detail string) []OnceOutput {
-	o.begin()
+	o.resetOutputs()
 	if o.phase != onceClaiming {
 		return o.outputs
 	}
-	o.maybeClaimed = o.maybeClaimed || delivered
-	if delivered && !o.told && o.resends < o.parameters.ClaimResends {
-		// The group grants a claim again to the same attempt id.
-		o.resends++
+	o.mayBeClaimed = o.mayBeClaimed || delivered
+	if delivered && !o.callerAnswered && o.claimResends < o.parameters.ClaimResends {
+		// The zone group grants a claim again to the same attempt id.
+		o.claimResends++
 		o.emit(SendClaim{AttemptID: o.parameters.AttemptID})
 		return o.outputs
 	}
-	if o.maybeClaimed {
+	if o.mayBeClaimed {
 		// Nothing was dispatched under this attempt, and nothing will be.
 		o.emit(EndClaim{AttemptID: o.parameters.AttemptID, NotRun: true})
 	}
@@ -206,22 +211,23 @@
 	return o.outputs
 }
 
-// HandedOver says that the first byte was written. From then on no claim that it
-// was never sent is believed.
+// HandedOver records that the first byte was written. From then on NotSent counts as
+// an unknown outcome.
 func (o *OnceOnly) HandedOver() {
 	if o.phase == onceDispatched {
 		o.handedOver = true
 	}
 }
 
-// Answered takes the back end's answer, which names the attempt that it is of.
+// Answered handles the back end's answer; attemptID is the attempt that the answer
+// names.
 func (o *OnceOnly) Answered(_ time.Duration, attemptID string, status int, body []byte) []OnceOutput {
-	o.begin()
+	o.resetOutputs()
 	if o.phase != onceDispatched {
 		return o.outputs
 	}
 	if attemptID != o.parameters.AttemptID {
-		o.unknown("the answer was of another attempt")
+		o.endUnknown("the answer was of another attempt")
 		return o.outputs
 	}
 	o.phase = onceDone
@@ -230,56 +236,56 @@
 	return o.outputs
 }
 
-// Refused takes a back end's refusal, which proves that nothing ran if it names
-// the attempt.
+// Refused handles a back end's refusal, which proves that nothing ran if it names
+// this attempt.
 func (o *OnceOnly) Refused(_ time.Duration, attemptID, reason string) []OnceOutput {
-	o.begin()
+	o.resetOutputs()
 	if o.phase != onceDispatched {
 		return o.outputs
 	}
 	if attemptID != o.parameters.AttemptID {
-		o.unknown("the refusal was of another attempt")
+		o.endUnknown("the refusal was of another attempt")
 		return o.outputs
 	}
-	o.notRun(failure.BackEndRefused, reason, true)
+	o.endNotRun(failure.BackEndRefused, reason, true)
 	return o.outputs
 }
 
-// NotSent says that no byte was written, for want of a back end (kind NoBackEnd)
-// or because none could be reached.
+// NotSent handles a request of which no byte was written, because there is no back
+// end (kind NoBackEnd) or none could be reached.
 func (o *OnceOnly) NotSent(_ time.Duration, kind failure.Kind, detail string) []OnceOutput {
-	o.begin()
+	o.resetOutputs()
 	if o.phase != onceDispatched {
 		return o.outputs
 	}
 	if o.handedOver {
-		o.unknown(detail)
+		o.endUnknown(detail)
 		return o.outputs
 	}
-	o.notRun(kind, detail, true)
+	o.endNotRun(kind, detail, true)
 	return o.outputs
 }
 
-// Broken says that the connection failed after bytes may have been written.
+// Broken handles a connection failure after bytes may have been written.
 func (o *OnceOnly) Broken(_ time.Duration, detail string) []OnceOutput {
-	o.begin()
+	o.resetOutputs()
 	if o.phase == onceDispatched {
-		o.unknown(detail)
+		o.endUnknown(detail)
 	}
 	return o.outputs
 }
 
-// CallerGone says that nobody waits for the answer. What has been dispatched is
-// waited for, so that its answer is stored.
+// CallerGone records that the caller has disconnected. A request that has been
+// dispatched continues, so that its answer is stored.
 func (o *OnceOnly) CallerGone(time.Duration) []OnceOutput {
-	o.begin()
-	o.told = true
+	o.resetOutputs()
+	o.callerAnswered = true
 	return o.outputs
 }
 
-// Tick tells the time; at the deadline the caller gets its final answer.
+// Tick handles the passing of time: at the deadline the caller gets a failure.
 func (o *OnceOnly) Tick(now time.Duration) []OnceOutput {
-	o.begin()
+	o.resetOutputs()
 	if o.phase == onceDone || o.parameters.Deadline <= 0 || now < o.parameters.Deadline {
 		return o.outputs
 	}
@@ -287,37 +293,39 @@
 	return o.outputs
 }
 
-func (o *OnceOnly) begin() {
+func (o *OnceOnly) resetOutputs() {
 	clear(o.outputs)
 	o.outputs = o.outputs[:0]
 }
 
 func (o *OnceOnly) emit(output OnceOutput) { o.outputs = append(o.outputs, output) }
 
-func (o *OnceOnly) notRun(kind failure.Kind, detail string, retriable bool) {
+// endNotRun ends the claim with proof that the request has not run.
+func (o *OnceOnly) endNotRun(kind failure.Kind, detail string, retriable bool) {
 	o.phase = onceDone
 	o.emit(EndClaim{AttemptID: o.parameters.AttemptID, NotRun: true})
 	o.refuse(RefuseOnce{Kind: kind, Ran: failure.RanNo, Detail: detail, Retriable: retriable})
 }
 
-func (o *OnceOnly) unknown(detail string) {
+// endUnknown ends the claim with an unknown outcome.
+func (o *OnceOnly) endUnknown(detail string) {
 	o.phase = onceDone
 	o.emit(EndClaim{AttemptID: o.parameters.AttemptID, NotRun: false})
 	o.refuse(RefuseOnce{Kind: failure.OutcomeUnknown, Ran: failure.RanUnknown, Detail: detail})
 }
 
 func (o *OnceOnly) answer(answer AnswerOnce) {
-	if o.told {
+	if o.callerAnswered {
 		return
 	}
-	o.told = true
+	o.callerAnswered = true
 	o.emit(answer)
 }
 
 func (o *OnceOnly) refuse(refusal RefuseOnce) {
-	if o.told {
+	if o.callerAnswered {
 		return
 	}
-	o.told = true
+	o.callerAnswered = true
 	o.emit(refusal)
 }
--- a/internal/request/onceonly_test.go
+++ b/internal/request/onceonly_test.go
@@ -46,19 +46,19 @@
 			return o.Refused(2, onceAttempt, "leaving")
 		}, []OnceOutput{EndClaim{onceAttempt, true},
 			RefuseOnce{Kind: failure.BackEndRefused, Ran: failure.RanNo, Detail: "leaving", Retriable: true}}},
-		{"not sent, said after handing over", func(o *OnceOnly) []OnceOutput {
+		{"not sent, but handed over before", func(o *OnceOnly) []OnceOutput {
 			dispatched(o)
 			o.HandedOver()
 			return o.NotSent(2, failure.NoBackEnd, "odd")
 		}, []OnceOutput{EndClaim{onceAttempt, false},
 			RefuseOnce{Kind: failure.OutcomeUnknown, Ran: failure.RanUnknown, Detail: "odd"}}},
-		{"in progress, after a claim that may still be under way", func(o *OnceOnly) []OnceOutput {
+		{"in progress, after a claim that may still be in flight", func(o *OnceOnly) []OnceOutput {
 			o.Start(0)
 			o.ClaimFailed(1, failure.NoQuorum, true, "timeout")
 			return o.Claimed(2, &wire.ClaimReply{Status: wire.ClaimInProgress})
 		}, []OnceOutput{EndClaim{onceAttempt, true},
 			RefuseOnce{Kind: failure.InProgress, Ran: failure.RanUnknown}}},
-		{"in progress, with no other claim under way", func(o *OnceOnly) []OnceOutput {
+		{"in progress, without another claim in flight", func(o *OnceOnly) []OnceOutput {
 			o.Start(0)
 			return o.Claimed(2, &wire.ClaimReply{Status: wire.ClaimInProgress})
 		}, []OnceOutput{RefuseOnce{Kind: failure.InProgress, Ran: failure.RanUnknown}}},
@@ -72,7 +72,7 @@
 			return o.Claimed(time.Second, grantedReply())
 		}, []OnceOutput{EndClaim{onceAttempt, true},
 			RefuseOnce{Kind: failure.DeadlineExceeded, Ran: failure.RanNo, Detail: "the time to dispatch had passed"}}},
-		{"granted after the caller went", func(o *OnceOnly) []OnceOutput {
+		{"granted after the caller disconnected", func(o *OnceOnly) []OnceOutput {
 			o.Start(0)
 			o.CallerGone(1)
 			return o.Claimed(2, grantedReply())
@@ -104,33 +104,33 @@
 	}
 }
 
-// Whatever comes in whatever order: one dispatch at most, inside the window, one
-// answer at most, and "not run" only if nothing was handed over or the back end
-// refused this very attempt.
-func TestOnceOnlyHoldsItsRules(t *testing.T) {
+// For any sequence of events there is at most one dispatch, within the window, at
+// most one answer to the caller and one end of the claim, and "not run" only if
+// nothing was handed over or the back end refused this attempt.
+func TestOnceOnlyInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		once := newTestOnce()
 		now := time.Duration(0)
-		dispatches, told, ends := 0, 0, 0
+		dispatches, callerAnswers, ends := 0, 0, 0
 		handedOver, refusedWithProof, granted := false, false, false
 		check := func(outputs []OnceOutput) {
 			for _, output := range outputs {
-				switch asked := output.(type) {
+				switch output := output.(type) {
 				case DispatchOnce:
 					dispatches++
 					require.True(t, granted, "dispatched without a grant")
-					require.Less(t, now, asked.By)
+					require.Less(t, now, output.By)
 				case AnswerOnce:
-					told++
+					callerAnswers++
 				case RefuseOnce:
-					told++
-					if asked.Ran == failure.RanNo && dispatches > 0 {
-						require.True(t, !handedOver || refusedWithProof, "a false not run")
+					callerAnswers++
+					if output.Ran == failure.RanNo && dispatches > 0 {
+						require.True(t, !handedOver || refusedWithProof, "reported as not run, but it may have run")
 					}
 				case EndClaim:
 					ends++
-					if asked.NotRun {
-						require.True(t, !handedOver || refusedWithProof, "a false release")
+					if output.NotRun {
+						require.True(t, !handedOver || refusedWithProof, "released as not run, but it may have run")
 					}
 				case StoreAnswer:
 					ends++
@@ -169,7 +169,7 @@
 			check(once.Tick(now))
 		}
 		require.LessOrEqual(t, dispatches, 1)
-		require.LessOrEqual(t, told, 1)
+		require.LessOrEqual(t, callerAnswers, 1)
 		require.LessOrEqual(t, ends, 1)
 	})
 }
--- a/internal/request/output.go
+++ b/internal/request/output.go
@@ -7,18 +7,20 @@
 	"github.com/pierhaven/pierhaven/internal/failure"
 )
 
-// Output is one thing that a machine asks its surroundings to do.
+// Output is one action that a Machine requests.
 type Output interface{ output() }
 
-// Pick asks for a back end; the answer is given to Picked or NoBackEnd.
+// Pick asks for the engine of the next attempt. The result goes to Picked,
+// NoBackEnd or Rejected.
 type Pick struct {
-	// Version is the only model version that may be picked; empty means any.
+	// Version is the required model version; empty means any.
 	Version string
-	// Excluded lists the engines that have failed this request.
+	// Excluded lists the ids of the engines that must not be picked: those that have
+	// failed this request, or the one that it is moved from.
 	Excluded []string
 	// Relayed is the number of answer tokens that the caller already has.
 	Relayed int
-	// DecodeOnly is set if the prompt's KV cache has been exported already.
+	// DecodeOnly is set if an exported KV cache exists, so that no prefill is needed.
 	DecodeOnly bool
 }
 
@@ -26,51 +28,53 @@
 type Dispatch struct {
 	AttemptID string
 	Engine    Engine
-	// Prefill is set for the first of two stages: the engine reads the prompt
-	// and exports its KV cache; no text comes from it.
+	// Prefill is set for the first of two stages: the engine processes the prompt
+	// and exports its KV cache, but generates no tokens.
 	Prefill bool
-	// Version is what the engine must have loaded; empty means any.
-	Version      string
+	// Version is the model version that the engine must have; empty means any.
+	Version string
+	// ResumeOffset is the index of the first token to generate.
 	ResumeOffset int
-	// KV names the prompt's exported KV cache, nil for none.
+	// KV is the location of the exported KV cache to use, nil for none.
 	KV *engineapi.KVSource
 }
 
-// Relay asks to hand tokens to the caller; they follow those relayed before.
+// Relay asks to send tokens to the caller; they follow those relayed before.
 type Relay struct{ Tokens []string }
 
-// Cancel asks to end an attempt at its engine and to close its connection.
-// Answers of that attempt are ignored from now on.
+// Cancel asks to end an attempt at its engine and to close its connection. Later
+// events of that attempt are ignored.
 //
-// With ExportKV the engine is asked to keep the attempt's KV cache, which is told
-// by Exported; the connection stays open until then, and answers still count.
+// With ExportKV the engine is asked to keep the attempt's KV cache, and the reply
+// goes to Exported; until then the connection stays open and events are handled.
 type Cancel struct {
 	AttemptID string
 	Engine    Engine
-	// Failed is set if the attempt is given up because of its engine.
+	// Failed is set if the engine is the cause of the cancellation.
 	Failed   bool
 	ExportKV bool
 }
 
-// Finish says that the whole answer has been relayed. It is the last output.
+// Finish reports that the complete answer has been relayed. It is the last output.
 type Finish struct {
 	Reason   engineapi.FinishReason
 	Usage    Usage
 	Attempts int
 }
 
-// Refuse says that the request has failed. It is the last output.
+// Refuse reports that the request has failed. It is the last output.
 type Refuse struct {
 	Kind failure.Kind
 	// Ran is what is known about all attempts together.
 	Ran failure.Ran
-	// RetryAfter is the advice to the caller; 0 leaves it to the table.
+	// RetryAfter is the time after which the caller should retry; 0 means the
+	// default of the failure kind.
 	RetryAfter time.Duration
 	Detail     string
 	Attempts   int
 }
 
-// Usage counts the tokens of a whole answer.
+// Usage is the token usage of a complete answer.
 type Usage struct {
 	PromptTokens int
 	CachedTokens int
--- a/internal/request/retry.go
+++ b/internal/request/retry.go
@@ -6,41 +6,43 @@
 	"github.com/pierhaven/pierhaven/internal/failure"
 )
 
-// retry looks for another engine if the policy allows it.
+// retry asks for another engine if the retry policy allows it, and otherwise waits
+// to ask the policy again or refuses the request.
 func (m *Machine) retry(now time.Duration, kind failure.Kind, detail string) []Output {
 	if m.expired(now) {
 		return m.refuse(failure.DeadlineExceeded, 0, "the deadline passed")
 	}
-	decision := m.ask(now, kind)
+	decision := m.askRetryPolicy(now, kind)
 	switch {
 	case decision.Allowed && decision.Delay <= 0:
 		return m.pick()
 	case decision.Allowed:
-		m.wait(now + decision.Delay)
-	case decision.AskAgain && m.relayed > 0 && m.repicks < maximumRepicksRelayed:
-		m.repicks++
-		m.asking, m.lastKind, m.lastDetail = true, kind, detail
-		m.wait(now + max(decision.Delay, repickDelay))
+		m.waitUntil(now + decision.Delay)
+	case decision.AskAgain && m.relayed > 0 && m.pickRetries < maximumPickRetriesRelayed:
+		m.pickRetries++
+		m.policyPending, m.lastKind, m.lastDetail = true, kind, detail
+		m.waitUntil(now + max(decision.Delay, pickRetryDelay))
 	default:
-		return m.refuse(m.exhaustedKind(failure.BackEndRefused), decision.RetryAfter, detail)
+		return m.refuse(m.finalKind(failure.BackEndRefused), decision.RetryAfter, detail)
 	}
 	return m.outputs
 }
 
-// retrySame sends the request to the same engine again, without KV cache.
-func (m *Machine) retrySame(now time.Duration, engine Engine) []Output {
+// retryOnSameEngine dispatches the request to the same engine again, without a KV
+// cache, if the retry policy allows it.
+func (m *Machine) retryOnSameEngine(now time.Duration, engine Engine) []Output {
 	const detail = "the KV cache was missing"
 	if m.expired(now) {
 		return m.refuse(failure.DeadlineExceeded, 0, "the deadline passed")
 	}
-	if decision := m.ask(now, failure.BackEndRefused); !decision.Allowed {
-		return m.refuse(m.exhaustedKind(failure.BackEndRefused), decision.RetryAfter, detail)
+	if decision := m.askRetryPolicy(now, failure.BackEndRefused); !decision.Allowed {
+		return m.refuse(m.finalKind(failure.BackEndRefused), decision.RetryAfter, detail)
 	}
 	m.tries++
 	return m.dispatch(now, engine, false)
 }
 
-func (m *Machine) ask(now time.Duration, kind failure.Kind) RetryDecision {
+func (m *Machine) askRetryPolicy(now time.Duration, kind failure.Kind) RetryDecision {
 	return m.parameters.Retry.MayRetry(now, RetryAttempt{
 		Number:   m.tries,
 		Deadline: m.parameters.Deadline,
@@ -49,26 +51,27 @@
 	})
 }
 
-// exhaustedKind names the failure of a request that makes no further attempt;
-// clean is the kind if provably nothing has run.
-func (m *Machine) exhaustedKind(clean failure.Kind) failure.Kind {
+// finalKind returns the failure kind of a request for which no further attempt is
+// made; kindIfNotRun is the kind if provably nothing has run.
+func (m *Machine) finalKind(kindIfNotRun failure.Kind) failure.Kind {
 	switch {
 	case m.relayed > 0:
 		return failure.AnswerBroken
-	case m.ranYes || m.ranUnknown:
+	case m.hasRun || m.mayHaveRun:
 		return failure.AttemptsExhausted
-	case m.tries > 0 && clean == failure.NoBackEnd:
+	case m.tries > 0 && kindIfNotRun == failure.NoBackEnd:
 		return failure.BackEndRefused
 	default:
-		return clean
+		return kindIfNotRun
 	}
 }
 
+// ran returns what is known about whether any attempt has run.
 func (m *Machine) ran() failure.Ran {
 	switch {
-	case m.ranYes:
+	case m.hasRun:
 		return failure.RanYes
-	case m.ranUnknown:
+	case m.mayHaveRun:
 		return failure.RanUnknown
 	default:
 		return failure.RanNo
