--- a/internal/admission/options.go
+++ b/internal/admission/options.go
@@ -16,11 +16,11 @@
 	// predicted wait no longer fits. An item that stays is refused only at the last
 	// time at which it could be served by its deadline.
 	ReviewShare float64
-	// OverloadShare is the fraction of recent items of which more must have been
-	// refused for the queue to count as overloaded; 0 disables the detection. Long
-	// waits only help with transient bursts: while more requests arrive than can be
-	// served, they only delay refusals ("controlled delay", Maurer, Fail at Scale,
-	// ACM Queue 2015, with refusals in place of a standing queue as the signal).
+	// OverloadShare: the queue counts as overloaded while more than this fraction of
+	// recent items were refused; 0 disables the detection. Long waits only help with
+	// transient bursts: while more requests arrive than can be served, they only
+	// delay refusals ("controlled delay", Maurer, Fail at Scale, ACM Queue 2015,
+	// with refusals in place of a standing queue as the signal).
 	OverloadShare float64
 	// RateTimeConstant is the time constant for smoothing the measured drain rate.
 	RateTimeConstant time.Duration
