--- a/internal/admission/options.go
+++ b/internal/admission/options.go
@@ -11,17 +11,17 @@
 	// Margin is the fraction of the time left before an item's deadline, less its
 	// Service, that the predicted wait may take; the rest covers prediction errors.
 	Margin float64
-	// ReviewShare is the fraction of the time from Item.Since to the deadline after
+	// ReviewFraction is the fraction of the time from Item.Since to the deadline after
 	// which an item is reviewed: it is refused if the queue is overloaded or the
 	// predicted wait no longer fits. An item that stays is refused only at the last
 	// time at which it could be served by its deadline.
-	ReviewShare float64
-	// OverloadShare: the queue counts as overloaded while more than this fraction of
+	ReviewFraction float64
+	// OverloadRefusalRate: the queue counts as overloaded while more than this fraction of
 	// recent items were refused; 0 disables the detection. Long waits only help with
 	// transient bursts: while more requests arrive than can be served, they only
 	// delay refusals ("controlled delay", Maurer, Fail at Scale, ACM Queue 2015,
 	// with refusals in place of a standing queue as the signal).
-	OverloadShare float64
+	OverloadRefusalRate float64
 	// RateTimeConstant is the time constant for smoothing the measured drain rate.
 	RateTimeConstant time.Duration
 	// InitialRate is the drain rate assumed until one has been measured, in cost a
@@ -35,13 +35,13 @@
 // DefaultOptions returns the default settings, which the experiments use too.
 func DefaultOptions() Options {
 	return Options{
-		MaximumItems:       4096,
-		MaximumTenantItems: 2048,
-		Margin:             0.8,
-		ReviewShare:        0.08,
-		OverloadShare:      0.1,
-		RateTimeConstant:   4 * time.Second,
-		MinimumRetryAfter:  250 * time.Millisecond,
-		MaximumRetryAfter:  30 * time.Second,
+		MaximumItems:        4096,
+		MaximumTenantItems:  2048,
+		Margin:              0.8,
+		ReviewFraction:      0.08,
+		OverloadRefusalRate: 0.1,
+		RateTimeConstant:    4 * time.Second,
+		MinimumRetryAfter:   250 * time.Millisecond,
+		MaximumRetryAfter:   30 * time.Second,
 	}
 }
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -93,7 +93,7 @@
 // Overloaded reports whether the refusal rate shows that more requests arrive
 // than can be served, and not only in a transient burst.
 func (q *Queue) Overloaded() bool {
-	return q.options.OverloadShare > 0 && q.refusalRate > q.options.OverloadShare
+	return q.options.OverloadRefusalRate > 0 && q.refusalRate > q.options.OverloadRefusalRate
 }
 
 func (q *Queue) checkBounds(item *Item) *Refusal {
@@ -149,7 +149,7 @@
 func (q *Queue) reviewTime(item *Item) time.Duration {
 	if !item.reviewed {
 		timeLimit := float64(item.Deadline - item.Since)
-		return max(item.offeredAt, item.Since+time.Duration(q.options.ReviewShare*timeLimit))
+		return max(item.offeredAt, item.Since+time.Duration(q.options.ReviewFraction*timeLimit))
 	}
 	return item.Deadline - item.Service
 }
