--- a/internal/coordinator/activity.go
+++ b/internal/coordinator/activity.go
@@ -13,18 +13,18 @@
 	"github.com/pierhaven/pierhaven/internal/region"
 )
 
-// activityInterval is the time between two looks at the demand for active replicas: a burst is met
-// before callers have waited for as long as reading a prompt takes.
+// activityInterval is the interval at which the set of active replicas is planned: a burst is met before
+// callers have waited for as long as the prefill of a prompt takes.
 const activityInterval = 250 * time.Millisecond
 
-// activityKeeper is the leader's work on which replicas take work. It may be used concurrently.
+// activityKeeper plans at the leader which replicas are active. It is safe for concurrent use.
 type activityKeeper struct {
 	mutex   sync.Mutex
 	term    uint64
 	planner *activeset.Planner
 }
 
-// keepActivity has as many replicas take work as the demand needs, at the leader.
+// keepActivity keeps as many replicas active as the demand needs while this coordinator leads.
 func (c *Coordinator) keepActivity(ctx context.Context) {
 	for lifecycle.Sleep(ctx, activityInterval) {
 		if !c.group.Leads() {
@@ -44,8 +44,8 @@
 	}
 }
 
-// planActivity returns which replicas are to take work and which to stand by; nil if all stay as they
-// are. A new leader begins anew, with the demand that it hears of.
+// planActivity returns which replicas to activate and which to send to standby, nil if nothing changes.
+// A new leader starts with an empty planner and the demand that is reported to it.
 func (c *Coordinator) planActivity(state region.State) *region.ActivityCommand {
 	c.activity.mutex.Lock()
 	defer c.activity.mutex.Unlock()
@@ -55,13 +55,13 @@
 	}
 	c.activity.planner.Least = c.settings.ActiveReplicas
 	if c.zones.anyEarlier(c.sortedMembers()) {
-		// Gateways learn all replicas from such a coordinator, and must hear from the others when any of
-		// them begins to leave.
+		// Such a coordinator sends gateways all replicas, so the others have to send them the change when
+		// any of these begins to leave.
 		c.activity.planner.Least = math.MaxInt
 	}
 	now := c.now()
-	told := c.toldByGroup(now)
-	change := c.activity.planner.Step(now, activityInput(state, told, c.limits.lives(), c.settings.Topology.Group))
+	demands := c.demandByGroup(now)
+	change := c.activity.planner.Step(now, activityInput(state, demands, c.limits.limitedReplicas(), c.settings.Topology.Group))
 	if change.Empty() {
 		return nil
 	}
@@ -69,28 +69,28 @@
 	return &region.ActivityCommand{Activate: change.Activate, Rest: change.Rest}
 }
 
-// toldByGroup sums up what gateways tell of each service in each region.
-func (c *Coordinator) toldByGroup(now time.Duration) map[activeset.Group]region.ServiceDemand {
-	told := map[activeset.Group]region.ServiceDemand{}
+// demandByGroup sums up the demand that gateways report of each service in each region.
+func (c *Coordinator) demandByGroup(now time.Duration) map[activeset.Group]region.ServiceDemand {
+	demands := map[activeset.Group]region.ServiceDemand{}
 	for _, each := range append(c.demand.sum(now), c.reported.sum(now)...) {
 		group := activeset.Group{Service: each.Service, Region: each.Region}
-		sum := told[group]
+		sum := demands[group]
 		addTo(&sum, each)
-		told[group] = sum
+		demands[group] = sum
 	}
-	return told
+	return demands
 }
 
-// activityInput describes the replicas and the demand to the planner. limited are the lives that name limits of
-// requests: they go on with what they take, and others that stand by take over the rest at once. groupOf names the
-// region of a zone.
-func activityInput(state region.State, told map[activeset.Group]region.ServiceDemand, limited map[string]bool, groupOf func(zone string) string) activeset.Input {
+// activityInput describes the replicas and the demand to the planner. limited are the incarnations, by Life.Name,
+// that declare a rate limit: they stay active up to that limit, and replicas on standby take over the excess at
+// once. groupOf returns the region of a zone.
+func activityInput(state region.State, demands map[activeset.Group]region.ServiceDemand, limited map[string]bool, groupOf func(zone string) string) activeset.Input {
 	input := activeset.Input{
 		Replicas: make([]activeset.Replica, 0, len(state.Replicas)),
-		Demand:   make(map[activeset.Group]activeset.Demand, len(told)),
+		Demand:   make(map[activeset.Group]activeset.Demand, len(demands)),
 	}
 	var reports []string
-	for group, demand := range told {
+	for group, demand := range demands {
 		input.Demand[group] = activeset.Demand{
 			Reading:    demand.Reading,
 			Generating: max(demand.Generating, demand.Expected),
@@ -98,14 +98,14 @@
 		}
 		reports = append(reports, demand.Unreachable...)
 	}
-	unreachable := reportedByMany(reports)
+	unreachable := reportedByEnough(reports)
 	changing := changingReplicas(state)
 	for _, listed := range state.Replicas {
 		replica := listed.Replica
-		sound := !replica.Leaves() && !changing[replica.ID]
-		if sound && len(unreachable)+len(limited) > 0 {
-			life := replica.Life().Name()
-			sound = !unreachable[life] && !limited[life]
+		eligible := !replica.Leaves() && !changing[replica.ID]
+		if eligible && len(unreachable)+len(limited) > 0 {
+			name := replica.Life().Name()
+			eligible = !unreachable[name] && !limited[name]
 		}
 		input.Replicas = append(input.Replicas, activeset.Replica{
 			ID:          replica.ID,
@@ -115,7 +115,7 @@
 			Slots:       replica.Slots,
 			Preemptible: replica.Preemptible,
 			Active:      !listed.Standby,
-			Sound:       sound,
+			Sound:       eligible,
 		})
 	}
 	return input
@@ -132,7 +132,7 @@
 	}
 }
 
-// changingReplicas are those that change their stage.
+// changingReplicas returns the ids of the replicas that are changing their stage.
 func changingReplicas(state region.State) map[string]bool {
 	changing := make(map[string]bool, len(state.Changes))
 	for _, change := range state.Changes {
--- a/internal/coordinator/activity_test.go
+++ b/internal/coordinator/activity_test.go
@@ -16,14 +16,14 @@
 	"github.com/pierhaven/pierhaven/internal/stageplan"
 )
 
-// listStandby is a change of the list as a leader commits it that plans which replicas are active.
-func listStandby(replicas ...region.Replica) *region.ListCommand {
+// listCommandWithStandby returns a list change as it is committed by a leader that plans which replicas are active.
+func listCommandWithStandby(replicas ...region.Replica) *region.ListCommand {
 	return &region.ListCommand{Changed: replicas, Standby: true}
 }
 
-// TestGatewaysHearOnlyOfActiveReplicas follows a list whose replicas come, go, change, are activated and sent to stand by at
-// random. Gateways that are far behind or near end up with the same ones.
-func TestGatewaysHearOnlyOfActiveReplicas(t *testing.T) {
+// Replicas are added, removed, changed, activated and deactivated at random. A gateway that polls after each change and one
+// that polls rarely end up with the same active replicas.
+func TestGatewaysReceiveOnlyActiveReplicas(t *testing.T) {
 	for seed := range uint64(8) {
 		random := rand.New(rand.NewPCG(seed, 2))
 		m := newTestMachine()
@@ -72,38 +72,38 @@
 	}
 }
 
-// TestChangesOfReplicasThatStandByAreNotTold: each of 1,000 gateways was woken and told of every change of 10,000 replicas,
-// also of those that it never sends anything to.
-func TestChangesOfReplicasThatStandByAreNotTold(t *testing.T) {
+// Each of 1,000 gateways was woken for every change of 10,000 replicas, including replicas on standby, to which it sends
+// nothing.
+func TestStandbyChangesAreNotSentToGateways(t *testing.T) {
 	m := newTestMachine()
 	apply(t, m, 1, region.Command{
-		List:     listStandby(region.Replica{ID: "a"}, region.Replica{ID: "b"}),
+		List:     listCommandWithStandby(region.Replica{ID: "a"}, region.Replica{ID: "b"}),
 		Activity: &region.ActivityCommand{Activate: []string{"a"}},
 	})
 	gateway := newFollower()
 	gateway.follow(m)
 	require.Equal(t, []string{"a"}, slices.Collect(maps.Keys(gateway.list)))
-	apply(t, m, 2, region.Command{List: listStandby(region.Replica{ID: "b", Draining: true}, region.Replica{ID: "c"})})
+	apply(t, m, 2, region.Command{List: listCommandWithStandby(region.Replica{ID: "b", Draining: true}, region.Replica{ID: "c"})})
 	apply(t, m, 3, region.Command{List: &region.ListCommand{Removed: []string{"b"}, Standby: true}})
 	state, _ := m.read()
 	assert.EqualValues(t, 1, state.ListRevision)
-	apply(t, m, 4, region.Command{List: listStandby(region.Replica{ID: "a", Draining: true})})
+	apply(t, m, 4, region.Command{List: listCommandWithStandby(region.Replica{ID: "a", Draining: true})})
 	gateway.follow(m)
 	assert.True(t, gateway.list["a"].Draining)
 }
 
-// TestALeaderThatKnowsOfNoStandbyHasAllActive: while a fleet is upgraded, or taken back, the leader may be of a version that
-// activates none. Those that stood by would never take work, and in the end none would be left.
-func TestALeaderThatKnowsOfNoStandbyHasAllActive(t *testing.T) {
+// During an upgrade or a rollback the leader may run a version that activates no replicas. Replicas on standby would then
+// never take work, and in the end no active ones would be left.
+func TestLeaderWithoutStandbySupportActivatesAll(t *testing.T) {
 	m := newTestMachine()
-	apply(t, m, 1, region.Command{List: listStandby(region.Replica{ID: "a"}, region.Replica{ID: "b"})})
+	apply(t, m, 1, region.Command{List: listCommandWithStandby(region.Replica{ID: "a"}, region.Replica{ID: "b"})})
 	apply(t, m, 2, listed(region.Replica{ID: "c"}))
 	gateway := newFollower()
 	gateway.follow(m)
 	assert.Len(t, gateway.list, 3)
 }
 
-// bigList is a list of model replicas.
+// bigList returns a list of model replicas.
 func bigList(count int) []region.Replica {
 	replicas := make([]region.Replica, count)
 	for index := range replicas {
@@ -119,17 +119,16 @@
 	return replicas
 }
 
-// TestAGatewaysListDoesNotGrowWithTheFleet: a gateway's first view held all replicas, 1.5 MB of 10,000, and each process
-// asked all of them what they keep.
-func TestAGatewaysListDoesNotGrowWithTheFleet(t *testing.T) {
+// A gateway's first view held all replicas, 1.5 MB for 10,000, and each process asked all of them what they have cached.
+func TestGatewayViewDoesNotGrowWithTheFleet(t *testing.T) {
 	for _, size := range []int{1_000, 3_000, 10_000} {
 		m := newTestMachine()
 		state, _ := m.read()
-		changeList(&state, 0, listStandby(bigList(size)...))
+		changeList(&state, 0, listCommandWithStandby(bigList(size)...))
 		planner := &activeset.Planner{Least: activeset.DefaultLeast}
 		change := planner.Step(0, activityInput(state, nil, nil, func(string) string { return "" }))
 		apply(t, m, 1, region.Command{
-			List:     listStandby(bigList(size)...),
+			List:     listCommandWithStandby(bigList(size)...),
 			Activity: &region.ActivityCommand{Activate: change.Activate},
 		})
 		state, _ = m.read()
@@ -140,16 +139,16 @@
 	}
 }
 
-// TestAFirstListIsTakenInOnePass: each replica was inserted by itself into a sorted list, which moved all behind it: 10,000
-// took 100 times as long as 1,000.
-func TestAFirstListIsTakenInOnePass(t *testing.T) {
+// Each replica was inserted on its own into a sorted list, which moved all entries behind it: 10,000 took 100 times as long
+// as 1,000.
+func TestInitialListIsMergedInOnePass(t *testing.T) {
 	for _, size := range []int{1_000, 3_000, 10_000} {
 		state := region.State{}
 		replicas := bigList(size)
 		slices.Reverse(replicas)
 		allocated := testing.AllocsPerRun(3, func() {
 			state = region.State{}
-			changeList(&state, 1, listStandby(replicas...))
+			changeList(&state, 1, listCommandWithStandby(replicas...))
 		})
 		assert.Less(t, allocated, 20.0, "%d: allocations grow with the replicas", size)
 		assert.True(t, slices.IsSortedFunc(state.Replicas, func(a, b region.ListedReplica) int {
@@ -158,26 +157,26 @@
 	}
 }
 
-// TestNoStageIsChangedWhileTheListFillsUp: the first pages of the list showed 153 of 1,000 replicas, of which 27 were ordered to
-// change their stage before the others came.
-func TestNoStageIsChangedWhileTheListFillsUp(t *testing.T) {
+// The first pages of the list showed 153 of 1,000 replicas, of which 27 were ordered to change their stage before the
+// others were listed.
+func TestNoStageChangesWhileTheListIsIncomplete(t *testing.T) {
 	keeper := newKeeper(nil, newTestMachine())
-	assert.True(t, keeper.stillArrive(0, "model", 153))
-	assert.True(t, keeper.stillArrive(1300*time.Millisecond, "model", 407))
-	assert.True(t, keeper.stillArrive(3200*time.Millisecond, "model", 407))
-	assert.False(t, keeper.stillArrive(3300*time.Millisecond, "model", 407))
+	assert.True(t, keeper.listIsSettling(0, "model", 153))
+	assert.True(t, keeper.listIsSettling(1300*time.Millisecond, "model", 407))
+	assert.True(t, keeper.listIsSettling(3200*time.Millisecond, "model", 407))
+	assert.False(t, keeper.listIsSettling(3300*time.Millisecond, "model", 407))
 	for second := range 10 {
 		now := time.Duration(second) * time.Second
-		assert.Equal(t, second < 6, keeper.stillArrive(now, "ordered", second), "replicas that are ordered come all the time")
+		assert.Equal(t, second < 6, keeper.listIsSettling(now, "ordered", second), "the wait is bounded while replicas keep being added")
 	}
 	keeper.demandFrom[stageGroup{service: "model"}] = 0
-	assert.False(t, keeper.stillArrive(4*time.Second, "model", 1000), "demand does not wait")
+	assert.False(t, keeper.listIsSettling(4*time.Second, "model", 1000), "reported demand ends the wait")
 }
 
-// TestOnlyActiveReplicasAreChanged: what stands by is counted, and left as it is.
-func TestOnlyActiveReplicasAreChanged(t *testing.T) {
+// Replicas on standby are counted but not planned.
+func TestOnlyActiveReplicasChangeStage(t *testing.T) {
 	m := newTestMachine()
-	apply(t, m, 1, region.Command{List: listStandby(bigList(1000)...), Activity: &region.ActivityCommand{Activate: []string{"i-00000", "i-00002"}}})
+	apply(t, m, 1, region.Command{List: listCommandWithStandby(bigList(1000)...), Activity: &region.ActivityCommand{Activate: []string{"i-00000", "i-00002"}}})
 	state, _ := m.read()
 	services, spares := modelReplicas(state, func(string) string { return "" })
 	assert.Len(t, services["model"], 2)
@@ -191,15 +190,15 @@
 	assert.Equal(t, 998, got.StandbyCount)
 }
 
-// TestTheDemandOfAServiceDecidesWhatIsActive has gateways of two coordinators tell of it, and one replica out of reach.
-func TestTheDemandOfAServiceDecidesWhatIsActive(t *testing.T) {
+// Gateways of two coordinators report demand, and one replica as unreachable, which is not activated.
+func TestServiceDemandDeterminesActiveReplicas(t *testing.T) {
 	state := region.State{}
-	changeList(&state, 0, listStandby(bigList(2000)...))
+	changeList(&state, 0, listCommandWithStandby(bigList(2000)...))
 	unreachable := state.Replicas[0].Replica.Life().Name()
-	told := map[activeset.Group]region.ServiceDemand{
+	demands := map[activeset.Group]region.ServiceDemand{
 		{Service: "model"}: {Reading: 100, Generating: 4, Expected: 5, Unreachable: []string{unreachable, unreachable}},
 	}
-	input := activityInput(state, told, nil, func(string) string { return "" })
+	input := activityInput(state, demands, nil, func(string) string { return "" })
 	assert.Equal(t, activeset.Demand{Reading: 100, Generating: 5}, input.Demand[activeset.Group{Service: "model"}])
 	assert.False(t, input.Replicas[0].Sound)
 	change := (&activeset.Planner{Least: activeset.DefaultLeast}).Step(0, input)
@@ -207,11 +206,10 @@
 	assert.NotContains(t, change.Activate, state.Replicas[0].Replica.ID)
 }
 
-// TestReplicasThatNameLimitsAreRelieved: what a replica in need does not take any more is taken over by one that stood by, as
-// long as it names a limit.
+// For as long as a replica declares a rate limit, a replica on standby is activated for the load above that limit.
 func TestReplicasThatNameLimitsAreRelieved(t *testing.T) {
 	m := newTestMachine()
-	apply(t, m, 1, region.Command{List: listStandby(bigList(1000)...)})
+	apply(t, m, 1, region.Command{List: listCommandWithStandby(bigList(1000)...)})
 	planner := &activeset.Planner{Least: activeset.DefaultLeast}
 	index := uint64(1)
 	step := func(limited map[string]bool) activeset.Change {
@@ -225,7 +223,7 @@
 	limited := map[string]bool{first.Activate[0]: true, first.Activate[1]: true, first.Activate[2]: true}
 	relieved := step(limited)
 	assert.Len(t, relieved.Activate, 3)
-	assert.Empty(t, relieved.Rest, "they go on with what they take")
-	over := step(nil)
-	assert.True(t, over.Empty(), "a few more than are wanted are no reason to change")
+	assert.Empty(t, relieved.Rest, "limited replicas stay active")
+	unlimited := step(nil)
+	assert.True(t, unlimited.Empty(), "a small surplus is kept")
 }
--- a/internal/coordinator/arrivals.go
+++ b/internal/coordinator/arrivals.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// arrival is a number of replicas, since when it has been the same, and when there were any first.
-type arrival struct {
-	replicas     int
+// replicaCount is the number of a service's replicas on the list, the time since which it has not changed, and the time
+// of the first count.
+type replicaCount struct {
+	count        int
 	since, first time.Duration
 }
 
-// arrivalTime is for how long no replica must have come before the first is changed: a list that is still
-// filling up shows too few, and a change that one of those to come would have made needless costs seconds
-// of a replica.
-const arrivalTime = 2 * time.Second
+// listSettleTime is how long a service's replicas on the list must stay the same in number before the first stage change: a
+// list that is still incomplete shows too few replicas, and a change that proves needless costs seconds of a replica.
+const listSettleTime = 2 * time.Second
 
-// arrivalLimit bounds the wait where replicas are ordered and taken away all the time: callers may come any
-// moment.
-const arrivalLimit = 3 * arrivalTime
+// maximumListSettleTime bounds the wait where replicas are ordered and taken away all the time: callers may arrive at
+// any moment.
+const maximumListSettleTime = 3 * listSettleTime
 
-// sparesOf counts the replicas of a service that stand by.
-func (k *stageKeeper) sparesOf(service string) int {
+// standbyCount returns the number of a service's replicas on standby.
+func (k *stageKeeper) standbyCount(service string) int {
 	sum := 0
 	for group, spare := range k.spares {
 		if group.service == service {
@@ -28,20 +28,21 @@
 	return sum
 }
 
-// stillArrive reports whether replicas of a service have come or gone of late, before any demand was told.
-func (k *stageKeeper) stillArrive(now time.Duration, service string, replicas int) bool {
+// listIsSettling reports whether the number of a service's replicas has changed recently, and no demand for the service
+// has been reported yet.
+func (k *stageKeeper) listIsSettling(now time.Duration, service string, replicas int) bool {
 	for group := range k.demandFrom {
 		if group.service == service {
 			return false
 		}
 	}
-	seen, found := k.arrivals[service]
+	last, found := k.replicaCounts[service]
 	if !found {
-		seen.first = now
+		last.first = now
 	}
-	if !found || seen.replicas != replicas {
-		seen.replicas, seen.since = replicas, now
-		k.arrivals[service] = seen
+	if !found || last.count != replicas {
+		last.count, last.since = replicas, now
+		k.replicaCounts[service] = last
 	}
-	return now-seen.since < arrivalTime && now-seen.first < arrivalLimit
+	return now-last.since < listSettleTime && now-last.first < maximumListSettleTime
 }
--- a/internal/coordinator/demand.go
+++ b/internal/coordinator/demand.go
@@ -8,63 +8,63 @@
 	"github.com/pierhaven/pierhaven/internal/region"
 )
 
-// demandTable holds what each of several sources last told of the demand.
+// demandTable holds the latest demand report of each source, a gateway or another coordinator.
 type demandTable struct {
 	mutex   sync.Mutex
-	sources map[string]toldDemand
+	reports map[string]demandReport
 }
 
-type toldDemand struct {
+type demandReport struct {
 	services []region.ServiceDemand
 	at       time.Duration
 }
 
-// demandMemory is how long a source's word counts.
-const demandMemory = 2 * time.Second
+// demandReportLifetime is how long a source's report counts.
+const demandReportLifetime = 2 * time.Second
 
-func newDemandTable() *demandTable { return &demandTable{sources: map[string]toldDemand{}} }
+func newDemandTable() *demandTable { return &demandTable{reports: map[string]demandReport{}} }
 
 func (d *demandTable) take(now time.Duration, source string, services []region.ServiceDemand) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.sources[source] = toldDemand{services: services, at: now}
+	d.reports[source] = demandReport{services: services, at: now}
 }
 
-// sum adds up what fresh sources told, by service and region.
+// sum adds up the demand of the reports that still count, by service and region. It deletes the others.
 func (d *demandTable) sum(now time.Duration) []region.ServiceDemand {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	var sums []region.ServiceDemand
-	for source, told := range d.sources {
-		if now-told.at > demandMemory {
-			delete(d.sources, source)
+	for source, report := range d.reports {
+		if now-report.at > demandReportLifetime {
+			delete(d.reports, source)
 			continue
 		}
-		for _, each := range told.services {
+		for _, each := range report.services {
 			sums = addDemand(sums, each)
 		}
 	}
 	return sums
 }
 
-// demandFor adds up what the gateways of all regions tell of a service. What is told is extrapolated
-// to the gateways that tell nothing.
+// demandFor returns the demand for a service in all regions, extrapolated to the known gateways that
+// report nothing.
 func (c *Coordinator) demandFor(now time.Duration, service string) region.ServiceDemand {
-	sum := c.toldDemand(now, func(told *region.ServiceDemand) bool { return told.Service == service })
-	return withSilent(sum, len(c.gateways.all(now).addresses))
+	sum := c.reportedDemand(now, func(demand *region.ServiceDemand) bool { return demand.Service == service })
+	return extrapolate(sum, len(c.gateways.all(now).addresses))
 }
 
-// demandIn adds up what is told of a service in a region, with that of a number of known gateways
-// that tell nothing, by those that tell.
-func (c *Coordinator) demandIn(now time.Duration, group stageGroup, known func(telling int) int) region.ServiceDemand {
-	sum := c.toldDemand(now, func(told *region.ServiceDemand) bool {
-		return told.Service == group.service && told.Region == group.region
+// demandIn returns the demand for a service in a region. knownGateways is given the number of gateways that report
+// and returns the number to which the sum is extrapolated.
+func (c *Coordinator) demandIn(now time.Duration, group stageGroup, knownGateways func(reporting int) int) region.ServiceDemand {
+	sum := c.reportedDemand(now, func(demand *region.ServiceDemand) bool {
+		return demand.Service == group.service && demand.Region == group.region
 	})
-	return withSilent(sum, known(sum.Gateways))
+	return extrapolate(sum, knownGateways(sum.Gateways))
 }
 
-// toldDemand adds up what is told, as far as it is wanted.
-func (c *Coordinator) toldDemand(now time.Duration, wanted func(*region.ServiceDemand) bool) region.ServiceDemand {
+// reportedDemand adds up the reported demand for which wanted returns true.
+func (c *Coordinator) reportedDemand(now time.Duration, wanted func(*region.ServiceDemand) bool) region.ServiceDemand {
 	var sum region.ServiceDemand
 	for _, each := range append(c.demand.sum(now), c.reported.sum(now)...) {
 		if wanted(&each) {
@@ -74,47 +74,46 @@
 	return sum
 }
 
-// withSilent extrapolates what is told to a number of known gateways.
-func withSilent(sum region.ServiceDemand, known int) region.ServiceDemand {
-	silent := silentFactor(sum.Gateways, known)
-	sum.Generating *= silent
-	sum.Expected *= silent
-	sum.Reading *= silent
-	sum.Kept *= silent
-	sum.Prompts *= silent
-	sum.Slack *= silent
-	sum.Squares *= silent
-	sum.Delayed *= silent
+// extrapolate scales the reported demand to a number of known gateways.
+func extrapolate(sum region.ServiceDemand, known int) region.ServiceDemand {
+	factor := extrapolationFactor(sum.Gateways, known)
+	sum.Generating *= factor
+	sum.Expected *= factor
+	sum.Reading *= factor
+	sum.Kept *= factor
+	sum.Prompts *= factor
+	sum.Slack *= factor
+	sum.Squares *= factor
+	sum.Delayed *= factor
 	return sum
 }
 
-// maximumSilent bounds what is concluded from gateways that tell nothing.
-const maximumSilent = 3
+// maximumExtrapolation bounds the factor that accounts for gateways that report nothing.
+const maximumExtrapolation = 3
 
-// silentFactor is the factor by which demand is greater than what is told, if the
-// known gateways that tell nothing have as much as the others: they may serve their
-// callers though no coordinator hears of them.
-func silentFactor(telling, known int) float64 {
-	if telling == 0 || known <= telling {
+// extrapolationFactor returns the factor between all demand and the reported demand, assuming
+// that the known gateways that report nothing have as much as the others: they may serve
+// their callers without reaching a coordinator.
+func extrapolationFactor(reporting, known int) float64 {
+	if reporting == 0 || known <= reporting {
 		return 1
 	}
-	return min(float64(known)/float64(telling), maximumSilent)
+	return min(float64(known)/float64(reporting), maximumExtrapolation)
 }
 
-// recentMost is the greatest of late of a number: over gatewayMemory at least, and twice that at
-// most.
-type recentMost struct {
-	most, before int
-	begun        time.Duration
+// recentMaximum tracks the maximum of a number over a time between gatewayMemory and twice gatewayMemory.
+type recentMaximum struct {
+	current, previous int
+	startedAt         time.Duration
 }
 
-// note takes a number in, and returns the greatest of late.
-func (r *recentMost) note(now time.Duration, number int) int {
-	if now-r.begun >= gatewayMemory {
-		r.before, r.most, r.begun = r.most, 0, now
+// update adds a number and returns the recent maximum.
+func (r *recentMaximum) update(now time.Duration, number int) int {
+	if now-r.startedAt >= gatewayMemory {
+		r.previous, r.current, r.startedAt = r.current, 0, now
 	}
-	r.most = max(r.most, number)
-	return max(r.most, r.before)
+	r.current = max(r.current, number)
+	return max(r.current, r.previous)
 }
 
 func addDemand(sums []region.ServiceDemand, added region.ServiceDemand) []region.ServiceDemand {
--- a/internal/coordinator/demand_test.go
+++ b/internal/coordinator/demand_test.go
@@ -12,21 +12,21 @@
 
 func TestGatewaysThatNoCoordinatorHearsOfCountLikeTheOthers(t *testing.T) {
 	for _, each := range []struct {
-		telling, known int
-		want           float64
+		reporting, known int
+		want             float64
 	}{
 		{0, 0, 1},
 		{0, 5, 1},
 		{9, 9, 1},
 		{9, 5, 1},
 		{5, 9, 1.8},
-		{1, 9, maximumSilent},
+		{1, 9, maximumExtrapolation},
 	} {
-		assert.InDelta(t, each.want, silentFactor(each.telling, each.known), 1e-9, "%+v", each)
+		assert.InDelta(t, each.want, extrapolationFactor(each.reporting, each.known), 1e-9, "%+v", each)
 	}
 }
 
-func TestDemandSaysHowManyGatewaysItIsOf(t *testing.T) {
+func TestDemandSumCountsGateways(t *testing.T) {
 	table := newDemandTable()
 	for _, source := range []string{"a", "b"} {
 		table.take(time.Second, source, []region.ServiceDemand{{Service: "s", Generating: 3, Gateways: 1}})
@@ -39,15 +39,15 @@
 	assert.Empty(t, table.sum(time.Minute))
 }
 
-func TestTheLoadOfTheFleetIsWhatGatewaysTell(t *testing.T) {
-	told := region.ServiceDemand{Gateways: 2, Generating: 32, Reading: 2, Kept: 4, Prompts: 20, Slack: 18, Squares: 0.2, Delayed: 1}
-	load := loadOf(addDemand([]region.ServiceDemand{told}, told)[0], 64)
+func TestFleetLoadIsComputedFromGatewayReports(t *testing.T) {
+	demand := region.ServiceDemand{Gateways: 2, Generating: 32, Reading: 2, Kept: 4, Prompts: 20, Slack: 18, Squares: 0.2, Delayed: 1}
+	load := loadOf(addDemand([]region.ServiceDemand{demand}, demand)[0], 64)
 	assert.True(t, load.Told)
-	assert.InDelta(t, 5, load.Busy, 1e-9, "four replicas read, and one generates")
+	assert.InDelta(t, 5, load.Busy, 1e-9, "four replicas are busy with prefill, and one with decoding")
 	assert.InDelta(t, 8, load.Kept, 1e-9)
 	assert.InDelta(t, 40, load.Prompts, 1e-9)
 	assert.InDelta(t, 2, load.Delayed, 1e-9)
 	assert.Equal(t, 900*time.Millisecond, load.Slack)
-	assert.Equal(t, 50*time.Millisecond, load.Reading, "the mean rest of a reading of 100 ms")
+	assert.Equal(t, 50*time.Millisecond, load.Reading, "the mean remaining time of a prefill of 100 ms")
 	assert.Zero(t, loadOf(region.ServiceDemand{}, 64))
 }
--- a/internal/coordinator/duties_test.go
+++ b/internal/coordinator/duties_test.go
@@ -25,37 +25,37 @@
 
 const (
 	dutyLease = 400 * time.Millisecond
-	// usageWindow is so long that as many windows as may wait to be told, after which the oldest are dropped, pass in
-	// more than the minute in which a test waits for a leader.
+	// usageWindow is long enough that maximumPendingWindows windows, after which the oldest are dropped, take more than
+	// the minute in which a test waits for a leader.
 	usageWindow = time.Second
-	// usageLate leaves gateways two seconds to tell their counts, and three to be heard of by a new leader.
+	// usageLate leaves gateways two seconds to report their counts, and a new leader three to learn of the gateways.
 	usageLate = 20 * time.Second
 )
 
-// toldGateway counts as a gateway does, and tells one coordinator for as long as that answers.
-type toldGateway struct {
+// reportingGateway counts requests as a gateway does, and reports to one coordinator for as long as that answers.
+type reportingGateway struct {
 	g      *group
 	name   string
 	at     int
 	ledger *usage.Ledger
-	// mutex guards truth, the requests that were counted by window.
-	mutex *sync.Mutex
-	truth map[uint64]uint32
+	// mutex guards counted, the number of requests by window.
+	mutex   *sync.Mutex
+	counted map[uint64]uint32
 }
 
-// run counts requests and polls until the context ends, then tells the rest.
-func (w *toldGateway) run(ctx context.Context) {
+// run counts requests and polls until the context ends, then reports the remaining counts.
+func (w *reportingGateway) run(ctx context.Context) {
 	client, err := rpc.NewClient(rpc.ClientOptions{DialTimeout: time.Second, CallTimeout: time.Second})
 	if err != nil {
 		panic(err)
 	}
-	told := ""
+	reportedTo := ""
 	for {
 		if ctx.Err() == nil {
-			w.begin(time.Now())
+			w.recordRequest(time.Now())
 		}
 		address := w.g.addresses[w.at%len(w.g.addresses)]
-		report := &region.GatewayUsage{Gateway: w.name, Life: 1, ToldAt: time.Now().UnixNano(), Counts: w.ledger.Report(address != told)}
+		report := &region.GatewayUsage{Gateway: w.name, Life: 1, ToldAt: time.Now().UnixNano(), Counts: w.ledger.Report(address != reportedTo)}
 		var view region.View
 		asking, cancel := context.WithTimeout(context.Background(), time.Second)
 		err := client.Call(asking, address, region.PathView, &region.ViewRequest{
@@ -63,12 +63,12 @@
 		}, &view)
 		cancel()
 		if err != nil {
-			told = ""
+			reportedTo = ""
 			w.at++
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		told = address
+		reportedTo = address
 		w.ledger.Taken(report.Counts)
 		w.ledger.Fixed(view.NextWindow)
 		if ctx.Err() != nil && len(w.ledger.Report(true)) == 0 {
@@ -77,14 +77,14 @@
 	}
 }
 
-func (w *toldGateway) begin(at time.Time) {
+func (w *reportingGateway) recordRequest(at time.Time) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.ledger.Begun("depot", at)
-	w.truth[usage.WindowOf(at, usageWindow)]++
+	w.counted[usage.WindowOf(at, usageWindow)]++
 }
 
-// leader returns the address of the coordinator that leads.
+// leader waits for a leader and returns its address.
 func (g *group) leader() string {
 	g.t.Helper()
 	leads := ""
@@ -99,9 +99,9 @@
 	return leads
 }
 
-// TestUsageIsReportedOnceWhoeverLeads has the leader stop again and again, and the platform lose
-// a third of the calls and carry them out late, while each gateway tells one coordinator: no window is told with two counts, no fence is
-// used twice, and what is told is what was counted.
+// The leader is stopped repeatedly, and the platform loses a third of the calls and carries them out late, while each gateway
+// reports to one coordinator. No window is reported with two different counts, no fence is used twice, and the reported
+// counts are those of the gateways.
 func TestUsageIsReportedOnceWhoeverLeads(t *testing.T) {
 	duties := platformtest.NewDuties(1, dutyLease)
 	duties.Lose, duties.LateBy = 0.3, 700*time.Millisecond
@@ -112,15 +112,15 @@
 		settings.Usage = coordinator.UsageTerms{Window: usageWindow, Late: usageLate}
 		settings.Lease = dutyLease
 	})
-	// Without a leader there is no configuration, and no request to count.
+	// Requests are counted only once there is a leader: without one there is no configuration.
 	g.leader()
 	var mutex sync.Mutex
-	truth := map[uint64]uint32{}
+	counted := map[uint64]uint32{}
 	counting, stop := context.WithCancel(t.Context())
 	defer stop()
 	var gateways sync.WaitGroup
 	for number := range 3 {
-		gateway := &toldGateway{g: g, name: fmt.Sprint("gateway-", number), at: number, ledger: usage.NewLedger(usageWindow), mutex: &mutex, truth: truth}
+		gateway := &reportingGateway{g: g, name: fmt.Sprint("gateway-", number), at: number, ledger: usage.NewLedger(usageWindow), mutex: &mutex, counted: counted}
 		gateways.Go(func() { gateway.run(counting) })
 	}
 	for range 2 {
@@ -131,7 +131,7 @@
 		require.Eventually(t, func() bool { return len(duties.Windows()) > before+1 }, time.Minute, 10*time.Millisecond)
 		g.start(leader, leader, false)
 	}
-	// Windows pass without any coordinator: whoever leads then has been told nothing yet.
+	// Windows pass while no coordinator runs: the next leader has no reports yet.
 	for _, address := range g.addresses {
 		g.stop(address)
 	}
@@ -141,24 +141,24 @@
 	}
 	stop()
 	gateways.Wait()
-	told := func() int {
+	reportedWindows := func() int {
 		windows := duties.Windows()
-		maps.DeleteFunc(windows, func(window uint64, _ map[string]uint32) bool { return truth[window] == 0 })
+		maps.DeleteFunc(windows, func(window uint64, _ map[string]uint32) bool { return counted[window] == 0 })
 		return len(windows)
 	}
-	// Windows are told one after the other, on a busy machine no faster than they pass: there is no
-	// bound to how long all of them take, but each must be followed by another.
-	for before := told(); before < len(truth); before = told() {
-		require.Eventually(t, func() bool { return told() > before }, time.Minute, 10*time.Millisecond, "another window is told")
+	// Windows are reported one after another, on a busy machine no faster than they pass: the total time is
+	// not bounded, but each window must be followed by the next within a minute.
+	for before := reportedWindows(); before < len(counted); before = reportedWindows() {
+		require.Eventually(t, func() bool { return reportedWindows() > before }, time.Minute, 10*time.Millisecond, "another window is reported")
 	}
 	assert.Empty(t, duties.Broken())
 	for window, counts := range duties.Windows() {
-		assert.Equal(t, truth[window], counts["depot"], "window %d", window)
+		assert.Equal(t, counted[window], counts["depot"], "window %d", window)
 	}
 }
 
-// TestTheFleetIsOrderedWithinItsTerms has a platform that carries orders out.
-func TestTheFleetIsOrderedWithinItsTerms(t *testing.T) {
+// The platform carries out the orders for a service with valid scaling bounds. A service with invalid bounds gets none.
+func TestFleetOrdersStayWithinScalingBounds(t *testing.T) {
 	duties := platformtest.NewDuties(1, dutyLease)
 	var mutex sync.Mutex
 	ordered := map[platformtest.ScaleOrder]int{}
@@ -204,7 +204,7 @@
 	}
 }
 
-// replicasOf lists the replicas of each number that was ordered.
+// replicasOf lists as many replicas of each kind as were ordered.
 func replicasOf(ordered map[platformtest.ScaleOrder]int) []region.Replica {
 	var replicas []region.Replica
 	for order, count := range ordered {
--- a/internal/coordinator/duty_test.go
+++ b/internal/coordinator/duty_test.go
@@ -11,7 +11,7 @@
 
 const testLease = 3 * time.Second
 
-func TestANewLeaderWaitsForTheLeaseOfTheLastOrderOnly(t *testing.T) {
+func TestNewLeaderWaitsOnlyForTheLeaseOfTheLastOrder(t *testing.T) {
 	elected := 100 * time.Second
 	cases := []struct {
 		name string
@@ -25,13 +25,13 @@
 	}
 	for _, each := range cases {
 		t.Run(each.name, func(t *testing.T) {
-			assert.Equal(t, each.want, earliestCall(elected, each.last, testLease))
+			assert.Equal(t, each.want, earliestCallTime(elected, each.last, testLease))
 		})
 	}
-	assert.Greater(t, leaseMargin, proposalToSend, "an order may be sent that late after its commit")
+	assert.Greater(t, leaseMargin, maximumSendDelay, "an order may be sent that long after its proposal")
 }
 
-func TestAnOrderIsMarkedWhenItIsAppliedAndWhenASnapshotMayHideOne(t *testing.T) {
+func TestLastCallIsRecordedByOrdersAndSnapshots(t *testing.T) {
 	now := time.Second
 	m := newMachine(func() time.Duration { return now })
 	apply(t, m, 1, listed(region.Replica{ID: "a", Stage: region.StageDecode}))
--- a/internal/coordinator/dutystate.go
+++ b/internal/coordinator/dutystate.go
@@ -6,12 +6,12 @@
 	"github.com/pierhaven/pierhaven/internal/region"
 )
 
-// maximumPendingWindows bounds the windows that wait for the platform to take them: what is
-// older has been due for so long that nobody waits for it.
+// maximumPendingWindows bounds the windows that wait to be accepted by the platform: reports of
+// older ones are so long overdue that nobody waits for them.
 const maximumPendingWindows = 64
 
-// applyUsage applies what a command says of the usage of tenants. A window's counts are fixed
-// once: whatever is proposed later for it changes nothing, so that all reports of it are alike.
+// applyUsage applies the parts of a command that concern tenant usage. A window's counts are fixed
+// once: later proposals for it change nothing, so that all reports of a window are identical.
 func (m *machine) applyUsage(command *region.Command) {
 	if fixed := command.Usage; fixed != nil && fixed.Window >= m.state.NextWindow {
 		m.state.NextWindow = fixed.Window + 1
@@ -28,15 +28,15 @@
 	}
 }
 
-// sameSubject reports whether two orders are for the same replicas.
-func sameSubject(a, b region.FleetOrder) bool {
+// sameReplicaGroup reports whether two orders are for the same service, zone and kind of replicas.
+func sameReplicaGroup(a, b region.FleetOrder) bool {
 	return a.Service == b.Service && a.Zone == b.Zone && a.Preemptible == b.Preemptible
 }
 
-// applyFleet notes the number of replicas that is ordered.
+// applyFleet records an order for a number of replicas, replacing the previous one for the same group.
 func (m *machine) applyFleet(order *region.FleetOrder) {
 	others := slices.DeleteFunc(slices.Clone(m.state.Fleet), func(each region.FleetOrder) bool {
-		return sameSubject(each, *order)
+		return sameReplicaGroup(each, *order)
 	})
 	m.state.Fleet = append(others, *order)
 }
--- a/internal/coordinator/fleet.go
+++ b/internal/coordinator/fleet.go
@@ -15,26 +15,26 @@
 	"github.com/pierhaven/pierhaven/internal/traffic"
 )
 
-// ErrNoneToBeHad says that the platform has no further replicas of a kind in a zone.
+// ErrNoneToBeHad means that the platform has no further replicas of a kind in a zone.
 var ErrNoneToBeHad = errors.New("no further replicas are to be had")
 
 const fleetInterval = 250 * time.Millisecond
 
-// fleetKeeper is the leader's work on the number of replicas.
-type fleetKeeper struct {
+// fleetScaler orders replicas at the leader.
+type fleetScaler struct {
 	dutyHolder
 	planners map[string]*fleetplan.Planner
-	// version is that of the configuration which terms were read from.
+	// version is the version of the configuration that scaling was read from.
 	version uint64
-	terms   map[string]traffic.Scaling
+	scaling map[string]traffic.Scaling
 }
 
-// keepFleet orders as many replicas as are wanted, at the leader.
+// keepFleet keeps the ordered number of replicas at the number wanted while this coordinator leads.
 func (c *Coordinator) keepFleet(ctx context.Context) {
 	if c.settings.Platform == nil || !c.settings.OrderFleet {
 		return
 	}
-	keeper := &fleetKeeper{dutyHolder: dutyHolder{Coordinator: c, duty: dutyFleet}, terms: map[string]traffic.Scaling{}}
+	keeper := &fleetScaler{dutyHolder: dutyHolder{Coordinator: c, duty: dutyFleet}, scaling: map[string]traffic.Scaling{}}
 	for lifecycle.Sleep(ctx, fleetInterval) {
 		begun, leads := keeper.leads(ctx)
 		if !leads {
@@ -50,18 +50,18 @@
 }
 
 // step makes the orders that are due.
-func (k *fleetKeeper) step(ctx context.Context) {
+func (k *fleetScaler) step(ctx context.Context) {
 	state, _ := k.machine.read()
 	if state.Version > k.version {
-		k.readTerms(state)
+		k.readScaling(state)
 	}
-	for _, service := range slices.Sorted(maps.Keys(k.terms)) {
-		input := fleetInput(state, service, k.terms[service])
+	for _, service := range slices.Sorted(maps.Keys(k.scaling)) {
+		input := fleetInput(state, service, k.scaling[service])
 		demand := k.demandFor(k.now(), service)
 		input.Load = loadOf(demand, slotsOf(state, service))
 		planner, known := k.planners[service]
 		if !known {
-			planner = fleetplan.New(fleetBase(state, service))
+			planner = fleetplan.New(baseOf(state, service))
 			k.planners[service] = planner
 		}
 		for _, order := range planner.Step(k.now(), input) {
@@ -71,31 +71,31 @@
 	}
 }
 
-// readTerms takes over what the configuration says of the numbers of replicas.
-func (k *fleetKeeper) readTerms(state region.State) {
+// readScaling reads the services' scaling bounds from the configuration.
+func (k *fleetScaler) readScaling(state region.State) {
 	k.version = state.Version
 	configuration, err := readConfiguration(k.settings.Codec, state.Document)
 	if err != nil {
 		k.logger.Info(event.ConfigurationRefused, "version", state.Version, "reason", err.Error())
 		return
 	}
-	k.terms = map[string]traffic.Scaling{}
+	k.scaling = map[string]traffic.Scaling{}
 	for _, service := range configuration.Services {
-		terms := service.Scaling
-		if terms == nil {
+		scaling := service.Scaling
+		if scaling == nil {
 			continue
 		}
-		if terms.Minimum < 0 || terms.Maximum < max(terms.Minimum, 1) {
-			k.logger.Info(event.FleetTermsIgnored, "service", service.Name, "minimum", terms.Minimum, "maximum", terms.Maximum)
+		if scaling.Minimum < 0 || scaling.Maximum < max(scaling.Minimum, 1) {
+			k.logger.Info(event.FleetTermsIgnored, "service", service.Name, "minimum", scaling.Minimum, "maximum", scaling.Maximum)
 			continue
 		}
-		k.terms[service.Name] = *terms
+		k.scaling[service.Name] = *scaling
 	}
 }
 
-// fleetBase is the number of replicas that there were before any was ordered, 0 if none has been
-// or it was not known then.
-func fleetBase(state region.State, service string) int {
+// baseOf returns the number of a service's replicas before the first order, 0 if none was ordered
+// or the number was not known then.
+func baseOf(state region.State, service string) int {
 	for _, order := range state.Fleet {
 		if order.Service == service && order.Base > 0 {
 			return order.Base
@@ -104,19 +104,19 @@
 	return 0
 }
 
-// fleetInput is what the planner is told of a service.
-func fleetInput(state region.State, service string, terms traffic.Scaling) fleetplan.Input {
+// fleetInput describes a service to the planner, without its load.
+func fleetInput(state region.State, service string, scaling traffic.Scaling) fleetplan.Input {
 	input := fleetplan.Input{
-		Minimum:          terms.Minimum,
-		Maximum:          terms.Maximum,
-		BootTime:         terms.BootTime,
-		PreemptiblePrice: terms.PreemptiblePrice,
+		Minimum:          scaling.Minimum,
+		Maximum:          scaling.Maximum,
+		BootTime:         scaling.BootTime,
+		PreemptiblePrice: scaling.PreemptiblePrice,
 	}
 	zones := map[string]*fleetplan.Zone{}
 	zoneOf := func(name string) *fleetplan.Zone {
 		zone, known := zones[name]
 		if !known {
-			zone = &fleetplan.Zone{Name: name, Price: terms.ZonePrices[name]}
+			zone = &fleetplan.Zone{Name: name, Price: scaling.ZonePrices[name]}
 			zone.Ordered[fleetplan.Stable], zone.Ordered[fleetplan.Preemptible] = -1, -1
 			zones[name] = zone
 		}
@@ -148,7 +148,7 @@
 	return input
 }
 
-// slotsOf is the number of requests that a replica of a service generates for at once.
+// slotsOf returns the greatest number of slots of a service's replicas, at least 1.
 func slotsOf(state region.State, service string) int {
 	slots := 1
 	for _, listed := range state.Replicas {
@@ -159,7 +159,7 @@
 	return slots
 }
 
-// loadOf is what a service's replicas have to do.
+// loadOf converts the reported demand for a service to the planner's load.
 func loadOf(demand region.ServiceDemand, slots int) fleetplan.Load {
 	load := fleetplan.Load{
 		Told:    demand.Gateways > 0,
@@ -184,8 +184,8 @@
 	return fleetplan.Stable
 }
 
-// order commits a number and orders it.
-func (k *fleetKeeper) order(ctx context.Context, service string, planner *fleetplan.Planner, planned fleetplan.Order) {
+// order commits an order and sends it to the platform.
+func (k *fleetScaler) order(ctx context.Context, service string, planner *fleetplan.Planner, planned fleetplan.Order) {
 	bounded, cancel := context.WithTimeout(ctx, platformTimeout)
 	defer cancel()
 	order := region.FleetOrder{
@@ -199,11 +199,11 @@
 	if err == nil {
 		err = k.settings.Platform.OrderFleet(bounded, DutyCall{Holder: k.settings.Name, Fence: fence}, order)
 	}
-	why := planner.Outlook()
+	outlook := planner.Outlook()
 	k.logger.Info(event.FleetOrdered, "service", service, "zone", order.Zone, "preemptible", order.Preemptible, "count", order.Count,
-		"reason", planned.Reason, "learned", why.Learned, "wanted", why.Wanted, "enough", why.Enough, "busy", why.Load.Busy,
-		"kept", why.Load.Kept, "readers", why.Readers, "prompts", why.Load.Prompts, "delayed", why.Load.Delayed, "trust", why.Trust, "slack_ms", why.Load.Slack.Milliseconds(),
-		"reading_ms", why.Load.Reading.Milliseconds(), "late", why.Late, "next_worth", why.NextWorth, "next_price", why.NextPrice,
+		"reason", planned.Reason, "learned", outlook.Learned, "wanted", outlook.Wanted, "enough", outlook.Enough, "busy", outlook.Load.Busy,
+		"kept", outlook.Load.Kept, "readers", outlook.Readers, "prompts", outlook.Load.Prompts, "delayed", outlook.Load.Delayed, "trust", outlook.Trust, "slack_ms", outlook.Load.Slack.Milliseconds(),
+		"reading_ms", outlook.Load.Reading.Milliseconds(), "late", outlook.Late, "next_worth", outlook.NextWorth, "next_price", outlook.NextPrice,
 		"fence", fence, "term", k.term, "error", failure.Text(err))
 	switch {
 	case err == nil:
--- a/internal/coordinator/fleetreport.go
+++ b/internal/coordinator/fleetreport.go
@@ -9,9 +9,9 @@
 	"github.com/pierhaven/pierhaven/internal/fleetplan"
 )
 
-// FleetReport is why services have as many replicas as they have, as the leader knows it.
+// FleetReport explains the number of replicas of each service, as the leader plans it.
 type FleetReport struct {
-	// Leader is the leader's address, empty if it is not known; only its report has services.
+	// Leader is the leader's address, empty if it is not known; only the leader's report has services.
 	Leader   string         `json:"leader"`
 	Services []ServiceFleet `json:"services"`
 }
@@ -19,26 +19,26 @@
 // ServiceFleet is a service's part of a FleetReport.
 type ServiceFleet struct {
 	Service string `json:"service"`
-	// Learned is false while what was there at the start counts as enough.
+	// Learned is false while the number of replicas that were there at the start counts as sufficient.
 	Learned bool `json:"learned"`
-	// Wanted are the replicas that are wanted, Readers those that read, and Enough those up to
-	// which stable ones take the place of preemptible ones that have gone.
+	// Wanted is the number of replicas wanted, Readers the number of prefill replicas, and Enough the
+	// number up to which stable replicas replace preempted ones.
 	Wanted  int `json:"wanted"`
 	Readers int `json:"readers"`
 	Enough  int `json:"enough"`
-	// Busy is the number of replicas that the work keeps busy, Prompts and Delayed are those
-	// that come and those that wait too long, a second.
+	// Busy is the number of replicas that the load keeps busy. Prompts and Delayed are the prompts
+	// that arrive and those that wait too long, per second.
 	Busy    float64 `json:"busy"`
 	Prompts float64 `json:"prompts_per_second"`
 	Delayed float64 `json:"delayed_per_second"`
-	// Late are the prompts a second that are expected to be late, NextWorth how many fewer one
-	// more replica would leave, and NextPrice what it costs in the same unit.
+	// Late is the number of prompts a second that are expected to be late, NextWorth by how many one
+	// more replica would reduce it, and NextPrice the cost of that replica in the same unit.
 	Late      float64 `json:"late_per_second"`
 	NextWorth float64 `json:"next_worth"`
 	NextPrice float64 `json:"next_price"`
 }
 
-// fleetOutlooks are the leader's, by service.
+// fleetOutlooks holds the leader's planning results by service.
 type fleetOutlooks struct {
 	mutex    sync.Mutex
 	services map[string]fleetplan.Outlook
@@ -59,7 +59,7 @@
 	return maps.Clone(f.services)
 }
 
-// Fleet tells why services have as many replicas as they have.
+// Fleet returns the reasons for the number of replicas of each service.
 func (c *Coordinator) Fleet() FleetReport {
 	report := FleetReport{Leader: c.group.LeaderAddress(), Services: []ServiceFleet{}}
 	if !c.Leads() {
@@ -84,7 +84,7 @@
 	return report
 }
 
-// fleetSum adds a figure up over the services, 0 at those that do not lead.
+// fleetSum adds a figure up over all services. It is 0 at coordinators that do not lead.
 func (c *Coordinator) fleetSum(figure func(ServiceFleet) float64) float64 {
 	sum := 0.0
 	for _, service := range c.Fleet().Services {
--- a/internal/coordinator/leaving.go
+++ b/internal/coordinator/leaving.go
@@ -13,80 +13,80 @@
 	"github.com/pierhaven/pierhaven/internal/region"
 )
 
-// leavingWords are what this coordinator has been told of replicas that leave by their own word, and has
-// handed to the leader.
+// leavingWords collects the replicas that have declared in a response that they are leaving, and tracks which of
+// these were reported to the leader.
 type leavingWords struct {
-	// heard are the lives' names that have said so to this process itself.
-	heard chan string
+	// received queues the names of incarnations that have declared it to this process itself.
+	received chan string
 
 	mutex sync.Mutex
-	// toldAt is by Life.Name when the leader was last told.
-	toldAt map[string]time.Duration
+	// reportedAt holds, by Life.Name, when a replica was last reported to the leader.
+	reportedAt map[string]time.Duration
 }
 
-// maximumHeard bounds the words that wait to be handed on.
-const maximumHeard = 256
+// maximumQueuedLeaving bounds the replicas that wait to be reported.
+const maximumQueuedLeaving = 256
 
 func newLeavingWords() *leavingWords {
-	return &leavingWords{heard: make(chan string, maximumHeard), toldAt: map[string]time.Duration{}}
+	return &leavingWords{received: make(chan string, maximumQueuedLeaving), reportedAt: map[string]time.Duration{}}
 }
 
-// leavingAgain is after how long the leader is told again of a replica that the list does not show as leaving
-// yet: a thousand gateways hear of it within that time.
-const leavingAgain = time.Second
+// leavingReportInterval is the time after which a replica that the list does not yet show as leaving is reported to the
+// leader again: up to a thousand gateways report it within that time.
+const leavingReportInterval = time.Second
 
-// due are those of some replicas of which the leader has not been told of late.
+// due returns the replicas among names that were not reported within leavingReportInterval, and marks them as reported.
 func (w *leavingWords) due(now time.Duration, names []string) []string {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	for name, at := range w.toldAt {
-		if now-at >= leavingAgain {
-			delete(w.toldAt, name)
+	for name, at := range w.reportedAt {
+		if now-at >= leavingReportInterval {
+			delete(w.reportedAt, name)
 		}
 	}
 	var due []string
 	for _, name := range names {
-		if _, told := w.toldAt[name]; !told {
-			w.toldAt[name] = now
+		if _, reported := w.reportedAt[name]; !reported {
+			w.reportedAt[name] = now
 			due = append(due, name)
 		}
 	}
 	return due
 }
 
-// forget has the leader told again of some replicas: telling it has failed.
+// forget makes replicas due again after a report to the leader has failed.
 func (w *leavingWords) forget(names []string) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	for _, name := range names {
-		delete(w.toldAt, name)
+		delete(w.reportedAt, name)
 	}
 }
 
-// handleLeaving takes what a process has heard, and hands it to the leader.
+// handleLeaving handles a process's report of leaving replicas, and forwards it to the leader.
 func (c *Coordinator) handleLeaving(ctx context.Context, report *region.LeavingReport) (*peer.Empty, error) {
 	c.placement.directory.TakeLeaving(report.Replicas)
 	state, _ := c.machine.read()
-	news := c.leaving.due(c.now(), notListedLeaving(state.Replicas, report.Replicas))
-	if len(news) == 0 {
+	unreported := c.leaving.due(c.now(), notYetListedAsLeaving(state.Replicas, report.Replicas))
+	if len(unreported) == 0 {
 		return &peer.Empty{}, nil
 	}
 	bounded, cancel := context.WithTimeout(ctx, proposalTimeout)
 	defer cancel()
 	err := c.atLeader(bounded, func(ctx context.Context, leader string) error {
 		if leader == c.settings.Address {
-			return c.commitLeaving(ctx, news)
+			return c.commitLeaving(ctx, unreported)
 		}
-		return c.client.Call(ctx, leader, region.PathLeaving, &region.LeavingReport{Replicas: news}, &peer.Empty{})
+		return c.client.Call(ctx, leader, region.PathLeaving, &region.LeavingReport{Replicas: unreported}, &peer.Empty{})
 	})
 	if err != nil {
-		c.leaving.forget(news)
+		c.leaving.forget(unreported)
 	}
 	return &peer.Empty{}, err
 }
 
-// notListedLeaving are those of some lives that are listed, and not as leaving.
-func notListedLeaving(replicas []region.ListedReplica, names []string) []string {
+// notYetListedAsLeaving returns the incarnations among names that are listed, but not as leaving.
+func notYetListedAsLeaving(replicas []region.ListedReplica, names []string) []string {
 	wanted := make(map[string]bool, len(names))
 	for _, name := range names {
 		wanted[name] = true
@@ -101,7 +101,7 @@
 	return unlisted
 }
 
-// commitLeaving has the list show that some replicas leave by their own word.
+// commitLeaving commits a list change that marks replicas as leaving.
 func (c *Coordinator) commitLeaving(ctx context.Context, names []string) error {
 	state, _ := c.machine.read()
 	wanted := make(map[string]bool, len(names))
@@ -125,28 +125,28 @@
 	return err
 }
 
-// NoteStanding notes what a replica asks of this process. It does not wait.
-func (c *Coordinator) NoteStanding(replica backpressure.Peer, asks *backpressure.Standing) {
-	if !asks.Leaving() {
+// NoteStanding handles a change of the peer state of a replica. It does not block.
+func (c *Coordinator) NoteStanding(replica backpressure.Peer, state *backpressure.Standing) {
+	if !state.Leaving() {
 		return
 	}
 	select {
-	case c.leaving.heard <- replica.Instance:
+	case c.leaving.received <- replica.Instance:
 	default:
-		// It says so with each answer.
+		// The replica declares it again in each response.
 	}
 }
 
-// tellLeaving hands on what this process hears itself, until the context ends.
+// tellLeaving forwards what replicas have declared to this process itself, until the context ends.
 func (c *Coordinator) tellLeaving(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case life := <-c.leaving.heard:
-			if _, err := c.handleLeaving(ctx, &region.LeavingReport{Replicas: []string{life}}); err != nil {
-				c.logger.Info(event.LeavingUntold, "life", life, "error", failure.Text(err))
-				lifecycle.Sleep(ctx, leavingAgain)
+		case incarnation := <-c.leaving.received:
+			if _, err := c.handleLeaving(ctx, &region.LeavingReport{Replicas: []string{incarnation}}); err != nil {
+				c.logger.Info(event.LeavingUntold, "life", incarnation, "error", failure.Text(err))
+				lifecycle.Sleep(ctx, leavingReportInterval)
 			}
 		}
 	}
--- a/internal/coordinator/leaving_test.go
+++ b/internal/coordinator/leaving_test.go
@@ -10,15 +10,15 @@
 	"github.com/pierhaven/pierhaven/internal/region"
 )
 
-// A replica leaves by its own word whatever the platform's list goes on showing, and its next life does not.
-func TestAReplicasOwnWordOutlivesThePlatformsList(t *testing.T) {
+// A replica that has declared that it is leaving stays leaving whatever the platform's list shows, until its next incarnation.
+func TestLeavingReportOverridesThePlatformsList(t *testing.T) {
 	m := newTestMachine()
 	relist(t, m, 1, engineAt(5, region.StageDecode))
 	leaving := engineAt(5, region.StageDecode)
 	leaving.Leaving = true
 	apply(t, m, 2, region.Command{List: &region.ListCommand{Changed: []region.Replica{leaving}, Standby: true}})
 
-	assert.False(t, relist(t, m, 3, engineAt(5, region.StageDecode)), "the list shows it as ready")
+	assert.False(t, relist(t, m, 3, engineAt(5, region.StageDecode)), "the platform's list shows it as ready")
 	gateway := newFollower()
 	gateway.follow(m)
 	shown := gateway.list["a"]
@@ -26,25 +26,25 @@
 	state, _ := m.read()
 	services, _ := modelReplicas(state, func(string) string { return "" })
 	assert.Empty(t, services["model"], "the plan of stages does not count it")
-	assert.Empty(t, notListedLeaving(state.Replicas, []string{leaving.Life().Name()}), "it is told once")
+	assert.Empty(t, notYetListedAsLeaving(state.Replicas, []string{leaving.Life().Name()}), "it is reported once")
 
 	assert.True(t, relist(t, m, 4, engineAt(9, region.StageDecode)))
 	gateway.follow(m)
 	shown = gateway.list["a"]
-	assert.False(t, shown.Leaves(), "another life")
+	assert.False(t, shown.Leaves(), "another incarnation")
 	state, _ = m.read()
-	assert.Empty(t, notListedLeaving(state.Replicas, []string{leaving.Life().Name()}), "a late word of the life before")
+	assert.Empty(t, notYetListedAsLeaving(state.Replicas, []string{leaving.Life().Name()}), "a late report of the previous incarnation")
 }
 
-// A thousand gateways hear that a replica leaves: the leader is told once a second.
-func TestTheLeaderIsToldOnceThatAReplicaLeaves(t *testing.T) {
-	words := newLeavingWords()
-	require.Equal(t, []string{"a", "b"}, words.due(0, []string{"a", "b"}))
+// A thousand gateways report that a replica is leaving; the report is forwarded to the leader once a second.
+func TestLeavingReportsToTheLeaderAreRateLimited(t *testing.T) {
+	reports := newLeavingWords()
+	require.Equal(t, []string{"a", "b"}, reports.due(0, []string{"a", "b"}))
 	for range 1000 {
-		require.Empty(t, words.due(time.Second/2, []string{"a", "b"}))
+		require.Empty(t, reports.due(time.Second/2, []string{"a", "b"}))
 	}
-	require.Equal(t, []string{"c"}, words.due(time.Second/2, []string{"a", "c"}))
-	require.Equal(t, []string{"a"}, words.due(time.Second, []string{"a"}), "the list does not show it")
-	words.forget([]string{"a"})
-	require.Equal(t, []string{"a"}, words.due(time.Second, []string{"a"}), "telling failed")
+	require.Equal(t, []string{"c"}, reports.due(time.Second/2, []string{"a", "c"}))
+	require.Equal(t, []string{"a"}, reports.due(time.Second, []string{"a"}), "the list does not show it as leaving")
+	reports.forget([]string{"a"})
+	require.Equal(t, []string{"a"}, reports.due(time.Second, []string{"a"}), "the report failed")
 }
--- a/internal/coordinator/orderdoubt.go
+++ b/internal/coordinator/orderdoubt.go
@@ -7,28 +7,29 @@
 	"github.com/pierhaven/pierhaven/internal/region"
 )
 
-// orderDoubts are the orders without an answer. Such an order may be carried out late, also by a life
-// that has begun since under the replica's id, once its count of orders is the one that the order
-// expects. The life that was ordered is left alone for a time; a new one need not be, as its count
-// starts anew: it is given no order that would bring its count to where the old order holds.
-type orderDoubts []orderDoubt
+// orderDoubts are orders without a response. Such an order may be carried out late, also by an
+// incarnation that has started since under the replica's id, once its count of orders is the one that
+// the order expects. The incarnation that was ordered gets no orders for a time. A new one need not be
+// excluded, since its count starts over, but it gets no order after which the old order would match
+// its count.
+type orderDoubts []unansweredOrder
 
-type orderDoubt struct {
-	life     region.Life
-	sequence uint64
-	until    time.Duration
+type unansweredOrder struct {
+	incarnation region.Life
+	sequence    uint64
+	until       time.Duration
 }
 
-// add notes an order with the count of orders that it expects.
-func (d *orderDoubts) add(now time.Duration, life region.Life, sequence uint64) {
-	lasting := slices.DeleteFunc(*d, func(each orderDoubt) bool { return now >= each.until })
-	*d = append(lasting, orderDoubt{life: life, sequence: sequence, until: now + unclearHold})
+// add records an order with the count of orders that it expects.
+func (d *orderDoubts) add(now time.Duration, incarnation region.Life, sequence uint64) {
+	unexpired := slices.DeleteFunc(*d, func(each unansweredOrder) bool { return now >= each.until })
+	*d = append(unexpired, unansweredOrder{incarnation: incarnation, sequence: sequence, until: now + unclearHold})
 }
 
-// wouldWake reports whether an order to a life whose count is a sequence would let an older order,
-// given to a life before, be carried out.
-func (d orderDoubts) wouldWake(now time.Duration, life region.Life, sequence uint64) bool {
-	return slices.ContainsFunc(d, func(each orderDoubt) bool {
-		return now < each.until && each.life.ID == life.ID && each.life != life && each.sequence == sequence+1
+// wouldWake reports whether an order to an incarnation whose count of orders is sequence would allow an
+// older order, sent to a previous incarnation, to be carried out.
+func (d orderDoubts) wouldWake(now time.Duration, incarnation region.Life, sequence uint64) bool {
+	return slices.ContainsFunc(d, func(each unansweredOrder) bool {
+		return now < each.until && each.incarnation.ID == incarnation.ID && each.incarnation != incarnation && each.sequence == sequence+1
 	})
 }
--- a/internal/coordinator/permit.go
+++ b/internal/coordinator/permit.go
@@ -8,14 +8,15 @@
 	"github.com/pierhaven/pierhaven/internal/region"
 )
 
-// permits are those that this coordinator has given while it led. A new leader knows none, and may
-// give one again.
+// permits are the probation permits that this coordinator has issued as leader. A new leader knows none
+// of its predecessor's, and may issue one again.
 type permits struct {
 	mutex sync.Mutex
 	given *poison.Permits
 }
 
-// handlePermit says whether a request on probation may be tried now, or asks the leader.
+// handlePermit decides at the leader whether a request on probation may be tried now. Other coordinators
+// forward the query to the leader.
 func (c *Coordinator) handlePermit(ctx context.Context, request *poison.PermitRequest) (*poison.PermitReply, error) {
 	if c.group.Leads() {
 		c.permits.mutex.Lock()
--- a/internal/coordinator/place.go
+++ b/internal/coordinator/place.go
@@ -16,7 +16,7 @@
 	"github.com/pierhaven/pierhaven/internal/relay"
 )
 
-// placementService chooses replicas for the gateways that poll this coordinator.
+// placementService selects replicas for the gateways that poll this coordinator.
 type placementService struct {
 	directory *relay.Directory
 	socket    *datagram.Socket
@@ -26,12 +26,12 @@
 }
 
 func newPlacementService(settings Settings, clock func() time.Duration) *placementService {
-	life := time.Now().UnixNano()
+	startedAt := time.Now().UnixNano()
 	socket := &datagram.Socket{Logger: settings.Logger}
 	directory := relay.NewDirectory(clock, settings.Zone, func(string, string) {}, settings.Logger)
 	directory.SwitchOff(settings.Without)
 	directory.KnowPlaces(settings.Topology)
-	server := placement.NewServer(directory, clock, life, settings.Logger)
+	server := placement.NewServer(directory, clock, startedAt, settings.Logger)
 	server.Serve(socket)
 	return &placementService{
 		directory: directory,
@@ -40,7 +40,7 @@
 		peers: peers.New(peers.Options{
 			Name:              settings.Name,
 			Address:           settings.Address,
-			Life:              life,
+			Life:              startedAt,
 			Zone:              settings.Zone,
 			Topology:          settings.Topology,
 			LinkBitsPerSecond: settings.LinkBitsPerSecond,
@@ -52,7 +52,7 @@
 	}
 }
 
-// places reports whether the region has so many gateways that coordinators choose replicas
+// places reports whether the region has so many gateways that coordinators select replicas
 // for them.
 func (c *Coordinator) places() bool {
 	if c.settings.PlacesAbove < 0 || c.settings.Without[mechanism.Placement] {
@@ -62,16 +62,16 @@
 }
 
 const (
-	// placesPoll is the pause between two looks whether there are many gateways.
-	placesPoll = 50 * time.Millisecond
-	// placementMembersInterval is the pause between two looks for other coordinators.
+	// gatewayCountInterval is the interval at which the number of gateways is checked.
+	gatewayCountInterval = 50 * time.Millisecond
+	// placementMembersInterval is the interval at which the list of coordinators is checked.
 	placementMembersInterval = 300 * time.Millisecond
 )
 
-// place chooses replicas for gateways from when there are many of them.
+// place waits until there are enough gateways, then selects replicas for them until the context ends.
 func (c *Coordinator) place(ctx context.Context) {
 	for !c.places() {
-		if !lifecycle.Sleep(ctx, placesPoll) {
+		if !lifecycle.Sleep(ctx, gatewayCountInterval) {
 			return
 		}
 	}
@@ -79,37 +79,37 @@
 	c.placement.warmup.Owns = c.asksKept
 	var loops sync.WaitGroup
 	for _, loop := range []func(context.Context){
-		c.keepDirectory, c.keepPlacementPeers,
-		c.placement.server.Sweep, c.placement.peers.Tell, c.placement.warmup.Run, c.learnKept, c.logRegionWords,
+		c.keepDirectory, c.syncPlacementPeers,
+		c.placement.server.Sweep, c.placement.peers.Tell, c.placement.warmup.Run, c.learnKept, c.logRegionReports,
 	} {
 		loops.Go(func() { loop(ctx) })
 	}
 	loops.Wait()
 }
 
-// listenForDatagrams takes the questions of gateways, and the word of other coordinators.
+// listenForDatagrams receives the queries of gateways and the reports of other coordinators.
 func (c *Coordinator) listenForDatagrams(ctx context.Context) {
 	if err := c.placement.socket.Run(ctx, c.settings.Address); err != nil {
-		// Gateways get no answer: they choose by themselves, and ask another about limits.
+		// Gateways get no response: they select replicas themselves, and ask another coordinator about limits.
 		c.logger.Info(event.PeersUnreachable, "address", c.settings.Address, "error", failure.Text(err))
 	}
 }
 
-// keepDirectory has the placement know the replicas and the engines in force.
+// keepDirectory keeps the directory's replicas and engine settings up to date.
 func (c *Coordinator) keepDirectory(ctx context.Context) {
 	var version, revision uint64
 	for ctx.Err() == nil {
 		state, changed := c.machine.read()
 		if state.ListRevision > revision {
 			revision = state.ListRevision
-			shown := &region.View{}
-			shownSince(state, 0, shown)
-			c.placement.directory.Replace(shown.Replicas)
-			c.limits.tellChoices()
+			view := &region.View{}
+			shownSince(state, 0, view)
+			c.placement.directory.Replace(view.Replicas)
+			c.limits.updateDirectoryLimits()
 		}
 		if state.Version > version {
 			version = state.Version
-			c.takeEngines(state)
+			c.applyEngines(state)
 		}
 		select {
 		case <-changed:
@@ -118,8 +118,8 @@
 	}
 }
 
-// takeEngines takes over what the configuration says of engines.
-func (c *Coordinator) takeEngines(state region.State) {
+// applyEngines applies the configuration's engine settings to the directory.
+func (c *Coordinator) applyEngines(state region.State) {
 	configuration, err := readConfiguration(c.settings.Codec, state.Document)
 	if err != nil {
 		c.logger.Info(event.ConfigurationRefused, "version", state.Version, "reason", err.Error())
@@ -132,8 +132,8 @@
 	}
 }
 
-// keepPlacementPeers has the coordinators tell each other of what they have placed.
-func (c *Coordinator) keepPlacementPeers(ctx context.Context) {
+// syncPlacementPeers keeps the list of coordinators to which placements are reported up to date.
+func (c *Coordinator) syncPlacementPeers(ctx context.Context) {
 	for {
 		addresses := c.sortedMembers()
 		if hash := hashOf(addresses); hash != c.placement.peers.Known() {
--- a/internal/coordinator/poison.go
+++ b/internal/coordinator/poison.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// poisonInterval is the pause between two looks at the evidence.
+	// poisonInterval is the interval at which the evidence is evaluated.
 	poisonInterval = 50 * time.Millisecond
-	// DefaultContact is how long processes that reach each other may take to know what one
-	// knows, if the settings do not say.
+	// DefaultContact is the default of the contact time: how long information may take to spread
+	// between processes that reach each other.
 	DefaultContact = 3 * time.Second
 )
 
-// handlePoison takes a gateway's report, and hands it to the leader.
+// handlePoison handles a gateway's evidence at the leader. Other coordinators forward it to the leader.
 func (c *Coordinator) handlePoison(ctx context.Context, report *poison.Report) (*region.PoisonReply, error) {
 	if c.group.Leads() {
 		return c.commitPoison(ctx, &poison.Command{Ends: report.Ends, RanWell: report.RanWell})
@@ -30,7 +30,7 @@
 	return c.poisonAtLeader(bounded, region.PathPoison, report)
 }
 
-// handleRelease lets go of requests at the leader.
+// handleRelease releases held requests at the leader.
 func (c *Coordinator) handleRelease(ctx context.Context, command *poison.Command) (*region.PoisonReply, error) {
 	if !c.group.Leads() {
 		return nil, rpc.NotLeader(c.group.LeaderAddress())
@@ -38,16 +38,17 @@
 	return c.commitPoison(ctx, &poison.Command{Release: command.Release})
 }
 
-// poisonAtLeader makes a call at the leader, which may be another one by then.
+// poisonAtLeader calls the leader, which may have changed by then.
 func (c *Coordinator) poisonAtLeader(ctx context.Context, path string, request message) (*region.PoisonReply, error) {
-	taken := &region.PoisonReply{}
+	reply := &region.PoisonReply{}
 	err := c.atLeader(ctx, func(ctx context.Context, leader string) error {
-		return c.client.Call(ctx, leader, path, request, taken)
+		return c.client.Call(ctx, leader, path, request, reply)
 	})
-	return taken, err
+	return reply, err
 }
 
-// commitPoison commits a command at the leader, with the region's time.
+// commitPoison commits a command at the leader with the region's time. The reply reports whether one of the
+// requests to release was held.
 func (c *Coordinator) commitPoison(ctx context.Context, command *poison.Command) (*region.PoisonReply, error) {
 	state, _ := c.machine.read()
 	reply := &region.PoisonReply{}
@@ -59,8 +60,8 @@
 	return reply, err
 }
 
-// keepPoison holds requests that the evidence convicts, and forgets what has lapsed, while this
-// coordinator leads.
+// keepPoison holds requests for which there is enough evidence, and deletes expired evidence and holds,
+// while this coordinator leads.
 func (c *Coordinator) keepPoison(ctx context.Context) {
 	dropped := uint64(0)
 	for lifecycle.Sleep(ctx, poisonInterval) {
@@ -80,12 +81,12 @@
 		bounded, cancel := context.WithTimeout(ctx, proposalTimeout)
 		_, err := c.commitPoison(bounded, command)
 		cancel()
-		c.logHolds(state.Poison, command, err)
+		c.logHeldRequests(state.Poison, command, err)
 	}
 }
 
-// logHolds writes a line for each request that is held now.
-func (c *Coordinator) logHolds(known poison.State, command *poison.Command, err error) {
+// logHeldRequests logs each request that a command holds, and the deletion of expired records.
+func (c *Coordinator) logHeldRequests(known poison.State, command *poison.Command, err error) {
 	for _, digest := range command.Hold {
 		record, _ := known.Find(digest)
 		c.logger.Info(event.RequestHeld, "digest", digest.String(), "replicas_ended", record.Total,
@@ -96,8 +97,8 @@
 	}
 }
 
-// HeldRequests lists the requests that are sent to no replica, those that were held last first. It
-// fails if this coordinator can't be sure that it knows all.
+// HeldRequests lists the requests that are sent to no replica, the most recently held first. It
+// fails if this coordinator can't confirm that its state is complete.
 func (c *Coordinator) HeldRequests(ctx context.Context) ([]poison.Held, error) {
 	if err := c.confirmOnce(ctx); err != nil {
 		return nil, failure.Wrap(err, failure.NoQuorum)
@@ -106,7 +107,7 @@
 	return state.Poison.Held(), nil
 }
 
-// ReleaseRequest lets a request go that is held. It fails with failure.NotFound if none is.
+// ReleaseRequest releases a held request. It fails with failure.NotFound if none with the digest is held.
 func (c *Coordinator) ReleaseRequest(ctx context.Context, digest poison.Digest) error {
 	ctx, cancel := context.WithTimeout(ctx, proposalTimeout)
 	defer cancel()
@@ -127,7 +128,7 @@
 	return err
 }
 
-// heldCount is the number of requests that are held, for the metrics.
+// heldCount returns the number of held requests, for the metrics.
 func (c *Coordinator) heldCount() int {
 	state, _ := c.machine.read()
 	return len(state.Poison.HeldDigests())
--- a/internal/coordinator/pool.go
+++ b/internal/coordinator/pool.go
@@ -15,37 +15,38 @@
 	"github.com/pierhaven/pierhaven/internal/telemetry"
 )
 
-// poolLeaseShare of the contact time is for how long a coordinator's part of the limits counts at
-// the leader after its last message: a leader that has gone holds up questions for no longer, and
+// poolLeaseShare is the share of the contact time for which a coordinator's part of the limits counts at
+// the leader after its last message. It also bounds the time for which a failed leader delays queries;
 // an election takes twice as long.
 const poolLeaseShare = 0.125
 
-// poolKinds are the messages of a pool: a gateway's, the reply to it, and those between pools.
-type poolKinds struct{ ask, reply, peer datagram.Kind }
+// messageKinds are the kinds of a pool's messages: a gateway's request, the reply to it, and those
+// between pools.
+type messageKinds struct{ request, reply, peer datagram.Kind }
 
-// poolService runs a quota pool: it takes the questions of gateways, and counts together with the
-// pools of the other coordinators.
+// poolService runs a quota pool: it answers gateways' queries, and counts together with the pools of
+// the other coordinators.
 type poolService struct {
 	*Coordinator
 	socket *datagram.Socket
-	kinds  poolKinds
-	// limitsOf names whose limits are counted, in logs.
+	kinds  messageKinds
+	// limitsOf says in logs whose limits are counted.
 	limitsOf string
 	mutex    sync.Mutex
 	pool     *quota.Pool
-	// woken has a message sent that is due sooner than was known.
-	woken chan struct{}
-	// refresh brings the limits up to date; it is called before each step.
+	// wakeups ends Run's wait early when a message may be due sooner than was known.
+	wakeups chan struct{}
+	// refresh updates the limits; it is called before each step, without the mutex held.
 	refresh func()
-	// decided is told of each decision, with the mutex held. It may be nil.
-	decided func(quota.Decision)
-	// asked, refused and silent count questions since the start: all, those that were refused,
-	// and those that the holder did not answer in time.
-	asked, refused, silent uint64
+	// onDecision is called for each decision, with the mutex held. It may be nil.
+	onDecision func(quota.Decision)
+	// requestCount, deniedCount and holderTimeoutCount count queries since the start: all, those that
+	// were denied, and those that the holder of the count did not answer in time.
+	requestCount, deniedCount, holderTimeoutCount uint64
 }
 
-func newPoolService(c *Coordinator, socket *datagram.Socket, limitsOf string, kinds poolKinds, terms quota.Terms) *poolService {
-	created := &poolService{
+func newPoolService(c *Coordinator, socket *datagram.Socket, limitsOf string, kinds messageKinds, terms quota.Terms) *poolService {
+	service := &poolService{
 		Coordinator: c,
 		socket:      socket,
 		kinds:       kinds,
@@ -56,15 +57,15 @@
 			Lease:   time.Duration(poolLeaseShare * float64(c.settings.Contact)),
 			Terms:   terms,
 		}),
-		woken:   make(chan struct{}, 1),
+		wakeups: make(chan struct{}, 1),
 		refresh: func() {},
 	}
-	socket.Handle(kinds.ask, created.receiveGateway)
-	socket.Handle(kinds.peer, created.receivePeer)
-	return created
+	socket.Handle(kinds.request, service.receiveGateway)
+	socket.Handle(kinds.peer, service.receivePeer)
+	return service
 }
 
-// Run does what is due until the context ends.
+// Run runs the pool until the context ends.
 func (p *poolService) Run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -73,14 +74,14 @@
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-		case <-p.woken:
+		case <-p.wakeups:
 		}
 		p.refresh()
 		timer.Reset(p.step())
 	}
 }
 
-// step does what is due now, and returns in how long something is due again.
+// step does the work that is due, and returns the time until the next step.
 func (p *poolService) step() time.Duration {
 	leader := p.group.LeaderAddress()
 	if p.group.Leads() {
@@ -96,7 +97,7 @@
 	return max(p.pool.Due(now)-now, time.Millisecond)
 }
 
-// receiveGateway takes a gateway's questions.
+// receiveGateway handles a gateway's message: amounts to refund or charge, and queries.
 func (p *poolService) receiveGateway(from netip.AddrPort, payload []byte) error {
 	var message quota.GatewayMessage
 	if _, err := message.UnmarshalMsg(payload); err != nil {
@@ -112,11 +113,11 @@
 		p.pool.Ask(now, from.String(), each)
 	}
 	p.send()
-	p.wake()
+	p.wakeUp()
 	return nil
 }
 
-// receivePeer takes a message of another coordinator.
+// receivePeer handles a message of another coordinator.
 func (p *poolService) receivePeer(_ netip.AddrPort, payload []byte) error {
 	var message quota.PeerMessage
 	if _, err := message.UnmarshalMsg(payload); err != nil {
@@ -126,19 +127,19 @@
 	defer p.mutex.Unlock()
 	p.pool.Receive(p.now(), &message)
 	p.send()
-	p.wake()
+	p.wakeUp()
 	return nil
 }
 
-// wake has the loop look anew at what is due.
-func (p *poolService) wake() {
+// wakeUp makes Run start the next step at once.
+func (p *poolService) wakeUp() {
 	select {
-	case p.woken <- struct{}{}:
+	case p.wakeups <- struct{}{}:
 	default:
 	}
 }
 
-// send sends what the pool has decided. It is called with the mutex held.
+// send sends the pool's messages and decisions. The caller must hold p.mutex.
 func (p *poolService) send() {
 	ready := p.pool.Ready()
 	for index := range ready.Messages {
@@ -154,42 +155,42 @@
 	}
 }
 
-// reply tells a gateway a decision.
-func (p *poolService) reply(decided quota.Decision) {
-	p.count(decided)
-	if p.decided != nil {
-		p.decided(decided)
+// reply sends a decision to the gateway. The caller must hold p.mutex.
+func (p *poolService) reply(decision quota.Decision) {
+	p.count(decision)
+	if p.onDecision != nil {
+		p.onDecision(decision)
 	}
-	to, err := netip.ParseAddrPort(decided.From)
+	to, err := netip.ParseAddrPort(decision.From)
 	if err != nil {
 		return
 	}
-	p.socket.Send(p.kinds.reply, &quota.GatewayReply{Answers: []quota.Answer{decided.Answer}, Mode: decided.Mode}, to)
+	p.socket.Send(p.kinds.reply, &quota.GatewayReply{Answers: []quota.Answer{decision.Answer}, Mode: decision.Mode}, to)
 }
 
-// count counts a decision, once. It is called with the mutex held.
-func (p *poolService) count(decided quota.Decision) {
-	if decided.Again {
+// count counts a decision unless it was counted before. The caller must hold p.mutex.
+func (p *poolService) count(decision quota.Decision) {
+	if decision.Again {
 		return
 	}
-	p.asked++
-	if !decided.Answer.Admitted {
-		p.refused++
+	p.requestCount++
+	if !decision.Answer.Admitted {
+		p.deniedCount++
 	}
-	if decided.Silent {
-		p.silent++
+	if decision.Silent {
+		p.holderTimeoutCount++
 	}
 }
 
-// status is what the pool knows.
+// status returns the pool's status.
 func (p *poolService) status() quota.Status {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.pool.Status(p.now())
 }
 
-// statusAtLeader is what the leader counts, asked for at a path. While there is no leader, or it can't
-// be reached, it is what this coordinator counts alone.
+// statusAtLeader returns the leader's status, queried at path. While there is no leader, or it can't be
+// reached, it returns what this coordinator has counted locally.
 func (p *poolService) statusAtLeader(ctx context.Context, path string) quota.Status {
 	ctx, cancel := context.WithTimeout(ctx, proposalTimeout)
 	defer cancel()
@@ -208,7 +209,7 @@
 	return *status
 }
 
-// handleStatus answers another coordinator at the leader.
+// handleStatus answers another coordinator's status query at the leader.
 func (p *poolService) handleStatus(context.Context, *quota.StatusRequest) (*quota.Status, error) {
 	if !p.group.Leads() {
 		return nil, rpc.NotLeader(p.group.LeaderAddress())
@@ -217,20 +218,19 @@
 	return &status, nil
 }
 
-// registerMetrics registers what is read when it is asked for; names begin with a prefix, and what
-// names what is limited.
+// registerMetrics registers gauges whose names begin with prefix; what says in the help texts what is limited.
 func (p *poolService) registerMetrics(registry *telemetry.Metrics, prefix, what string) {
-	counted := func(name, help string, read func() float64) {
+	registerGauge := func(name, help string, read func() float64) {
 		registry.GaugeFunc(prefix+name, help, func() float64 {
 			p.mutex.Lock()
 			defer p.mutex.Unlock()
 			return read()
 		})
 	}
-	counted("_asked", "Questions of gateways whether a request may go on under the limit of "+what+" since the start.", func() float64 { return float64(p.asked) })
-	counted("_refused", "Questions that were answered with no since the start.", func() float64 { return float64(p.refused) })
-	counted("_holder_silent", "Questions that were decided here since the holder of the count did not answer in time, since the start.", func() float64 { return float64(p.silent) })
-	counted("_parts", "Coordinators whose parts of the limits count here; 0 at one that asks the leader.", func() float64 {
+	registerGauge("_asked", "Questions of gateways whether a request may go on under the limit of "+what+" since the start.", func() float64 { return float64(p.requestCount) })
+	registerGauge("_refused", "Questions that were answered with no since the start.", func() float64 { return float64(p.deniedCount) })
+	registerGauge("_holder_silent", "Questions that were decided here since the holder of the count did not answer in time, since the start.", func() float64 { return float64(p.holderTimeoutCount) })
+	registerGauge("_parts", "Coordinators whose parts of the limits count here; 0 at one that asks the leader.", func() float64 {
 		return float64(p.pool.Status(p.now()).Parts)
 	})
 }
--- a/internal/coordinator/quota.go
+++ b/internal/coordinator/quota.go
@@ -9,22 +9,22 @@
 	"github.com/pierhaven/pierhaven/internal/region"
 )
 
-// quotaService counts what tenants use, together with the other coordinators.
+// quotaService counts the usage of tenants against their quotas, together with the other coordinators.
 type quotaService struct {
 	*poolService
-	// version is that of the configuration whose limits are counted.
+	// version is the version of the configuration whose limits are in force.
 	version uint64
 }
 
 func newQuotaService(c *Coordinator, socket *datagram.Socket) *quotaService {
-	kinds := poolKinds{ask: datagram.KindQuota, reply: datagram.KindQuotaReply, peer: datagram.KindQuotaPeer}
-	created := &quotaService{poolService: newPoolService(c, socket, "tenants", kinds, c.settings.Quota)}
-	created.refresh = created.takeLimits
-	return created
+	kinds := messageKinds{request: datagram.KindQuota, reply: datagram.KindQuotaReply, peer: datagram.KindQuotaPeer}
+	service := &quotaService{poolService: newPoolService(c, socket, "tenants", kinds, c.settings.Quota)}
+	service.refresh = service.applyLimits
+	return service
 }
 
-// takeLimits takes the limits of a newer configuration over.
-func (q *quotaService) takeLimits() {
+// applyLimits applies the limits of a newer configuration to the pool.
+func (q *quotaService) applyLimits() {
 	state, _ := q.machine.read()
 	if state.Version <= q.version {
 		return
@@ -49,8 +49,8 @@
 	}
 }
 
-// Quotas tells what the tenants with limits use, as the leader counts it. While there is no
-// leader, or it can't be reached, it is what this coordinator counts alone.
+// Quotas returns the usage of tenants with limits, as the leader counts it. While there is no
+// leader, or it can't be reached, it returns what this coordinator has counted locally.
 func (c *Coordinator) Quotas(ctx context.Context) quota.Status {
 	return c.quotas.statusAtLeader(ctx, region.PathQuotas)
 }
--- a/internal/coordinator/regionload.go
+++ b/internal/coordinator/regionload.go
@@ -11,30 +11,31 @@
 	"github.com/pierhaven/pierhaven/internal/region"
 )
 
-// RegionLoad is what this coordinator knows of a service's replicas in a region. Work is known to
-// coordinators only where they choose the replicas.
+// RegionLoad is what this coordinator knows of a service's replicas in a region. Coordinators know the
+// requests at replicas only where they select the replicas.
 type RegionLoad struct {
 	Region  string `json:"region"`
 	Service string `json:"service"`
-	// Replicas on the list, of which some stand by. Of the others some read prompts, generate answers or
-	// change their stage; Slots are theirs.
+	// Replicas is the number of replicas on the list, and Standby how many of these are on standby. Of the
+	// active ones, Reading are prefill replicas, Generating decode replicas, and Changing those that change
+	// their stage; Slots is the sum of the active replicas' slots.
 	Replicas   int `json:"replicas"`
 	Standby    int `json:"standby"`
 	Reading    int `json:"reading"`
 	Generating int `json:"generating"`
 	Changing   int `json:"changing"`
 	Slots      int `json:"slots"`
-	// Requests are those at the replicas, PlacedHere those of them that this coordinator has
-	// placed for its gateways.
+	// Requests is the number of requests at the replicas, PlacedHere how many of them this coordinator
+	// has placed for its gateways.
 	Requests   int `json:"requests"`
 	PlacedHere int `json:"placed_here"`
-	// Own says that the coordinator is in the region. Of another, WordAgeMillis is how old the
-	// newest word of its work is, -1 if none counts.
+	// Own is set if the coordinator is in the region. For other regions, WordAgeMillis is the age of the
+	// newest report of the region's work, -1 if there is none that still counts.
 	Own           bool  `json:"own"`
 	WordAgeMillis int64 `json:"word_age_ms"`
 }
 
-// RegionLoads returns what is known of each service in each region, by region and service.
+// RegionLoads returns the load of each service in each region, sorted by region and service.
 func (c *Coordinator) RegionLoads() []RegionLoad {
 	state, _ := c.machine.read()
 	changing := map[region.Life]bool{}
@@ -74,58 +75,58 @@
 	return sorted
 }
 
-// loadOf returns the load that a replica counts for.
+// loadOf returns the entry of loads for a replica's service and region, and adds it if there is none.
 func (c *Coordinator) loadOf(loads map[stageGroup]*RegionLoad, replica *region.Replica) *RegionLoad {
-	places := c.settings.Topology
-	group := stageGroup{service: replica.Service, region: places.RegionOf(replica.Zone)}
+	regions := c.settings.Topology
+	group := stageGroup{service: replica.Service, region: regions.RegionOf(replica.Zone)}
 	load, found := loads[group]
 	if !found {
-		own := group.region == places.RegionOf(c.settings.Zone)
+		own := group.region == regions.RegionOf(c.settings.Zone)
 		load = &RegionLoad{Region: group.region, Service: group.service, Own: own}
 		if !own {
-			load.WordAgeMillis = wordAgeMillis(c.placement.directory.RegionWordAge(group.region))
+			load.WordAgeMillis = reportAgeMillis(c.placement.directory.RegionWordAge(group.region))
 		}
 		loads[group] = load
 	}
 	return load
 }
 
-func wordAgeMillis(age time.Duration) int64 {
+func reportAgeMillis(age time.Duration) int64 {
 	if age < 0 {
 		return -1
 	}
 	return age.Milliseconds()
 }
 
-// otherRegions lists the regions beside this coordinator's.
+// otherRegions lists the regions other than this coordinator's.
 func (c *Coordinator) otherRegions() []string {
 	own := c.settings.Topology.RegionOf(c.settings.Zone)
 	return slices.DeleteFunc(c.settings.Topology.Names(), func(name string) bool { return name == own })
 }
 
-// silentRegions counts the other regions whose work nothing is known of.
+// silentRegions counts the other regions without a report of their work that still counts.
 func (c *Coordinator) silentRegions() int {
-	silent := 0
+	count := 0
 	for _, name := range c.otherRegions() {
 		if c.placement.directory.RegionWordAge(name) < 0 {
-			silent++
+			count++
 		}
 	}
-	return silent
+	return count
 }
 
-// regionWordPoll is the pause between two looks whether other regions are heard.
-const regionWordPoll = 500 * time.Millisecond
+// regionReportCheckInterval is the interval at which the reports of other regions are checked.
+const regionReportCheckInterval = 500 * time.Millisecond
 
-// logRegionWords writes a line when another region falls silent, and when it is heard again.
-func (c *Coordinator) logRegionWords(ctx context.Context) {
-	heard := map[string]bool{}
-	for lifecycle.Sleep(ctx, regionWordPoll) {
+// logRegionReports logs when the reports of another region stop, and when they resume.
+func (c *Coordinator) logRegionReports(ctx context.Context) {
+	reporting := map[string]bool{}
+	for lifecycle.Sleep(ctx, regionReportCheckInterval) {
 		for _, name := range c.otherRegions() {
 			age := c.placement.directory.RegionWordAge(name)
-			if now := age >= 0; now != heard[name] {
-				heard[name] = now
-				c.logger.Info(event.RegionWord, "region", name, "heard", now, "age_ms", wordAgeMillis(age))
+			if now := age >= 0; now != reporting[name] {
+				reporting[name] = now
+				c.logger.Info(event.RegionWord, "region", name, "heard", now, "age_ms", reportAgeMillis(age))
 			}
 		}
 	}
--- a/internal/coordinator/regionload_test.go
+++ b/internal/coordinator/regionload_test.go
@@ -12,17 +12,17 @@
 	"github.com/pierhaven/pierhaven/internal/relay"
 )
 
-func TestLoadsAreShownByRegionWithTheAgeOfWord(t *testing.T) {
+func TestRegionLoadsIncludeTheAgeOfReports(t *testing.T) {
 	now := time.Minute
 	clock := func() time.Duration { return now }
 	c := &Coordinator{settings: Settings{Zone: "north-a", Topology: twoRegions, Logger: logr.Discard()}, machine: newMachine(clock), clock: clock}
 	c.placement = newPlacementService(c.settings, c.now)
 	near := region.Replica{ID: "near", Service: "s", Zone: "north-b", Slots: 8, Stage: region.StageDecode}
-	reader := region.Replica{ID: "reader", Service: "s", Zone: "north-a", Slots: 8, Stage: region.StagePrefill}
+	prefill := region.Replica{ID: "reader", Service: "s", Zone: "north-a", Slots: 8, Stage: region.StagePrefill}
 	far := region.Replica{ID: "far", Service: "s", Zone: "south-a", Slots: 4, Stage: region.StageDecode}
-	apply(t, c.machine, 1, listed(near, reader, far))
+	apply(t, c.machine, 1, listed(near, prefill, far))
 	apply(t, c.machine, 2, region.Command{Change: &region.ChangeCommand{Replica: "reader", Stage: region.StageDecode}})
-	c.placement.directory.Replace([]region.Replica{near, reader, far})
+	c.placement.directory.Replace([]region.Replica{near, prefill, far})
 	c.placement.directory.PickGenerator("s", relay.Wanted{}, "north-b")
 	assert.Equal(t, 1, c.silentRegions())
 	c.placement.directory.TakeSums("south", "other", []region.OutstandingWork{{Replica: "far", Requests: 3}}, true, 400*time.Millisecond)
--- a/internal/coordinator/replicalimits.go
+++ b/internal/coordinator/replicalimits.go
@@ -14,51 +14,53 @@
 )
 
 const (
-	// limitShowPause is the least time between two times that gateways are shown which replicas name
-	// limits before their poll would end.
-	limitShowPause = 250 * time.Millisecond
-	// limitCompareInterval is the time between two comparisons of what coordinators know: a word that
-	// was lost is made up for by the next one.
+	// limitViewInterval is the minimum time between two early answers to gateways' polls because the
+	// replicas that declare limits have changed.
+	limitViewInterval = 250 * time.Millisecond
+	// limitCompareInterval is the interval at which coordinators compare their limits: a report that was
+	// lost is made up for by the next comparison.
 	limitCompareInterval = time.Second
-	// unlistedShares of the contact time is for how long words count of a replica that is not listed:
-	// gateways may know a newer list, and a limit is to be kept for longer than lists differ.
-	unlistedShares = 4
+	// unlistedRetention is the time, as a multiple of the contact time, for which reports of a replica count
+	// that is not listed: gateways may know a newer list, and a limit has to be kept for longer than lists
+	// differ.
+	unlistedRetention = 4
 )
 
-// limitService keeps what replicas name as their limits, and counts what they get, together with the
-// other coordinators.
+// limitService stores the rate limits that replicas declare, and counts the requests sent to them,
+// together with the other coordinators.
 type limitService struct {
 	*poolService
-	// The mutex of poolService guards what follows.
+	// The mutex of poolService guards the fields that follow.
 	table *ratelimit.Table
-	// listed are the replicas that gateways know, by Life.Name, as of listRevision.
+	// listed are the active replicas, which gateways know, by Life.Name, as of listRevision.
 	listed       map[string]bool
 	listRevision uint64
-	// forgetAt is when replicas that are not listed are next forgotten.
-	forgetAt time.Duration
-	// shown is closed when gateways should be shown which replicas name limits, and shownNames what
-	// they were shown last.
-	shown      chan struct{}
-	shownNames uint64
-	// toldAll is when each coordinator was last told all.
-	toldAll map[netip.AddrPort]time.Duration
+	// expireAt is when expired limits are next deleted.
+	expireAt time.Duration
+	// viewChanged is closed when gateways should be sent a new list of the replicas that declare limits, and
+	// viewHash is the hash of the list that was sent last.
+	viewChanged chan struct{}
+	viewHash    uint64
+	// sentAllAt is when each coordinator was last sent all reports.
+	sentAllAt map[netip.AddrPort]time.Duration
 }
 
 func newLimitService(c *Coordinator, socket *datagram.Socket) *limitService {
-	kinds := poolKinds{ask: datagram.KindLimit, reply: datagram.KindLimitReply, peer: datagram.KindLimitPeer}
-	created := &limitService{
+	kinds := messageKinds{request: datagram.KindLimit, reply: datagram.KindLimitReply, peer: datagram.KindLimitPeer}
+	service := &limitService{
 		poolService: newPoolService(c, socket, "replicas", kinds, ratelimit.Terms()),
 		table:       ratelimit.NewTable(),
-		shown:       make(chan struct{}),
-		toldAll:     map[netip.AddrPort]time.Duration{},
+		viewChanged: make(chan struct{}),
+		sentAllAt:   map[netip.AddrPort]time.Duration{},
 	}
-	created.refresh = created.takeList
-	created.decided = created.noteDecision
-	socket.Handle(datagram.KindLimitWord, created.receiveWords)
-	return created
+	service.refresh = service.takeList
+	service.onDecision = service.noteDecision
+	socket.Handle(datagram.KindLimitWord, service.receiveReports)
+	return service
 }
 
-// takeList forgets the limits of replicas that have gone or take no work.
+// takeList updates the active replicas, and deletes the limits of replicas that have been removed, are on
+// standby or no longer declare one, once no report of them has come for the time that unlistedRetention sets.
 func (l *limitService) takeList() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -73,46 +75,49 @@
 			}
 		}
 	}
-	if now < l.forgetAt {
+	if now < l.expireAt {
 		return
 	}
-	l.forgetAt = now + l.settings.Contact
+	l.expireAt = now + l.settings.Contact
 	isListed := func(replica string) bool { return l.listed[replica] }
-	for _, replica := range l.table.Keep(isListed, now-unlistedShares*l.settings.Contact) {
+	for _, replica := range l.table.Keep(isListed, now-unlistedRetention*l.settings.Contact) {
 		l.pool.RemoveLimit(replica)
 	}
 }
 
-// tellChoices has the choice of replicas know all limits. It is called when that has taken a list: of a
-// replica that has come with it, limits may have been told before.
-func (l *limitService) tellChoices() {
+// updateDirectoryLimits merges all limit reports into the directory. It is called after the directory's list was
+// replaced: the limit of a replica that is new there may have been reported before.
+func (l *limitService) updateDirectoryLimits() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.placement.directory.TakeLimits(l.table.Words(l.now()))
 }
 
-// apply has the pool count under what words have said. It is called with the mutex held.
-func (l *limitService) apply(now time.Duration, words []ratelimit.Word) {
-	for _, word := range words {
-		if word.Named {
-			l.pool.SetLimit(now, word.Replica, ratelimit.PoolLimit(word.Rate, l.settings.Contact))
+// applyReports sets the pool's limits from limit reports and merges them into the directory. The caller must
+// hold l.mutex.
+func (l *limitService) applyReports(now time.Duration, reports []ratelimit.Word) {
+	for _, report := range reports {
+		if report.Named {
+			l.pool.SetLimit(now, report.Replica, ratelimit.PoolLimit(report.Rate, l.settings.Contact))
 		} else {
-			l.pool.SetLimit(now, word.Replica, ratelimit.Unlimited())
+			l.pool.SetLimit(now, report.Replica, ratelimit.Unlimited())
 		}
 	}
-	l.placement.directory.TakeLimits(words)
+	l.placement.directory.TakeLimits(reports)
 }
 
-// noteDecision has this coordinator place no request at a replica that has no room, until it should have
-// some again. It is called with the mutex held.
-func (l *limitService) noteDecision(decided quota.Decision) {
-	if !decided.Answer.Admitted && !decided.Again {
-		l.placement.directory.Denied(decided.Question.Account, decided.Question.Rank, time.Duration(decided.Answer.WaitMicros)*time.Microsecond)
+// noteDecision keeps this coordinator from placing requests at a replica whose limit has denied one, until it is
+// expected to have capacity again. The caller must hold l.mutex.
+func (l *limitService) noteDecision(decision quota.Decision) {
+	if !decision.Answer.Admitted && !decision.Again {
+		l.placement.directory.Denied(decision.Question.Account, decision.Question.Rank, time.Duration(decision.Answer.WaitMicros)*time.Microsecond)
 	}
 }
 
-// receiveWords takes the words of a gateway or of another coordinator.
-func (l *limitService) receiveWords(from netip.AddrPort, payload []byte) error {
+// receiveReports handles the limit reports of a gateway or of another coordinator. Those of a gateway are forwarded
+// to the other coordinators. A coordinator whose limits differ is sent all limits known here, at most once per
+// limitCompareInterval.
+func (l *limitService) receiveReports(from netip.AddrPort, payload []byte) error {
 	var message ratelimit.Message
 	if _, err := message.UnmarshalMsg(payload); err != nil {
 		return err
@@ -120,38 +125,38 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	now := l.now()
-	var news []ratelimit.Word
-	for _, word := range message.Words {
-		if l.table.Take(now, word) {
-			news = append(news, word)
+	var changed []ratelimit.Word
+	for _, report := range message.Words {
+		if l.table.Take(now, report) {
+			changed = append(changed, report)
 		}
 	}
-	if len(news) > 0 {
-		l.apply(now, news)
-		l.wake()
+	if len(changed) > 0 {
+		l.applyReports(now, changed)
+		l.wakeUp()
 	}
 	if !slices.Contains(l.group.MemberAddresses(), message.From) {
-		l.tellCoordinators(news)
+		l.forwardReports(changed)
 		return nil
 	}
-	if message.Hash != l.table.Hash() && now >= l.toldAll[from]+limitCompareInterval {
-		l.toldAll[from] = now
-		l.tell(from, l.table.Words(now))
+	if message.Hash != l.table.Hash() && now >= l.sentAllAt[from]+limitCompareInterval {
+		l.sentAllAt[from] = now
+		l.sendReports(from, l.table.Words(now))
 	}
 	return nil
 }
 
-// tellCoordinators tells the others what a gateway has told. It is called with the mutex held.
-func (l *limitService) tellCoordinators(words []ratelimit.Word) {
-	if len(words) == 0 {
+// forwardReports sends a gateway's limit reports to the other coordinators. The caller must hold l.mutex.
+func (l *limitService) forwardReports(reports []ratelimit.Word) {
+	if len(reports) == 0 {
 		return
 	}
 	for _, to := range l.otherCoordinators() {
-		l.tell(to, words)
+		l.sendReports(to, reports)
 	}
 }
 
-// otherCoordinators are the addresses of the other members of the group.
+// otherCoordinators returns the addresses of the other members of the group.
 func (l *limitService) otherCoordinators() []netip.AddrPort {
 	var others []netip.AddrPort
 	for _, address := range l.group.MemberAddresses() {
@@ -162,35 +167,35 @@
 	return others
 }
 
-// tell is called with the mutex held.
-func (l *limitService) tell(to netip.AddrPort, words []ratelimit.Word) {
-	for _, batch := range ratelimit.Batches(words) {
+// sendReports sends limit reports in batches. The caller must hold l.mutex.
+func (l *limitService) sendReports(to netip.AddrPort, reports []ratelimit.Word) {
+	for _, batch := range ratelimit.Batches(reports) {
 		l.socket.Send(datagram.KindLimitWord, &ratelimit.Message{From: l.settings.Address, Hash: l.table.Hash(), Words: batch}, to)
 	}
 }
 
-// show has gateways shown which replicas name limits soon after that has changed, and compares what
-// coordinators know, until the context ends.
+// show notifies waiting gateways soon after the replicas that declare limits have changed, and compares the
+// limits with those of other coordinators, until the context ends.
 func (l *limitService) show(ctx context.Context) {
 	var compareAt time.Duration
-	for lifecycle.Sleep(ctx, limitShowPause) {
+	for lifecycle.Sleep(ctx, limitViewInterval) {
 		l.mutex.Lock()
-		if names := l.table.Names(); names != l.shownNames {
-			l.shownNames = names
-			close(l.shown)
-			l.shown = make(chan struct{})
+		if hash := l.table.Names(); hash != l.viewHash {
+			l.viewHash = hash
+			close(l.viewChanged)
+			l.viewChanged = make(chan struct{})
 		}
 		if now := l.now(); now >= compareAt {
 			compareAt = now + limitCompareInterval
-			l.compare()
+			l.sendHash()
 		}
 		l.mutex.Unlock()
 	}
 }
 
-// compare tells the others what identifies the limits that are known here, if there are any. It is
-// called with the mutex held.
-func (l *limitService) compare() {
+// sendHash sends the hash of the limits known here to the other coordinators, if there are any limits. The
+// caller must hold l.mutex.
+func (l *limitService) sendHash() {
 	if l.table.Hash() == 0 {
 		return
 	}
@@ -198,95 +203,96 @@
 	l.socket.Send(datagram.KindLimitWord, message, l.otherCoordinators()...)
 }
 
-// view is what a gateway is shown that knows some names: what identifies the names that are known
-// here and, if it has others, the limits.
-func (l *limitService) view(known uint64) (names uint64, words []ratelimit.Word) {
+// view returns the hash of the replicas that declare limits and, unless it equals the gateway's known hash,
+// the limit reports.
+func (l *limitService) view(knownHash uint64) (hash uint64, reports []ratelimit.Word) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	names = l.table.Names()
-	if names != known {
-		words = l.table.Words(l.now())
+	hash = l.table.Names()
+	if hash != knownHash {
+		reports = l.table.Words(l.now())
 	}
-	return names, words
+	return hash, reports
 }
 
-// changed is closed when gateways should be shown which replicas name limits.
+// changed returns a channel that is closed when the replicas that declare limits have changed.
 func (l *limitService) changed() <-chan struct{} {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.shown
+	return l.viewChanged
 }
 
-// ReplicaLimits are the limits that replicas name, with what is counted against them.
+// ReplicaLimits are the rate limits that replicas declare, with the requests counted against them.
 type ReplicaLimits struct {
-	// Address is the coordinator whose pool counts, and Mode how it does.
+	// Address is the address of the coordinator whose pool counts, and Mode how it does.
 	Address  string              `json:"address"`
 	Mode     quota.Mode          `json:"mode"`
 	Replicas []ReplicaLimitState `json:"replicas"`
 }
 
-// ReplicaLimitState is the limit that a replica names.
+// ReplicaLimitState is the rate limit of a replica.
 type ReplicaLimitState struct {
 	// Replica is a region.Life.Name.
 	Replica string `json:"replica"`
-	// Rate is the requests a second that it takes, and NamedForS for how long it has named a limit.
+	// Rate is the limit in requests a second, and NamedForS the time in seconds for which the replica has
+	// declared a limit.
 	Rate      float64 `json:"rate"`
 	NamedForS float64 `json:"named_for_s"`
-	// Sent and Refused are the requests that were allowed and not in the last WindowS seconds, and Room
-	// those that would be allowed at once; negative in debt.
+	// Sent and Refused are the requests that were allowed and denied in the last WindowS seconds, and Room
+	// the number that would be allowed at once; it is negative in debt.
 	Sent    float64 `json:"sent"`
 	Refused float64 `json:"refused"`
 	Room    float64 `json:"room"`
 	WindowS float64 `json:"window_s"`
 }
 
-// ReplicaLimits tells which replicas name limits, as this coordinator knows it, and what is counted
-// against them, as the leader counts it; while it can't be reached, as this coordinator does.
+// ReplicaLimits returns the limits that this coordinator knows, with the requests that the leader counts
+// against them. While the leader can't be reached, the count is this coordinator's.
 func (c *Coordinator) ReplicaLimits(ctx context.Context) ReplicaLimits {
 	status := c.limits.statusAtLeader(ctx, region.PathReplicaLimits)
 	counted := make(map[string]quota.TenantStatus, len(status.Tenants))
 	for _, each := range status.Tenants {
 		counted[each.Tenant] = each
 	}
-	shown := ReplicaLimits{Address: status.Address, Mode: status.Mode, Replicas: []ReplicaLimitState{}}
-	for _, each := range c.limits.named() {
-		use := counted[each.Replica]
-		shown.Replicas = append(shown.Replicas, ReplicaLimitState{
+	limits := ReplicaLimits{Address: status.Address, Mode: status.Mode, Replicas: []ReplicaLimitState{}}
+	for _, each := range c.limits.declared() {
+		usage := counted[each.Replica]
+		limits.Replicas = append(limits.Replicas, ReplicaLimitState{
 			Replica:   each.Replica,
 			Rate:      each.Rate,
 			NamedForS: (c.now() - each.Since).Seconds(),
-			Sent:      use.Admitted,
-			Refused:   use.Refused,
-			Room:      use.Level,
-			WindowS:   use.WindowS,
+			Sent:      usage.Admitted,
+			Refused:   usage.Refused,
+			Room:      usage.Level,
+			WindowS:   usage.WindowS,
 		})
 	}
-	return shown
+	return limits
 }
 
-// named lists the limits that are known here.
-func (l *limitService) named() []ratelimit.Limit {
+// declared returns the limits that are known here.
+func (l *limitService) declared() []ratelimit.Limit {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.table.Limits()
 }
 
-// dropped counts the words for which there was no room.
+// dropped returns the number of limit reports dropped because the table was full.
 func (l *limitService) dropped() uint64 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.table.Dropped
 }
 
-// lives are the replicas that name limits, nil if there are none.
-func (l *limitService) lives() map[string]bool {
-	limits := l.named()
+// limitedReplicas returns the incarnations, by Life.Name, that declare limits; nil if there are none.
+func (l *limitService) limitedReplicas() map[string]bool {
+	limits := l.declared()
 	if len(limits) == 0 {
 		return nil
 	}
-	lives := make(map[string]bool, len(limits))
+	replicas := make(map[string]bool, len(limits))
 	for _, each := range limits {
-		lives[each.Replica] = true
+		replicas[each.Replica] = true
 	}
-	return lives
+	return replicas
 }
--- a/internal/coordinator/replicalimits_test.go
+++ b/internal/coordinator/replicalimits_test.go
@@ -15,8 +15,8 @@
 	"github.com/pierhaven/pierhaven/internal/testnet"
 )
 
-// asker asks coordinators about limits as a gateway does.
-type asker struct {
+// limitClient requests permits from coordinators as a gateway does.
+type limitClient struct {
 	t       *testing.T
 	socket  *datagram.Socket
 	address string
@@ -24,9 +24,9 @@
 	lastID  uint64
 }
 
-func newAsker(t *testing.T) *asker {
+func newLimitClient(t *testing.T) *limitClient {
 	t.Helper()
-	a := &asker{t: t, socket: &datagram.Socket{}, address: testnet.Address(t), answers: make(chan quota.Answer, 64)}
+	a := &limitClient{t: t, socket: &datagram.Socket{}, address: testnet.Address(t), answers: make(chan quota.Answer, 64)}
 	a.socket.Handle(datagram.KindLimitReply, func(_ netip.AddrPort, payload []byte) error {
 		var reply quota.GatewayReply
 		if _, err := reply.UnmarshalMsg(payload); err == nil {
@@ -46,13 +46,13 @@
 	return a
 }
 
-// tell tells a coordinator what a replica's answer has said.
-func (a *asker) tell(coordinator string, word ratelimit.Word) {
-	a.socket.Send(datagram.KindLimitWord, &ratelimit.Message{From: a.address, Words: []ratelimit.Word{word}}, netip.MustParseAddrPort(coordinator))
+// report sends a limit report of a replica to a coordinator.
+func (a *limitClient) report(coordinator string, report ratelimit.Word) {
+	a.socket.Send(datagram.KindLimitWord, &ratelimit.Message{From: a.address, Words: []ratelimit.Word{report}}, netip.MustParseAddrPort(coordinator))
 }
 
-// ask asks a coordinator until it answers.
-func (a *asker) ask(coordinator, replica string) quota.Answer {
+// requestPermit requests a permit from a coordinator, repeatedly until it answers.
+func (a *limitClient) requestPermit(coordinator, replica string) quota.Answer {
 	a.t.Helper()
 	a.lastID++
 	question := &quota.GatewayMessage{Questions: []quota.Question{{ID: a.lastID, Account: replica, Units: 1}}}
@@ -71,35 +71,34 @@
 	}
 }
 
-// A replica that named 1 request a second got 22 within 2 s from one gateway that knew of the limit and
-// asked each time. The gateway had read the platform's list itself while no coordinator was fresh, and
-// knew a life of the replica that the coordinators did not know yet: they passed over what it told them
-// of that life's limit, and let through what they had no limit for. In the gateway's lines: "replica's limit" with
-// named=true, then 22 times "prompt read apart" with limit=1; in the coordinator's, "replica started again" with
-// that life 2.1 s later.
+// A replica with a declared limit of 1 request a second received 22 within 2 s from one gateway that knew the limit and
+// requested a permit each time. While no coordinator was fresh, the gateway had read the platform's list itself, and knew
+// an incarnation of the replica that the coordinators did not know yet: they ignored its limit reports and permitted
+// requests for which they had no limit. In the logs: the gateway writes "replica's limit" with named=true, then 22 times
+// "prompt read apart" with limit=1; the coordinator writes "replica started again" with that incarnation 2.1 s later.
 func TestALimitCountsForAReplicaThatTheCoordinatorsDoNotKnowYet(t *testing.T) {
 	g := newGroup(t)
 	g.replace(g.addresses[0], 1)
-	a := newAsker(t)
+	a := newLimitClient(t)
 	for _, address := range g.addresses {
-		a.tell(address, ratelimit.Word{Replica: "i-new@5", Named: true, Rate: 0.5})
+		a.report(address, ratelimit.Word{Replica: "i-new@5", Named: true, Rate: 0.5})
 	}
-	// The pools count their parts by now.
+	// After this time each pool counts its part of the limit.
 	time.Sleep(time.Second)
 	begun, admitted := time.Now(), 0
 	for number := range 60 {
-		if a.ask(g.addresses[number%3], "i-new@5").Admitted {
+		if a.requestPermit(g.addresses[number%3], "i-new@5").Admitted {
 			admitted++
 		}
 	}
 	assert.LessOrEqual(t, float64(admitted), 0.5*1.5*time.Since(begun).Seconds()+5)
 }
 
-// What a gateway asks about and no coordinator has heard of is not let through: the gateway knows a limit.
-func TestAnUnknownLimitLetsNothingThrough(t *testing.T) {
+// A permit for a replica without a known limit is denied: the gateway that requests it knows a limit.
+func TestPermitIsDeniedForAnUnknownLimit(t *testing.T) {
 	g := newGroup(t)
 	g.replace(g.addresses[0], 1)
-	answer := newAsker(t).ask(g.addresses[0], "i-unheard")
+	answer := newLimitClient(t).requestPermit(g.addresses[0], "i-unheard")
 	assert.False(t, answer.Admitted)
-	assert.Less(t, answer.WaitMicros, time.Second.Microseconds(), "it is soon heard of")
+	assert.Less(t, answer.WaitMicros, time.Second.Microseconds(), "the limit is expected to be reported soon")
 }
--- a/internal/coordinator/stageinput.go
+++ b/internal/coordinator/stageinput.go
@@ -10,24 +10,24 @@
 	"github.com/pierhaven/pierhaven/internal/stageplan"
 )
 
-// inputsFor describes a service's replicas by region, with the demand there, in the order of the
-// regions. A region of which no gateway is heard is left out and keeps its stages: it may be cut
-// off, and serves on with what it has.
+// inputsFor returns the planner's inputs for a service's replicas and demand in each region, sorted by
+// region. If there are several regions, one from which no gateway reports is left out and keeps its
+// stages: it may be partitioned, and continues to serve with the replicas it has.
 func (k *stageKeeper) inputsFor(now time.Duration, service string, replicas []region.Replica, changes []region.StageChange) []*stageplan.RegionInput {
 	byRegion := map[string][]region.Replica{}
 	for _, replica := range replicas {
-		where := k.settings.Topology.Group(replica.Zone)
-		byRegion[where] = append(byRegion[where], replica)
+		regionName := k.settings.Topology.Group(replica.Zone)
+		byRegion[regionName] = append(byRegion[regionName], replica)
 	}
 	var inputs []*stageplan.RegionInput
-	for _, where := range slices.Sorted(maps.Keys(byRegion)) {
-		group := stageGroup{service: service, region: where}
-		demand := k.demandIn(now, group, func(telling int) int { return k.knownGateways(now, group, telling) })
+	for _, regionName := range slices.Sorted(maps.Keys(byRegion)) {
+		group := stageGroup{service: service, region: regionName}
+		demand := k.demandIn(now, group, func(reporting int) int { return k.gatewayCount(now, group, reporting) })
 		if demand.Gateways == 0 && k.settings.Topology.Spans() {
 			continue
 		}
-		input := k.inputFor(now, group, demand, byRegion[where], changes)
-		inputs = append(inputs, &stageplan.RegionInput{Region: where, Input: input})
+		input := k.inputFor(now, group, demand, byRegion[regionName], changes)
+		inputs = append(inputs, &stageplan.RegionInput{Region: regionName, Input: input})
 	}
 	for _, input := range inputs {
 		input.Rules = k.rulesFor(now, stageGroup{service: service, region: input.Region}, input, inputs)
@@ -35,37 +35,38 @@
 	return inputs
 }
 
-// knownGateways is the number of the gateways whose demand a region's demand stands for. Where
-// there are several regions, those count that have told of late: of the others it is not known
-// which region they are in.
-func (k *stageKeeper) knownGateways(now time.Duration, group stageGroup, telling int) int {
+// gatewayCount returns the number of gateways to which a region's demand is extrapolated. If there
+// are several regions, it is the recent maximum of the gateways that reported: the region of the
+// others is not known.
+func (k *stageKeeper) gatewayCount(now time.Duration, group stageGroup, reporting int) int {
 	if !k.settings.Topology.Spans() {
 		return len(k.gateways.all(now).addresses)
 	}
-	most, found := k.telling[group]
+	recent, found := k.reportingGateways[group]
 	if !found {
-		most = &recentMost{}
-		k.telling[group] = most
+		recent = &recentMaximum{}
+		k.reportingGateways[group] = recent
 	}
-	return most.note(now, telling)
+	return recent.update(now, reporting)
 }
 
-// reportedByMany are the replicas that enough gateways have reported, of one entry for each report.
-func reportedByMany(reports []string) map[string]bool {
+// reportedByEnough returns the replicas with at least minimumReports entries in reports, which has one
+// entry for each gateway's report of a replica.
+func reportedByEnough(reports []string) map[string]bool {
 	counts := map[string]int{}
 	for _, replica := range reports {
 		counts[replica]++
 	}
 	reported := map[string]bool{}
 	for replica, count := range counts {
-		if count >= unreachableReports {
+		if count >= minimumReports {
 			reported[replica] = true
 		}
 	}
 	return reported
 }
 
-// inputFor describes the replicas of a group and the demand for them.
+// inputFor returns the planner's input for the replicas of a group and the demand for them.
 func (k *stageKeeper) inputFor(now time.Duration, group stageGroup, demand region.ServiceDemand, replicas []region.Replica, changes []region.StageChange) stageplan.Input {
 	input := stageplan.Input{
 		Generating: demand.Generating,
@@ -73,23 +74,23 @@
 		Reading:    demand.Reading,
 		Spares:     k.spares[group],
 	}
-	unreachable, refusing := reportedByMany(demand.Unreachable), reportedByMany(demand.Refusing)
+	unreachable, refusing := reportedByEnough(demand.Unreachable), reportedByEnough(demand.Refusing)
 	if demand.Gateways > 0 {
-		k.heard[group] = now
+		k.demandReportedAt[group] = now
 	}
-	k.noteMoves(now, group, replicas)
-	moved, any := k.moved[group]
-	input.Restless = any && now-moved < restlessTime
+	k.noteListChange(now, group, replicas)
+	changedAt, any := k.listChangedAt[group]
+	input.Restless = any && now-changedAt < listChangeHold
 	if input.Generating > 0 {
-		if _, told := k.demandFrom[group]; !told {
+		if _, reported := k.demandFrom[group]; !reported {
 			k.demandFrom[group] = now
 		}
 	}
-	from, told := k.demandFrom[group]
-	input.Known = told && now-from > demandSettle
+	since, reported := k.demandFrom[group]
+	input.Known = reported && now-since > demandSettleTime
 	for _, replica := range replicas {
-		life := replica.Life()
-		name := life.Name()
+		incarnation := replica.Life()
+		name := incarnation.Name()
 		if now < k.holds[name] {
 			continue
 		}
@@ -98,7 +99,7 @@
 		planned.Refuses = refusing[name]
 		input.Restless = input.Restless || planned.Unsettled
 		for _, change := range changes {
-			if change.Life() == life {
+			if change.Life() == incarnation {
 				planned.Changing = true
 				planned.Generates = change.Stage == region.StageDecode
 			}
@@ -108,18 +109,18 @@
 	return input
 }
 
-// noteMoves notes when the replicas of a group last came or went. Before demand
-// is known all of them are coming.
-func (k *stageKeeper) noteMoves(now time.Duration, group stageGroup, replicas []region.Replica) {
+// noteListChange records when the replicas of a group were last added or removed. Changes before
+// demand was first reported don't count, since the list is still incomplete then.
+func (k *stageKeeper) noteListChange(now time.Duration, group stageGroup, replicas []region.Replica) {
 	names := make([]string, 0, len(replicas))
 	for _, replica := range replicas {
 		names = append(names, replica.Life().Name())
 	}
 	slices.Sort(names)
-	joined := strings.Join(names, ",")
-	before, found := k.known[group]
-	k.known[group] = joined
-	if _, told := k.demandFrom[group]; found && told && before != joined {
-		k.moved[group] = now
+	current := strings.Join(names, ",")
+	previous, found := k.lastReplicas[group]
+	k.lastReplicas[group] = current
+	if _, reported := k.demandFrom[group]; found && reported && previous != current {
+		k.listChangedAt[group] = now
 	}
 }
--- a/internal/coordinator/stageinput_test.go
+++ b/internal/coordinator/stageinput_test.go
@@ -12,9 +12,9 @@
 	"github.com/pierhaven/pierhaven/internal/topology"
 )
 
-// newTestKeeper returns a leader's work on stages with replicas in the zones north-a, north-b and
-// south-a, on a clock that the test moves.
-func newTestKeeper(now *time.Duration, places topology.Map) (*stageKeeper, []region.Replica) {
+// newStageKeeperWithReplicas returns a stageKeeper and decode replicas in the zones north-a, north-b and south-a. The
+// test sets the clock.
+func newStageKeeperWithReplicas(now *time.Duration, places topology.Map) (*stageKeeper, []region.Replica) {
 	clock := func() time.Duration { return *now }
 	c := &Coordinator{settings: Settings{Topology: places}, demand: newDemandTable(), reported: newDemandTable(), gateways: newGatewayList(), clock: clock}
 	keeper := &stageKeeper{dutyHolder: dutyHolder{Coordinator: c, duty: dutyStages}}
@@ -30,20 +30,20 @@
 
 var twoRegions = topology.Map{Regions: map[string]string{"north-a": "north", "north-b": "north", "south-a": "south"}}
 
-// tell has gateways of a region tell demand.
-func (k *stageKeeper) tell(where string, gateways int, generating, reading float64) {
+// reportDemand records the same demand from each of a number of gateways of a region.
+func (k *stageKeeper) reportDemand(regionName string, gateways int, generating, reading float64) {
 	for number := range gateways {
-		name := fmt.Sprint(where, number)
+		name := fmt.Sprint(regionName, number)
 		k.gateways.polled(k.now(), name)
-		k.demand.take(k.now(), name, []region.ServiceDemand{{Service: "s", Region: where, Generating: generating, Reading: reading, Gateways: 1}})
+		k.demand.take(k.now(), name, []region.ServiceDemand{{Service: "s", Region: regionName, Generating: generating, Reading: reading, Gateways: 1}})
 	}
 }
 
-func TestDemandIsThatOfTheRegion(t *testing.T) {
+func TestStageInputUsesDemandOfItsRegion(t *testing.T) {
 	now := time.Second
-	keeper, replicas := newTestKeeper(&now, twoRegions)
-	keeper.tell("north", 3, 2, 1)
-	keeper.tell("south", 1, 7, 0)
+	keeper, replicas := newStageKeeperWithReplicas(&now, twoRegions)
+	keeper.reportDemand("north", 3, 2, 1)
+	keeper.reportDemand("south", 1, 7, 0)
 	inputs := keeper.inputsFor(now, "s", replicas, nil)
 	require.Len(t, inputs, 2)
 	assert.Equal(t, "north", inputs[0].Region)
@@ -52,78 +52,78 @@
 	assert.InDelta(t, 3, inputs[0].Reading, 1e-9)
 	assert.Len(t, inputs[1].Replicas, 4)
 	assert.InDelta(t, 7, inputs[1].Generating, 1e-9)
-	assert.InDelta(t, 13, keeper.demandFor(now, "s").Generating, 1e-9, "the fleet is planned over all")
+	assert.InDelta(t, 13, keeper.demandFor(now, "s").Generating, 1e-9, "the fleet is planned over all regions")
 }
 
-func TestWithoutRegionsAllIsPlannedTogether(t *testing.T) {
+func TestSingleRegionIsPlannedAsOne(t *testing.T) {
 	now := time.Second
-	keeper, replicas := newTestKeeper(&now, topology.Map{Regions: map[string]string{"north-a": "one", "north-b": "one", "south-a": "one"}})
+	keeper, replicas := newStageKeeperWithReplicas(&now, topology.Map{Regions: map[string]string{"north-a": "one", "north-b": "one", "south-a": "one"}})
 	inputs := keeper.inputsFor(now, "s", replicas, nil)
-	require.Len(t, inputs, 1, "before any demand is told, too")
+	require.Len(t, inputs, 1, "also before any demand is reported")
 	assert.Len(t, inputs[0].Replicas, 12)
-	keeper.tell("", 3, 2, 1)
+	keeper.reportDemand("", 3, 2, 1)
 	assert.InDelta(t, 6, keeper.inputsFor(now, "s", replicas, nil)[0].Generating, 1e-9)
 }
 
-// Symptom: replicas of a region that is cut off are ordered to change their stage, and those of
-// the other regions for demand that is not theirs. Sequence: a region is cut off from the leader;
-// its gateways' word lapses. Cause: no word was taken for no demand, and the gateways that tell
-// stood for those that don't.
-func TestARegionThatIsCutOffKeepsItsStages(t *testing.T) {
+// When a region was partitioned from the leader and its gateways' reports expired, replicas in that
+// region were ordered to change their stage, and so were those of other regions, for demand that was
+// not theirs: missing reports were taken for no demand, and the demand of the gateways that still
+// reported was extrapolated to the others.
+func TestPartitionedRegionKeepsItsStages(t *testing.T) {
 	now := time.Second
-	keeper, replicas := newTestKeeper(&now, twoRegions)
-	keeper.tell("north", 3, 2, 1)
-	keeper.tell("south", 3, 5, 1)
+	keeper, replicas := newStageKeeperWithReplicas(&now, twoRegions)
+	keeper.reportDemand("north", 3, 2, 1)
+	keeper.reportDemand("south", 3, 5, 1)
 	require.Len(t, keeper.inputsFor(now, "s", replicas, nil), 2)
 	for range 20 {
-		now += demandMemory / 2
-		keeper.tell("north", 3, 2, 1)
+		now += demandReportLifetime / 2
+		keeper.reportDemand("north", 3, 2, 1)
 	}
 	inputs := keeper.inputsFor(now, "s", replicas, nil)
 	require.Len(t, inputs, 1)
 	assert.Equal(t, "north", inputs[0].Region)
 	assert.InDelta(t, 6, inputs[0].Generating, 1e-9)
 
-	keeper.tell("south", 1, 5, 1)
+	keeper.reportDemand("south", 1, 5, 1)
 	inputs = keeper.inputsFor(now, "s", replicas, nil)
-	require.Len(t, inputs, 2, "together again it is planned again")
+	require.Len(t, inputs, 2, "it is planned again once its gateways report")
 }
 
-func TestGatewaysOfARegionThatHaveFallenSilentCountLikeItsOthers(t *testing.T) {
+func TestDemandIsExtrapolatedToGatewaysThatStoppedReporting(t *testing.T) {
 	now := time.Second
-	keeper, replicas := newTestKeeper(&now, twoRegions)
-	keeper.tell("north", 4, 2, 1)
-	keeper.tell("south", 2, 5, 1)
+	keeper, replicas := newStageKeeperWithReplicas(&now, twoRegions)
+	keeper.reportDemand("north", 4, 2, 1)
+	keeper.reportDemand("south", 2, 5, 1)
 	require.Len(t, keeper.inputsFor(now, "s", replicas, nil), 2)
-	now += 2 * demandMemory
-	keeper.tell("north", 2, 2, 1)
-	keeper.tell("south", 2, 5, 1)
+	now += 2 * demandReportLifetime
+	keeper.reportDemand("north", 2, 2, 1)
+	keeper.reportDemand("south", 2, 5, 1)
 	inputs := keeper.inputsFor(now, "s", replicas, nil)
 	assert.InDelta(t, 8, inputs[0].Generating, 1e-9)
 	assert.InDelta(t, 10, inputs[1].Generating, 1e-9)
 	now += 3 * gatewayMemory
 	for range 2 {
-		keeper.tell("north", 2, 2, 1)
+		keeper.reportDemand("north", 2, 2, 1)
 		inputs = keeper.inputsFor(now, "s", replicas, nil)
 		now += gatewayMemory
 	}
-	assert.InDelta(t, 4, inputs[0].Generating, 1e-9, "they are gone")
+	assert.InDelta(t, 4, inputs[0].Generating, 1e-9, "they have been removed")
 }
 
-func TestTheLeaderOfACutOffMinorityOfRegionsPlansNobodyElse(t *testing.T) {
+func TestNewLeaderPlansOnlyRegionsThatReportDemand(t *testing.T) {
 	now := time.Second
-	keeper, replicas := newTestKeeper(&now, twoRegions)
-	keeper.tell("south", 2, 5, 1)
+	keeper, replicas := newStageKeeperWithReplicas(&now, twoRegions)
+	keeper.reportDemand("south", 2, 5, 1)
 	inputs := keeper.inputsFor(now, "s", replicas, nil)
-	require.Len(t, inputs, 1, "a new leader has heard nothing of the north")
+	require.Len(t, inputs, 1, "a new leader has no reports from the north")
 	assert.Equal(t, "south", inputs[0].Region)
 }
 
-func TestAReplicaInAZoneThatNoSettingsNameIsBorne(t *testing.T) {
+func TestReplicaInUnconfiguredZoneIsTolerated(t *testing.T) {
 	now := time.Second
-	keeper, replicas := newTestKeeper(&now, twoRegions)
+	keeper, replicas := newStageKeeperWithReplicas(&now, twoRegions)
 	replicas = append(replicas, region.Replica{ID: "odd", Service: "s", Zone: "elsewhere", Slots: 8, Stage: region.StagePrefill})
-	keeper.tell("north", 2, 5, 1)
-	keeper.tell("south", 2, 5, 1)
+	keeper.reportDemand("north", 2, 5, 1)
+	keeper.reportDemand("south", 2, 5, 1)
 	assert.Len(t, keeper.inputsFor(now, "s", replicas, nil), 2, "it keeps its stage")
 }
--- a/internal/coordinator/stagepolicy.go
+++ b/internal/coordinator/stagepolicy.go
@@ -8,9 +8,9 @@
 	"github.com/pierhaven/pierhaven/internal/stageplan"
 )
 
-// rulesFor is what the policy in force says of the changes of a service's replicas in a region.
-// The service stands for the model, and all regions together for the zone, so that bounds on a
-// zone's engines hold over all.
+// rulesFor returns the rules that the policy in force sets for stage changes of a service's replicas
+// in a region. In the policy's terms, the service is the model, and all regions together are the zone,
+// so that bounds on a zone's engines apply to all regions together.
 func (k *stageKeeper) rulesFor(now time.Duration, group stageGroup, input *stageplan.RegionInput, all []*stageplan.RegionInput) stageplan.Rules {
 	if k.settings.Policy == nil {
 		return stageplan.Rules{}
@@ -37,7 +37,7 @@
 	}
 }
 
-// zoneFor describes the replicas of a service as those of a zone.
+// zoneFor describes the replicas of a service in all regions as one zone.
 func (k *stageKeeper) zoneFor(all []*stageplan.RegionInput) policy.Zone {
 	zone := policy.Zone{Name: k.settings.Zone, Gateways: len(k.gateways.all(k.now()).addresses)}
 	for _, input := range all {
@@ -71,12 +71,12 @@
 	}
 }
 
-// demandAge is how long no gateway of a region has told demand for a service; the time since the
-// leader's election if none ever has.
+// demandAge returns the time since a gateway last reported demand for a service in a region, or
+// since the start of this leader's term if none has yet.
 func (k *stageKeeper) demandAge(now time.Duration, group stageGroup) time.Duration {
-	heard, known := k.heard[group]
-	if !known {
-		return now - k.leadsSince
+	reportedAt, reported := k.demandReportedAt[group]
+	if !reported {
+		return now - k.leaderSince
 	}
-	return now - heard
+	return now - reportedAt
 }
--- a/internal/coordinator/stages.go
+++ b/internal/coordinator/stages.go
@@ -16,94 +16,95 @@
 	"github.com/pierhaven/pierhaven/internal/stageplan"
 )
 
-// Engines gives orders to model replicas.
+// Engines sends queries and orders to model replicas.
 type Engines interface {
-	// Report asks a replica what it does.
+	// Report queries a replica's state.
 	Report(ctx context.Context, replica region.Replica) (EngineReport, error)
-	// Order gives an order to a replica. A refusal is an error that wraps
-	// ErrOrderRefused; any other error leaves it open whether the order is or
-	// will be carried out.
+	// Order sends an order to a replica. If the replica rejects it, the error wraps
+	// ErrOrderRefused; after any other error the order may have been or may yet be
+	// carried out.
 	Order(ctx context.Context, replica region.Replica, order EngineOrder) error
 }
 
-// EngineReport is a replica's own account.
+// EngineReport is the state that a replica reports of itself.
 type EngineReport struct {
 	Stage string
-	// Changing says that an order is being carried out.
+	// Changing is set while an order is being carried out.
 	Changing bool
-	// Sequence is the number of orders that the replica has taken.
+	// Sequence is the number of orders that the replica has accepted.
 	Sequence uint64
-	// Born is the moment of its start in milliseconds since 1970, 0 if it is not told.
+	// Born is the start time of the process in milliseconds since 1970, 0 if it is not reported.
 	Born int64
-	// Requests are those that run or wait there.
+	// Requests is the number of requests that run or wait there.
 	Requests int
 }
 
-// EngineOrder tells a replica to take a stage.
+// EngineOrder orders a replica to change to a stage.
 type EngineOrder struct {
 	Stage  string
 	Holder string
 	Fence  uint64
-	// Sequence is what the replica's count of orders has to be.
+	// Sequence is the count of accepted orders that the replica must have to accept this one.
 	Sequence uint64
 }
 
-// ErrOrderRefused says that a replica has not taken an order and never will.
+// ErrOrderRefused means that a replica has not accepted an order and never will.
 var ErrOrderRefused = errors.New("the replica has refused the order")
 
 const (
 	stageInterval = 300 * time.Millisecond
 	orderTimeout  = 800 * time.Millisecond
-	// changeTimeout is how long a change may take before the replica counts as
-	// what the list says it is.
+	// changeTimeout is how long a change may take. After that the replica counts
+	// as having the stage that the list shows.
 	changeTimeout = 8 * time.Second
-	// unclearHold is how long a replica gets no order after one without an
-	// answer, which may be carried out late.
-	unclearHold = 14 * time.Second
-	refusedHold = 3 * time.Second
-	// changeShare of a service's replicas may begin a change in one step: one change a step
-	// needs half a minute to turn a third of 300 replicas round. With 210 replicas that come and
-	// go, it serves 0.023 more of the credit owed (mean of six days).
+	// unclearHold is how long a replica gets no order after one without a
+	// response, which may be carried out late.
+	unclearHold      = 14 * time.Second
+	refusedOrderHold = 3 * time.Second
+	// changeShare is the share of a service's replicas that may begin a change in one step: with one
+	// change a step, changing a third of 300 replicas takes half a minute. With 210 replicas that come
+	// and go, it serves 0.023 more of the credit owed (mean of six days).
 	changeShare = 1.0 / 16
-	// restlessTime is how long after replicas have come or gone none stops
-	// generating.
-	restlessTime = 5 * time.Second
-	// unreachableReports is how many gateways have to find a replica unreachable
-	// before it does not count.
-	unreachableReports = 2
-	// demandSettle is how long demand must have been told before it is believed.
-	demandSettle = 3 * time.Second
+	// listChangeHold is how long after replicas were added or removed the planner
+	// keeps an extra decode replica.
+	listChangeHold = 5 * time.Second
+	// minimumReports is the number of gateways that must report a replica as
+	// unreachable or refusing before the planner excludes it.
+	minimumReports = 2
+	// demandSettleTime is how long demand must have been reported before it is used.
+	demandSettleTime = 3 * time.Second
 )
 
-// stageKeeper is the leader's work on the stages of replicas. What it keeps of a replica, the planners
-// too, is by Life.Name.
+// stageKeeper plans and orders the stages of replicas at the leader. Its maps of replicas, and those of the
+// planners, are keyed by Life.Name.
 type stageKeeper struct {
 	dutyHolder
-	plans  map[string]*stageplan.Regions
-	begun  map[string]time.Duration
-	holds  map[string]time.Duration
-	doubts orderDoubts
-	// demandFrom is when demand was first told.
+	plans           map[string]*stageplan.Regions
+	changeStartedAt map[string]time.Duration
+	holds           map[string]time.Duration
+	doubts          orderDoubts
+	// demandFrom is when demand was first reported.
 	demandFrom map[stageGroup]time.Duration
-	// leadsSince is since when this coordinator leads, and heard when demand was last told.
-	leadsSince time.Duration
-	heard      map[stageGroup]time.Duration
-	// telling are the most gateways that have told of late.
-	telling map[stageGroup]*recentMost
-	// moved is when replicas of a group last came, went or began to leave, and
-	// known are those that there were at the last step.
-	moved map[stageGroup]time.Duration
-	known map[stageGroup]string
-	// spares are the replicas that stand by, as of the last step.
+	// leaderSince is the start of this coordinator's term as leader, and demandReportedAt is when demand was
+	// last reported.
+	leaderSince      time.Duration
+	demandReportedAt map[stageGroup]time.Duration
+	// reportingGateways is the recent maximum of the number of gateways that report.
+	reportingGateways map[stageGroup]*recentMaximum
+	// listChangedAt is when replicas of a group were last added, removed or began to leave, and
+	// lastReplicas are the group's replicas at the last step.
+	listChangedAt map[stageGroup]time.Duration
+	lastReplicas  map[stageGroup]string
+	// spares are the numbers of replicas on standby at the last step.
 	spares map[stageGroup]stageplan.Spares
-	// arrivals are the numbers of replicas on the list, by service.
-	arrivals map[string]arrival
+	// replicaCounts are the numbers of replicas on the list, by service.
+	replicaCounts map[string]replicaCount
 }
 
-// stageGroup are the replicas of a service in a region. The region is empty where there is one.
+// stageGroup identifies the replicas of a service in a region. The region is empty if there is only one.
 type stageGroup struct{ service, region string }
 
-// keepStages plans the stages of the model replicas, at the leader.
+// keepStages plans and orders the stages of the model replicas while this coordinator leads.
 func (c *Coordinator) keepStages(ctx context.Context) {
 	if c.settings.Engines == nil || c.settings.Without[mechanism.StageChanges] {
 		return
@@ -121,26 +122,26 @@
 	}
 }
 
-// reset forgets what an earlier term of this coordinator has seen.
+// reset discards the state of this coordinator's earlier term as leader.
 func (k *stageKeeper) reset() {
 	k.plans = map[string]*stageplan.Regions{}
-	k.begun = map[string]time.Duration{}
+	k.changeStartedAt = map[string]time.Duration{}
 	k.holds = map[string]time.Duration{}
 	k.doubts = nil
 	k.demandFrom = map[stageGroup]time.Duration{}
-	k.leadsSince = k.now()
-	k.heard = map[stageGroup]time.Duration{}
-	k.telling = map[stageGroup]*recentMost{}
-	k.arrivals = map[string]arrival{}
-	k.moved = map[stageGroup]time.Duration{}
-	k.known = map[stageGroup]string{}
+	k.leaderSince = k.now()
+	k.demandReportedAt = map[stageGroup]time.Duration{}
+	k.reportingGateways = map[stageGroup]*recentMaximum{}
+	k.replicaCounts = map[string]replicaCount{}
+	k.listChangedAt = map[stageGroup]time.Duration{}
+	k.lastReplicas = map[stageGroup]string{}
 }
 
-// changesAtOnce is the number of changes that a service with some replicas may begin in a step.
+// changesAtOnce returns the number of changes that a service with a number of replicas may begin in a step.
 func changesAtOnce(replicas int) int { return max(1, int(changeShare*float64(replicas))) }
 
-// step makes some changes of each service. A new leader first lets the lease
-// of the last order run out.
+// step begins stage changes for each service. A new leader first waits until
+// the lease of the last order has expired.
 func (k *stageKeeper) step(ctx context.Context) {
 	now := k.now()
 	state, _ := k.machine.read()
@@ -155,10 +156,10 @@
 	}
 }
 
-// stepService makes some changes of a service, wherever its replicas are.
+// stepService begins stage changes for a service, in all regions.
 func (k *stageKeeper) stepService(ctx context.Context, now time.Duration, service string, replicas []region.Replica, changes []region.StageChange) {
 	inputs := k.inputsFor(now, service, replicas, changes)
-	if k.stillArrive(now, service, len(replicas)+k.sparesOf(service)) {
+	if k.listIsSettling(now, service, len(replicas)+k.standbyCount(service)) {
 		return
 	}
 	planned := 0
@@ -172,7 +173,7 @@
 			return
 		}
 		planner.Choose(now, change, k.leastBusy(ctx, replicas, change.Candidates))
-		k.carryOutStage(ctx, input.Region, replicas, change)
+		k.orderStage(ctx, input.Region, replicas, change)
 		input.NoteChange(change)
 	}
 }
@@ -188,8 +189,8 @@
 	return plan
 }
 
-// modelReplicas returns the active replicas with a stage that are not leaving, by service, and counts
-// those that stand by.
+// modelReplicas returns the active replicas with a stage that are not leaving, by service, and the numbers
+// of those on standby.
 func modelReplicas(state region.State, groupOf func(zone string) string) (services map[string][]region.Replica, spares map[stageGroup]stageplan.Spares) {
 	services = map[string][]region.Replica{}
 	spares = map[stageGroup]stageplan.Spares{}
@@ -213,15 +214,15 @@
 	return services, spares
 }
 
-// endStuckChanges ends changes that the list has not shown in time.
+// endStuckChanges ends changes that the list has not shown within changeTimeout.
 func (k *stageKeeper) endStuckChanges(ctx context.Context, now time.Duration, state region.State) {
-	under := map[string]bool{}
+	changing := map[string]bool{}
 	for _, change := range state.Changes {
 		name := change.Life().Name()
-		under[name] = true
-		begun, known := k.begun[name]
+		changing[name] = true
+		begun, known := k.changeStartedAt[name]
 		if !known {
-			k.begun[name] = now
+			k.changeStartedAt[name] = now
 			continue
 		}
 		if now-begun > changeTimeout {
@@ -229,25 +230,25 @@
 			k.endChange(ctx, change.Life(), unclearHold)
 		}
 	}
-	for replica := range k.begun {
-		if !under[replica] {
-			delete(k.begun, replica)
+	for replica := range k.changeStartedAt {
+		if !changing[replica] {
+			delete(k.changeStartedAt, replica)
 		}
 	}
 }
 
-// endChange commits the end of a change and leaves the replica alone for a time.
-func (k *stageKeeper) endChange(ctx context.Context, life region.Life, hold time.Duration) {
-	k.holds[life.Name()] = k.now() + hold
-	delete(k.begun, life.Name())
-	command := &region.Command{ChangeEnd: &region.ChangeEndCommand{Replica: life.ID}}
+// endChange commits the end of a change, and holds back further orders to the replica for a time.
+func (k *stageKeeper) endChange(ctx context.Context, incarnation region.Life, hold time.Duration) {
+	k.holds[incarnation.Name()] = k.now() + hold
+	delete(k.changeStartedAt, incarnation.Name())
+	command := &region.Command{ChangeEnd: &region.ChangeEndCommand{Replica: incarnation.ID}}
 	if _, err := k.commit(ctx, command); err != nil {
-		k.logger.Info(event.ChangeEndLost, "replica", life.ID, "error", err.Error())
+		k.logger.Info(event.ChangeEndLost, "replica", incarnation.ID, "error", err.Error())
 	}
 }
 
-// carryOutStage commits an order and gives it.
-func (k *stageKeeper) carryOutStage(ctx context.Context, where string, replicas []region.Replica, change *stageplan.Change) {
+// orderStage orders the replica of a planned change to change its stage.
+func (k *stageKeeper) orderStage(ctx context.Context, regionName string, replicas []region.Replica, change *stageplan.Change) {
 	replica, found := findReplica(replicas, change.ReplicaID)
 	if !found {
 		return
@@ -257,46 +258,46 @@
 		stage = region.StageDecode
 	}
 	err := k.order(ctx, replica, stage)
-	k.logger.Info(event.Order, "replica", replica.ID, "region", where, "stage", stage, "reason", change.Reason, "term", k.term,
+	k.logger.Info(event.Order, "replica", replica.ID, "region", regionName, "stage", stage, "reason", change.Reason, "term", k.term,
 		"generating", change.Generating, "reading", change.Reading, "generators", change.Generators, "replicas", len(replicas),
 		"error", failure.Text(err))
 	switch {
 	case err == nil:
 	case errors.Is(err, ErrOrderRefused):
-		k.holds[change.ReplicaID] = k.now() + refusedHold
-		if _, committed := k.begun[change.ReplicaID]; committed {
-			k.endChange(ctx, replica.Life(), refusedHold)
+		k.holds[change.ReplicaID] = k.now() + refusedOrderHold
+		if _, committed := k.changeStartedAt[change.ReplicaID]; committed {
+			k.endChange(ctx, replica.Life(), refusedOrderHold)
 		}
 	default:
 		k.holds[change.ReplicaID] = k.now() + unclearHold
 	}
 }
 
-// maximumAsked bounds the replicas that are asked for their work before one is changed.
-const maximumAsked = 8
+// maximumReportQueries bounds the replicas whose load is queried before one of them is changed.
+const maximumReportQueries = 8
 
-// leastBusy returns the candidate, by Life.Name, that says it has the least to do: what runs there has to
-// end before its stage changes. One that does not answer counts as busy.
+// leastBusy returns the candidate, by Life.Name, that reports the fewest requests, since these have to end
+// before its stage changes. A replica that does not answer counts as the busiest.
 func (k *stageKeeper) leastBusy(ctx context.Context, replicas []region.Replica, candidates []string) string {
 	if len(candidates) == 1 {
 		return candidates[0]
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	asked := candidates[:min(len(candidates), maximumAsked)]
-	work := make([]int, len(asked))
+	queried := candidates[:min(len(candidates), maximumReportQueries)]
+	requests := make([]int, len(queried))
 	var calls sync.WaitGroup
-	for index, name := range asked {
+	for index, name := range queried {
 		calls.Go(func() {
-			work[index] = math.MaxInt
+			requests[index] = math.MaxInt
 			replica, _ := findReplica(replicas, name)
 			if report, err := k.settings.Engines.Report(ctx, replica); err == nil {
-				work[index] = report.Requests
+				requests[index] = report.Requests
 			}
 		})
 	}
 	calls.Wait()
-	return asked[slices.Index(work, slices.Min(work))]
+	return queried[slices.Index(requests, slices.Min(requests))]
 }
 
 func findReplica(replicas []region.Replica, name string) (region.Replica, bool) {
@@ -315,26 +316,26 @@
 	if err != nil {
 		return errors.Join(ErrOrderRefused, err)
 	}
-	life := replica.Life()
-	if report.Changing || k.doubts.wouldWake(k.now(), life, report.Sequence) {
+	incarnation := replica.Life()
+	if report.Changing || k.doubts.wouldWake(k.now(), incarnation, report.Sequence) {
 		return ErrOrderRefused
 	}
-	if report.Born != 0 && life.Born != 0 && report.Born != life.Born {
-		return errors.Join(ErrOrderRefused, errLifeEnded)
+	if report.Born != 0 && incarnation.Born != 0 && report.Born != incarnation.Born {
+		return errors.Join(ErrOrderRefused, errReplicaRestarted)
 	}
-	change := &region.ChangeCommand{Replica: life.ID, Born: life.Born, Stage: stage}
+	change := &region.ChangeCommand{Replica: incarnation.ID, Born: incarnation.Born, Stage: stage}
 	fence, err := k.commitCall(ctx, &region.Command{Change: change})
 	if fence != 0 {
-		k.begun[life.Name()] = k.now()
+		k.changeStartedAt[incarnation.Name()] = k.now()
 	}
-	if errors.Is(err, errCallLate) {
+	if errors.Is(err, errSendDelayExceeded) {
 		return errors.Join(ErrOrderRefused, err)
 	}
 	if err != nil {
 		return err
 	}
-	if !k.isListed(life) {
-		return errors.Join(ErrOrderRefused, errLifeEnded)
+	if !k.isListed(incarnation) {
+		return errors.Join(ErrOrderRefused, errReplicaRestarted)
 	}
 	err = k.settings.Engines.Order(ctx, replica, EngineOrder{
 		Stage:    stage,
@@ -343,19 +344,19 @@
 		Sequence: report.Sequence,
 	})
 	if err != nil && !errors.Is(err, ErrOrderRefused) {
-		k.doubts.add(k.now(), life, report.Sequence)
+		k.doubts.add(k.now(), incarnation, report.Sequence)
 	}
 	return err
 }
 
-// errLifeEnded says that an order was not given, since the replica has started again.
-var errLifeEnded = errors.New("the replica has started again")
+// errReplicaRestarted means that an order was not sent because the replica has restarted or is no longer listed.
+var errReplicaRestarted = errors.New("the replica has started again")
 
-// isListed reports whether the list still shows a life.
-func (k *stageKeeper) isListed(life region.Life) bool {
+// isListed reports whether the list still shows an incarnation.
+func (k *stageKeeper) isListed(incarnation region.Life) bool {
 	state, _ := k.machine.read()
-	listed, found := findListed(state.Replicas, life.ID)
-	return found && listed.Life() == life
+	listed, found := findListed(state.Replicas, incarnation.ID)
+	return found && listed.Life() == incarnation
 }
 
 // commit proposes a command and returns its log position.
