--- a/internal/stageplan/plan.go
+++ b/internal/stageplan/plan.go
@@ -1,12 +1,11 @@
-// Package stageplan decides how many replicas of a service read prompts and how
-// many generate answers. It is a pure state machine: Step takes what is known and
-// returns at most one change, and never acts itself.
+// Package stageplan decides how many replicas of a service run in the prefill stage and how many in
+// the decode stage. It is a pure state machine: Step takes the known state and returns at most one
+// change, and performs no I/O.
 //
-// Reading is given all replicas that generating does not need: a prompt that
-// waits delays its first token, whereas a batch that is a little fuller hardly
-// slows its members down (Zhong et al., DistServe, OSDI 2024, section 2). Until
-// demand has been seen, a fixed share generates, since empty caches make reading
-// dearest at the start.
+// Prefill gets all replicas that decode does not need: a prompt that waits delays its first token,
+// whereas a slightly larger batch hardly slows its requests down (Zhong et al., DistServe, OSDI
+// 2024, section 2). Until demand has been observed, a fixed share of the replicas decodes, since
+// prefill is most expensive at the start, when the caches are empty.
 package stageplan
 
 import (
@@ -14,263 +13,263 @@
 	"time"
 )
 
-// Replica is a replica as the planner sees it.
+// Replica is the planner's view of a replica.
 type Replica struct {
 	ID string
-	// Generates is false for replicas that read prompts.
+	// Generates is true for decode replicas and false for prefill replicas.
 	Generates bool
 	Slots     int
-	// Changing replicas are on their way to the other stage; Generates is what
-	// they will be.
+	// Changing replicas are moving to the other stage; Generates is their future stage.
 	Changing bool
-	// Unsettled replicas have come a short time ago or do not answer: they count
-	// for nothing and are not changed.
+	// Unsettled replicas do not respond, or have rejected everything for some time: they do not
+	// count as capacity and are not changed.
 	Unsettled bool
-	// Refuses says that a replica has refused requests of late: it would be of no use in another stage.
+	// Refuses is set for a replica that has rejected requests recently: it would be of no use in
+	// another stage.
 	Refuses bool
 }
 
-// Input is what Step decides on.
+// Input is the state that Step decides on.
 type Input struct {
 	Replicas []Replica
-	// Generating is the number of answers that are being generated, and Expected that to
-	// which it tends.
+	// Generating is the number of running streams, and Expected the number towards which it tends.
 	Generating float64
 	Expected   float64
-	// Reading is the number of replicas that the prompts to be read keep busy.
+	// Reading is the number of replicas that the prompts to be prefilled keep busy.
 	Reading float64
-	// Known is false while the demand has not been told.
+	// Known is false until demand has been reported.
 	Known bool
-	// Restless says that replicas are coming or going: then one more is left to
-	// generate, for what is there may be gone soon.
+	// Restless is set while replicas are being added or removed. One more replica is then left to
+	// decode, since present ones may be removed soon.
 	Restless bool
-	// Elsewhere are the service's replicas in other regions.
-	Elsewhere Elsewhere
-	// Spares are replicas that stand by.
+	// OtherRegions are the service's replicas in other regions.
+	OtherRegions OtherRegions
+	// Spares are the replicas on standby.
 	Spares Spares
 	Rules  Rules
 }
 
-// Spares counts replicas that stand by, by their stage. What one of them could do no other has to change
-// its stage for.
+// Spares counts the replicas on standby by stage. No active replica has to change its stage for
+// work that a standby replica could do.
 type Spares struct{ Readers, Generators int }
 
-// exist reports whether there are any.
-func (s Spares) exist() bool { return s.Readers+s.Generators > 0 }
+// available reports whether any replica is on standby.
+func (s Spares) available() bool { return s.Readers+s.Generators > 0 }
 
-// Elsewhere counts the replicas of a service that other plans hold. The bounds on changes at the
-// same time hold over all.
-type Elsewhere struct {
+// OtherRegions counts the replicas of a service that are planned by other planners. The bounds on
+// concurrent changes apply to all of them together.
+type OtherRegions struct {
 	Replicas int
 	Changing int
 }
 
-// Rules are what a policy adds to the plan.
+// Rules are the constraints that a policy adds to the plan.
 type Rules struct {
-	// Bounded says that MaximumAway holds.
+	// Bounded enables MaximumAway.
 	Bounded bool
-	// MaximumAway bounds the replicas that change at the same time; 0 forbids changes.
+	// MaximumAway bounds the number of replicas that change at the same time; 0 forbids changes.
 	MaximumAway int
-	// MinimumDwell is how long a replica keeps a stage at least.
+	// MinimumDwell is the minimum time that a replica stays in a stage.
 	MinimumDwell time.Duration
-	// Permits decides on a change; nil permits every one.
+	// Permits decides whether a change is allowed; nil allows every change.
 	Permits func(Change) bool
 }
 
 // Change moves one replica to the other stage.
 type Change struct {
-	// ReplicaID is that of the replica, the first of Candidates, which would do as well.
+	// ReplicaID identifies the replica, the first of Candidates, all of which are equally suitable.
 	ReplicaID  string
 	Candidates []string
 	Generates  bool
 	Reason     string
-	// Generating and Reading are the demand that decided: the peak of the answers
-	// being generated, and the replicas that reading keeps busy.
+	// Generating and Reading are the demand behind the decision: the peak of the running streams,
+	// and the number of replicas that prefill keeps busy.
 	Generating float64
 	Reading    float64
-	// Generators is the number of replicas that generated before.
+	// Generators is the number of decode replicas before the change.
 	Generators int
 	// SinceLast is the time since the last change of the service.
 	SinceLast time.Duration
 }
 
 const (
-	// initialGeneratingShare generates until demand is known.
-	initialGeneratingShare = 0.33
-	// minimumGeneratingShare is left when replicas stop generating, whatever the
-	// demand is. If it is lost otherwise, only demand brings it back.
-	minimumGeneratingShare = 0.25
-	// targetOccupancy is the wanted share of slots in use at generating replicas,
-	// and fullOccupancy that from which on another one is needed.
+	// initialDecodeShare is the share of the replicas that decode until demand is known.
+	initialDecodeShare = 0.33
+	// minimumDecodeShare is the share of the replicas that stays in decode when decode replicas are
+	// released, whatever the demand is. If decode replicas are lost for another reason, only demand
+	// restores the share.
+	minimumDecodeShare = 0.25
+	// targetOccupancy is the desired share of batch slots in use at decode replicas, and
+	// fullOccupancy the share above which another decode replica is needed.
 	targetOccupancy = 0.6
 	fullOccupancy   = 0.75
-	// busyReading is the utilisation of readers from which on another one is
-	// worth a change: a prompt then finds both places that suit it busy one time
-	// in ten, and if a third of the readers is lost the others can read what comes
-	// until more have changed, which takes seconds.
-	busyReading = 0.3
-	// fullReading is the utilisation up to which readers can be used.
-	fullReading = 0.9
-	// minimumReplicas of each stage are kept if there are as many.
+	// busyPrefillUtilization is the utilization of prefill replicas above which another one is
+	// worth a change. At this utilization a prompt finds both replicas that suit it busy one time
+	// in ten, and if a third of the prefill replicas is lost, the others can serve the load until
+	// more have changed, which takes seconds.
+	busyPrefillUtilization = 0.3
+	// maximumPrefillUtilization is the highest utilization that prefill replicas can sustain.
+	maximumPrefillUtilization = 0.9
+	// minimumReplicas is the number of replicas that each stage keeps if there are enough.
 	minimumReplicas = 2
-	// settleTime is the least time between a change towards one stage and one
-	// towards the other.
-	settleTime = 3 * time.Second
-	// maximumAwayShare bounds the replicas that change at the same time.
+	// reversalDelay is the minimum time between a change towards one stage and one towards the
+	// other.
+	reversalDelay = 3 * time.Second
+	// maximumAwayShare bounds the share of the replicas that change at the same time.
 	maximumAwayShare = 0.34
-	// peakMemory is how fast the remembered peak of the demand fades.
-	peakMemory = 2500 * time.Millisecond
+	// peakDecayTime is the time constant with which the remembered peak of the demand decays.
+	peakDecayTime = 2500 * time.Millisecond
 )
 
-// Planner plans for one service.
+// Planner plans the stages of one service.
 type Planner struct {
-	// IgnoreForecast plans on the streams that run, UnevenShortage serves generating first
-	// when there are too few replicas.
+	// IgnoreForecast plans for the running streams only. UnevenShortage serves decode first when
+	// there are too few replicas for both stages.
 	IgnoreForecast bool
 	UnevenShortage bool
 
-	peak       float64
-	reading    float64
-	at         time.Duration
-	lastChange time.Duration
-	lastWay    bool
-	changed    bool
-	// changedAt is when each replica was last changed.
+	streamPeak  float64
+	prefillPeak float64
+	observedAt  time.Duration
+	lastChange  time.Duration
+	lastDecodes bool
+	changed     bool
+	// changedAt is the time of the last change of each replica.
 	changedAt map[string]time.Duration
 }
 
-// Step takes the input in and returns the next change, or nil.
+// Step updates the planner with the input and returns the next change, or nil.
 func (p *Planner) Step(now time.Duration, input Input) *Change {
-	p.observe(now, input)
-	generating, away := count(input.Replicas)
+	p.updatePeaks(now, input)
+	decoding, changing := countDecode(input.Replicas)
 	total := len(input.Replicas)
-	if away >= input.Rules.maximumAway(total) ||
-		away+input.Elsewhere.Changing >= input.Rules.maximumAway(total+input.Elsewhere.Replicas) {
+	if changing >= input.Rules.maximumAway(total) ||
+		changing+input.OtherRegions.Changing >= input.Rules.maximumAway(total+input.OtherRegions.Replicas) {
 		return nil
 	}
 	if total < minimumReplicas {
-		return p.onlyReplica(now, input, generating)
+		return p.planSingleReplica(now, input, decoding)
 	}
-	wanted := p.wanted(input, generating)
+	target := p.targetDecodeReplicas(input, decoding)
 	switch {
-	case wanted > generating && input.Spares.Generators == 0:
-		return p.change(now, input, true, "generating replicas are short")
-	case wanted < generating && input.Spares.Readers == 0:
-		return p.change(now, input, false, "more replicas can read prompts")
+	case target > decoding && input.Spares.Generators == 0:
+		return p.change(now, input, true, "too few decode replicas")
+	case target < decoding && input.Spares.Readers == 0:
+		return p.change(now, input, false, "more replicas can be used for prefill")
 	}
 	return nil
 }
 
-// onlyReplica has a region's one replica generate: it reads the prompts that it answers, too,
-// whereas what a reader has read would have to leave the region. Without other regions it stays
-// what it is.
-func (p *Planner) onlyReplica(now time.Duration, input Input, generating int) *Change {
-	if input.Elsewhere.Replicas == 0 || generating > 0 {
+// planSingleReplica makes the only replica of a region a decode replica: it also prefills the
+// prompts that it answers, whereas a prompt prefilled by a prefill replica would have to be
+// transferred to another region. Without other regions the replica keeps its stage.
+func (p *Planner) planSingleReplica(now time.Duration, input Input, decoding int) *Change {
+	if input.OtherRegions.Replicas == 0 || decoding > 0 {
 		return nil
 	}
-	return p.change(now, input, true, "the region's only replica has to generate")
+	return p.change(now, input, true, "the region's only replica has to decode")
 }
 
-// observe keeps the peaks of the demand, which fade.
-func (p *Planner) observe(now time.Duration, input Input) {
-	fade := math.Exp(-(now - p.at).Seconds() / peakMemory.Seconds())
-	p.at = now
-	p.peak = max(p.streams(input), p.peak*fade)
-	p.reading = max(input.Reading, p.reading*fade)
+// updatePeaks updates the decaying peaks of the demand.
+func (p *Planner) updatePeaks(now time.Duration, input Input) {
+	decay := math.Exp(-(now - p.observedAt).Seconds() / peakDecayTime.Seconds())
+	p.observedAt = now
+	p.streamPeak = max(p.streamDemand(input), p.streamPeak*decay)
+	p.prefillPeak = max(input.Reading, p.prefillPeak*decay)
 }
 
-// streams is the demand for generating: no fewer than run, since streams that run longer the
-// more there are make a forecast too low.
-func (p *Planner) streams(input Input) float64 {
+// streamDemand is the decode demand in streams. It is never less than the number of running
+// streams: streams run longer the more of them there are, which makes a forecast too low.
+func (p *Planner) streamDemand(input Input) float64 {
 	if p.IgnoreForecast {
 		return input.Generating
 	}
 	return max(input.Expected, input.Generating)
 }
 
-// wanted is the number of replicas that should generate.
-func (p *Planner) wanted(input Input, generating int) int {
-	total := settled(input.Replicas)
-	least := min(minimumReplicas, total-1)
-	most := max(total-minimumReplicas, least)
-	slots := float64(slotsOf(input.Replicas))
-	needed := min(max(int(math.Ceil(p.peak/(slots*fullOccupancy))), least), most)
+// targetDecodeReplicas is the number of replicas that should decode.
+func (p *Planner) targetDecodeReplicas(input Input, decoding int) int {
+	total := countSettled(input.Replicas)
+	minimum := min(minimumReplicas, total-1)
+	maximum := max(total-minimumReplicas, minimum)
+	slots := float64(maximumSlots(input.Replicas))
+	needed := min(max(int(math.Ceil(p.streamPeak/(slots*fullOccupancy))), minimum), maximum)
 	if !input.Known {
-		if input.Spares.exist() {
-			return max(generating, needed)
+		if input.Spares.available() {
+			return max(decoding, needed)
 		}
-		initial := int(math.Ceil(initialGeneratingShare * float64(total)))
-		return min(max(initial, needed), most)
+		initial := int(math.Ceil(initialDecodeShare * float64(total)))
+		return min(max(initial, needed), maximum)
 	}
-	floor := max(int(math.Ceil(minimumGeneratingShare*float64(total))), least)
-	if even, short := p.evenShortage(slots, total); short && !p.UnevenShortage {
-		return min(max(even, min(floor, generating)), most)
+	floor := max(int(math.Ceil(minimumDecodeShare*float64(total))), minimum)
+	if split, short := p.splitShortage(slots, total); short && !p.UnevenShortage {
+		return min(max(split, min(floor, decoding)), maximum)
 	}
-	if generating < needed {
+	if decoding < needed {
 		return needed
 	}
-	comfortable := max(int(math.Ceil(p.peak/(slots*targetOccupancy))), floor)
+	comfortable := max(int(math.Ceil(p.streamPeak/(slots*targetOccupancy))), floor)
 	if input.Restless {
 		comfortable++
 	}
-	comfortable = min(comfortable, most)
-	readers := total - generating
-	if generating > comfortable && p.reading > busyReading*float64(readers) {
+	comfortable = min(comfortable, maximum)
+	prefilling := total - decoding
+	if decoding > comfortable && p.prefillPeak > busyPrefillUtilization*float64(prefilling) {
 		return comfortable
 	}
-	return generating
+	return decoding
 }
 
-// evenShortage is the number of replicas that should generate while there are too few for
-// both stages: each gets the same share of those that it needs. Generators count at the
-// lower occupancy: what has been read is of no use until one takes it.
-func (p *Planner) evenShortage(slots float64, total int) (generating int, short bool) {
-	forPrompts := p.reading / fullReading
-	if p.peak/(slots*fullOccupancy)+forPrompts <= float64(total) {
+// splitShortage returns the number of replicas that should decode while there are too few for both
+// stages: each stage gets the same share of the replicas that it needs. Decode replicas are counted
+// at the lower occupancy, since a prefilled prompt is of no use until a decode replica accepts it.
+func (p *Planner) splitShortage(slots float64, total int) (decoding int, short bool) {
+	prefillReplicas := p.prefillPeak / maximumPrefillUtilization
+	if p.streamPeak/(slots*fullOccupancy)+prefillReplicas <= float64(total) {
 		return 0, false
 	}
-	forStreams := p.peak / (slots * targetOccupancy)
-	return int(math.Round(float64(total) * forStreams / (forStreams + forPrompts))), true
+	decodeReplicas := p.streamPeak / (slots * targetOccupancy)
+	return int(math.Round(float64(total) * decodeReplicas / (decodeReplicas + prefillReplicas))), true
 }
 
-// maximumAway is how many of a number of replicas may change at the same time.
+// maximumAway is the number of replicas out of a total that may change at the same time.
 func (r Rules) maximumAway(total int) int {
-	most := max(1, int(maximumAwayShare*float64(total)))
+	maximum := max(1, int(maximumAwayShare*float64(total)))
 	if r.Bounded {
-		return min(most, r.MaximumAway)
+		return min(maximum, r.MaximumAway)
 	}
-	return most
+	return maximum
 }
 
-// change chooses the replica for a change, unless the last one went the other way
-// a short time ago or the policy does not permit it.
-func (p *Planner) change(now time.Duration, input Input, generates bool, reason string) *Change {
-	if p.changed && p.lastWay != generates && now-p.lastChange < settleTime && !(generates && input.overfull()) {
+// change selects the replica for a change, and returns nil if the last change went the other way a
+// short time ago, if no replica may be changed, or if the policy does not permit the change.
+func (p *Planner) change(now time.Duration, input Input, decodes bool, reason string) *Change {
+	if p.changed && p.lastDecodes != decodes && now-p.lastChange < reversalDelay && !(decodes && input.decodeOverloaded()) {
 		return nil
 	}
-	candidates := p.candidates(now, input, generates)
+	candidates := p.candidates(now, input, decodes)
 	if len(candidates) == 0 {
 		return nil
 	}
-	generators, _ := count(input.Replicas)
+	decoding, _ := countDecode(input.Replicas)
 	change := Change{
 		ReplicaID:  candidates[0],
 		Candidates: candidates,
-		Generates:  generates,
+		Generates:  decodes,
 		Reason:     reason,
-		Generating: p.peak,
-		Reading:    p.reading,
-		Generators: generators,
+		Generating: p.streamPeak,
+		Reading:    p.prefillPeak,
+		Generators: decoding,
 		SinceLast:  now - p.lastChange,
 	}
 	if input.Rules.Permits != nil && !input.Rules.Permits(change) {
 		return nil
 	}
-	p.note(now, change.ReplicaID, generates)
+	p.recordChange(now, change.ReplicaID, decodes)
 	return &change
 }
 
-// NoteChange has the input show that a change has begun.
+// NoteChange records in the input that a change has begun.
 func (i Input) NoteChange(change *Change) {
 	for index := range i.Replicas {
 		if i.Replicas[index].ID == change.ReplicaID {
@@ -280,17 +279,18 @@
 	}
 }
 
-// overfull reports whether more answers are being generated than there is room for.
-func (i Input) overfull() bool {
-	generating, _ := count(i.Replicas)
-	return i.Generating > float64(generating*slotsOf(i.Replicas))
+// decodeOverloaded reports whether there are more running streams than batch slots of decode
+// replicas.
+func (i Input) decodeOverloaded() bool {
+	decoding, _ := countDecode(i.Replicas)
+	return i.Generating > float64(decoding*maximumSlots(i.Replicas))
 }
 
 // candidates are the replicas that may be moved to a stage.
-func (p *Planner) candidates(now time.Duration, input Input, generates bool) []string {
+func (p *Planner) candidates(now time.Duration, input Input, decodes bool) []string {
 	var ids []string
 	for _, replica := range input.Replicas {
-		if replica.Generates == generates || replica.Changing || replica.Unsettled || replica.Refuses || p.dwells(now, replica.ID, input.Rules) {
+		if replica.Generates == decodes || replica.Changing || replica.Unsettled || replica.Refuses || p.withinDwell(now, replica.ID, input.Rules) {
 			continue
 		}
 		ids = append(ids, replica.ID)
@@ -298,26 +298,26 @@
 	return ids
 }
 
-// Choose has another of a change's candidates changed than the first.
+// Choose replaces the replica of a change by another of its candidates.
 func (p *Planner) Choose(now time.Duration, change *Change, id string) {
 	if id == change.ReplicaID {
 		return
 	}
 	delete(p.changedAt, change.ReplicaID)
 	change.ReplicaID = id
-	p.note(now, id, change.Generates)
+	p.recordChange(now, id, change.Generates)
 }
 
-// dwells reports whether a replica has to keep its stage for now.
-func (p *Planner) dwells(now time.Duration, id string, rules Rules) bool {
+// withinDwell reports whether a replica has to stay in its stage for now.
+func (p *Planner) withinDwell(now time.Duration, id string, rules Rules) bool {
 	changed, known := p.changedAt[id]
 	return known && now-changed < rules.MinimumDwell
 }
 
-// note remembers a change.
-func (p *Planner) note(now time.Duration, id string, generates bool) {
+// recordChange records the time and direction of a change.
+func (p *Planner) recordChange(now time.Duration, id string, decodes bool) {
 	p.changed = true
-	p.lastWay = generates
+	p.lastDecodes = decodes
 	p.lastChange = now
 	if p.changedAt == nil {
 		p.changedAt = map[string]time.Duration{}
@@ -325,20 +325,20 @@
 	p.changedAt[id] = now
 }
 
-func count(replicas []Replica) (generating, away int) {
+func countDecode(replicas []Replica) (decoding, changing int) {
 	for _, replica := range replicas {
 		if replica.Generates && !replica.Unsettled {
-			generating++
+			decoding++
 		}
 		if replica.Changing {
-			away++
+			changing++
 		}
 	}
-	return generating, away
+	return decoding, changing
 }
 
-// settled counts the replicas that count for something.
-func settled(replicas []Replica) int {
+// countSettled counts the replicas that are not unsettled.
+func countSettled(replicas []Replica) int {
 	count := 0
 	for _, replica := range replicas {
 		if !replica.Unsettled {
@@ -348,7 +348,7 @@
 	return count
 }
 
-func slotsOf(replicas []Replica) int {
+func maximumSlots(replicas []Replica) int {
 	slots := 1
 	for _, replica := range replicas {
 		slots = max(slots, replica.Slots)
--- a/internal/stageplan/plan_test.go
+++ b/internal/stageplan/plan_test.go
@@ -11,27 +11,27 @@
 	"github.com/pierhaven/pierhaven/internal/stageplan"
 )
 
-// fleet has some replicas that read and some that generate.
-func fleet(reading, generating int) []stageplan.Replica {
+// fleet returns prefill replicas followed by decode replicas.
+func fleet(prefilling, decoding int) []stageplan.Replica {
 	var replicas []stageplan.Replica
-	for index := range reading + generating {
+	for index := range prefilling + decoding {
 		replicas = append(replicas, stageplan.Replica{
-			ID: fmt.Sprintf("r%d", index), Slots: 32, Generates: index >= reading,
+			ID: fmt.Sprintf("r%d", index), Slots: 32, Generates: index >= prefilling,
 		})
 	}
 	return replicas
 }
 
-func count(replicas []stageplan.Replica) (generating int) {
+func countDecode(replicas []stageplan.Replica) (decoding int) {
 	for _, replica := range replicas {
 		if replica.Generates {
-			generating++
+			decoding++
 		}
 	}
-	return generating
+	return decoding
 }
 
-// settle steps until nothing changes for a while, with changes done at once.
+// settle steps until nothing changes for a while; changes complete at once.
 func settle(t *testing.T, planner *stageplan.Planner, from time.Duration, input stageplan.Input) (changes int, now time.Duration) {
 	t.Helper()
 	now = from
@@ -53,28 +53,28 @@
 	return changes, now
 }
 
-func TestUntilDemandIsKnownAThirdGenerates(t *testing.T) {
+func TestInitialDecodeShareAppliesUntilDemandIsKnown(t *testing.T) {
 	input := stageplan.Input{Replicas: fleet(7, 11)}
 	changes, _ := settle(t, &stageplan.Planner{}, 0, input)
-	assert.Equal(t, 6, count(input.Replicas))
+	assert.Equal(t, 6, countDecode(input.Replicas))
 	assert.Equal(t, 5, changes)
 }
 
-func TestDemandForGeneratingIsServedFirst(t *testing.T) {
+func TestDecodeDemandTakesPrecedence(t *testing.T) {
 	input := stageplan.Input{Replicas: fleet(12, 6), Generating: 160, Reading: 9, Known: true}
 	settle(t, &stageplan.Planner{}, 0, input)
-	assert.Equal(t, 7, count(input.Replicas), "160 answers in batches three quarters full")
+	assert.Equal(t, 7, countDecode(input.Replicas), "160 streams in batches three quarters full")
 }
 
-func TestReadersAreAddedOnlyWhenTheyAreBusy(t *testing.T) {
+func TestPrefillReplicasAreAddedOnlyUnderLoad(t *testing.T) {
 	idle := stageplan.Input{Replicas: fleet(4, 14), Generating: 20, Reading: 1, Known: true}
 	changes, _ := settle(t, &stageplan.Planner{}, 0, idle)
 	assert.Zero(t, changes)
 
 	busy := stageplan.Input{Replicas: fleet(4, 14), Generating: 20, Reading: 6, Known: true}
 	settle(t, &stageplan.Planner{}, 0, busy)
-	assert.Less(t, count(busy.Replicas), 14)
-	assert.GreaterOrEqual(t, count(busy.Replicas), 4, "a least share generates")
+	assert.Less(t, countDecode(busy.Replicas), 14)
+	assert.GreaterOrEqual(t, countDecode(busy.Replicas), 4, "a minimum share decodes")
 }
 
 func TestADemandThatSwingsDoesNotChangeReplicasBackAndForth(t *testing.T) {
@@ -98,7 +98,7 @@
 	assert.LessOrEqual(t, changes, 8)
 }
 
-func TestFewReplicasAreAwayAtTheSameTime(t *testing.T) {
+func TestConcurrentChangesAreBounded(t *testing.T) {
 	replicas := fleet(6, 30)
 	planner := &stageplan.Planner{}
 	for step := range 30 {
@@ -113,34 +113,34 @@
 			}
 		}
 	}
-	away := 0
+	changing := 0
 	for _, replica := range replicas {
 		if replica.Changing {
-			away++
+			changing++
 		}
 	}
-	assert.Equal(t, 12, away, "a third, though 18 should change")
+	assert.Equal(t, 12, changing, "a third of the replicas, though 18 should change")
 }
 
-func TestDemandIsMetAsItIsForecast(t *testing.T) {
+func TestForecastDemandIsMet(t *testing.T) {
 	rising := stageplan.Input{Replicas: fleet(12, 6), Generating: 60, Expected: 190, Known: true}
 	settle(t, &stageplan.Planner{}, 0, rising)
-	assert.Equal(t, 8, count(rising.Replicas), "before the streams have come")
+	assert.Equal(t, 8, countDecode(rising.Replicas), "before the streams have started")
 
 	falling := stageplan.Input{Replicas: fleet(4, 14), Generating: 190, Expected: 40, Reading: 6, Known: true}
 	settle(t, &stageplan.Planner{}, 0, falling)
-	assert.Equal(t, 10, count(falling.Replicas), "streams that still run keep their room")
+	assert.Equal(t, 10, countDecode(falling.Replicas), "running streams keep their batch slots")
 }
 
-// A forecast of fewer streams than run is not believed while generators are full: full ones
-// are slow, and their streams end later than those did that the forecast is made from.
-func TestAForecastIsNotBelievedWhileGeneratorsAreFull(t *testing.T) {
+// A forecast below the number of running streams is ignored: full decode replicas are slow, so that
+// their streams end later than those from which the forecast is made.
+func TestForecastBelowRunningStreamsIsIgnored(t *testing.T) {
 	full := stageplan.Input{Replicas: fleet(15, 5), Generating: 150, Expected: 60, Reading: 3, Known: true}
 	settle(t, &stageplan.Planner{}, 0, full)
-	assert.Greater(t, count(full.Replicas), 5)
+	assert.Greater(t, countDecode(full.Replicas), 5)
 }
 
-func TestGeneratorsThatOverflowGetHelpWithoutDelay(t *testing.T) {
+func TestOverloadedDecodeBypassesReversalDelay(t *testing.T) {
 	for name, generating := range map[string]float64{"calm": 60, "overflowing": 400} {
 		planner := &stageplan.Planner{}
 		input := stageplan.Input{Replicas: fleet(4, 14), Generating: 40, Reading: 8, Known: true}
@@ -151,7 +151,7 @@
 				apply(input.Replicas, change)
 			}
 		}
-		require.Less(t, count(input.Replicas), 14)
+		require.Less(t, countDecode(input.Replicas), 14)
 		input.Generating = generating
 		input.Expected = 400
 		change := planner.Step(now+100*time.Millisecond, input)
@@ -159,7 +159,7 @@
 	}
 }
 
-func TestAnotherCandidateMayBeChosen(t *testing.T) {
+func TestChooseReplacesCandidate(t *testing.T) {
 	planner := &stageplan.Planner{}
 	rules := stageplan.Rules{MinimumDwell: time.Minute}
 	input := stageplan.Input{Replicas: fleet(4, 14), Reading: 9, Generating: 20, Known: true, Rules: rules}
@@ -171,21 +171,21 @@
 	assert.Equal(t, change.Candidates[5], change.ReplicaID)
 	next := planner.Step(2*time.Second, input)
 	require.NotNil(t, next)
-	assert.NotContains(t, next.Candidates, change.ReplicaID, "it dwells")
+	assert.NotContains(t, next.Candidates, change.ReplicaID, "it is within its minimum dwell")
 	assert.Contains(t, next.Candidates, change.Candidates[0])
 }
 
-func TestAShortageOfBothStagesIsShared(t *testing.T) {
+func TestShortageIsSplitBetweenStages(t *testing.T) {
 	input := stageplan.Input{Replicas: fleet(14, 4), Generating: 300, Reading: 20, Known: true}
 	settle(t, &stageplan.Planner{}, 0, input)
-	assert.Equal(t, 7, count(input.Replicas), "16 of 38 that would be needed")
+	assert.Equal(t, 7, countDecode(input.Replicas), "each stage gets the same share of the 38 needed replicas, 16 of them for decode")
 
 	streams := stageplan.Input{Replicas: fleet(14, 4), Generating: 600, Reading: 2, Known: true}
 	settle(t, &stageplan.Planner{}, 0, streams)
-	assert.Equal(t, 16, count(streams.Replicas))
+	assert.Equal(t, 16, countDecode(streams.Replicas))
 }
 
-// apply carries a change out at once.
+// apply completes a change at once.
 func apply(replicas []stageplan.Replica, change *stageplan.Change) {
 	for index := range replicas {
 		if replicas[index].ID == change.ReplicaID {
@@ -194,7 +194,7 @@
 	}
 }
 
-func TestASingleReplicaIsNeverChanged(t *testing.T) {
+func TestSingleReplicaKeepsStage(t *testing.T) {
 	changes, _ := settle(t, &stageplan.Planner{}, 0, stageplan.Input{Replicas: fleet(0, 1), Reading: 5, Known: true})
 	assert.Zero(t, changes)
 }
@@ -206,52 +206,52 @@
 	}
 	input := stageplan.Input{Replicas: replicas, Generating: 40, Reading: 20, Known: true, Restless: true}
 	changes, _ := settle(t, &stageplan.Planner{}, 0, input)
-	assert.Zero(t, changes, "3 generators are enough for 40 answers, and readers are short")
+	assert.Zero(t, changes, "3 decode replicas suffice for 40 streams, and there are too few prefill replicas")
 }
 
-func TestGeneratorsThatAreFullGetHelpBeforeDemandHasSettled(t *testing.T) {
+func TestFullDecodeReplicasAreRelievedBeforeDemandIsKnown(t *testing.T) {
 	input := stageplan.Input{Replicas: fleet(12, 6), Generating: 190}
 	settle(t, &stageplan.Planner{}, 0, input)
-	assert.Equal(t, 8, count(input.Replicas))
+	assert.Equal(t, 8, countDecode(input.Replicas))
 }
 
-func TestAPolicyBoundsAndForbidsChanges(t *testing.T) {
+func TestPolicyBoundsAndForbidsChanges(t *testing.T) {
 	step := func(rules stageplan.Rules) (changes int) {
 		input := stageplan.Input{Replicas: fleet(2, 16), Rules: rules}
 		changes, _ = settle(t, &stageplan.Planner{}, 0, input)
 		return changes
 	}
-	assert.Equal(t, 10, step(stageplan.Rules{}), "the built-in rule leaves a third")
+	assert.Equal(t, 10, step(stageplan.Rules{}), "the built-in rule leaves a third in decode")
 	assert.Zero(t, step(stageplan.Rules{Bounded: true}), "a bound of 0 forbids changes")
 	assert.Equal(t, 10, step(stageplan.Rules{Bounded: true, MaximumAway: 1}))
-	var asked []stageplan.Change
+	var proposed []stageplan.Change
 	assert.Zero(t, step(stageplan.Rules{Permits: func(change stageplan.Change) bool {
-		asked = append(asked, change)
+		proposed = append(proposed, change)
 		return false
 	}}))
-	if assert.NotEmpty(t, asked) {
-		assert.Equal(t, 16, asked[0].Generators)
-		assert.False(t, asked[0].Generates)
+	if assert.NotEmpty(t, proposed) {
+		assert.Equal(t, 16, proposed[0].Generators)
+		assert.False(t, proposed[0].Generates)
 	}
 }
 
-func TestAReplicaKeepsItsStageForTheDwellOfThePolicy(t *testing.T) {
+func TestReplicaKeepsStageForMinimumDwell(t *testing.T) {
 	planner := &stageplan.Planner{}
 	rules := stageplan.Rules{MinimumDwell: time.Minute}
 	input := stageplan.Input{Replicas: fleet(1, 3), Rules: rules}
 	_, now := settle(t, planner, 0, input)
-	assert.Equal(t, 2, count(input.Replicas))
+	assert.Equal(t, 2, countDecode(input.Replicas))
 	input.Generating = 32 * 3
 	changes, now := settle(t, planner, now, input)
-	assert.Equal(t, 0, changes, "both readers are kept: one by the least number, one by its dwell")
+	assert.Equal(t, 0, changes, "both prefill replicas are kept: one by the minimum number, one by its dwell")
 	input.Replicas = append(input.Replicas, fleet(3, 0)[2])
 	changes, _ = settle(t, planner, now+time.Minute, input)
 	assert.Positive(t, changes)
 }
 
-// TestSeveralChangesOfOneStepDiffer has a planner asked again for the same moment: each change is
-// of another replica, and they end where one change a step would.
-func TestSeveralChangesOfOneStepDiffer(t *testing.T) {
+// Step is called repeatedly for the same moment: each change selects another replica, and the
+// changes stop where they would with one change per step, at the bound on concurrent changes.
+func TestRepeatedStepsAtOneTimeChangeDifferentReplicas(t *testing.T) {
 	input := stageplan.Input{Known: true, Generating: 10, Expected: 10, Reading: 60}
 	for number := range 100 {
 		input.Replicas = append(input.Replicas, stageplan.Replica{ID: fmt.Sprint("r", number), Generates: true, Slots: 64})
@@ -267,21 +267,23 @@
 		changed[change.ReplicaID] = true
 		input.NoteChange(change)
 	}
-	assert.Len(t, changed, 34, "no more are away at the same time")
+	assert.Len(t, changed, 34, "the bound on concurrent changes")
 }
 
-// TestReadersAreAddedBeforeALossNeedsThem has replicas to spare generate, as new ones do that begin
-// in that stage. Where readers were busy for 0.4 of the time and a zone went with a third of them,
-// the others could not read what came until more had changed, and half of the prompts were late.
-func TestReadersAreAddedBeforeALossNeedsThem(t *testing.T) {
+// Replicas that decode does not need, such as new ones that start in that stage, are changed to
+// prefill in advance. When prefill replicas were busy for 0.4 of the time and a zone was lost with
+// a third of them, the others could not serve the load until more had changed, and half of the
+// prompts were late.
+func TestPrefillCapacityIsReservedForZoneLoss(t *testing.T) {
 	input := stageplan.Input{Replicas: fleet(50, 49), Generating: 68, Reading: 20, Known: true}
 	settle(t, &stageplan.Planner{}, 0, input)
-	assert.LessOrEqual(t, count(input.Replicas), 33, "67 readers are busy for 0.3 of the time")
+	assert.LessOrEqual(t, countDecode(input.Replicas), 33, "67 prefill replicas are at 0.3 utilization")
 }
 
-// TestWhatStandsByIsActivatedAndNotChanged: a third of all replicas was ordered to generate before any demand was known, and
-// each order costs seconds of a replica: 75 orders at 300 replicas and 251 at 1,000, for a load that a few bear.
-func TestWhatStandsByIsActivatedAndNotChanged(t *testing.T) {
+// Stage changes cost seconds of a replica and are not ordered while standby replicas could be
+// activated instead. Before any demand was known, a third of all replicas was ordered to decode: 75
+// orders at 300 replicas and 251 at 1,000, for a load that a few replicas could serve.
+func TestStandbyReplicasPreventStageChanges(t *testing.T) {
 	for _, size := range []int{300, 1_000, 3_000} {
 		spares := stageplan.Spares{Readers: size / 3, Generators: size / 3}
 		input := stageplan.Input{Replicas: fleet(128, 128), Spares: spares}
@@ -290,28 +292,30 @@
 
 		busy := stageplan.Input{Replicas: fleet(128, 128), Spares: spares, Known: true, Reading: 120, Generating: 10}
 		changes, _ = settle(t, &stageplan.Planner{}, now, busy)
-		assert.Zero(t, changes, "readers stand by")
+		assert.Zero(t, changes, "prefill replicas are on standby")
 		busy.Spares.Readers = 0
 		changes, _ = settle(t, &stageplan.Planner{}, now, busy)
-		assert.Positive(t, changes, "no reader stands by any more")
+		assert.Positive(t, changes, "no prefill replica is on standby any more")
 	}
 }
 
-// All generating replicas, and most others, refuse everything, and what is left is too little for both stages:
-// it is shared between them. All replicas were counted, so that nothing was short and one was left to read.
-func TestWhatCountsForNothingHasNoShare(t *testing.T) {
+// All decode replicas, and most others, reject everything, and the remaining ones are too few for
+// both stages: they are split between them. When all replicas were counted, no shortage was
+// detected and only one replica was left for prefill.
+func TestUnsettledReplicasAreExcludedFromSplit(t *testing.T) {
 	input := stageplan.Input{Replicas: fleet(15, 3), Known: true, Generating: 100, Expected: 100, Reading: 4}
 	for index := range input.Replicas {
 		input.Replicas[index].Unsettled = index >= 6
 	}
 	settle(t, &stageplan.Planner{}, 0, input)
-	generating := count(input.Replicas[:6])
-	assert.GreaterOrEqual(t, generating, 2)
-	assert.LessOrEqual(t, generating, 4, "two go on reading")
+	decoding := countDecode(input.Replicas[:6])
+	assert.GreaterOrEqual(t, decoding, 2)
+	assert.LessOrEqual(t, decoding, 4, "two stay in prefill")
 }
 
-// An idle replica is changed first, and one that refuses everything is idle: it refused in its new stage, too.
-func TestAReplicaThatRefusesIsNotChanged(t *testing.T) {
+// The least busy replica is changed first, and one that rejects everything is idle; it would reject
+// requests in its new stage, too.
+func TestRejectingReplicaIsNotChanged(t *testing.T) {
 	input := stageplan.Input{Replicas: fleet(6, 2), Known: true, Generating: 200, Expected: 200}
 	for index := range 3 {
 		input.Replicas[index].Refuses = true
--- a/internal/stageplan/regions.go
+++ b/internal/stageplan/regions.go
@@ -2,48 +2,48 @@
 
 import "time"
 
-// Regions plans a service whose replicas stand in several regions: each region from its own
-// demand, since what a prompt has been read into moves slowly out of a region.
+// Regions plans a service whose replicas run in several regions. Each region is planned from its
+// own demand, since the KV cache of a prefilled prompt is slow to transfer out of a region.
 type Regions struct {
 	// New returns the planner of a region.
 	New func() *Planner
 
 	planners map[string]*Planner
-	// next is the place of the region that may change a replica first: bounds over all regions
-	// leave something to each in turn.
-	next int
+	// nextIndex is the index of the region that may change a replica first. It rotates, so that
+	// bounds over all regions leave changes to each in turn.
+	nextIndex int
 }
 
-// RegionInput is what is known of a region.
+// RegionInput is the planner's input for one region.
 type RegionInput struct {
 	Region string
 	Input
 }
 
-// Step returns the next change of any region, with the region and its planner; nil if there is
-// none. The order of the regions stays the same from step to step.
+// Step returns the next change of any region, with the region and its planner, or nil if there is
+// none. The caller must pass the regions in the same order at each step.
 func (r *Regions) Step(now time.Duration, regions []*RegionInput) (*RegionInput, *Change, *Planner) {
 	for tried := range regions {
-		place := (r.next + tried) % len(regions)
-		region := regions[place]
-		region.Elsewhere = elsewhere(regions, region)
+		index := (r.nextIndex + tried) % len(regions)
+		region := regions[index]
+		region.OtherRegions = otherRegions(regions, region)
 		planner := r.planner(region.Region)
 		if change := planner.Step(now, region.Input); change != nil {
-			r.next = place + 1
+			r.nextIndex = index + 1
 			return region, change, planner
 		}
 	}
 	return nil, nil, nil
 }
 
-// elsewhere counts the replicas of all regions but one.
-func elsewhere(regions []*RegionInput, but *RegionInput) Elsewhere {
-	var counted Elsewhere
+// otherRegions counts the replicas of all regions but one.
+func otherRegions(regions []*RegionInput, excluded *RegionInput) OtherRegions {
+	var counted OtherRegions
 	for _, region := range regions {
-		if region == but {
+		if region == excluded {
 			continue
 		}
-		_, changing := count(region.Replicas)
+		_, changing := countDecode(region.Replicas)
 		counted.Replicas += len(region.Replicas)
 		counted.Changing += changing
 	}
--- a/internal/stageplan/regions_test.go
+++ b/internal/stageplan/regions_test.go
@@ -16,16 +16,16 @@
 	return &stageplan.Regions{New: func() *stageplan.Planner { return &stageplan.Planner{} }}
 }
 
-// regionOf is a region with a fleet whose replicas' ids are its own.
-func regionOf(name string, reading, generating int) *stageplan.RegionInput {
-	input := &stageplan.RegionInput{Region: name, Input: stageplan.Input{Replicas: fleet(reading, generating), Known: true}}
+// newRegionInput returns a region with a fleet whose replica ids are unique to the region.
+func newRegionInput(name string, prefilling, decoding int) *stageplan.RegionInput {
+	input := &stageplan.RegionInput{Region: name, Input: stageplan.Input{Replicas: fleet(prefilling, decoding), Known: true}}
 	for index := range input.Replicas {
 		input.Replicas[index].ID = fmt.Sprint(name, "-", index)
 	}
 	return input
 }
 
-// settleRegions steps until nothing changes for a while, with changes done at once.
+// settleRegions steps until nothing changes for a while; changes complete at once.
 func settleRegions(t *testing.T, plan *stageplan.Regions, regions ...*stageplan.RegionInput) {
 	t.Helper()
 	now := time.Duration(0)
@@ -38,7 +38,7 @@
 		}
 		quiet = 0
 		changes++
-		require.Less(t, changes, 100, "the plan does not settle")
+		require.Less(t, changes, 100, "the planner does not settle")
 		region.NoteChange(change)
 		for index := range region.Replicas {
 			region.Replicas[index].Changing = false
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestOneRegionIsPlannedLikeAServiceWithoutRegions(t *testing.T) {
+func TestSingleRegionMatchesPlannerWithoutRegions(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 1))
 	plan, planner := newRegions(), &stageplan.Planner{}
 	alone, one := stageplan.Input{Replicas: fleet(7, 11)}, &stageplan.RegionInput{Input: stageplan.Input{Replicas: fleet(7, 11)}}
@@ -74,20 +74,20 @@
 	assert.Greater(t, changes, 50)
 }
 
-func TestEachRegionIsPlannedFromItsOwnDemand(t *testing.T) {
-	long, short := regionOf("long", 10, 10), regionOf("short", 10, 10)
+func TestRegionsArePlannedFromTheirOwnDemand(t *testing.T) {
+	long, short := newRegionInput("long", 10, 10), newRegionInput("short", 10, 10)
 	long.Reading, long.Generating = 12, 20
 	short.Reading, short.Generating = 2, 360
 	settleRegions(t, newRegions(), long, short)
-	assert.Equal(t, 5, count(long.Replicas), "prompts keep readers busy")
-	assert.Equal(t, 15, count(short.Replicas), "answers are long")
+	assert.Equal(t, 5, countDecode(long.Replicas), "prompts keep prefill replicas busy")
+	assert.Equal(t, 15, countDecode(short.Replicas), "answers are long")
 }
 
-func TestBoundsOnChangesAtTheSameTimeHoldOverAllRegions(t *testing.T) {
+func TestConcurrentChangesAreBoundedAcrossRegions(t *testing.T) {
 	plan := newRegions()
 	var regions []*stageplan.RegionInput
 	for index := range 3 {
-		each := regionOf(fmt.Sprint("region", index), 18, 2)
+		each := newRegionInput(fmt.Sprint("region", index), 18, 2)
 		each.Generating = 600
 		each.Rules = stageplan.Rules{Bounded: true, MaximumAway: 4}
 		regions = append(regions, each)
@@ -103,18 +103,18 @@
 	assert.Equal(t, map[string]int{"region0": 2, "region1": 1, "region2": 1}, begun)
 }
 
-func TestARegionsOnlyReplicaGenerates(t *testing.T) {
-	single, large := regionOf("single", 1, 0), regionOf("large", 4, 4)
+func TestOnlyReplicaOfRegionDecodes(t *testing.T) {
+	single, large := newRegionInput("single", 1, 0), newRegionInput("large", 4, 4)
 	settleRegions(t, newRegions(), single, large)
-	assert.Equal(t, 1, count(single.Replicas))
+	assert.Equal(t, 1, countDecode(single.Replicas))
 
-	alone := regionOf("", 1, 0)
+	alone := newRegionInput("", 1, 0)
 	settleRegions(t, newRegions(), alone)
-	assert.Zero(t, count(alone.Replicas), "without another region it stays as it is")
+	assert.Zero(t, countDecode(alone.Replicas), "without another region it keeps its stage")
 }
 
-func TestOfTwoReplicasOfARegionOneGenerates(t *testing.T) {
-	pair, large := regionOf("pair", 2, 0), regionOf("large", 4, 4)
+func TestOneOfTwoReplicasOfRegionDecodes(t *testing.T) {
+	pair, large := newRegionInput("pair", 2, 0), newRegionInput("large", 4, 4)
 	settleRegions(t, newRegions(), pair, large)
-	assert.Equal(t, 1, count(pair.Replicas))
+	assert.Equal(t, 1, countDecode(pair.Replicas))
 }
