--- a/internal/placement/client.go
+++ b/internal/placement/client.go
@@ -16,170 +16,172 @@
 )
 
 const (
-	// wholeInterval is the time between two messages that name all open leases, since
-	// datagrams are lost.
-	wholeInterval = time.Second
-	// flushPause is how long what has happened waits for more to be told with it: far less
-	// than what a request takes at a replica.
-	flushPause = 3 * time.Millisecond
-	// askAttempts is how often a question is sent within its time.
-	askAttempts = 2
-	// firstSuspension is for how long a coordinator that has not answered is not asked; it
-	// doubles with each further question without an answer, up to longestSuspension.
-	firstSuspension   = 100 * time.Millisecond
-	longestSuspension = 2 * time.Second
-	// maximumEvents and maximumOpen bound a message below datagram.MaximumBytes: an event
-	// takes some 20 bytes, the name of a lease 5 at most for the first 4 billion.
-	maximumEvents = 100
-	maximumOpen   = 1000
+	// fullMessageInterval is the time between two full messages, which name all open leases and so
+	// repair the loss of datagrams.
+	fullMessageInterval = time.Second
+	// batchDelay is the time for which events wait to be sent together with later ones: far less
+	// than the duration of a request at a replica.
+	batchDelay = 3 * time.Millisecond
+	// queryAttempts is the number of times that a query is sent within its time.
+	queryAttempts = 2
+	// minimumSuspension is the time without queries after a coordinator has not answered one. It
+	// doubles with each further unanswered query, up to maximumSuspension.
+	minimumSuspension = 100 * time.Millisecond
+	maximumSuspension = 2 * time.Second
+	// maximumEvents and maximumOpenLeases keep a message below datagram.MaximumBytes: an event
+	// takes about 20 bytes, the id of a lease 5 at most for the first 4 billion leases.
+	maximumEvents     = 100
+	maximumOpenLeases = 1000
 )
 
-// errNotAnswered says that the gateway has to choose by itself.
+// errNotAnswered is returned if the gateway has to choose the replica itself.
 var errNotAnswered = errors.New("no coordinator has answered")
 
-// Client asks a coordinator for leases and tells it what happens to them. It may be used
-// concurrently.
+// Client queries a coordinator for leases and reports their events to it. It is safe for concurrent
+// use.
 type Client struct {
-	name      string
-	life      int64
-	directory *relay.Directory
-	socket    *datagram.Socket
-	logger    logr.Logger
+	name        string
+	incarnation int64
+	directory   *relay.Directory
+	socket      *datagram.Socket
+	logger      logr.Logger
 
 	mutex sync.Mutex
-	// coordinator is the one to ask; it is not valid if there is none. Its life is 0 until
+	// coordinator is the one to query; it is invalid if there is none. Its incarnation is 0 until
 	// it has answered.
-	coordinator     netip.AddrPort
-	coordinatorLife int64
-	sequence        uint64
-	lastLease       uint64
-	// open are the leases of this coordinator, those that are asked for included.
-	open    map[uint64]bool
-	waiting map[uint64]chan *region.PlacementAnswer
-	events  []region.LeaseEvent
-	// unanswered questions in a row, and until when no other is asked.
-	unanswered     int
-	suspendedUntil time.Time
-	// toldWork says that the last whole message told of own work.
-	toldWork bool
-	counts   ClientCounts
-	dirty    chan struct{}
+	coordinator            netip.AddrPort
+	coordinatorIncarnation int64
+	sequence               uint64
+	lastLease              uint64
+	// openLeases are the leases granted by this coordinator, and those in unanswered queries.
+	openLeases map[uint64]bool
+	pending    map[uint64]chan *region.PlacementAnswer
+	events     []region.LeaseEvent
+	// consecutiveUnanswered counts the unanswered queries in a row. No query is sent before
+	// suspendedUntil.
+	consecutiveUnanswered int
+	suspendedUntil        time.Time
+	// reportedWork is set if the last full message reported locally placed work.
+	reportedWork bool
+	counts       ClientCounts
+	dirty        chan struct{}
 }
 
-// ClientCounts count what a client has done since its start.
+// ClientCounts counts the queries of a client since its start.
 type ClientCounts struct {
-	// Asked questions, of which Unanswered were not answered in time; Suspended were not
-	// asked.
+	// Asked is the number of queries begun, of which Unanswered were not answered in time.
+	// Suspended were not sent because the coordinator had not answered before.
 	Asked, Unanswered, Suspended uint64
 }
 
-// NewClient returns a client for a gateway of a name. life is the start of the process.
-func NewClient(name string, life int64, directory *relay.Directory, socket *datagram.Socket, logger logr.Logger) *Client {
+// NewClient returns a client for the gateway of a name. incarnation is the start time of the
+// process.
+func NewClient(name string, incarnation int64, directory *relay.Directory, socket *datagram.Socket, logger logr.Logger) *Client {
 	created := &Client{
-		name:      name,
-		life:      life,
-		directory: directory,
-		socket:    socket,
-		logger:    logger,
-		open:      map[uint64]bool{},
-		waiting:   map[uint64]chan *region.PlacementAnswer{},
-		dirty:     make(chan struct{}, 1),
+		name:        name,
+		incarnation: incarnation,
+		directory:   directory,
+		socket:      socket,
+		logger:      logger,
+		openLeases:  map[uint64]bool{},
+		pending:     map[uint64]chan *region.PlacementAnswer{},
+		dirty:       make(chan struct{}, 1),
 	}
 	socket.Handle(datagram.KindPlacementReply, created.receive)
 	return created
 }
 
-// Remote is how a relay.Placer asks.
+// Remote returns the client as used by a relay.Placer.
 func (c *Client) Remote() *relay.RemotePlacement {
-	return &relay.RemotePlacement{Ask: c.Ask, Tell: c.Tell}
+	return &relay.RemotePlacement{Ask: c.Query, Tell: c.Report}
 }
 
-// Counts returns what the client has done.
+// Counts returns the counts of the client's queries.
 func (c *Client) Counts() ClientCounts {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.counts
 }
 
-// SetCoordinator says whom to ask, by its IP:port; empty for nobody.
+// SetCoordinator sets the IP:port of the coordinator to query; empty for none.
 func (c *Client) SetCoordinator(address string) {
 	parsed, err := netip.ParseAddrPort(address)
 	if address != "" && err != nil {
 		c.logger.Info(event.PlacementBy, "coordinator", address, "error", err.Error())
 	}
-	if c.turnTo(parsed) {
+	if c.switchCoordinator(parsed) {
 		c.directory.ForgetGrants()
 	}
 }
 
-// turnTo reports whether the coordinator is another one than before.
-func (c *Client) turnTo(coordinator netip.AddrPort) bool {
+// switchCoordinator sets the coordinator, and reports whether it is another one than before.
+func (c *Client) switchCoordinator(coordinator netip.AddrPort) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if coordinator == c.coordinator {
 		return false
 	}
-	c.logger.Info(event.PlacementBy, "coordinator", coordinator.String(), "open", len(c.open))
+	c.logger.Info(event.PlacementBy, "coordinator", coordinator.String(), "open", len(c.openLeases))
 	c.coordinator = coordinator
-	c.coordinatorLife = 0
-	c.unanswered = 0
+	c.coordinatorIncarnation = 0
+	c.consecutiveUnanswered = 0
 	c.suspendedUntil = time.Time{}
-	c.forget()
+	c.dropLeases()
 	return true
 }
 
-// Asks reports whether there is a coordinator to ask.
+// Asks reports whether there is a coordinator to query.
 func (c *Client) Asks() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.coordinator.IsValid()
 }
 
-// forget gives up the leases of a coordinator that does not know them any more. It is called
-// with the mutex held; the directory is told after it has been given back, since the
-// directory calls Tell with its own mutex held.
-func (c *Client) forget() {
-	c.open = map[uint64]bool{}
+// dropLeases deletes the leases of a coordinator that no longer knows them. The caller must hold
+// c.mutex. The directory's ForgetGrants must be called only after c.mutex has been released, since
+// the directory calls Report while it holds its own mutex.
+func (c *Client) dropLeases() {
+	c.openLeases = map[uint64]bool{}
 	c.events = nil
-	c.touch()
+	c.scheduleSend()
 }
 
-// touch has a message sent soon. It is called with the mutex held.
-func (c *Client) touch() {
+// scheduleSend makes Run send a message soon. The caller must hold c.mutex.
+func (c *Client) scheduleSend() {
 	select {
 	case c.dirty <- struct{}{}:
 	default:
 	}
 }
 
-// Ask asks the coordinator, and returns its address with its answer.
-func (c *Client) Ask(ctx context.Context, question *region.PlacementQuestion, within time.Duration) (*region.PlacementAnswer, string, error) {
-	answers, coordinator, err := c.begin(question)
+// Query sends a query to the coordinator, and returns the answer and the coordinator's address.
+func (c *Client) Query(ctx context.Context, query *region.PlacementQuestion, within time.Duration) (*region.PlacementAnswer, string, error) {
+	answers, coordinator, err := c.registerQuery(query)
 	if err != nil {
 		return nil, "", err
 	}
-	timer := time.NewTimer(within / askAttempts)
+	timer := time.NewTimer(within / queryAttempts)
 	defer timer.Stop()
-	for attempt := range askAttempts {
+	for attempt := range queryAttempts {
 		if attempt > 0 {
-			timer.Reset(within / askAttempts)
+			timer.Reset(within / queryAttempts)
 		}
-		c.send(coordinator, question)
+		c.send(coordinator, query)
 		select {
 		case answer := <-answers:
 			return answer, coordinator.String(), nil
 		case <-timer.C:
 		case <-ctx.Done():
-			c.abandon(question, false)
+			c.abandonQuery(query, false)
 			return nil, "", errNotAnswered
 		}
 	}
-	c.abandon(question, true)
+	c.abandonQuery(query, true)
 	return nil, "", errNotAnswered
 }
 
-// begin notes a question, and names its lease.
-func (c *Client) begin(question *region.PlacementQuestion) (<-chan *region.PlacementAnswer, netip.AddrPort, error) {
+// registerQuery registers a query and assigns its lease id.
+func (c *Client) registerQuery(query *region.PlacementQuestion) (<-chan *region.PlacementAnswer, netip.AddrPort, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if !c.coordinator.IsValid() {
@@ -189,80 +191,80 @@
 		c.counts.Suspended++
 		return nil, netip.AddrPort{}, errNotAnswered
 	}
-	if question.Kind != region.AskIdle {
+	if query.Kind != region.AskIdle {
 		c.lastLease++
-		question.Lease = c.lastLease
-		c.open[question.Lease] = true
+		query.Lease = c.lastLease
+		c.openLeases[query.Lease] = true
 	}
 	c.counts.Asked++
 	answers := make(chan *region.PlacementAnswer, 1)
-	c.waiting[question.Lease] = answers
+	c.pending[query.Lease] = answers
 	return answers, c.coordinator, nil
 }
 
-// abandon gives a question up. silent says that the coordinator was waited for in vain.
-func (c *Client) abandon(question *region.PlacementQuestion, silent bool) {
+// abandonQuery gives a query up. timedOut says that the coordinator did not answer in time.
+func (c *Client) abandonQuery(query *region.PlacementQuestion, timedOut bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	delete(c.waiting, question.Lease)
-	if question.Kind != region.AskIdle {
-		c.end(question.Lease)
+	delete(c.pending, query.Lease)
+	if query.Kind != region.AskIdle {
+		c.releaseLease(query.Lease)
 	}
-	if !silent {
+	if !timedOut {
 		return
 	}
 	c.counts.Unanswered++
-	c.unanswered++
-	pause := min(firstSuspension<<min(c.unanswered-1, 8), longestSuspension)
-	c.suspendedUntil = time.Now().Add(pause)
-	if c.unanswered == 1 {
-		c.logger.Info(event.PlacementSilent, "coordinator", c.coordinator.String(), "for_ms", pause.Milliseconds())
+	c.consecutiveUnanswered++
+	suspension := min(minimumSuspension<<min(c.consecutiveUnanswered-1, 8), maximumSuspension)
+	c.suspendedUntil = time.Now().Add(suspension)
+	if c.consecutiveUnanswered == 1 {
+		c.logger.Info(event.PlacementSilent, "coordinator", c.coordinator.String(), "for_ms", suspension.Milliseconds())
 	}
 }
 
-// end has the coordinator told that a lease has ended. It is called with the mutex held.
-func (c *Client) end(lease uint64) {
-	if !c.open[lease] {
+// releaseLease reports to the coordinator that a lease has ended. The caller must hold c.mutex.
+func (c *Client) releaseLease(lease uint64) {
+	if !c.openLeases[lease] {
 		return
 	}
-	delete(c.open, lease)
+	delete(c.openLeases, lease)
 	c.events = append(c.events, region.LeaseEvent{Lease: lease, Kind: region.LeaseReleased})
-	c.touch()
+	c.scheduleSend()
 }
 
-// Tell passes on what has happened at the replica of a lease, as long as the coordinator
-// that granted it knows it.
-func (c *Client) Tell(told region.LeaseEvent) {
+// Report reports an event at the replica of a lease, as long as the coordinator that granted the
+// lease knows it.
+func (c *Client) Report(reported region.LeaseEvent) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if !c.open[told.Lease] {
+	if !c.openLeases[reported.Lease] {
 		return
 	}
-	if told.Kind == region.LeaseReleased {
-		delete(c.open, told.Lease)
+	if reported.Kind == region.LeaseReleased {
+		delete(c.openLeases, reported.Lease)
 	}
-	c.events = append(c.events, told)
-	c.touch()
+	c.events = append(c.events, reported)
+	c.scheduleSend()
 }
 
-// Run tells the coordinator what has happened until the context ends.
+// Run sends events and full messages to the coordinator until the context ends.
 func (c *Client) Run(ctx context.Context) {
-	whole := time.NewTicker(wholeInterval)
-	defer whole.Stop()
+	ticker := time.NewTicker(fullMessageInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-whole.C:
-			c.sendWhole()
+		case <-ticker.C:
+			c.sendFull()
 		case <-c.dirty:
-			time.Sleep(flushPause)
+			time.Sleep(batchDelay)
 			c.flush()
 		}
 	}
 }
 
-// flush sends what has happened, if anything has.
+// flush sends all pending events.
 func (c *Client) flush() {
 	for {
 		c.mutex.Lock()
@@ -276,39 +278,41 @@
 	}
 }
 
-// send sends a message with what has happened, and a question if there is one.
-func (c *Client) send(to netip.AddrPort, question *region.PlacementQuestion) {
+// send sends a message with pending events, and with a query unless it is nil.
+func (c *Client) send(to netip.AddrPort, query *region.PlacementQuestion) {
 	c.mutex.Lock()
-	message := c.message()
-	message.Question = question
+	message := c.nextMessage()
+	message.Question = query
 	c.mutex.Unlock()
 	c.socket.Send(datagram.KindPlacement, message, to)
 }
 
-// message begins a message. It is called with the mutex held.
-func (c *Client) message() *region.PlacementMessage {
+// nextMessage returns a message with the next sequence number and pending events. The caller must
+// hold c.mutex.
+func (c *Client) nextMessage() *region.PlacementMessage {
 	c.sequence++
 	count := min(len(c.events), maximumEvents)
-	message := &region.PlacementMessage{Gateway: c.name, Life: c.life, Sequence: c.sequence, Events: c.events[:count:count]}
+	message := &region.PlacementMessage{Gateway: c.name, Life: c.incarnation, Sequence: c.sequence, Events: c.events[:count:count]}
 	c.events = c.events[count:]
 	return message
 }
 
-// sendWhole names all open leases and the gateway's own work, if there is any.
-func (c *Client) sendWhole() {
+// sendFull sends a message that names all open leases and the work that the gateway has placed
+// locally, if there are any.
+func (c *Client) sendFull() {
 	work := c.directory.Outstanding()
 	c.mutex.Lock()
 	to := c.coordinator
-	if !to.IsValid() || len(c.open) == 0 && len(work) == 0 && !c.toldWork {
+	if !to.IsValid() || len(c.openLeases) == 0 && len(work) == 0 && !c.reportedWork {
 		c.mutex.Unlock()
 		return
 	}
-	c.toldWork = len(work) > 0
-	message := c.message()
-	if len(c.open) <= maximumOpen {
+	c.reportedWork = len(work) > 0
+	message := c.nextMessage()
+	if len(c.openLeases) <= maximumOpenLeases {
 		message.Whole = true
 		message.Work = work
-		for id := range c.open {
+		for id := range c.openLeases {
 			message.Open = append(message.Open, id)
 		}
 	}
@@ -316,15 +320,15 @@
 	c.socket.Send(datagram.KindPlacement, message, to)
 }
 
-// receive takes a reply.
+// receive handles a reply.
 func (c *Client) receive(from netip.AddrPort, payload []byte) error {
 	var reply region.PlacementReply
 	if _, err := reply.UnmarshalMsg(payload); err != nil {
 		return err
 	}
-	if c.take(from, &reply) {
+	if c.processReply(from, &reply) {
 		c.directory.ForgetGrants()
-		c.sendWhole()
+		c.sendFull()
 	}
 	if len(reply.Costs) > 0 {
 		c.directory.TakeCosts(reply.Costs)
@@ -332,35 +336,35 @@
 	return nil
 }
 
-// take takes a reply over, and reports whether the coordinator has forgotten what it had
+// processReply applies a reply, and reports whether the coordinator has lost the leases that it had
 // granted.
-func (c *Client) take(from netip.AddrPort, reply *region.PlacementReply) (forgotten bool) {
+func (c *Client) processReply(from netip.AddrPort, reply *region.PlacementReply) (forgotten bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if from != c.coordinator || reply.Life < c.coordinatorLife {
+	if from != c.coordinator || reply.Life < c.coordinatorIncarnation {
 		return false
 	}
-	if c.coordinatorLife != 0 && reply.Life != c.coordinatorLife {
+	if c.coordinatorIncarnation != 0 && reply.Life != c.coordinatorIncarnation {
 		forgotten = true
-		c.logger.Info(event.PlacementForgotten, "coordinator", from.String(), "open", len(c.open))
-		c.forget()
+		c.logger.Info(event.PlacementForgotten, "coordinator", from.String(), "open", len(c.openLeases))
+		c.dropLeases()
 	}
-	c.coordinatorLife = reply.Life
-	c.unanswered = 0
+	c.coordinatorIncarnation = reply.Life
+	c.consecutiveUnanswered = 0
 	c.suspendedUntil = time.Time{}
 	answer := reply.Answer
 	if answer == nil {
 		return forgotten
 	}
-	answers, found := c.waiting[answer.Lease]
+	answers, found := c.pending[answer.Lease]
 	if !found {
 		return forgotten
 	}
-	delete(c.waiting, answer.Lease)
+	delete(c.pending, answer.Lease)
 	if answer.Outcome == region.PlacementGranted {
-		c.open[answer.Lease] = true
+		c.openLeases[answer.Lease] = true
 	} else {
-		delete(c.open, answer.Lease)
+		delete(c.openLeases, answer.Lease)
 	}
 	answers <- answer
 	return forgotten
--- a/internal/placement/client_test.go
+++ b/internal/placement/client_test.go
@@ -17,18 +17,18 @@
 	"github.com/pierhaven/pierhaven/internal/testnet"
 )
 
-// patience is how long a test waits for what has to happen.
-const patience = 10 * time.Second
+// waitLimit bounds the time for which a test waits for a condition.
+const waitLimit = 10 * time.Second
 
-// listening is a socket that runs until the end of the test, or until stop.
-type listening struct {
+// testSocket is a socket that runs until the end of the test or a call of stop.
+type testSocket struct {
 	*datagram.Socket
 	address string
 	stop    func()
 }
 
-// listen runs a socket once its handlers are set.
-func listen(t *testing.T, address string, prepare func(*datagram.Socket)) *listening {
+// listen runs a socket after prepare has set its handlers.
+func listen(t *testing.T, address string, prepare func(*datagram.Socket)) *testSocket {
 	t.Helper()
 	socket := &datagram.Socket{}
 	prepare(socket)
@@ -44,33 +44,33 @@
 		stopped = true
 	}
 	t.Cleanup(stop)
-	return &listening{Socket: socket, address: address, stop: stop}
+	return &testSocket{Socket: socket, address: address, stop: stop}
 }
 
-// startServer runs a placement server of a life at an address.
-func startServer(t *testing.T, address string, life int64) (*placement.Server, *listening) {
+// startServer runs a placement server of an incarnation at an address.
+func startServer(t *testing.T, address string, incarnation int64) (*placement.Server, *testSocket) {
 	t.Helper()
 	began := time.Now()
 	clock := func() time.Duration { return time.Since(began) }
 	directory := relay.NewDirectory(clock, "z", func(string, string) {}, logr.Discard())
 	directory.Replace(fleet())
-	server := placement.NewServer(directory, clock, life, logr.Discard())
+	server := placement.NewServer(directory, clock, incarnation, logr.Discard())
 	return server, listen(t, address, server.Serve)
 }
 
-// asker is a gateway's side.
-type asker struct {
+// testGateway is the client side of a gateway.
+type testGateway struct {
 	*placement.Client
 	directory *relay.Directory
 	placer    *relay.Placer
 }
 
-func startClient(t *testing.T, name string) *asker {
+func startGateway(t *testing.T, name string) *testGateway {
 	t.Helper()
 	began := time.Now()
 	directory := relay.NewDirectory(func() time.Duration { return time.Since(began) }, "z", func(string, string) {}, logr.Discard())
 	directory.Replace(fleet())
-	a := &asker{directory: directory}
+	a := &testGateway{directory: directory}
 	listen(t, testnet.Address(t), func(socket *datagram.Socket) {
 		a.Client = placement.NewClient(name, 1, directory, socket, logr.Discard())
 	})
@@ -88,98 +88,98 @@
 	return a
 }
 
-func readRequest(own string) relay.ReadRequest {
+func newPrefillRequest(own string) relay.ReadRequest {
 	return relay.ReadRequest{
 		Prompt:    &relay.Prompt{Tokens: 9000, Parts: []relay.PromptPart{{ID: own, Tokens: 8000}, {ID: own + "-own", Tokens: 1000}}},
 		Objective: 2 * time.Second, TargetGap: time.Second, AimLeft: 2 * time.Second, Left: 8 * time.Second, Zone: "z",
 	}
 }
 
-func (a *asker) read(t *testing.T, own string) *relay.Lease {
+func (a *testGateway) prefill(t *testing.T, own string) *relay.Lease {
 	t.Helper()
-	lease, err := a.placer.Reading(context.Background(), "s", readRequest(own))
+	lease, err := a.placer.Reading(context.Background(), "s", newPrefillRequest(own))
 	require.NoError(t, err)
 	return lease
 }
 
-func leases(server *placement.Server, count int) func() bool {
+func leaseCountIs(server *placement.Server, count int) func() bool {
 	return func() bool { return server.Counts().Leases == count }
 }
 
-func TestALeaseIsAskedForAndItsEndIsTold(t *testing.T) {
+func TestLeaseIsRequestedAndReleased(t *testing.T) {
 	server, socket := startServer(t, testnet.Address(t), 1)
-	first, second := startClient(t, "gateway-1"), startClient(t, "gateway-2")
+	first, second := startGateway(t, "gateway-1"), startGateway(t, "gateway-2")
 	first.SetCoordinator(socket.address)
 	second.SetCoordinator(socket.address)
 	require.Eventually(t, func() bool {
-		lease := first.read(t, "probe")
+		lease := first.prefill(t, "probe")
 		defer lease.Release()
 		return server.Counts().Questions > 0
-	}, patience, 10*time.Millisecond)
-	require.Eventually(t, leases(server, 0), patience, 5*time.Millisecond)
-	one, other := first.read(t, "x"), second.read(t, "y")
-	assert.NotEqual(t, one.Replica.ID, other.Replica.ID, "neither knows of the other")
-	assert.Empty(t, first.directory.Outstanding(), "the coordinator counts it")
+	}, waitLimit, 10*time.Millisecond)
+	require.Eventually(t, leaseCountIs(server, 0), waitLimit, 5*time.Millisecond)
+	one, other := first.prefill(t, "x"), second.prefill(t, "y")
+	assert.NotEqual(t, one.Replica.ID, other.Replica.ID, "the gateways know nothing of each other's prompts")
+	assert.Empty(t, first.directory.Outstanding(), "the coordinator counts the work")
 	one.Release()
 	other.Release()
-	require.Eventually(t, leases(server, 0), patience, 5*time.Millisecond)
+	require.Eventually(t, leaseCountIs(server, 0), waitLimit, 5*time.Millisecond)
 }
 
-func TestWithoutAnAnswerAGatewayChoosesByItself(t *testing.T) {
-	a := startClient(t, "gateway")
+func TestGatewayPlacesLocallyWithoutAnswer(t *testing.T) {
+	a := startGateway(t, "gateway")
 	a.SetCoordinator(testnet.Address(t))
-	lease := a.read(t, "x")
+	lease := a.prefill(t, "x")
 	assert.NotNil(t, lease)
-	assert.NotEmpty(t, a.directory.Outstanding(), "that is its own work")
+	assert.NotEmpty(t, a.directory.Outstanding(), "it counts as locally placed work")
 	assert.EqualValues(t, 1, a.Counts().Unanswered)
-	next := a.read(t, "y")
-	assert.EqualValues(t, 1, a.Counts().Suspended, "a silent coordinator is not asked at once again")
+	next := a.prefill(t, "y")
+	assert.EqualValues(t, 1, a.Counts().Suspended, "an unresponsive coordinator is not queried again at once")
 	lease.Release()
 	next.Release()
 }
 
-func TestARestartedCoordinatorIsToldOfOpenLeases(t *testing.T) {
+func TestLeasesOfRestartedCoordinatorCountAsLocalWork(t *testing.T) {
 	address := testnet.Address(t)
 	server, socket := startServer(t, address, 1)
-	a := startClient(t, "gateway")
+	a := startGateway(t, "gateway")
 	a.SetCoordinator(address)
 	var lease *relay.Lease
 	require.Eventually(t, func() bool {
-		lease = a.read(t, "x")
+		lease = a.prefill(t, "x")
 		if server.Counts().Leases == 1 {
 			return true
 		}
 		lease.Release()
 		return false
-	}, patience, 10*time.Millisecond)
+	}, waitLimit, 10*time.Millisecond)
 	socket.stop()
 	again, _ := startServer(t, address, 2)
-	require.Eventually(t, func() bool { return len(a.directory.Outstanding()) == 1 }, patience, 20*time.Millisecond,
-		"what the coordinator has forgotten counts as the gateway's own work")
+	require.Eventually(t, func() bool { return len(a.directory.Outstanding()) == 1 }, waitLimit, 20*time.Millisecond,
+		"leases that the coordinator has lost count as locally placed work")
 	assert.Zero(t, again.Counts().Leases)
 	lease.Release()
 	assert.Empty(t, a.directory.Outstanding())
 }
 
-func TestALeaseOnAReplicaThatTheGatewayDoesNotKnowIsGivenBack(t *testing.T) {
+func TestLeaseOnUnknownReplicaIsReturned(t *testing.T) {
 	server, socket := startServer(t, testnet.Address(t), 1)
-	a := startClient(t, "gateway")
+	a := startGateway(t, "gateway")
 	a.directory.Replace([]region.Replica{replica("g", region.StageDecode), replica("c", region.StagePrefill)})
 	a.SetCoordinator(socket.address)
 	require.Eventually(t, func() bool {
-		lease := a.read(t, "x")
+		lease := a.prefill(t, "x")
 		defer lease.Release()
 		assert.Contains(t, []string{"c", "g"}, lease.Replica.ID)
 		return server.Counts().Questions > 0
-	}, patience, 10*time.Millisecond)
-	require.Eventually(t, leases(server, 0), patience, 5*time.Millisecond)
+	}, waitLimit, 10*time.Millisecond)
+	require.Eventually(t, leaseCountIs(server, 0), waitLimit, 5*time.Millisecond)
 }
 
-// TestALeaseOnALifeThatHasEndedIsGivenBack has a gateway know of replicas that have started again, and
-// a coordinator that does not yet: what it grants is meant for processes that have ended.
+// The gateway knows that replicas have restarted, and the coordinator does not know it yet: the
+// leases that it grants are for processes that have ended.
 func TestALeaseOnALifeThatHasEndedIsGivenBack(t *testing.T) {
 	server, socket := startServer(t, testnet.Address(t), 1)
-	a := startClient(t, "gateway")
+	a := startGateway(t, "gateway")
 	restarted := fleet()
 	for index := range restarted {
 		restarted[index].Born = 9
@@ -187,17 +187,17 @@
 	a.directory.Replace(restarted)
 	a.SetCoordinator(socket.address)
 	require.Eventually(t, func() bool {
-		lease := a.read(t, "x")
+		lease := a.prefill(t, "x")
 		defer lease.Release()
 		assert.EqualValues(t, 9, lease.Replica.Born)
 		return server.Counts().Questions > 0
-	}, patience, 10*time.Millisecond)
-	require.Eventually(t, leases(server, 0), patience, 5*time.Millisecond)
+	}, waitLimit, 10*time.Millisecond)
+	require.Eventually(t, leaseCountIs(server, 0), waitLimit, 5*time.Millisecond)
 }
 
-func TestAnswersOfStrangersAndOlderLivesCountForNothing(t *testing.T) {
-	a := startClient(t, "gateway")
-	answering := func(life int64, address string) *listening {
+func TestAnswersOfOlderIncarnationsAreIgnored(t *testing.T) {
+	a := startGateway(t, "gateway")
+	serveAnswers := func(incarnation int64, address string) *testSocket {
 		return listen(t, address, func(opened *datagram.Socket) {
 			opened.Handle(datagram.KindPlacement, func(from netip.AddrPort, payload []byte) error {
 				var message region.PlacementMessage
@@ -206,22 +206,22 @@
 					return err
 				}
 				answer := &region.PlacementAnswer{Lease: message.Question.Lease, Outcome: region.PlacementGranted, Replica: "b"}
-				for _, told := range []int64{life, life - 1} {
-					opened.Send(datagram.KindPlacementReply, &region.PlacementReply{Life: told, Answer: answer}, from)
+				for _, sender := range []int64{incarnation, incarnation - 1} {
+					opened.Send(datagram.KindPlacementReply, &region.PlacementReply{Life: sender, Answer: answer}, from)
 				}
 				return nil
 			})
 		})
 	}
-	known := answering(5, testnet.Address(t))
+	known := serveAnswers(5, testnet.Address(t))
 	a.SetCoordinator(known.address)
 	require.Eventually(t, func() bool {
-		lease := a.read(t, "x")
+		lease := a.prefill(t, "x")
 		defer lease.Release()
 		return a.Counts().Asked > a.Counts().Unanswered
-	}, patience, 10*time.Millisecond)
-	lease := a.read(t, "x")
+	}, waitLimit, 10*time.Millisecond)
+	lease := a.prefill(t, "x")
 	require.Equal(t, "b", lease.Replica.ID)
-	assert.Empty(t, a.directory.Outstanding(), "the older life's answer has not made it forget the lease")
+	assert.Empty(t, a.directory.Outstanding(), "the older incarnation's answer has not made the gateway drop the lease")
 	lease.Release()
 }
--- a/internal/placement/doc.go
+++ b/internal/placement/doc.go
@@ -1,11 +1,12 @@
-// Package placement lets few coordinators choose the replicas for the prompts of many
-// gateways. A gateway of a large region sees too few requests to know which replica is busy
-// or what it keeps; its coordinator sees those of all gateways that ask it, and hears of the
-// others from the other coordinators (package peers).
+// Package placement lets a few coordinators choose the replicas for the prompts of many gateways. A
+// gateway of a large region sees too few requests to know which replicas are busy and what they
+// have cached. Its coordinator sees the requests of all gateways that query it, and learns about
+// the rest from the other coordinators (package peers).
 //
-// Server answers a gateway's questions with leases from a relay.Directory and learns from
-// what gateways tell of them. Client asks, and tells. All of it is soft state over datagrams:
-// a lost lease is made up for by the message that names all open ones, a gateway without an
-// answer chooses by itself, and one whose coordinator has restarted tells it what it holds.
-// docs/design/placement.md says what was weighed.
+// Server answers the placement queries of gateways with leases from a relay.Directory and learns
+// from the lease events that gateways report. Client sends the queries and the reports. All state
+// is soft and is exchanged in datagrams: a lost lease is repaired by the message that names all
+// open leases, a gateway without an answer chooses replicas itself, and it reports the leases that
+// it holds to a coordinator that has restarted. docs/design/placement.md describes the alternatives
+// that were considered.
 package placement
--- a/internal/placement/server.go
+++ b/internal/placement/server.go
@@ -16,52 +16,53 @@
 )
 
 const (
-	// gatewaySilence is after how long without a message a gateway's leases end: three of
-	// the messages that it sends while it holds any.
-	gatewaySilence = 3 * wholeInterval
-	// leaseSlack is how long a lease may outlive the deadline of its request, for the
-	// message that ends it.
-	leaseSlack = time.Second
-	// sweepInterval is the time between two looks for leases that have expired.
+	// gatewayTimeout is the time without a message after which a gateway's leases end: three
+	// intervals of the full messages that it sends while it holds any.
+	gatewayTimeout = 3 * fullMessageInterval
+	// leaseGrace is the time by which a lease may outlive the deadline of its request, for the
+	// message that ends it to arrive.
+	leaseGrace = time.Second
+	// sweepInterval is the time between two checks for expired leases.
 	sweepInterval = 500 * time.Millisecond
-	// maximumGateways and maximumLeases of each bound what is held here: letter 1's target
-	// has 480 gateways with 125 requests a second each, which take some seconds.
+	// maximumGateways and maximumLeases of each gateway bound the state of a server: the target
+	// size is 480 gateways with 125 requests a second each, and a request takes some seconds.
 	maximumGateways = 2048
 	maximumLeases   = 4096
 )
 
-// Server leases replicas to gateways. It may be used concurrently.
+// Server leases replicas to gateways. It is safe for concurrent use.
 type Server struct {
-	directory *relay.Directory
-	clock     func() time.Duration
-	logger    logr.Logger
-	life      int64
+	directory   *relay.Directory
+	clock       func() time.Duration
+	logger      logr.Logger
+	incarnation int64
 
 	mutex    sync.Mutex
 	gateways map[string]*gatewayLeases
 	counts   ServerCounts
 }
 
-// ServerCounts count what a server has done since its start.
+// ServerCounts counts what a server has done since its start.
 type ServerCounts struct {
-	// Questions were answered with a lease or a refusal; Ignored were not answered.
+	// Questions is the number of queries answered with a lease or a refusal. Ignored is the number
+	// of messages that were rejected or whose query was not answered.
 	Questions, Ignored uint64
-	// Expired leases were not ended by their gateway.
+	// Expired is the number of leases that were not ended by their gateway.
 	Expired uint64
-	// Leases are held now.
+	// Leases is the number of leases held now.
 	Leases int
 }
 
-// gatewayLeases are the leases of one life of a gateway.
+// gatewayLeases holds the leases of one incarnation of a gateway.
 type gatewayLeases struct {
-	life int64
-	// wholeSequence is that of the last message that named all open leases.
-	wholeSequence uint64
-	heardAt       time.Duration
+	incarnation int64
+	// fullSequence is the sequence number of the last full message, which named all open leases.
+	fullSequence  uint64
+	lastMessageAt time.Duration
 	leases        map[uint64]*heldLease
 }
 
-// heldLease is a lease with the answer that was given, for a question that comes again.
+// heldLease is a lease with the answer that was given, for a query that is sent again.
 type heldLease struct {
 	lease     *relay.Lease
 	answer    *region.PlacementAnswer
@@ -70,13 +71,13 @@
 	expiresAt time.Duration
 }
 
-// NewServer returns a server that leases replicas of a directory. life is the start of the
-// process, by which gateways tell that it has restarted.
-func NewServer(directory *relay.Directory, clock func() time.Duration, life int64, logger logr.Logger) *Server {
-	return &Server{directory: directory, clock: clock, life: life, logger: logger, gateways: map[string]*gatewayLeases{}}
+// NewServer returns a server that leases replicas of a directory. incarnation is the start time of
+// the process, by which gateways detect that it has restarted.
+func NewServer(directory *relay.Directory, clock func() time.Duration, incarnation int64, logger logr.Logger) *Server {
+	return &Server{directory: directory, clock: clock, incarnation: incarnation, logger: logger, gateways: map[string]*gatewayLeases{}}
 }
 
-// Serve answers the messages that come to a socket.
+// Serve handles the placement messages that a socket receives.
 func (s *Server) Serve(socket *datagram.Socket) {
 	socket.Handle(datagram.KindPlacement, func(from netip.AddrPort, payload []byte) error {
 		var message region.PlacementMessage
@@ -90,14 +91,14 @@
 	})
 }
 
-// Sweep ends expired leases until the context ends.
+// Sweep periodically ends expired leases until the context ends.
 func (s *Server) Sweep(ctx context.Context) {
 	for lifecycle.Sleep(ctx, sweepInterval) {
 		s.Expire()
 	}
 }
 
-// Counts returns what the server has done.
+// Counts returns the counts of the server.
 func (s *Server) Counts() ServerCounts {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -108,26 +109,26 @@
 	return counts
 }
 
-// Take takes a gateway's message in, and returns the reply to it; nil if there is none.
+// Take handles a gateway's message, and returns the reply, or nil if there is none.
 func (s *Server) Take(message *region.PlacementMessage) *region.PlacementReply {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	gateway := s.gatewayOf(message)
+	gateway := s.leasesOf(message)
 	if gateway == nil {
 		s.counts.Ignored++
 		return nil
 	}
-	gateway.heardAt = s.clock()
+	gateway.lastMessageAt = s.clock()
 	for index := range message.Events {
-		gateway.note(&message.Events[index])
+		gateway.applyEvent(&message.Events[index])
 	}
-	reply := &region.PlacementReply{Life: s.life}
+	reply := &region.PlacementReply{Life: s.incarnation}
 	if message.Whole {
-		s.takeWhole(gateway, message)
+		s.applyFullMessage(gateway, message)
 		reply.Costs = s.directory.Costs()
 	}
 	if message.Question != nil {
-		if reply.Answer = s.answer(gateway, message); reply.Answer == nil {
+		if reply.Answer = s.answerQuery(gateway, message); reply.Answer == nil {
 			s.counts.Ignored++
 			return nil
 		}
@@ -140,14 +141,14 @@
 	return nil
 }
 
-// gatewayOf returns the leases of a message's sender, nil if an older life of it has sent
-// the message or there are too many gateways. It is called with the mutex held.
-func (s *Server) gatewayOf(message *region.PlacementMessage) *gatewayLeases {
+// leasesOf returns the leases of a message's sender, or nil if the message is from an older
+// incarnation of it or there are too many gateways. The caller must hold s.mutex.
+func (s *Server) leasesOf(message *region.PlacementMessage) *gatewayLeases {
 	known, found := s.gateways[message.Gateway]
-	if found && message.Life < known.life {
+	if found && message.Life < known.incarnation {
 		return nil
 	}
-	if found && message.Life == known.life {
+	if found && message.Life == known.incarnation {
 		return known
 	}
 	if found {
@@ -157,18 +158,18 @@
 		s.logger.Info(event.PlacementRefused, "gateway", message.Gateway, "reason", "too many gateways")
 		return nil
 	}
-	created := &gatewayLeases{life: message.Life, leases: map[uint64]*heldLease{}}
+	created := &gatewayLeases{incarnation: message.Life, leases: map[uint64]*heldLease{}}
 	s.gateways[message.Gateway] = created
 	return created
 }
 
-// takeWhole ends the leases that a gateway does not hold, and notes what it has placed by
-// itself. It is called with the mutex held.
-func (s *Server) takeWhole(gateway *gatewayLeases, message *region.PlacementMessage) {
-	if message.Sequence <= gateway.wholeSequence {
+// applyFullMessage ends the leases that a gateway no longer holds, and records the work that it has
+// placed locally. The caller must hold s.mutex.
+func (s *Server) applyFullMessage(gateway *gatewayLeases, message *region.PlacementMessage) {
+	if message.Sequence <= gateway.fullSequence {
 		return
 	}
-	gateway.wholeSequence = message.Sequence
+	gateway.fullSequence = message.Sequence
 	open := make(map[uint64]bool, len(message.Open))
 	for _, id := range message.Open {
 		open[id] = true
@@ -181,39 +182,39 @@
 	s.directory.TakeOutstanding(message.Gateway, message.Work, true)
 }
 
-// answer answers a question, nil if it has been overtaken or can't be answered. It is called
-// with the mutex held.
-func (s *Server) answer(gateway *gatewayLeases, message *region.PlacementMessage) *region.PlacementAnswer {
-	question := message.Question
-	held, known := gateway.leases[question.Lease]
-	if question.Kind == region.AskIdle {
-		return idleAnswer(question.Lease, held)
+// answerQuery answers a query, or returns nil if a later full message has overtaken it or if the
+// gateway has too many leases. The caller must hold s.mutex.
+func (s *Server) answerQuery(gateway *gatewayLeases, message *region.PlacementMessage) *region.PlacementAnswer {
+	query := message.Question
+	held, known := gateway.leases[query.Lease]
+	if query.Kind == region.AskIdle {
+		return idleAnswer(query.Lease, held)
 	}
 	if known {
 		return held.answer
 	}
-	if message.Sequence < gateway.wholeSequence {
+	if message.Sequence < gateway.fullSequence {
 		return nil
 	}
 	if len(gateway.leases) >= maximumLeases {
 		s.logger.Info(event.PlacementRefused, "gateway", message.Gateway, "reason", "too many leases")
 		return nil
 	}
-	lease, answer := s.directory.Place(question)
+	lease, answer := s.directory.Place(query)
 	if lease != nil {
-		left := min(max(time.Duration(question.LeftMicros)*time.Microsecond, 0), longestLease)
-		gateway.leases[question.Lease] = &heldLease{
+		left := min(max(time.Duration(query.LeftMicros)*time.Microsecond, 0), maximumLeaseTime)
+		gateway.leases[query.Lease] = &heldLease{
 			lease:     lease,
 			answer:    answer,
-			prompt:    relay.PromptOf(question),
+			prompt:    relay.PromptOf(query),
 			sequence:  message.Sequence,
-			expiresAt: s.clock() + left + leaseSlack,
+			expiresAt: s.clock() + left + leaseGrace,
 		}
 	}
 	return answer
 }
 
-// idleAnswer tells for how long the replica of a lease has read nothing.
+// idleAnswer reports for how long the replica of a lease has made no prefill progress.
 func idleAnswer(id uint64, held *heldLease) *region.PlacementAnswer {
 	if held == nil {
 		return &region.PlacementAnswer{Lease: id, Outcome: region.PlacementNoReplica}
@@ -221,17 +222,18 @@
 	return &region.PlacementAnswer{Lease: id, Outcome: region.PlacementGranted, IdleMicros: held.lease.IdleTime().Microseconds()}
 }
 
-// longestLease bounds the time for which a gateway may hold a lease, whatever it says of its
-// request.
-const longestLease = 10 * time.Minute
+// maximumLeaseTime bounds the time for which a gateway may hold a lease, whatever deadline it
+// reports for its request.
+const maximumLeaseTime = 10 * time.Minute
 
-// Expire ends the leases whose requests are over, and those of silent gateways.
+// Expire ends the leases whose requests are past their deadline, and those of unresponsive
+// gateways.
 func (s *Server) Expire() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	now := s.clock()
 	for name, gateway := range s.gateways {
-		if now-gateway.heardAt > gatewaySilence {
+		if now-gateway.lastMessageAt > gatewayTimeout {
 			s.counts.Expired += uint64(len(gateway.leases))
 			gateway.releaseAll()
 			delete(s.gateways, name)
@@ -257,43 +259,43 @@
 	}
 }
 
-// note applies what has happened at the replica of a lease.
-func (g *gatewayLeases) note(told *region.LeaseEvent) {
-	held, known := g.leases[told.Lease]
+// applyEvent applies an event at the replica of a lease.
+func (g *gatewayLeases) applyEvent(reported *region.LeaseEvent) {
+	held, known := g.leases[reported.Lease]
 	if !known {
 		return
 	}
 	lease := held.lease
-	switch told.Kind {
+	switch reported.Kind {
 	case region.LeaseReleased:
-		if told.Micros > 0 {
-			lease.StreamPaused(time.Duration(told.Micros) * time.Microsecond)
+		if reported.Micros > 0 {
+			lease.StreamPaused(time.Duration(reported.Micros) * time.Microsecond)
 		}
-		g.release(told.Lease)
+		g.release(reported.Lease)
 	case region.LeaseRead:
 		lease.PromptRead()
 	case region.LeaseKept:
 		lease.PromptKept(held.prompt)
 	case region.LeaseBegun:
-		lease.StreamBegun("", told.HandedOver)
+		lease.StreamBegun("", reported.HandedOver)
 	case region.LeasePaused:
-		lease.StreamPaused(time.Duration(told.Micros) * time.Microsecond)
+		lease.StreamPaused(time.Duration(reported.Micros) * time.Microsecond)
 	case region.LeaseAnswered:
-		lease.Answered(told.Failed, loadOf(told))
+		lease.Answered(reported.Failed, reportedLoad(reported))
 	case region.LeaseFull:
-		lease.Refused(time.Duration(max(told.Micros, 0)) * time.Microsecond)
+		lease.Refused(time.Duration(max(reported.Micros, 0)) * time.Microsecond)
 	case region.LeaseUnreachable:
-		lease.Unreachable(told.HandedOver)
+		lease.Unreachable(reported.HandedOver)
 	case region.LeaseMisdirected:
-		// The list will say whether the replica has ended; until then it is avoided.
+		// The replica list will show whether the replica has ended; until then it is avoided.
 		lease.Unreachable(false)
 	}
 }
 
-// loadOf is a replica's account of its work, nil if there is none.
-func loadOf(told *region.LeaseEvent) *relay.Load {
-	if told.Slots <= 0 {
+// reportedLoad returns the load that a replica reported in an event, or nil if there is none.
+func reportedLoad(reported *region.LeaseEvent) *relay.Load {
+	if reported.Slots <= 0 {
 		return nil
 	}
-	return &relay.Load{Running: max(told.Running, 0), Waiting: max(told.Waiting, 0), Slots: told.Slots}
+	return &relay.Load{Running: max(reported.Running, 0), Waiting: max(reported.Waiting, 0), Slots: reported.Slots}
 }
--- a/internal/placement/server_benchmark_test.go
+++ b/internal/placement/server_benchmark_test.go
@@ -7,8 +7,9 @@
 	"github.com/pierhaven/pierhaven/internal/region"
 )
 
-// BenchmarkQuestion is one question for the reader of a prompt, and the end of the lease, as
-// they come from the network and go back, among numbers of replicas of which 23 in 100 read.
+// BenchmarkQuestion measures a query for a prefill and the release of its lease, with the encoding
+// and decoding of messages, for several numbers of replicas of which 23 in 100 are prefill
+// replicas.
 func BenchmarkQuestion(b *testing.B) {
 	for _, size := range []int{32, 160, 3700} {
 		b.Run(fmt.Sprint(size, " replicas"), func(b *testing.B) {
@@ -20,12 +21,12 @@
 				}
 				replicas = append(replicas, replica(fmt.Sprint("r", number), stage))
 			}
-			s := newServed(replicas...)
+			s := newTestServer(replicas...)
 			var sequence uint64
 			b.ReportAllocs()
 			for b.Loop() {
 				sequence++
-				asked := &region.PlacementMessage{Gateway: "gateway", Life: 1, Sequence: sequence, Question: readQuestion(sequence, "shared")}
+				asked := &region.PlacementMessage{Gateway: "gateway", Life: 1, Sequence: sequence, Question: newPrefillQuery(sequence, "shared")}
 				reply := s.Take(overTheWire(b, asked))
 				if reply == nil || reply.Answer.Outcome != region.PlacementGranted {
 					b.Fatal("no lease")
@@ -42,7 +43,7 @@
 	}
 }
 
-// overTheWire is a message as its receiver reads it.
+// overTheWire encodes and decodes a message.
 func overTheWire(b *testing.B, message *region.PlacementMessage) *region.PlacementMessage {
 	b.Helper()
 	encoded, err := message.MarshalMsg(nil)
--- a/internal/placement/server_test.go
+++ b/internal/placement/server_test.go
@@ -14,16 +14,16 @@
 	"github.com/pierhaven/pierhaven/internal/relay"
 )
 
-// served is a server on a clock that tests move.
-type served struct {
+// testServer is a server with a clock that tests set.
+type testServer struct {
 	*placement.Server
 	directory *relay.Directory
 	now       time.Duration
 	sequences map[string]uint64
 }
 
-func newServed(replicas ...region.Replica) *served {
-	s := &served{sequences: map[string]uint64{}}
+func newTestServer(replicas ...region.Replica) *testServer {
+	s := &testServer{sequences: map[string]uint64{}}
 	clock := func() time.Duration { return s.now }
 	s.directory = relay.NewDirectory(clock, "z", func(string, string) {}, logr.Discard())
 	s.directory.Replace(replicas)
@@ -41,7 +41,7 @@
 	}
 }
 
-func readQuestion(lease uint64, part string) *region.PlacementQuestion {
+func newPrefillQuery(lease uint64, part string) *region.PlacementQuestion {
 	return &region.PlacementQuestion{
 		Lease: lease, Kind: region.PlaceRead, Service: "s", Zone: "z",
 		Tokens: 9000, Parts: []region.PlacedPart{{ID: part, Tokens: 8000}, {ID: part + "-own", Tokens: 1000}},
@@ -49,8 +49,8 @@
 	}
 }
 
-// tell sends a message of a gateway in its first life.
-func (s *served) tell(gateway string, message region.PlacementMessage) *region.PlacementReply {
+// send sends a message of a gateway, in its first incarnation unless the message has one.
+func (s *testServer) send(gateway string, message region.PlacementMessage) *region.PlacementReply {
 	s.sequences[gateway]++
 	message.Gateway, message.Sequence = gateway, s.sequences[gateway]
 	if message.Life == 0 {
@@ -59,78 +59,78 @@
 	return s.Take(&message)
 }
 
-func (s *served) ask(t *testing.T, gateway string, question *region.PlacementQuestion) *region.PlacementAnswer {
+func (s *testServer) query(t *testing.T, gateway string, query *region.PlacementQuestion) *region.PlacementAnswer {
 	t.Helper()
-	reply := s.tell(gateway, region.PlacementMessage{Question: question})
+	reply := s.send(gateway, region.PlacementMessage{Question: query})
 	require.NotNil(t, reply)
 	require.NotNil(t, reply.Answer)
-	require.Equal(t, question.Lease, reply.Answer.Lease)
+	require.Equal(t, query.Lease, reply.Answer.Lease)
 	return reply.Answer
 }
 
-func TestGatewaysThatKnowNothingOfEachOtherAreSpread(t *testing.T) {
-	s := newServed(fleet()...)
-	first := s.ask(t, "gateway-1", readQuestion(1, "x"))
-	second := s.ask(t, "gateway-2", readQuestion(1, "y"))
+func TestPromptsOfDifferentGatewaysAreSpread(t *testing.T) {
+	s := newTestServer(fleet()...)
+	first := s.query(t, "gateway-1", newPrefillQuery(1, "x"))
+	second := s.query(t, "gateway-2", newPrefillQuery(1, "y"))
 	assert.ElementsMatch(t, []string{"a", "b"}, []string{first.Replica, second.Replica})
 	assert.Equal(t, 2, s.Counts().Leases)
 }
 
-func TestAPromptOfAnotherGatewayIsKnownToBeKept(t *testing.T) {
-	s := newServed(fleet()...)
-	first := s.ask(t, "gateway-1", readQuestion(1, "shared"))
+func TestCachedPromptOfAnotherGatewayIsReused(t *testing.T) {
+	s := newTestServer(fleet()...)
+	first := s.query(t, "gateway-1", newPrefillQuery(1, "shared"))
 	s.now += 300 * time.Millisecond
-	s.tell("gateway-1", region.PlacementMessage{Events: []region.LeaseEvent{
+	s.send("gateway-1", region.PlacementMessage{Events: []region.LeaseEvent{
 		{Lease: 1, Kind: region.LeaseRead}, {Lease: 1, Kind: region.LeaseKept}, {Lease: 1, Kind: region.LeaseReleased},
 	}})
-	question := readQuestion(1, "shared")
-	question.Parts[1].ID = "another"
-	second := s.ask(t, "gateway-2", question)
+	query := newPrefillQuery(1, "shared")
+	query.Parts[1].ID = "another"
+	second := s.query(t, "gateway-2", query)
 	assert.Equal(t, first.Replica, second.Replica)
 	assert.Equal(t, 1000, second.Missing)
 }
 
-func TestAQuestionThatComesAgainGetsTheSameLease(t *testing.T) {
-	s := newServed(fleet()...)
-	first := s.ask(t, "gateway", readQuestion(1, "x"))
-	assert.Equal(t, first, s.ask(t, "gateway", readQuestion(1, "x")))
+func TestRepeatedQueryGetsSameLease(t *testing.T) {
+	s := newTestServer(fleet()...)
+	first := s.query(t, "gateway", newPrefillQuery(1, "x"))
+	assert.Equal(t, first, s.query(t, "gateway", newPrefillQuery(1, "x")))
 	assert.Equal(t, 1, s.Counts().Leases)
 }
 
-func TestLostEndsAreMadeUpForByAWholeMessage(t *testing.T) {
-	s := newServed(fleet()...)
-	s.ask(t, "gateway", readQuestion(1, "x"))
-	s.ask(t, "gateway", readQuestion(2, "y"))
-	reply := s.tell("gateway", region.PlacementMessage{Whole: true, Open: []uint64{2}})
-	require.NotNil(t, reply, "a whole message is answered, so that a restart is noticed")
+func TestFullMessageEndsUnlistedLeases(t *testing.T) {
+	s := newTestServer(fleet()...)
+	s.query(t, "gateway", newPrefillQuery(1, "x"))
+	s.query(t, "gateway", newPrefillQuery(2, "y"))
+	reply := s.send("gateway", region.PlacementMessage{Whole: true, Open: []uint64{2}})
+	require.NotNil(t, reply, "a full message is answered, so that a restart is detected")
 	assert.EqualValues(t, 1, reply.Life)
 	assert.Equal(t, 1, s.Counts().Leases)
 }
 
-func TestAQuestionThatAWholeMessageHasOvertakenIsNotAnswered(t *testing.T) {
-	s := newServed(fleet()...)
+func TestQueryOvertakenByFullMessageIsIgnored(t *testing.T) {
+	s := newTestServer(fleet()...)
 	s.sequences["gateway"] = 5
-	s.tell("gateway", region.PlacementMessage{Whole: true})
-	late := region.PlacementMessage{Gateway: "gateway", Life: 1, Sequence: 3, Question: readQuestion(1, "x")}
-	assert.Nil(t, s.Take(&late), "the gateway has given it up")
+	s.send("gateway", region.PlacementMessage{Whole: true})
+	late := region.PlacementMessage{Gateway: "gateway", Life: 1, Sequence: 3, Question: newPrefillQuery(1, "x")}
+	assert.Nil(t, s.Take(&late), "the gateway has abandoned the query")
 	assert.Zero(t, s.Counts().Leases)
 }
 
-func TestARestartedGatewaysLeasesEnd(t *testing.T) {
-	s := newServed(fleet()...)
-	s.ask(t, "gateway", readQuestion(1, "x"))
-	s.tell("gateway", region.PlacementMessage{Life: 2, Question: readQuestion(1, "y")})
+func TestLeasesOfRestartedGatewayEnd(t *testing.T) {
+	s := newTestServer(fleet()...)
+	s.query(t, "gateway", newPrefillQuery(1, "x"))
+	s.send("gateway", region.PlacementMessage{Life: 2, Question: newPrefillQuery(1, "y")})
 	assert.Equal(t, 1, s.Counts().Leases)
-	old := region.PlacementMessage{Gateway: "gateway", Life: 1, Sequence: 99, Question: readQuestion(7, "x")}
-	assert.Nil(t, s.Take(&old), "an older life asks for nothing")
+	old := region.PlacementMessage{Gateway: "gateway", Life: 1, Sequence: 99, Question: newPrefillQuery(7, "x")}
+	assert.Nil(t, s.Take(&old), "queries of an older incarnation are ignored")
 	assert.Equal(t, 1, s.Counts().Leases)
 }
 
-// TestALeaseOfALifeThatHasEndedDoesNotCountForTheNext: the new process passed for busy until the
-// gateways' leases of the one before had run out.
+// The leases of an incarnation that has ended must not count for the next one: the new process
+// appeared busy until the gateways' leases of the old one had expired.
 func TestALeaseOfALifeThatHasEndedDoesNotCountForTheNext(t *testing.T) {
-	s := newServed(fleet()...)
-	first := s.ask(t, "gateway-1", readQuestion(1, "x"))
+	s := newTestServer(fleet()...)
+	first := s.query(t, "gateway-1", newPrefillQuery(1, "x"))
 	restarted := fleet()
 	for index := range restarted {
 		if restarted[index].ID == first.Replica {
@@ -138,19 +138,19 @@
 		}
 	}
 	s.directory.Replace(restarted)
-	// Each has a prefix of its own: a second prompt with the first one's would be as well placed
-	// behind it.
+	// Each prompt has a prefix of its own: a second prompt with the prefix of the first would be
+	// placed equally well behind it.
 	for lease, prefix := range []string{"y", "z"} {
-		answer := s.ask(t, "gateway-2", readQuestion(uint64(lease+1), prefix))
-		assert.Zero(t, answer.WaitMicros, "both readers are free, as far as is known")
+		answer := s.query(t, "gateway-2", newPrefillQuery(uint64(lease+1), prefix))
+		assert.Zero(t, answer.WaitMicros, "both prefill replicas are free, as far as is known")
 	}
-	s.tell("gateway-1", region.PlacementMessage{Events: []region.LeaseEvent{{Lease: 1, Kind: region.LeaseReleased}}})
+	s.send("gateway-1", region.PlacementMessage{Events: []region.LeaseEvent{{Lease: 1, Kind: region.LeaseReleased}}})
 	assert.Len(t, s.directory.Outstanding(), 2)
 }
 
-func TestASilentGatewaysLeasesEnd(t *testing.T) {
-	s := newServed(fleet()...)
-	s.ask(t, "gateway", readQuestion(1, "x"))
+func TestLeasesOfUnresponsiveGatewayEnd(t *testing.T) {
+	s := newTestServer(fleet()...)
+	s.query(t, "gateway", newPrefillQuery(1, "x"))
 	s.now += 2 * time.Second
 	s.Expire()
 	require.Equal(t, 1, s.Counts().Leases)
@@ -160,113 +160,113 @@
 	assert.EqualValues(t, 1, s.Counts().Expired)
 }
 
-func TestALeaseEndsWithItsRequestsDeadline(t *testing.T) {
-	s := newServed(fleet()...)
-	s.ask(t, "gateway", readQuestion(1, "x"))
+func TestLeaseEndsWithRequestDeadline(t *testing.T) {
+	s := newTestServer(fleet()...)
+	s.query(t, "gateway", newPrefillQuery(1, "x"))
 	for range 6 {
 		s.now += time.Second
-		s.tell("gateway", region.PlacementMessage{Whole: true, Open: []uint64{1}})
+		s.send("gateway", region.PlacementMessage{Whole: true, Open: []uint64{1}})
 	}
 	s.Expire()
-	assert.Zero(t, s.Counts().Leases, "whatever the gateway says of it")
+	assert.Zero(t, s.Counts().Leases, "although the gateway still reports it as open")
 }
 
-func TestOwnWorkOfAGatewayCounts(t *testing.T) {
-	s := newServed(fleet()...)
-	s.tell("gateway-1", region.PlacementMessage{Whole: true, Work: []region.OutstandingWork{
+func TestLocallyPlacedWorkCounts(t *testing.T) {
+	s := newTestServer(fleet()...)
+	s.send("gateway-1", region.PlacementMessage{Whole: true, Work: []region.OutstandingWork{
 		{Replica: "a", Requests: 2, InTimeMicros: 800_000},
 	}})
-	assert.Equal(t, "b", s.ask(t, "gateway-2", readQuestion(1, "x")).Replica)
+	assert.Equal(t, "b", s.query(t, "gateway-2", newPrefillQuery(1, "x")).Replica)
 	s.now += 100 * time.Millisecond
-	s.tell("gateway-1", region.PlacementMessage{Whole: true, Work: []region.OutstandingWork{
+	s.send("gateway-1", region.PlacementMessage{Whole: true, Work: []region.OutstandingWork{
 		{Replica: "b", Requests: 9, InTimeMicros: 9_000_000},
 	}})
-	assert.Equal(t, "a", s.ask(t, "gateway-2", readQuestion(2, "y")).Replica, "newer work replaces older")
+	assert.Equal(t, "a", s.query(t, "gateway-2", newPrefillQuery(2, "y")).Replica, "a newer report replaces an older one")
 }
 
-func TestAReplicaThatAGatewayExcludesIsNotChosen(t *testing.T) {
-	s := newServed(fleet()...)
-	question := readQuestion(1, "x")
-	question.Excluded = []string{"a", "unknown"}
-	assert.Equal(t, "b", s.ask(t, "gateway", question).Replica)
-	nowhere := readQuestion(2, "x")
+func TestExcludedReplicaIsNotChosen(t *testing.T) {
+	s := newTestServer(fleet()...)
+	query := newPrefillQuery(1, "x")
+	query.Excluded = []string{"a", "unknown"}
+	assert.Equal(t, "b", s.query(t, "gateway", query).Replica)
+	nowhere := newPrefillQuery(2, "x")
 	nowhere.Excluded = []string{"a", "b", "g"}
-	assert.Equal(t, region.PlacementNoReplica, s.ask(t, "gateway", nowhere).Outcome)
+	assert.Equal(t, region.PlacementNoReplica, s.query(t, "gateway", nowhere).Outcome)
 }
 
-func TestWhatHappensAtAReplicaIsLearned(t *testing.T) {
-	s := newServed(fleet()...)
-	first := s.ask(t, "gateway", readQuestion(1, "x"))
-	s.tell("gateway", region.PlacementMessage{Events: []region.LeaseEvent{
+func TestUnreachableReplicaIsAvoided(t *testing.T) {
+	s := newTestServer(fleet()...)
+	first := s.query(t, "gateway", newPrefillQuery(1, "x"))
+	s.send("gateway", region.PlacementMessage{Events: []region.LeaseEvent{
 		{Lease: 1, Kind: region.LeaseUnreachable}, {Lease: 1, Kind: region.LeaseReleased},
 	}})
 	for lease := uint64(2); lease < 6; lease++ {
-		assert.NotEqual(t, first.Replica, s.ask(t, "gateway", readQuestion(lease, "x")).Replica)
+		assert.NotEqual(t, first.Replica, s.query(t, "gateway", newPrefillQuery(lease, "x")).Replica)
 	}
 }
 
-// A replica that asks one gateway for rest is about to ask others.
-func TestAReplicaThatAsksAGatewayForRestIsAvoidedForAll(t *testing.T) {
-	s := newServed(fleet()...)
-	first := s.ask(t, "gateway-1", readQuestion(1, "x"))
-	s.tell("gateway-1", region.PlacementMessage{Events: []region.LeaseEvent{
+// A replica that requests a backoff from one gateway is about to request it from others.
+func TestBackoffRequestedOfOneGatewayAppliesToAll(t *testing.T) {
+	s := newTestServer(fleet()...)
+	first := s.query(t, "gateway-1", newPrefillQuery(1, "x"))
+	s.send("gateway-1", region.PlacementMessage{Events: []region.LeaseEvent{
 		{Lease: 1, Kind: region.LeaseFull, Micros: 3e6}, {Lease: 1, Kind: region.LeaseReleased},
 	}})
 	for lease := range uint64(3) {
 		s.now += 500 * time.Millisecond
-		assert.NotEqual(t, first.Replica, s.ask(t, "gateway-2", readQuestion(lease+1, "y")).Replica)
+		assert.NotEqual(t, first.Replica, s.query(t, "gateway-2", newPrefillQuery(lease+1, "y")).Replica)
 	}
-	resting := s.directory.Resting()
-	require.Len(t, resting, 1)
-	assert.Equal(t, first.Replica, resting[0].Replica)
-	assert.InDelta(t, 1500, resting[0].LeftMillis, 1)
+	inBackoff := s.directory.Resting()
+	require.Len(t, inBackoff, 1)
+	assert.Equal(t, first.Replica, inBackoff[0].Replica)
+	assert.InDelta(t, 1500, inBackoff[0].LeftMillis, 1)
 }
 
-func TestTheIdleTimeOfALeasesReplicaIsTold(t *testing.T) {
-	s := newServed(fleet()...)
-	s.ask(t, "gateway", readQuestion(1, "x"))
+func TestIdleTimeOfLeasedReplicaIsReported(t *testing.T) {
+	s := newTestServer(fleet()...)
+	s.query(t, "gateway", newPrefillQuery(1, "x"))
 	s.now += 700 * time.Millisecond
-	answer := s.ask(t, "gateway", &region.PlacementQuestion{Lease: 1, Kind: region.AskIdle})
+	answer := s.query(t, "gateway", &region.PlacementQuestion{Lease: 1, Kind: region.AskIdle})
 	assert.EqualValues(t, 700_000, answer.IdleMicros)
-	unknown := s.ask(t, "gateway", &region.PlacementQuestion{Lease: 9, Kind: region.AskIdle})
+	unknown := s.query(t, "gateway", &region.PlacementQuestion{Lease: 9, Kind: region.AskIdle})
 	assert.Equal(t, region.PlacementNoReplica, unknown.Outcome)
 }
 
-func TestAbsurdQuestionsAreBorne(t *testing.T) {
-	s := newServed(fleet()...)
-	absurd := readQuestion(1, "x")
-	absurd.Tokens, absurd.Parts[0].Tokens = math.MinInt64, math.MaxInt64
-	absurd.ObjectiveMicros, absurd.AimLeftMicros, absurd.LeftMicros = math.MaxInt64, math.MinInt64, math.MaxInt64
-	s.ask(t, "gateway-1", absurd)
-	huge := readQuestion(2, "y")
+func TestExtremeValuesAreTolerated(t *testing.T) {
+	s := newTestServer(fleet()...)
+	extreme := newPrefillQuery(1, "x")
+	extreme.Tokens, extreme.Parts[0].Tokens = math.MinInt64, math.MaxInt64
+	extreme.ObjectiveMicros, extreme.AimLeftMicros, extreme.LeftMicros = math.MaxInt64, math.MinInt64, math.MaxInt64
+	s.query(t, "gateway-1", extreme)
+	huge := newPrefillQuery(2, "y")
 	huge.Tokens = math.MaxInt64
-	s.ask(t, "gateway-1", huge)
-	s.tell("gateway-1", region.PlacementMessage{Whole: true, Open: []uint64{1, 2}, Work: []region.OutstandingWork{
+	s.query(t, "gateway-1", huge)
+	s.send("gateway-1", region.PlacementMessage{Whole: true, Open: []uint64{1, 2}, Work: []region.OutstandingWork{
 		{Replica: "nowhere", Requests: -5, InTimeMicros: math.MinInt64}, {Replica: "a", Requests: math.MaxInt64, LateMicros: math.MaxInt64},
 	}})
-	s.tell("gateway-1", region.PlacementMessage{Events: []region.LeaseEvent{
+	s.send("gateway-1", region.PlacementMessage{Events: []region.LeaseEvent{
 		{Lease: 1, Kind: region.LeaseReleased}, {Lease: 2, Kind: region.LeaseReleased}, {Lease: 2, Kind: 99},
 	}})
 	s.now += 5 * time.Second
 	s.Expire()
-	answer := s.ask(t, "gateway-2", readQuestion(1, "z"))
-	assert.Equal(t, region.PlacementGranted, answer.Outcome, "others are served as before")
+	answer := s.query(t, "gateway-2", newPrefillQuery(1, "z"))
+	assert.Equal(t, region.PlacementGranted, answer.Outcome, "other gateways are served as before")
 	assert.False(t, answer.Late)
 }
 
-func TestAGatewayThatNeverEndsItsLeasesIsBounded(t *testing.T) {
-	s := newServed(fleet()...)
+func TestLeasesOfOneGatewayAreBounded(t *testing.T) {
+	s := newTestServer(fleet()...)
 	answered := 0
 	for lease := range uint64(5000) {
-		question := readQuestion(lease+1, "x")
-		question.Kind = region.PlaceGenerate
-		if s.tell("greedy", region.PlacementMessage{Question: question}) != nil {
+		query := newPrefillQuery(lease+1, "x")
+		query.Kind = region.PlaceGenerate
+		if s.send("greedy", region.PlacementMessage{Question: query}) != nil {
 			answered++
 		}
 	}
 	assert.Equal(t, 4096, answered)
 	s.now += 6 * time.Second
 	s.Expire()
-	assert.Equal(t, region.PlacementGranted, s.ask(t, "modest", readQuestion(1, "x")).Outcome)
+	assert.Equal(t, region.PlacementGranted, s.query(t, "modest", newPrefillQuery(1, "x")).Outcome)
 	assert.Equal(t, 1, s.Counts().Leases)
 }
--- a/internal/placement/warmup.go
+++ b/internal/placement/warmup.go
@@ -13,59 +13,61 @@
 	"github.com/pierhaven/pierhaven/internal/relay"
 )
 
-// PrefixSource tells which parts of prompts a life of a replica keeps; it fails if another life answers.
+// PrefixSource returns the parts of prompts that an incarnation of a replica has cached. It fails
+// if another incarnation answers.
 type PrefixSource interface {
 	Kept(ctx context.Context, replica region.Replica) ([]relay.PromptPart, error)
 }
 
 const (
-	// warmupPoll is the pause between two looks for replicas to ask.
-	warmupPoll = 50 * time.Millisecond
-	// WarmupTime is how long after the start replicas are asked: what comes later
-	// keeps nothing that this process does not hear of.
-	WarmupTime        = 3 * time.Second
-	warmupCallTimeout = 400 * time.Millisecond
-	warmupCalls       = 4
+	// warmupPollInterval is the time between two checks for replicas to query.
+	warmupPollInterval = 50 * time.Millisecond
+	// WarmupTime is the time after the start during which replicas are queried: a replica that
+	// starts later has nothing cached that this process does not learn of.
+	WarmupTime         = 3 * time.Second
+	warmupCallTimeout  = 400 * time.Millisecond
+	maximumWarmupCalls = 4
 )
 
-// Warmup asks model replicas what they keep: a process that has restarted has forgotten it,
-// and would have prefixes read again.
+// Warmup queries model replicas for their cached prefixes. A restarted process has lost this state,
+// and without it prefixes would be prefilled again.
 type Warmup struct {
-	// Source is asked; nil for none.
+	// Source is queried; nil disables the queries.
 	Source PrefixSource
-	// Owns says which replicas this process asks; nil for all. What they say holds up their work, so that
-	// of many coordinators one asks and tells the others.
+	// Owns selects the replicas that this process queries; nil selects all. A replica does no other
+	// work while it answers, so that only one of many coordinators queries it and reports the
+	// result to the others.
 	Owns      func(replica region.Replica) bool
 	Directory *relay.Directory
 	Logger    logr.Logger
 }
 
-// Run asks each replica once, for a while after the start.
+// Run queries each incarnation of a replica once, during WarmupTime after the start.
 func (w *Warmup) Run(ctx context.Context) {
 	if w.Source == nil {
 		return
 	}
-	begun := time.Now()
-	asked := map[region.Life]bool{}
-	slots := make(chan struct{}, warmupCalls)
+	startedAt := time.Now()
+	queried := map[region.Life]bool{}
+	semaphore := make(chan struct{}, maximumWarmupCalls)
 	var calls sync.WaitGroup
-	for time.Since(begun) < WarmupTime && lifecycle.Sleep(ctx, warmupPoll) {
+	for time.Since(startedAt) < WarmupTime && lifecycle.Sleep(ctx, warmupPollInterval) {
 		for _, replica := range w.Directory.ModelReplicas() {
-			if asked[replica.Life()] || w.Owns != nil && !w.Owns(replica) {
+			if queried[replica.Life()] || w.Owns != nil && !w.Owns(replica) {
 				continue
 			}
-			asked[replica.Life()] = true
+			queried[replica.Life()] = true
 			calls.Go(func() {
-				slots <- struct{}{}
-				defer func() { <-slots }()
-				w.ask(ctx, replica)
+				semaphore <- struct{}{}
+				defer func() { <-semaphore }()
+				w.query(ctx, replica)
 			})
 		}
 	}
 	calls.Wait()
 }
 
-func (w *Warmup) ask(ctx context.Context, replica region.Replica) {
+func (w *Warmup) query(ctx context.Context, replica region.Replica) {
 	ctx, cancel := context.WithTimeout(ctx, warmupCallTimeout)
 	defer cancel()
 	parts, err := w.Source.Kept(ctx, replica)
--- a/internal/placement/warmup_test.go
+++ b/internal/placement/warmup_test.go
@@ -13,37 +13,37 @@
 	"github.com/pierhaven/pierhaven/internal/relay"
 )
 
-// restartingSource has the one replica start again while it is asked what it keeps.
+// restartingSource restarts the only replica while it is queried for its cached prefixes.
 type restartingSource struct {
 	directory *relay.Directory
 	stop      context.CancelFunc
 	mutex     sync.Mutex
-	asked     []region.Life
+	queried   []region.Life
 }
 
-func (s *restartingSource) Kept(_ context.Context, asked region.Replica) ([]relay.PromptPart, error) {
+func (s *restartingSource) Kept(_ context.Context, replica region.Replica) ([]relay.PromptPart, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.asked = append(s.asked, asked.Life())
-	if len(s.asked) == 2 {
+	s.queried = append(s.queried, replica.Life())
+	if len(s.queried) == 2 {
 		s.stop()
 		return nil, nil
 	}
-	asked.Born++
-	s.directory.Replace([]region.Replica{asked})
+	replica.Born++
+	s.directory.Replace([]region.Replica{replica})
 	return []relay.PromptPart{{ID: "x", Tokens: 8000}}, nil
 }
 
-// TestEachLifeIsAskedWhatItKeeps: the answer of the one before was learned for the new one, which was
-// not asked any more.
+// Each incarnation of a replica is queried: the answer of the previous incarnation was recorded for
+// the new one, which was not queried any more.
 func TestEachLifeIsAskedWhatItKeeps(t *testing.T) {
-	s := newServed(region.Replica{ID: "g", Born: 5, Service: "s", Address: "g:1", Zone: "z", Slots: 4, Stage: region.StageDecode})
+	s := newTestServer(region.Replica{ID: "g", Born: 5, Service: "s", Address: "g:1", Zone: "z", Slots: 4, Stage: region.StageDecode})
 	ctx, cancel := context.WithCancel(t.Context())
 	source := &restartingSource{directory: s.directory, stop: cancel}
 	warmup := &placement.Warmup{Source: source, Directory: s.directory, Logger: logr.Discard()}
 	warmup.Run(ctx)
-	assert.Equal(t, []region.Life{{ID: "g", Born: 5}, {ID: "g", Born: 6}}, source.asked)
-	question := readQuestion(1, "x")
-	question.Kind = region.PlaceDirect
-	assert.Equal(t, 9000, s.ask(t, "gateway", question).Missing)
+	assert.Equal(t, []region.Life{{ID: "g", Born: 5}, {ID: "g", Born: 6}}, source.queried)
+	query := newPrefillQuery(1, "x")
+	query.Kind = region.PlaceDirect
+	assert.Equal(t, 9000, s.query(t, "gateway", query).Missing)
 }
