--- a/internal/fleetplan/cover.go
+++ b/internal/fleetplan/cover.go
@@ -6,100 +6,104 @@
 	"time"
 )
 
-// enough is the number of replicas that stable ones make up for, if others are missing.
-func (p *Planner) enough(input Input) int {
+// sufficient is the number of replicas up to which stable ones substitute for missing preemptible
+// ones.
+func (p *Planner) sufficient(input Input) int {
 	switch {
 	case p.mix == nil:
-		return p.needed()
+		return p.requiredReplicas()
 	case p.onlyStable:
 		return total(p.mix)
 	}
 	cheapest := input.priceOf(byPrice(input.Zones)[0], Stable)
-	return enough(&p.recent, p.recent.price()*cheapest, len(input.Zones)*input.Maximum)
+	return sufficientReplicas(&p.recent, p.recent.price()*cheapest, len(input.Zones)*input.Maximum)
 }
 
-// keepStable gives stable replicas up one step after the other, as others serve in their place,
-// the dearest first, and has stable ones take the place of preemptible ones that have gone.
-func (p *Planner) keepStable(now time.Duration, input Input, wanted [][kinds]int) {
-	needed := p.enough(input)
-	step := max(1, int(growStep*float64(needed)))
-	serving, coming := 0, 0
-	kept := make([]int, len(wanted))
-	spare := 0
+// planStable releases surplus stable replicas step by step as others serve in their place, the most
+// expensive first, and adds stable replicas in place of preemptible ones that have been lost.
+func (p *Planner) planStable(now time.Duration, input Input, target [][kinds]int) {
+	needed := p.sufficient(input)
+	step := max(1, int(stepShare*float64(needed)))
+	serving, expected := 0, 0
+	surplus := make([]int, len(target))
+	totalSurplus := 0
 	for index, zone := range input.Zones {
-		serving += zone.Serving[Preemptible] + wanted[index][Stable]
-		coming += p.coming(zone, wanted[index][Preemptible]) + wanted[index][Stable]
-		kept[index] = max(p.keptStable(now, input, zone)-wanted[index][Stable], 0)
-		spare += kept[index]
+		serving += zone.Serving[Preemptible] + target[index][Stable]
+		expected += p.expectedPreemptible(zone, target[index][Preemptible]) + target[index][Stable]
+		surplus[index] = max(p.currentStable(now, input, zone)-target[index][Stable], 0)
+		totalSurplus += surplus[index]
 	}
-	released := min(max(spare-max(needed-serving, 0), 0), spare)
-	if p.base == 0 || released < min(spare, step) {
+	released := min(max(totalSurplus-max(needed-serving, 0), 0), totalSurplus)
+	if p.base == 0 || released < min(totalSurplus, step) {
 		released = 0
 	}
 	order := byPrice(input.Zones)
 	for _, index := range slices.Backward(order) {
-		count := min(kept[index], released)
+		count := min(surplus[index], released)
 		released -= count
-		kept[index] -= count
-		wanted[index][Stable] += kept[index]
-		coming += kept[index]
+		surplus[index] -= count
+		target[index][Stable] += surplus[index]
+		expected += surplus[index]
 	}
-	if lacking := needed - coming; p.dry(input) && lacking >= step {
-		p.cover(input, wanted, lacking)
+	if missing := needed - expected; p.anyUnavailable(input) && missing >= step {
+		p.addStable(input, target, missing)
 	}
 }
 
-// keptStable is the number of stable replicas of a zone that serve or boot, and have not been
-// given up.
-func (p *Planner) keptStable(now time.Duration, input Input, zone Zone) int {
+// currentStable is the number of stable replicas of a zone that serve or boot and have not been
+// released.
+func (p *Planner) currentStable(now time.Duration, input Input, zone Zone) int {
 	if zone.Ordered[Stable] < 0 {
-		return p.peaks[zone.Name]
+		return p.stablePeaks[zone.Name]
 	}
-	if ordered, known := p.orderedAt[subject{zone.Name, Stable}]; known && now-ordered <= input.BootTime+listMargin {
+	if ordered, known := p.orderedAt[orderKey{zone.Name, Stable}]; known && now-ordered <= input.BootTime+listingMargin {
 		return zone.Ordered[Stable]
 	}
 	return min(zone.Serving[Stable], zone.Ordered[Stable])
 }
 
-// coming is the number of preemptible replicas that serve in a zone, or will as soon as a stable
-// one that is ordered now.
-func (p *Planner) coming(zone Zone, wanted int) int {
-	if p.dryZone(zone) {
+// expectedPreemptible is the number of preemptible replicas that serve in a zone, or will serve as
+// soon as a stable one that is ordered now.
+func (p *Planner) expectedPreemptible(zone Zone, target int) int {
+	if p.preemptibleUnavailable(zone) {
 		return zone.Serving[Preemptible]
 	}
-	return max(zone.Serving[Preemptible], wanted)
+	return max(zone.Serving[Preemptible], target)
 }
 
-// cover adds stable replicas where they cost least.
-func (p *Planner) cover(input Input, wanted [][kinds]int, lacking int) {
+// addStable adds stable replicas in the cheapest zones.
+func (p *Planner) addStable(input Input, target [][kinds]int, missing int) {
 	for _, index := range byPrice(input.Zones) {
-		room := input.Maximum - wanted[index][Stable] - p.coming(input.Zones[index], wanted[index][Preemptible])
-		added := min(max(lacking, 0), max(room, 0))
-		wanted[index][Stable] += added
-		lacking -= added
+		headroom := input.Maximum - target[index][Stable] - p.expectedPreemptible(input.Zones[index], target[index][Preemptible])
+		added := min(max(missing, 0), max(headroom, 0))
+		target[index][Stable] += added
+		missing -= added
 	}
 }
 
-// fit keeps a zone's numbers within its limit. No preemptible replica that serves is given up for a
-// stable one that has yet to boot.
-func (z Zone) fit(wanted [kinds]int, maximum int) [kinds]int {
-	booting := max(wanted[Stable]-z.Serving[Stable], 0)
-	serving := min(z.Serving[Preemptible], wanted[Preemptible]+booting)
-	wanted[Stable] = min(wanted[Stable], max(maximum-serving, z.Serving[Stable]))
-	wanted[Preemptible] = max(min(max(wanted[Preemptible], serving), maximum-wanted[Stable]), 0)
-	return wanted
+// clampCounts keeps a zone's counts within its maximum. No serving preemptible replica is released
+// for a stable one that has yet to boot.
+func (z Zone) clampCounts(target [kinds]int, maximum int) [kinds]int {
+	booting := max(target[Stable]-z.Serving[Stable], 0)
+	serving := min(z.Serving[Preemptible], target[Preemptible]+booting)
+	target[Stable] = min(target[Stable], max(maximum-serving, z.Serving[Stable]))
+	target[Preemptible] = max(min(max(target[Preemptible], serving), maximum-target[Stable]), 0)
+	return target
 }
 
-// dryZone reports whether a zone's preemptible replicas are going, or are not to be had.
-func (p *Planner) dryZone(zone Zone) bool {
-	_, refused := p.refusedUntil[subject{zone.Name, Preemptible}]
+// preemptibleUnavailable reports whether a zone's preemptible replicas are leaving, or no further
+// ones are available.
+func (p *Planner) preemptibleUnavailable(zone Zone) bool {
+	_, refused := p.refusedUntil[orderKey{zone.Name, Preemptible}]
 	return refused || zone.Leaving[Preemptible] > 0
 }
 
-// dry reports whether preemptible replicas are missing in some zone.
-func (p *Planner) dry(input Input) bool { return slices.ContainsFunc(input.Zones, p.dryZone) }
+// anyUnavailable reports whether preemptible replicas are unavailable in some zone.
+func (p *Planner) anyUnavailable(input Input) bool {
+	return slices.ContainsFunc(input.Zones, p.preemptibleUnavailable)
+}
 
-// byPrice lists the zones by their prices, the cheapest first.
+// byPrice returns the indexes of the zones in the order of their prices, the cheapest first.
 func byPrice(zones []Zone) []int {
 	order := make([]int, len(zones))
 	for index := range order {
--- a/internal/fleetplan/mix.go
+++ b/internal/fleetplan/mix.go
@@ -6,35 +6,36 @@
 )
 
 const (
-	// stablePrice is what a second of a stable replica costs, as a share of what a replica that
-	// is busy all the time earns in it. Nobody tells the price of a replica in requests; a
-	// service whose replicas cost more than this is hardly worth running, and since the loss
-	// falls exponentially with the replicas, half or twice of it changes their number little.
-	stablePrice = 0.05
-	// lostShare is the share of the time for which one of the zones is taken to be without its
-	// preemptible replicas, the more likely the more it has: so they are spread.
-	lostShare = 0.1
-	// clearlyCheaper is the share of a mix's cost for which another one is taken that is not made
-	// from it: changes of many replicas lose what they keep.
-	clearlyCheaper = 0.95
-	// mixSteps is the number of steps, about, in which a mix is put together.
+	// stableCost is the cost of a stable replica per second, as a share of what a fully busy
+	// replica earns in a second. No setting expresses the price of a replica in requests. A service
+	// whose replicas cost more than this share is hardly worth running, and since the loss falls
+	// exponentially with the number of replicas, half or twice the value changes the number little.
+	stableCost = 0.05
+	// zoneLossShare is the share of the time for which one of the zones is assumed to be without
+	// its preemptible replicas. The more of them a zone has, the likelier its loss is assumed to
+	// be, so that they are spread over the zones.
+	zoneLossShare = 0.1
+	// rebuildCostRatio is the ratio of its cost to that of the improved current mix below which a
+	// newly built mix is used instead: replacing many replicas loses their cached prefixes.
+	rebuildCostRatio = 0.95
+	// mixSteps is the approximate number of steps in which a mix is built.
 	mixSteps = 40
 )
 
-// mixer puts a mix of replicas together, one step after the other, each time the one that adds
-// most for its price: the further replicas' worth is what fewer prompts miss their objective,
-// with all zones there and without the preemptible ones of any one of them.
-type mixer struct {
+// mixOptimizer builds a mix of replicas step by step, each time with the step that adds most for
+// its price. A further replica is worth the number of prompts that no longer miss their objective,
+// both with all zones present and without the preemptible replicas of any one of them.
+type mixOptimizer struct {
 	history *history
 	input   Input
-	// price is that of a stable replica's second, in prompts answered in time.
+	// price is the cost of a stable replica per second, in prompts answered within their objective.
 	price float64
 	mix   [][kinds]int
-	// bound are the most preemptible replicas that each zone can have.
-	bound []int
+	// preemptibleLimits are the maximum numbers of preemptible replicas by zone.
+	preemptibleLimits []int
 }
 
-// priceOf is what a second of a replica costs.
+// priceOf is the cost of a replica per second.
 func (i Input) priceOf(zone int, kind Kind) float64 {
 	price := i.Zones[zone].Price
 	if price <= 0 {
@@ -46,7 +47,7 @@
 	return price
 }
 
-func (m *mixer) total() int {
+func (m *mixOptimizer) total() int {
 	sum := 0
 	for _, zone := range m.mix {
 		sum += zone[Stable] + zone[Preemptible]
@@ -54,8 +55,8 @@
 	return sum
 }
 
-// lateRate is what the mix loses a second.
-func (m *mixer) lateRate() float64 {
+// lateRate is the expected number of prompts a second that miss their objective with the mix.
+func (m *mixOptimizer) lateRate() float64 {
 	total, preemptible := float64(m.total()), float64(m.preemptible())
 	late := m.history.lateRate(total)
 	if preemptible == 0 {
@@ -63,14 +64,14 @@
 	}
 	lost := 0.0
 	for _, zone := range m.mix {
-		gone := float64(zone[Preemptible])
-		lost += gone / preemptible * m.history.lossRate(total-gone, gone/total)
+		removed := float64(zone[Preemptible])
+		lost += removed / preemptible * m.history.lateRateAfterLoss(total-removed, removed/total)
 	}
-	return (1-lostShare)*late + lostShare*lost
+	return (1-zoneLossShare)*late + zoneLossShare*lost
 }
 
-// cost is what the mix costs a second, and loses.
-func (m *mixer) cost() float64 {
+// cost is the total cost of the mix per second: the price of the replicas and the expected loss.
+func (m *mixOptimizer) cost() float64 {
 	sum := m.lateRate()
 	for index, zone := range m.mix {
 		for kind := range kinds {
@@ -80,26 +81,27 @@
 	return sum
 }
 
-// room is how many more of a kind a zone can have.
-func (m *mixer) room(zone int, kind Kind) int {
+// headroom is the number of replicas of a kind that can be added to a zone.
+func (m *mixOptimizer) headroom(zone int, kind Kind) int {
 	if kind == Preemptible && m.input.PreemptiblePrice <= 0 {
 		return 0
 	}
-	room := m.input.Maximum - m.mix[zone][Stable] - m.mix[zone][Preemptible]
+	headroom := m.input.Maximum - m.mix[zone][Stable] - m.mix[zone][Preemptible]
 	if kind == Preemptible {
-		return min(room, m.bound[zone]-m.mix[zone][Preemptible])
+		return min(headroom, m.preemptibleLimits[zone]-m.mix[zone][Preemptible])
 	}
-	return room
+	return headroom
 }
 
-// run adds replicas until none is worth its price: while far too few are there each further one
-// counts alike, so that one greedy way alone would end with dear ones. The cheaper of the two ways
-// is taken.
-func (m *mixer) run() {
-	begun := slices.Clone(m.mix)
+// build adds replicas until none is worth its price. While there are far too few replicas, each
+// further one is worth the same, whatever its kind, so that a single greedy run would end with
+// expensive ones. The mix is therefore built in two ways, with stable replicas only and with
+// preemptible ones first, and the cheaper one is used.
+func (m *mixOptimizer) build() {
+	initial := slices.Clone(m.mix)
 	m.grow(Stable)
 	mix, cost := m.mix, m.cost()
-	m.mix = begun
+	m.mix = initial
 	m.grow(Preemptible)
 	m.grow(Stable, Preemptible)
 	if m.cost() >= cost {
@@ -107,8 +109,8 @@
 	}
 }
 
-// preemptible is the number of preemptible replicas.
-func (m *mixer) preemptible() int {
+// preemptible is the number of preemptible replicas of the mix.
+func (m *mixOptimizer) preemptible() int {
 	sum := 0
 	for _, zone := range m.mix {
 		sum += zone[Preemptible]
@@ -116,16 +118,16 @@
 	return sum
 }
 
-// improve makes a mix from the present one, by steps each of which makes it cheaper. least are the
-// stable replicas that stay.
-func (m *mixer) improve(present [][kinds]int) {
-	least := slices.Clone(m.mix)
+// improve derives a mix from the present one in steps, each of which makes it cheaper. The stable
+// replicas that the optimizer starts with are the minimum.
+func (m *mixOptimizer) improve(present [][kinds]int) {
+	minimum := slices.Clone(m.mix)
 	for zone := range m.mix {
-		m.mix[zone][Stable] = max(least[zone][Stable], present[zone][Stable])
-		m.mix[zone][Preemptible] = min(present[zone][Preemptible], m.bound[zone], m.input.Maximum-m.mix[zone][Stable])
+		m.mix[zone][Stable] = max(minimum[zone][Stable], present[zone][Stable])
+		m.mix[zone][Preemptible] = min(present[zone][Preemptible], m.preemptibleLimits[zone], m.input.Maximum-m.mix[zone][Stable])
 	}
 	for cost := m.cost(); ; {
-		next, cheaper := m.cheapestStep(least, cost)
+		next, cheaper := m.cheapestStep(minimum, cost)
 		if cheaper >= cost {
 			return
 		}
@@ -133,15 +135,16 @@
 	}
 }
 
-// cheapestStep is the mix after the step that leaves least to be paid: more or fewer of a kind in a
-// zone, or of preemptible ones in all zones, since one zone's loss is made up for by the others.
-func (m *mixer) cheapestStep(least [][kinds]int, cost float64) ([][kinds]int, float64) {
+// cheapestStep returns the mix and its cost after the step that makes it cheapest: more or fewer
+// replicas of a kind in one zone, or of preemptible ones in all zones at once, since the other
+// zones make up for the loss of one.
+func (m *mixOptimizer) cheapestStep(minimum [][kinds]int, cost float64) ([][kinds]int, float64) {
 	present, best := m.mix, m.mix
 	step := max(1, m.total()/mixSteps)
 	try := func(kind Kind, change int, zones ...int) {
 		m.mix = slices.Clone(present)
 		for _, zone := range zones {
-			m.mix[zone][kind] += max(min(change, m.room(zone, kind)), least[zone][kind]-m.mix[zone][kind])
+			m.mix[zone][kind] += max(min(change, m.headroom(zone, kind)), minimum[zone][kind]-m.mix[zone][kind])
 		}
 		if changed := m.cost(); changed < cost {
 			best, cost = m.mix, changed
@@ -161,11 +164,11 @@
 	return best, cost
 }
 
-// grow adds replicas of some kinds.
-func (m *mixer) grow(kinds ...Kind) {
+// grow adds replicas of the given kinds until none is worth its price.
+func (m *mixOptimizer) grow(kinds ...Kind) {
 	late := m.lateRate()
 	for {
-		zone, kind, count, gain := m.best(late, kinds...)
+		zone, kind, count, gain := m.bestAddition(late, kinds...)
 		if gain <= 0 {
 			return
 		}
@@ -174,14 +177,14 @@
 	}
 }
 
-// best is the step that adds most to what it costs, for each replica. At equal gain the zone with
-// fewer is taken.
-func (m *mixer) best(late float64, kinds ...Kind) (zone int, kind Kind, count int, gain float64) {
+// bestAddition returns the addition with the highest gain per replica, which is its worth less its
+// price. At equal gain the first zone and kind are used.
+func (m *mixOptimizer) bestAddition(late float64, kinds ...Kind) (zone int, kind Kind, count int, gain float64) {
 	step := max(1, m.total()/mixSteps)
 	gain = math.Inf(-1)
 	for index := range m.mix {
 		for _, each := range kinds {
-			added := min(step, m.room(index, each))
+			added := min(step, m.headroom(index, each))
 			if added <= 0 {
 				continue
 			}
@@ -196,9 +199,10 @@
 	return zone, kind, count, gain
 }
 
-// enough is the number of replicas from which on a stable one is not worth its price, at a load.
-func enough(history *history, price float64, most int) int {
-	low, high := 1, max(most, 1)
+// sufficientReplicas is the number of replicas above which a stable one is not worth its price at a
+// load.
+func sufficientReplicas(history *history, price float64, maximum int) int {
+	low, high := 1, max(maximum, 1)
 	for low < high {
 		middle := (low + high) / 2
 		if history.lateRate(float64(middle))-history.lateRate(float64(middle+1)) > price {
--- a/internal/fleetplan/plan.go
+++ b/internal/fleetplan/plan.go
@@ -1,14 +1,14 @@
 // Package fleetplan decides how many replicas of a service run in each zone, and of which kind:
-// stable ones, which stay, or preemptible ones, which cost less and may be taken away, all of a
-// zone at the same moment. It is a pure state machine: Step takes what is known and returns the
-// numbers to order, and never acts itself.
+// stable replicas, which stay, or preemptible ones, which cost less and may be preempted, all of a
+// zone at the same moment. It is a pure state machine: Step takes the known state and returns the
+// counts to order, and performs no I/O.
 //
-// Once the load has been seen for a while, replicas are added as long as the next one is worth
-// its price (mix.go, worth.go), be it stable or preemptible, with what is left when the
-// preemptible ones of any one zone go. Until then the plan is a bound on loss: what is left
-// without any one zone's preemptible replicas has to be what was there at the start, and all but
-// the minimum are preemptible where that costs less. While preemptible ones are not to be had,
-// stable ones take their place as far as those are worth their price.
+// Once the load has been observed for a while, replicas of either kind are added as long as the
+// next one is worth its price (mix.go, worth.go). Its worth includes the case that the preemptible
+// replicas of any one zone are lost. Until then the plan only bounds the loss: without any one
+// zone's preemptible replicas, as many replicas have to remain as there were at the start, and all
+// but the minimum are preemptible where that is cheaper. While preemptible replicas are
+// unavailable, stable ones substitute for them as far as those are worth their price.
 package fleetplan
 
 import (
@@ -18,7 +18,7 @@
 	"time"
 )
 
-// Kind is that of a replica.
+// Kind is the kind of a replica.
 type Kind int
 
 // Kinds of replicas.
@@ -28,36 +28,36 @@
 	kinds
 )
 
-// Zone is what is known of a service's replicas in a zone.
+// Zone describes a service's replicas in a zone.
 type Zone struct {
 	Name string
-	// Price is what a second of a stable replica costs here.
+	// Price is the cost of a stable replica per second in this zone.
 	Price float64
-	// Serving are the replicas of each kind that take work, Leaving those that are on their way
-	// out.
+	// Serving are the numbers of replicas of each kind that accept work, Leaving the numbers of
+	// those that are leaving.
 	Serving [kinds]int
 	Leaving [kinds]int
-	// Ordered is the number of each kind that was ordered last, negative if none ever was.
+	// Ordered is the count of each kind that was ordered last, negative if none ever was.
 	Ordered [kinds]int
 }
 
-// Input is what Step decides on.
+// Input is the state that Step decides on.
 type Input struct {
 	Zones []Zone
-	// Minimum and Maximum bound the replicas of a zone, of both kinds together.
+	// Minimum and Maximum bound the number of replicas of a zone, of both kinds together.
 	Minimum, Maximum int
-	// BootTime is how long a new replica takes until it serves.
+	// BootTime is the time until a new replica serves.
 	BootTime time.Duration
-	// PreemptiblePrice is the price of a preemptible replica as a share of a stable one's; 0 if
-	// there are none.
+	// PreemptiblePrice is the price of a preemptible replica as a share of that of a stable one, or
+	// 0 if there are no preemptible replicas.
 	PreemptiblePrice float64
-	// Readers is the number of replicas that read.
+	// Readers is the number of prefill replicas.
 	Readers int
-	// Load is that of now, zero while it is not known.
+	// Load is the present load, or zero while it is unknown.
 	Load Load
 }
 
-// Order is a number of replicas of a kind in a zone.
+// Order sets the number of replicas of a kind in a zone.
 type Order struct {
 	Zone   string
 	Kind   Kind
@@ -65,184 +65,189 @@
 	Reason string
 }
 
-// Outlook is why the number of replicas is what it is.
+// Outlook explains the planned number of replicas.
 type Outlook struct {
-	// Learned is false while what was there at the start counts as enough.
+	// Learned is false while the number of replicas at the start is taken to be sufficient.
 	Learned bool
-	// Wanted are the replicas that are wanted, Enough those from which on stable ones are not
-	// worth their price.
+	// Wanted is the planned number of replicas, and Enough the number above which stable ones are
+	// not worth their price.
 	Wanted, Enough int
-	// Trust are the prompts that waited too long of late, divided by those that were expected to.
+	// Trust is the number of prompts recently delayed, divided by the number expected.
 	Trust float64
-	// Readers are those that read, Load is that of now.
+	// Readers is the number of prefill replicas, and Load the present load.
 	Readers int
 	Load    Load
-	// Late is the number of prompts a second that are taken to miss their objective; NextWorth
-	// how many fewer one more replica would have, and NextPrice what it costs, in the same unit,
-	// where it pays most. They are known once Learned.
+	// Late is the number of prompts a second that are expected to miss their objective. NextWorth
+	// is the number by which one more replica would reduce it, and NextPrice the replica's cost in
+	// the same unit, for the replica that adds most to its cost. They are set once Learned is true.
 	Late, NextWorth, NextPrice float64
 }
 
 const (
-	// listMargin is how long after its boot a replica may take to be listed and to be taken up.
-	listMargin = 3 * time.Second
-	// refusedPause is how long after a refusal none of a kind is ordered in a zone again: calls
-	// are priced, and a second is a fraction of any boot time.
-	refusedPause = time.Second
-	// settleShare of the boot time without a further replica says that all are there that have
-	// started together.
-	settleShare = 0.5
-	// targetLoad is the share of the time for which replicas may be busy until loads have been
-	// seen for long enough: prompts that come while one is read wait for it.
+	// listingMargin is the time after its boot within which a replica is listed and starts to be
+	// used.
+	listingMargin = 3 * time.Second
+	// refusalDelay is the time after a refusal before a kind is ordered in a zone again: calls have
+	// a price, and a second is a fraction of any boot time.
+	refusalDelay = time.Second
+	// baseSettleShare is the share of the boot time without a further replica after which all
+	// replicas that started together are taken to be listed.
+	baseSettleShare = 0.5
+	// targetLoad is the utilization of replicas that is planned for until the load has been
+	// observed for long enough: prompts that arrive during a prefill wait for it.
 	targetLoad = 0.45
-	// growStep is the least share of the replicas by which the need changes, and fallBoots for
-	// how many boot times less has to be needed before any is given up: what comes back soon
-	// has to be booted, and has lost the prefixes that it kept.
-	growStep  = 1.0 / 16
-	fallBoots = 5.0
-	// toleratedZones is the number of zones that may lose their preemptible replicas at once
-	// without a lack.
-	toleratedZones = 1
-	// mixInterval is how often the mix is worked out anew: loads of a fraction of a boot time
-	// can't be followed.
+	// stepShare is the minimum change of the required replicas, as a share of them, and
+	// shrinkBootTimes the number of boot times for which fewer have to be required before any is
+	// released: a replica that is soon needed again has to boot, and has lost its cached prefixes.
+	stepShare       = 1.0 / 16
+	shrinkBootTimes = 5.0
+	// toleratedZoneLosses is the number of zones that may lose their preemptible replicas at once
+	// without a shortage.
+	toleratedZoneLosses = 1
+	// mixInterval is the time between two computations of the mix: load changes within a fraction
+	// of a boot time cannot be followed.
 	mixInterval = time.Second
 )
 
-// Planner plans for one service.
+// Planner plans the replicas of one service.
 type Planner struct {
-	// base is the number of replicas that there were before any was ordered: what the operators
-	// hold to be enough. While it is 0, seen is the most there were, which grew last at seenAt.
-	base   int
-	seen   int
-	seenAt time.Duration
-	// peaks are the most stable replicas that there were in zones for which none was ordered.
-	peaks map[string]int
-	// orderedAt is when each number was ordered, and refusedUntil until when a kind is not to be
-	// had in a zone.
-	orderedAt    map[subject]time.Duration
-	refusedUntil map[subject]time.Duration
-	// grown is the number of replicas that the work needs, as it was when most were needed of
-	// late, at grownAt.
-	grown   int
-	grownAt time.Duration
-	// loads are those of late, and recent those of the last boot time.
+	// base is the number of replicas that were present before any was ordered, which the operators
+	// take to be sufficient. While it is 0, peakStable is the highest number of stable replicas
+	// seen, which last grew at peakStableAt.
+	base         int
+	peakStable   int
+	peakStableAt time.Duration
+	// stablePeaks are the highest numbers of stable replicas in the zones for which none was
+	// ordered.
+	stablePeaks map[string]int
+	// orderedAt is the time of each accepted order. refusedUntil has an entry for each kind that is
+	// unavailable in a zone: the time before which it is not ordered there again.
+	orderedAt    map[orderKey]time.Duration
+	refusedUntil map[orderKey]time.Duration
+	// workNeed is the number of replicas that the work requires: the recent maximum, which last
+	// applied at workNeedAt.
+	workNeed   int
+	workNeedAt time.Duration
+	// loads are the loads of the window after which replicas are released, and recent those of the
+	// last boot time.
 	loads, recent history
-	// mix is the mix that is worth its price, nil until loads have been seen for long enough,
-	// worked out last at mixedAt.
+	// mix is the mix that is worth its price, nil until the load has been observed for long enough.
+	// It was last computed at mixedAt.
 	mix     [][kinds]int
 	mixedAt time.Duration
-	// onlyStable says that preemptible ones are not worth their price.
+	// onlyStable is set while preemptible replicas are not worth their price.
 	onlyStable bool
-	// begun is set once it has been looked whether another planner has ordered a mix.
-	begun   bool
-	outlook Outlook
+	// adoptedMix is set once the mix ordered by an earlier planner, if any, has been adopted.
+	adoptedMix bool
+	outlook    Outlook
 }
 
-type subject struct {
+type orderKey struct {
 	zone string
 	kind Kind
 }
 
-// New returns a planner. base is the number of replicas that are held to be enough, 0 for those
-// that are there before any is ordered.
+// New returns a planner. base is the number of replicas that is taken to be sufficient, or 0 to
+// learn it from the replicas that are present before any is ordered.
 func New(base int) *Planner {
 	return &Planner{
 		base:         base,
-		peaks:        map[string]int{},
-		orderedAt:    map[subject]time.Duration{},
-		refusedUntil: map[subject]time.Duration{},
+		stablePeaks:  map[string]int{},
+		orderedAt:    map[orderKey]time.Duration{},
+		refusedUntil: map[orderKey]time.Duration{},
 	}
 }
 
-// Base is the number of replicas that are held to be enough, 0 while it is being learned.
+// Base is the number of replicas that is taken to be sufficient, or 0 while it is being learned.
 func (p *Planner) Base() int { return p.base }
 
-// Ordered notes that an order was made.
+// Ordered records that an order was accepted.
 func (p *Planner) Ordered(now time.Duration, order Order) {
-	at := subject{order.Zone, order.Kind}
+	at := orderKey{order.Zone, order.Kind}
 	p.orderedAt[at] = now
 	delete(p.refusedUntil, at)
 }
 
-// Lost notes that it is not known whether an order was taken: it is due again.
+// Lost records that it is unknown whether an order was accepted: the order becomes due again.
 func (p *Planner) Lost(order Order) {
-	delete(p.orderedAt, subject{order.Zone, order.Kind})
+	delete(p.orderedAt, orderKey{order.Zone, order.Kind})
 }
 
-// Refused notes that there are no further replicas to be had.
+// Refused records that no further replicas are available.
 func (p *Planner) Refused(now time.Duration, order Order) {
-	p.refusedUntil[subject{order.Zone, order.Kind}] = now + refusedPause
-	delete(p.orderedAt, subject{order.Zone, order.Kind})
+	p.refusedUntil[orderKey{order.Zone, order.Kind}] = now + refusalDelay
+	delete(p.orderedAt, orderKey{order.Zone, order.Kind})
 }
 
-// Outlook tells why the number of replicas is what it is.
+// Outlook explains the planned number of replicas.
 func (p *Planner) Outlook() Outlook { return p.outlook }
 
-// Step returns the orders to make now. Those that add replicas come first.
+// Step returns the orders to make now, those that add replicas first.
 func (p *Planner) Step(now time.Duration, input Input) []Order {
 	p.learnBase(now, input)
-	p.learnNeed(now, input)
-	if p.needed() == 0 || len(input.Zones) == 0 || input.Maximum < max(input.Minimum, 1) {
+	p.updateWorkNeed(now, input)
+	if p.requiredReplicas() == 0 || len(input.Zones) == 0 || input.Maximum < max(input.Minimum, 1) {
 		return nil
 	}
-	p.notePeaks(input)
+	p.updateStablePeaks(input)
 	p.planMix(now, input)
-	wanted := p.wanted(input)
-	p.keepStable(now, input, wanted)
-	p.explain(input, wanted)
+	target := p.targetCounts(input)
+	p.planStable(now, input, target)
+	p.updateOutlook(input, target)
 	for index, zone := range input.Zones {
-		wanted[index] = zone.fit(wanted[index], input.Maximum)
+		target[index] = zone.clampCounts(target[index], input.Maximum)
 	}
 	var orders []Order
 	for index, zone := range input.Zones {
 		for kind := range kinds {
 			if kind == Stable && p.base == 0 {
-				// A number below that of replicas which are yet to be listed would end them.
+				// A count below the number of replicas that are yet to be listed would end some of
+				// them.
 				continue
 			}
-			if order, due := p.due(now, input, zone, kind, wanted[index][kind]); due {
+			if order, due := p.orderDue(now, input, zone, kind, target[index][kind]); due {
 				orders = append(orders, order)
 			}
 		}
 	}
-	slices.SortStableFunc(orders, func(a, b Order) int { return cmp.Compare(p.rank(a, input), p.rank(b, input)) })
+	slices.SortStableFunc(orders, func(a, b Order) int { return cmp.Compare(p.orderRank(a, input), p.orderRank(b, input)) })
 	return orders
 }
 
-// learnBase waits until no replica has come for a while: those that start with the region are
-// listed one after the other, and the first few are not what is enough.
+// learnBase sets the base once no replica has been added for a while: replicas that start with the
+// region are listed one after the other, and the first few are not sufficient.
 func (p *Planner) learnBase(now time.Duration, input Input) {
 	if p.base > 0 {
 		return
 	}
-	if stable := countStable(input.Zones); stable > p.seen {
-		p.seen, p.seenAt = stable, now
+	if stable := servingStable(input.Zones); stable > p.peakStable {
+		p.peakStable, p.peakStableAt = stable, now
 	}
-	if p.seen > 0 && now-p.seenAt >= time.Duration(settleShare*float64(input.BootTime)) {
-		p.base = p.seen
+	if p.peakStable > 0 && now-p.peakStableAt >= time.Duration(baseSettleShare*float64(input.BootTime)) {
+		p.base = p.peakStable
 	}
 }
 
-// learnNeed follows the work: up at once, down when less was needed for a while. A planner that
-// takes over from another one begins with what was ordered.
-func (p *Planner) learnNeed(now time.Duration, input Input) {
-	if p.grown == 0 {
-		p.grown, p.grownAt = input.orderedNeed(), now
+// updateWorkNeed follows the work: it raises the need at once, and lowers it after less has been
+// needed for a while. A planner that takes over from another one starts with what was ordered.
+func (p *Planner) updateWorkNeed(now time.Duration, input Input) {
+	if p.workNeed == 0 {
+		p.workNeed, p.workNeedAt = input.orderedNeed(), now
 	}
-	step := max(1, int(growStep*float64(p.needed())))
+	step := max(1, int(stepShare*float64(p.requiredReplicas())))
 	busy := int(math.Ceil(input.Load.Busy / targetLoad))
-	wanted := (busy + step - 1) / step * step
+	target := (busy + step - 1) / step * step
 	switch {
-	case wanted > p.grown:
-		p.grown, p.grownAt = wanted, now
-	case wanted > p.grown-step:
-		p.grownAt = now
-	case now-p.grownAt > time.Duration(fallBoots*float64(input.BootTime)):
-		p.grown, p.grownAt = wanted, now
+	case target > p.workNeed:
+		p.workNeed, p.workNeedAt = target, now
+	case target > p.workNeed-step:
+		p.workNeedAt = now
+	case now-p.workNeedAt > time.Duration(shrinkBootTimes*float64(input.BootTime)):
+		p.workNeed, p.workNeedAt = target, now
 	}
 }
 
-// orderedNeed is the need that the numbers ordered so far were for.
+// orderedNeed is the need for which the present counts were ordered.
 func (i Input) orderedNeed() int {
 	ordered := 0
 	for _, zone := range i.Zones {
@@ -250,45 +255,45 @@
 			ordered += max(zone.Ordered[kind], 0)
 		}
 	}
-	if spread := i.spread(); spread > 0 {
-		return int(float64(ordered) / spread)
+	if factor := i.overprovisionFactor(); factor > 0 {
+		return int(float64(ordered) / factor)
 	}
 	return ordered
 }
 
-// rank is 0 for orders that add replicas.
-func (p *Planner) rank(o Order, input Input) int {
+// orderRank is 1 for orders that reduce a count, and 0 for the others, which are made first.
+func (p *Planner) orderRank(o Order, input Input) int {
 	for _, zone := range input.Zones {
-		if zone.Name == o.Zone && o.Count < p.present(zone, o.Kind) {
+		if zone.Name == o.Zone && o.Count < p.currentCount(zone, o.Kind) {
 			return 1
 		}
 	}
 	return 0
 }
 
-// present is the number that a kind is to be compared with: what was ordered, or what was there
-// if nothing ever was.
-func (p *Planner) present(z Zone, kind Kind) int {
+// currentCount is the count that a new one is compared with: the one ordered last, or the replicas
+// that were present if none ever was.
+func (p *Planner) currentCount(z Zone, kind Kind) int {
 	if z.Ordered[kind] >= 0 {
 		return z.Ordered[kind]
 	}
 	if kind == Stable {
-		return p.peaks[z.Name]
+		return p.stablePeaks[z.Name]
 	}
 	return z.Serving[kind]
 }
 
-// notePeaks remembers how many stable replicas there were at most in a zone for which none was
-// ordered: those that have crashed come back by themselves.
-func (p *Planner) notePeaks(input Input) {
+// updateStablePeaks records the highest number of stable replicas in each zone for which none was
+// ordered: replicas that have crashed restart by themselves.
+func (p *Planner) updateStablePeaks(input Input) {
 	for _, zone := range input.Zones {
 		if zone.Ordered[Stable] < 0 {
-			p.peaks[zone.Name] = max(p.peaks[zone.Name], zone.Serving[Stable])
+			p.stablePeaks[zone.Name] = max(p.stablePeaks[zone.Name], zone.Serving[Stable])
 		}
 	}
 }
 
-func countStable(zones []Zone) int {
+func servingStable(zones []Zone) int {
 	sum := 0
 	for _, zone := range zones {
 		sum += zone.Serving[Stable]
@@ -296,98 +301,100 @@
 	return sum
 }
 
-// needed is the number of replicas that have to serve whatever is taken away: those that the
-// operators hold to be enough, or that have been seen while this is being learned, and more if
-// the work needs them.
-func (p *Planner) needed() int { return max(p.base, p.seen, p.grown) }
+// requiredReplicas is the number of replicas that have to serve whatever is preempted: the base, or
+// the highest number of stable replicas seen while the base is being learned, or more if the work
+// requires them.
+func (p *Planner) requiredReplicas() int { return max(p.base, p.peakStable, p.workNeed) }
 
-// wanted is the number of each kind in each zone if all are to be had.
-func (p *Planner) wanted(input Input) [][kinds]int {
+// targetCounts is the wanted count of each kind in each zone, provided that all replicas are
+// available.
+func (p *Planner) targetCounts(input Input) [][kinds]int {
 	zones := len(input.Zones)
-	wanted := make([][kinds]int, zones)
-	needed, spread := p.needed(), input.spread()
+	target := make([][kinds]int, zones)
+	needed, factor := p.requiredReplicas(), input.overprovisionFactor()
 	switch {
 	case len(p.mix) == zones && !p.onlyStable:
-		copy(wanted, p.mix)
+		copy(target, p.mix)
 		for index, zone := range input.Zones {
-			if p.dryZone(zone) {
-				// It is asked for again and again until they are to be had.
-				wanted[index][Preemptible] = max(wanted[index][Preemptible], zone.Ordered[Preemptible])
+			if p.preemptibleUnavailable(zone) {
+				// The order is repeated until replicas are available.
+				target[index][Preemptible] = max(target[index][Preemptible], zone.Ordered[Preemptible])
 			}
 		}
-		return wanted
+		return target
 	case len(p.mix) == zones:
-		p.wantStable(input, wanted, total(p.mix))
-		p.keepPreemptible(input, wanted)
-		return wanted
-	case spread == 0:
-		p.wantStable(input, wanted, needed)
-		return wanted
+		p.targetStable(input, target, total(p.mix))
+		p.retainPreemptible(input, target)
+		return target
+	case factor == 0:
+		p.targetStable(input, target, needed)
+		return target
 	}
-	for index, count := range shares(int(math.Ceil(float64(needed)*spread)), zones) {
-		wanted[index][Stable] = input.Minimum
-		wanted[index][Preemptible] = input.within(count) - input.Minimum
+	for index, count := range splitEvenly(int(math.Ceil(float64(needed)*factor)), zones) {
+		target[index][Stable] = input.Minimum
+		target[index][Preemptible] = input.clampCount(count) - input.Minimum
 	}
-	return wanted
+	return target
 }
 
-// wantStable has only stable replicas: those that there are, and as many more or fewer as are
-// needed, so that the zones come closer to each other.
-func (p *Planner) wantStable(input Input, wanted [][kinds]int, needed int) {
+// targetStable plans stable replicas only: the present ones, and as many more or fewer as are
+// needed, in such a way that the counts of the zones become more equal.
+func (p *Planner) targetStable(input Input, target [][kinds]int, needed int) {
 	missing := needed
 	for index, zone := range input.Zones {
 		count := zone.Ordered[Stable]
 		if count < 0 {
-			count = p.peaks[zone.Name]
+			count = p.stablePeaks[zone.Name]
 		}
-		wanted[index][Stable] = input.within(count)
-		missing -= wanted[index][Stable]
+		target[index][Stable] = input.clampCount(count)
+		missing -= target[index][Stable]
 	}
 	compare := func(a, b [kinds]int) int { return cmp.Compare(a[Stable], b[Stable]) }
 	for ; missing > 0; missing-- {
-		least := slices.Index(wanted, slices.MinFunc(wanted, compare))
-		if wanted[least][Stable] >= input.Maximum {
+		smallest := slices.Index(target, slices.MinFunc(target, compare))
+		if target[smallest][Stable] >= input.Maximum {
 			return
 		}
-		wanted[least][Stable]++
+		target[smallest][Stable]++
 	}
 	for ; missing < 0; missing++ {
-		most := slices.Index(wanted, slices.MaxFunc(wanted, compare))
-		if wanted[most][Stable] <= input.Minimum {
+		largest := slices.Index(target, slices.MaxFunc(target, compare))
+		if target[largest][Stable] <= input.Minimum {
 			return
 		}
-		wanted[most][Stable]--
+		target[largest][Stable]--
 	}
 }
 
-// keepPreemptible keeps preemptible replicas until stable ones serve in their place.
-func (p *Planner) keepPreemptible(input Input, wanted [][kinds]int) {
-	stable := countStable(input.Zones)
+// retainPreemptible keeps preemptible replicas until stable ones serve in their place.
+func (p *Planner) retainPreemptible(input Input, target [][kinds]int) {
+	stable := servingStable(input.Zones)
 	for index, zone := range input.Zones {
 		if stable < total(p.mix) {
-			wanted[index][Preemptible] = max(zone.Ordered[Preemptible], 0)
+			target[index][Preemptible] = max(zone.Ordered[Preemptible], 0)
 		}
 	}
 }
 
-// spread is how many preemptible replicas there have to be for each one that is needed, so that
-// it is left when as many zones lose theirs as pays; 0 if none pays.
-func (i Input) spread() float64 {
+// overprovisionFactor is the number of preemptible replicas for each required one, such that the
+// required number remains after as many zones have lost theirs as is economical. It is 0 if
+// preemptible replicas are not economical.
+func (i Input) overprovisionFactor() float64 {
 	zones := float64(len(i.Zones))
 	best := 0.0
-	for lost := 1.0; lost < zones && lost <= toleratedZones; lost++ {
-		if spread := zones / (zones - lost); i.PreemptiblePrice > 0 && i.PreemptiblePrice*spread < 1 {
-			best = spread
+	for lost := 1.0; lost < zones && lost <= toleratedZoneLosses; lost++ {
+		if factor := zones / (zones - lost); i.PreemptiblePrice > 0 && i.PreemptiblePrice*factor < 1 {
+			best = factor
 		}
 	}
 	return best
 }
 
-// within bounds the number of replicas of a zone.
-func (i Input) within(count int) int { return min(max(count, i.Minimum), i.Maximum) }
+// clampCount bounds the number of replicas of a zone.
+func (i Input) clampCount(count int) int { return min(max(count, i.Minimum), i.Maximum) }
 
-// shares divides a number evenly over some zones.
-func shares(count, zones int) []int {
+// splitEvenly divides a count evenly over zones.
+func splitEvenly(count, zones int) []int {
 	each := make([]int, zones)
 	for index := range each {
 		each[index] = count / zones
@@ -398,17 +405,18 @@
 	return each
 }
 
-// due reports whether a number has to be ordered: it is not the one ordered before, or another
-// number serves than was ordered though there was time for it to change. Without the latter, a
-// lost order to give replicas up left 47 of them paid for a whole day.
-func (p *Planner) due(now time.Duration, input Input, zone Zone, kind Kind, count int) (Order, bool) {
-	at := subject{zone.Name, kind}
+// orderDue reports whether a count has to be ordered: it differs from the count ordered before, or
+// the number of serving replicas still differs from it after the time that an order needs to take
+// effect. Without the second rule, a lost order to release replicas left 47 of them paid for a
+// whole day.
+func (p *Planner) orderDue(now time.Duration, input Input, zone Zone, kind Kind, count int) (Order, bool) {
+	at := orderKey{zone.Name, kind}
 	if now < p.refusedUntil[at] {
 		return Order{}, false
 	}
 	order := Order{Zone: zone.Name, Kind: kind, Count: count}
-	if count != p.present(zone, kind) {
-		order.Reason = "another number is wanted"
+	if count != p.currentCount(zone, kind) {
+		order.Reason = "the target has changed"
 		return order, true
 	}
 	if zone.Ordered[kind] < 0 || zone.Serving[kind] == count {
@@ -416,12 +424,12 @@
 		return Order{}, false
 	}
 	ordered, known := p.orderedAt[at]
-	if known && now-ordered <= input.BootTime+listMargin {
+	if known && now-ordered <= input.BootTime+listingMargin {
 		return Order{}, false
 	}
-	order.Reason = "fewer serve than were ordered"
+	order.Reason = "fewer replicas serve than were ordered"
 	if zone.Serving[kind] > count {
-		order.Reason = "more serve than were ordered"
+		order.Reason = "more replicas serve than were ordered"
 	}
 	return order, true
 }
--- a/internal/fleetplan/plan_test.go
+++ b/internal/fleetplan/plan_test.go
@@ -15,23 +15,24 @@
 	maximum  = 94
 )
 
-// cloud is a platform on which replicas boot, and are taken away.
-type cloud struct {
+// testPlatform simulates a platform on which replicas boot and are preempted.
+type testPlatform struct {
 	t       *testing.T
 	now     time.Duration
 	planner *fleetplan.Planner
 	input   fleetplan.Input
-	// booting are the replicas that will serve, by zone and kind, with when.
+	// booting are the times at which replicas will serve, by zone and kind.
 	booting map[[2]int][]time.Duration
-	// dryUntil is until when no preemptible replicas are to be had.
-	dryUntil time.Duration
-	orders   int
-	// lost is the number of orders to come that are noted and never taken.
-	lost int
+	// unavailableUntil is the time before which no preemptible replicas are available.
+	unavailableUntil time.Duration
+	orders           int
+	// unansweredOrders is the number of orders to come that are recorded, get no response and are
+	// not carried out.
+	unansweredOrders int
 }
 
-func newCloud(t *testing.T, stable ...int) *cloud {
-	c := &cloud{t: t, planner: fleetplan.New(0), booting: map[[2]int][]time.Duration{}}
+func newTestPlatform(t *testing.T, stable ...int) *testPlatform {
+	c := &testPlatform{t: t, planner: fleetplan.New(0), booting: map[[2]int][]time.Duration{}}
 	c.input = fleetplan.Input{Minimum: 1, Maximum: maximum, BootTime: bootTime, PreemptiblePrice: 0.2}
 	for index, count := range stable {
 		zone := fleetplan.Zone{Name: string(rune('a' + index)), Price: 1 + float64(index)/10}
@@ -42,8 +43,8 @@
 	return c
 }
 
-// run lets time pass, and carries the plan's orders out.
-func (c *cloud) run(until time.Duration, check func()) {
+// run advances the time and carries out the planner's orders.
+func (c *testPlatform) run(until time.Duration, check func()) {
 	for ; c.now < until; c.now += 250 * time.Millisecond {
 		c.boot()
 		for _, order := range c.planner.Step(c.now, c.input) {
@@ -56,7 +57,7 @@
 	}
 }
 
-func (c *cloud) boot() {
+func (c *testPlatform) boot() {
 	for at, due := range c.booting {
 		var later []time.Duration
 		for _, when := range due {
@@ -70,7 +71,7 @@
 	}
 }
 
-func (c *cloud) carryOut(order fleetplan.Order) {
+func (c *testPlatform) carryOut(order fleetplan.Order) {
 	for index := range c.input.Zones {
 		zone := &c.input.Zones[index]
 		if zone.Name != order.Zone {
@@ -78,14 +79,14 @@
 		}
 		at := [2]int{index, int(order.Kind)}
 		present := zone.Serving[order.Kind] + len(c.booting[at])
-		if order.Kind == fleetplan.Preemptible && order.Count > present && c.now < c.dryUntil {
+		if order.Kind == fleetplan.Preemptible && order.Count > present && c.now < c.unavailableUntil {
 			zone.Ordered[order.Kind] = order.Count
 			c.planner.Refused(c.now, order)
 			return
 		}
 		zone.Ordered[order.Kind] = order.Count
-		if c.lost > 0 {
-			c.lost--
+		if c.unansweredOrders > 0 {
+			c.unansweredOrders--
 			c.planner.Lost(order)
 			return
 		}
@@ -98,18 +99,19 @@
 			zone.Serving[order.Kind] = min(zone.Serving[order.Kind], order.Count)
 		}
 		both := zone.Serving[fleetplan.Stable] + zone.Serving[fleetplan.Preemptible]
-		assert.LessOrEqual(c.t, both, maximum, "the limit counts for both kinds")
+		assert.LessOrEqual(c.t, both, maximum, "the limit applies to both kinds together")
 	}
 }
 
-// reclaim takes all preemptible replicas of a zone away, and lets none be had for a while.
-func (c *cloud) reclaim(zone int, dry time.Duration) {
+// preempt removes all preemptible replicas of a zone, and makes preemptible replicas unavailable
+// for a while.
+func (c *testPlatform) preempt(zone int, duration time.Duration) {
 	c.input.Zones[zone].Serving[fleetplan.Preemptible] = 0
 	c.booting[[2]int{zone, int(fleetplan.Preemptible)}] = nil
-	c.dryUntil = c.now + dry
+	c.unavailableUntil = c.now + duration
 }
 
-func (c *cloud) serving(kind fleetplan.Kind) int {
+func (c *testPlatform) serving(kind fleetplan.Kind) int {
 	sum := 0
 	for _, zone := range c.input.Zones {
 		sum += zone.Serving[kind]
@@ -117,11 +119,13 @@
 	return sum
 }
 
-func (c *cloud) all() int { return c.serving(fleetplan.Stable) + c.serving(fleetplan.Preemptible) }
+func (c *testPlatform) totalServing() int {
+	return c.serving(fleetplan.Stable) + c.serving(fleetplan.Preemptible)
+}
 
-func TestCheaperReplicasTakeThePlaceOfStableOnesWithoutAGap(t *testing.T) {
-	c := newCloud(t, 20, 20, 20)
-	c.run(30*time.Second, func() { assert.GreaterOrEqual(t, c.all(), 60, "at %s", c.now) })
+func TestPreemptibleReplicasReplaceStableOnesWithoutShortage(t *testing.T) {
+	c := newTestPlatform(t, 20, 20, 20)
+	c.run(30*time.Second, func() { assert.GreaterOrEqual(t, c.totalServing(), 60, "at %s", c.now) })
 	assert.Equal(t, 3, c.serving(fleetplan.Stable), "the minimum")
 	assert.Equal(t, 87, c.serving(fleetplan.Preemptible))
 	orders := c.orders
@@ -129,65 +133,65 @@
 	assert.Equal(t, orders, c.orders, "nothing more is ordered")
 }
 
-func TestWhatIsEnoughIsNotWhatIsListedFirst(t *testing.T) {
-	c := newCloud(t, 1, 1, 1)
+func TestBaseIsLearnedOnlyAfterListingSettles(t *testing.T) {
+	c := newTestPlatform(t, 1, 1, 1)
 	for range 10 {
 		for index := range c.input.Zones {
 			c.input.Zones[index].Serving[fleetplan.Stable] += 2
 		}
 		c.run(c.now+500*time.Millisecond, func() { assert.Zero(t, c.planner.Base()) })
 		for _, zone := range c.input.Zones {
-			assert.Negative(t, zone.Ordered[fleetplan.Stable], "none is given up")
+			assert.Negative(t, zone.Ordered[fleetplan.Stable], "none is released")
 		}
 	}
 	c.run(c.now+30*time.Second, nil)
 	assert.Equal(t, 63, c.planner.Base())
 }
 
-func TestTheLossOfOneZoneLeavesEnoughAndIsMadeUpFor(t *testing.T) {
-	c := newCloud(t, 20, 20, 20)
+func TestLossOfOneZoneIsToleratedAndReplaced(t *testing.T) {
+	c := newTestPlatform(t, 20, 20, 20)
 	c.run(30*time.Second, nil)
-	c.reclaim(1, 9*time.Second)
-	assert.GreaterOrEqual(t, c.all(), 60)
-	c.run(60*time.Second, func() { assert.GreaterOrEqual(t, c.all(), 40, "at %s", c.now) })
+	c.preempt(1, 9*time.Second)
+	assert.GreaterOrEqual(t, c.totalServing(), 60)
+	c.run(60*time.Second, func() { assert.GreaterOrEqual(t, c.totalServing(), 40, "at %s", c.now) })
 	assert.Equal(t, 87, c.serving(fleetplan.Preemptible))
 	assert.Equal(t, 3, c.serving(fleetplan.Stable))
 }
 
-func TestAfterTheLossOfTwoZonesStableOnesComeUntilOthersAreToBeHad(t *testing.T) {
-	c := newCloud(t, 20, 20, 20)
+func TestStableReplicasSubstituteAfterLossOfTwoZones(t *testing.T) {
+	c := newTestPlatform(t, 20, 20, 20)
 	c.run(30*time.Second, nil)
-	c.reclaim(1, 20*time.Second)
+	c.preempt(1, 20*time.Second)
 	c.run(c.now+time.Second, nil)
-	c.reclaim(2, 20*time.Second)
+	c.preempt(2, 20*time.Second)
 	c.run(c.now+bootTime+2*time.Second, nil)
-	assert.GreaterOrEqual(t, c.all(), 60, "stable ones have come in their boot time")
+	assert.GreaterOrEqual(t, c.totalServing(), 60, "stable replicas serve after their boot time")
 	c.run(c.now+60*time.Second, nil)
-	assert.Equal(t, 3, c.serving(fleetplan.Stable), "and have gone again")
+	assert.Equal(t, 3, c.serving(fleetplan.Stable), "and are released again")
 	assert.Equal(t, 87, c.serving(fleetplan.Preemptible))
 }
 
-func TestWherePreemptibleOnesDoNotPayNoneAreOrdered(t *testing.T) {
-	for name, change := range map[string]func(*cloud){
-		"too dear":  func(c *cloud) { c.input.PreemptiblePrice = 0.7 },
-		"none":      func(c *cloud) { c.input.PreemptiblePrice = 0 },
-		"bad terms": func(c *cloud) { c.input.Minimum, c.input.Maximum = 10, 5 },
+func TestPreemptibleReplicasAreNotOrderedUnlessCheaper(t *testing.T) {
+	for name, change := range map[string]func(*testPlatform){
+		"too expensive":  func(c *testPlatform) { c.input.PreemptiblePrice = 0.7 },
+		"unavailable":    func(c *testPlatform) { c.input.PreemptiblePrice = 0 },
+		"invalid bounds": func(c *testPlatform) { c.input.Minimum, c.input.Maximum = 10, 5 },
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newCloud(t, 20, 20, 20)
+			c := newTestPlatform(t, 20, 20, 20)
 			change(c)
 			c.run(30*time.Second, nil)
 			assert.Equal(t, 60, c.serving(fleetplan.Stable))
 			assert.Zero(t, c.serving(fleetplan.Preemptible))
 		})
 	}
-	alone := newCloud(t, 20)
-	alone.run(30*time.Second, nil)
-	assert.Equal(t, 20, alone.serving(fleetplan.Stable), "one zone can lose all of its preemptible ones")
+	single := newTestPlatform(t, 20)
+	single.run(30*time.Second, nil)
+	assert.Equal(t, 20, single.serving(fleetplan.Stable), "a single zone can lose all of its preemptible replicas")
 }
 
-func TestALostReplicaIsOrderedAgain(t *testing.T) {
-	c := newCloud(t, 20, 20, 20)
+func TestLostReplicaIsReordered(t *testing.T) {
+	c := newTestPlatform(t, 20, 20, 20)
 	c.run(30*time.Second, nil)
 	orders := c.orders
 	c.input.Zones[0].Serving[fleetplan.Preemptible]--
@@ -196,42 +200,42 @@
 	assert.Equal(t, 87, c.serving(fleetplan.Preemptible))
 }
 
-func TestTheFleetGrowsWithTheWorkAndFallsLater(t *testing.T) {
-	c := newCloud(t, 20, 20, 20)
+func TestFleetGrowsAtOnceAndShrinksLater(t *testing.T) {
+	c := newTestPlatform(t, 20, 20, 20)
 	c.run(30*time.Second, nil)
 	c.input.Load.Busy = 45
 	c.run(c.now+2*bootTime, nil)
-	assert.InDelta(t, 150, c.all(), 8, "100 are needed, of which one zone may go")
+	assert.InDelta(t, 150, c.totalServing(), 8, "100 have to remain if one zone is lost")
 	orders := c.orders
 	for range 20 {
 		c.input.Load.Busy = 45 - c.input.Load.Busy
 		c.run(c.now+3*time.Second, nil)
 	}
-	assert.Equal(t, orders, c.orders, "work that comes and goes is not followed")
+	assert.Equal(t, orders, c.orders, "oscillating work is not followed")
 	c.input.Load.Busy = 0
 	c.run(c.now+60*time.Second, nil)
-	assert.Equal(t, 90, c.all(), "60 are enough")
+	assert.Equal(t, 90, c.totalServing(), "60 have to remain if one zone is lost")
 	c.input.Load.Busy = 1000
 	c.run(c.now+60*time.Second, nil)
-	assert.Equal(t, 3*maximum, c.all(), "within the limits")
+	assert.Equal(t, 3*maximum, c.totalServing(), "within the limits")
 }
 
-func TestAPlannerThatTakesOverGivesNothingUpAtOnce(t *testing.T) {
-	c := newCloud(t, 20, 20, 20)
+func TestNewPlannerReleasesNothingAtOnce(t *testing.T) {
+	c := newTestPlatform(t, 20, 20, 20)
 	c.run(30*time.Second, nil)
 	c.input.Load.Busy = 45
 	c.run(c.now+2*bootTime, nil)
-	before := c.all()
+	before := c.totalServing()
 	c.planner = fleetplan.New(c.planner.Base())
 	c.input.Load.Busy = 0
 	c.run(c.now+2*bootTime, nil)
-	assert.Equal(t, before, c.all())
+	assert.Equal(t, before, c.totalServing())
 }
 
-// TestStableReplicasAreLeftAsTheyAre has preemptible ones not pay: what starts one after the other,
-// unevenly, and crashes and comes back, is not ordered away or moved between zones.
-func TestStableReplicasAreLeftAsTheyAre(t *testing.T) {
-	c := newCloud(t, 1, 1, 1)
+// Preemptible replicas are not worth their price here. Stable replicas that start one after the
+// other, unevenly, and that crash and restart, are neither released nor moved between zones.
+func TestStableReplicasAreNotReordered(t *testing.T) {
+	c := newTestPlatform(t, 1, 1, 1)
 	c.input.PreemptiblePrice = 0.8
 	for number := range 10 {
 		for index := range c.input.Zones {
@@ -240,60 +244,60 @@
 		c.run(c.now+500*time.Millisecond, nil)
 	}
 	c.run(c.now+20*time.Second, nil)
-	before := c.all()
+	before := c.totalServing()
 	c.input.Zones[1].Serving[fleetplan.Stable] -= 3
 	c.run(c.now+5*time.Second, nil)
 	c.input.Zones[1].Serving[fleetplan.Stable] += 3
 	c.run(c.now+20*time.Second, nil)
 	assert.Zero(t, c.orders)
-	assert.Equal(t, before, c.all())
+	assert.Equal(t, before, c.totalServing())
 	c.input.Load.Busy = float64(before)
 	c.run(c.now+20*time.Second, nil)
-	assert.Greater(t, c.all(), 2*before, "more come when the work needs them")
+	assert.Greater(t, c.totalServing(), 2*before, "replicas are added when the work needs them")
 }
 
-func TestALostOrderIsMadeAgain(t *testing.T) {
+func TestUnansweredOrderIsRepeated(t *testing.T) {
 	for lost := 1; lost < 12; lost++ {
-		c := newCloud(t, 20, 20, 20)
+		c := newTestPlatform(t, 20, 20, 20)
 		c.run(2250*time.Millisecond, nil)
-		c.lost = lost
+		c.unansweredOrders = lost
 		c.run(60*time.Second, nil)
-		assert.Equal(t, 3, c.serving(fleetplan.Stable), "%d orders are lost", lost)
-		assert.Equal(t, 87, c.serving(fleetplan.Preemptible), "%d orders are lost", lost)
+		assert.Equal(t, 3, c.serving(fleetplan.Stable), "%d unanswered orders", lost)
+		assert.Equal(t, 87, c.serving(fleetplan.Preemptible), "%d unanswered orders", lost)
 	}
 }
 
-func TestAnOrderThatWasTakenAndHadNoEffectIsMadeAgain(t *testing.T) {
-	c := newCloud(t, 20, 20, 20)
+func TestOrderWithoutEffectIsRepeated(t *testing.T) {
+	c := newTestPlatform(t, 20, 20, 20)
 	c.run(30*time.Second, nil)
 	c.input.Zones[0].Serving[fleetplan.Stable] = 20
 	c.run(60*time.Second, nil)
 	assert.Equal(t, 3, c.serving(fleetplan.Stable))
 }
 
-// load has replicas busy with reading, as much of which they have kept, and a few prompts that
-// wait too long.
-func load(busy float64) fleetplan.Load {
+// newLoad returns a load that keeps a number of replicas busy, with cached prefixes that save as
+// much again, and with a few delayed prompts.
+func newLoad(busy float64) fleetplan.Load {
 	return fleetplan.Load{
 		Told: true, Busy: busy, Kept: busy, Prompts: 10 * busy, Delayed: busy / 10,
 		Slack: 600 * time.Millisecond, Reading: 150 * time.Millisecond,
 	}
 }
 
-// learned is a cloud whose work has been seen for long enough.
-func learned(t *testing.T, busy float64) *cloud {
-	c := newCloud(t, 30, 30, 30)
+// newPlatformWithKnownLoad returns a platform whose load has been observed for long enough.
+func newPlatformWithKnownLoad(t *testing.T, busy float64) *testPlatform {
+	c := newTestPlatform(t, 30, 30, 30)
 	c.run(30*time.Second, nil)
-	c.input.Load = load(busy)
-	c.run(c.now+40*time.Second, func() { assert.Greater(t, float64(c.all()), 2*busy, "at %s", c.now) })
+	c.input.Load = newLoad(busy)
+	c.run(c.now+40*time.Second, func() { assert.Greater(t, float64(c.totalServing()), 2*busy, "at %s", c.now) })
 	return c
 }
 
-// TestReplicasThatAreNotWorthTheirPriceAreGivenUp has many more replicas there at the start than
-// the work needs: as many as were there, and half of them more against a loss, were paid all day.
-func TestReplicasThatAreNotWorthTheirPriceAreGivenUp(t *testing.T) {
-	c := learned(t, 10)
-	assert.Less(t, c.all(), 60)
+// There are many more replicas at the start than the work needs. As many as at the start, and half
+// as many again against a zone loss, were paid for all day.
+func TestReplicasNotWorthTheirPriceAreReleased(t *testing.T) {
+	c := newPlatformWithKnownLoad(t, 10)
+	assert.Less(t, c.totalServing(), 60)
 	assert.True(t, c.planner.Outlook().Learned)
 	assert.Less(t, c.planner.Outlook().NextWorth, c.planner.Outlook().NextPrice)
 	orders := c.orders
@@ -301,92 +305,92 @@
 	assert.Equal(t, orders, c.orders, "a steady load changes nothing")
 }
 
-func TestTheFleetFollowsAStepToTwiceTheLoadAtOnceAndItsEndLater(t *testing.T) {
-	c := learned(t, 15)
-	before := c.all()
-	c.input.Load = load(30)
+func TestFleetFollowsDoubledLoadAtOnceAndShrinksLater(t *testing.T) {
+	c := newPlatformWithKnownLoad(t, 15)
+	before := c.totalServing()
+	c.input.Load = newLoad(30)
 	c.run(c.now+bootTime+3*time.Second, nil)
-	assert.Greater(t, c.all(), before*6/5)
+	assert.Greater(t, c.totalServing(), before*6/5)
 	c.run(c.now+30*time.Second, nil)
-	twice := c.all()
+	twice := c.totalServing()
 	assert.Greater(t, twice, before*5/3)
-	c.input.Load = load(15)
+	c.input.Load = newLoad(15)
 	c.run(c.now+bootTime, nil)
-	assert.Greater(t, c.all(), twice*9/10, "it may come back")
+	assert.Greater(t, c.totalServing(), twice*9/10, "the load may return")
 	c.run(c.now+40*time.Second, nil)
-	assert.InDelta(t, before, c.all(), 6)
+	assert.InDelta(t, before, c.totalServing(), 6)
 }
 
-// TestAZoneThatIsLostAtThePeak has one zone's preemptible replicas go, and none be had anywhere:
-// stable ones come only as far as they are worth their price, none in the place of what boots, and
-// all go again.
-func TestAZoneThatIsLostAtThePeak(t *testing.T) {
-	c := learned(t, 30)
-	before, stable := c.all(), c.serving(fleetplan.Stable)
-	c.reclaim(1, 12*time.Second)
-	c.input.Load = load(40)
+// One zone loses its preemptible replicas, and none are available anywhere: stable ones are added
+// only as far as they are worth their price, none of them in place of booting replicas, and all are
+// released again.
+func TestZoneLossAtPeakLoad(t *testing.T) {
+	c := newPlatformWithKnownLoad(t, 30)
+	before, stable := c.totalServing(), c.serving(fleetplan.Stable)
+	c.preempt(1, 12*time.Second)
+	c.input.Load = newLoad(40)
 	c.run(c.now+12*time.Second, func() {
-		assert.Greater(t, c.all(), 53, "at %s", c.now)
+		assert.Greater(t, c.totalServing(), 53, "at %s", c.now)
 		assert.LessOrEqual(t, c.serving(fleetplan.Stable), max(stable, c.planner.Outlook().Enough), "at %s", c.now)
 	})
-	assert.GreaterOrEqual(t, c.all(), 90)
-	c.input.Load = load(30)
+	assert.GreaterOrEqual(t, c.totalServing(), 90)
+	c.input.Load = newLoad(30)
 	c.run(c.now+60*time.Second, nil)
 	assert.Equal(t, stable, c.serving(fleetplan.Stable))
-	assert.InDelta(t, before, c.all(), 12)
+	assert.InDelta(t, before, c.totalServing(), 12)
 }
 
-func TestWhereNoPreemptibleOnesAreToBeHadStableOnesStay(t *testing.T) {
-	c := newCloud(t, 30, 30, 30)
-	c.dryUntil = time.Hour
-	c.input.Load = load(20)
-	c.run(60*time.Second, func() { assert.GreaterOrEqual(t, c.all(), 40, "at %s", c.now) })
+func TestStableReplicasStayWithoutPreemptibleCapacity(t *testing.T) {
+	c := newTestPlatform(t, 30, 30, 30)
+	c.unavailableUntil = time.Hour
+	c.input.Load = newLoad(20)
+	c.run(60*time.Second, func() { assert.GreaterOrEqual(t, c.totalServing(), 40, "at %s", c.now) })
 	assert.Zero(t, c.serving(fleetplan.Preemptible))
 }
 
-func TestALeaderThatTakesOverKeepsTheMixUntilItHasSeenTheLoad(t *testing.T) {
-	c := learned(t, 15)
-	before, orders := c.all(), c.orders
-	for _, told := range []fleetplan.Load{{}, load(15), {Told: true}} {
+func TestNewLeaderKeepsOrderedMixUntilLoadIsKnown(t *testing.T) {
+	c := newPlatformWithKnownLoad(t, 15)
+	before, orders := c.totalServing(), c.orders
+	for _, reported := range []fleetplan.Load{{}, newLoad(15), {Told: true}} {
 		c.planner = fleetplan.New(c.planner.Base())
-		c.input.Load = told
+		c.input.Load = reported
 		c.run(c.now+60*time.Second, nil)
-		assert.Equal(t, before, c.all())
+		assert.Equal(t, before, c.totalServing())
 		assert.Equal(t, orders, c.orders)
 	}
 	c.planner = fleetplan.New(c.planner.Base())
-	c.input.Load = load(30)
+	c.input.Load = newLoad(30)
 	c.run(c.now+bootTime+3*time.Second, nil)
-	assert.Greater(t, c.all(), before*6/5, "what is needed is ordered at once")
+	assert.Greater(t, c.totalServing(), before*6/5, "what is needed is ordered at once")
 }
 
-// TestAFleetThatTellsNothingIsLeftAsItIs has the gateways fall silent, and then tell of no work.
-func TestAFleetThatTellsNothingIsLeftAsItIs(t *testing.T) {
-	c := learned(t, 15)
-	before := c.all()
+// The gateways stop reporting, and then report no work.
+func TestFleetWithoutLoadReportsIsKept(t *testing.T) {
+	c := newPlatformWithKnownLoad(t, 15)
+	before := c.totalServing()
 	c.input.Load = fleetplan.Load{}
 	c.run(c.now+60*time.Second, nil)
-	assert.Equal(t, before, c.all())
+	assert.Equal(t, before, c.totalServing())
 	c.input.Load.Told = true
 	c.run(c.now+60*time.Second, nil)
-	assert.Greater(t, c.all(), before/3)
+	assert.Greater(t, c.totalServing(), before/3)
 }
 
-// TestAFleetAtItsLimitKeepsWhatServes has the load rise past what the zones may hold: stable ones, which
-// are never lost, become worth their price in the place of preemptible ones. Of 60 that served 56 were
-// given up for stable ones that had yet to boot.
-func TestAFleetAtItsLimitKeepsWhatServes(t *testing.T) {
+// The load rises beyond what the zones may hold: stable replicas, which are never lost, become
+// worth their price in place of preemptible ones. Of 60 serving replicas, 56 were released for
+// stable ones that had yet to boot.
+func TestFleetAtLimitKeepsServingReplicas(t *testing.T) {
 	for _, limit := range []int{20, 30, 40, 50} {
-		c := learned(t, 10)
+		c := newPlatformWithKnownLoad(t, 10)
 		c.input.Maximum = limit
 		most := 0
 		for busy := 10.0; busy < 60; busy += 0.5 {
-			c.input.Load = load(busy)
+			c.input.Load = newLoad(busy)
 			c.run(c.now+time.Second, func() {
-				most = max(most, c.all())
-				assert.GreaterOrEqual(t, c.all(), most*9/10, "limit %d, load %.1f at %s", limit, busy, c.now)
+				most = max(most, c.totalServing())
+				assert.GreaterOrEqual(t, c.totalServing(), most*9/10, "limit %d, load %.1f at %s", limit, busy, c.now)
 			})
 		}
-		assert.Greater(t, c.all(), 2*limit, "limit %d", limit)
+		assert.Greater(t, c.totalServing(), 2*limit, "limit %d", limit)
 	}
 }
--- a/internal/fleetplan/planmix.go
+++ b/internal/fleetplan/planmix.go
@@ -5,53 +5,55 @@
 	"time"
 )
 
-// planMix works out the mix that is worth its price. A new one is taken over if it has clearly
-// more or fewer replicas.
+// planMix computes the mix that is worth its price. A new mix is used if it has clearly more or
+// fewer replicas.
 func (p *Planner) planMix(now time.Duration, input Input) {
-	if !p.begun {
-		p.begun = true
+	if !p.adoptedMix {
+		p.adoptedMix = true
 		p.mix = input.orderedMix()
 	}
-	memory := time.Duration(fallBoots * float64(input.BootTime))
+	window := time.Duration(shrinkBootTimes * float64(input.BootTime))
 	if input.Load.Told && (input.Load.known() || p.loads.loads != nil) {
 		load := input.Load
 		load.Replicas, load.Readers = float64(input.serving()), float64(input.Readers)
-		p.loads.add(now, memory, load)
+		p.loads.add(now, window, load)
 		p.recent.add(now, input.BootTime, load)
 	}
 	if p.mix == nil && !p.loads.full() || p.base == 0 || now-p.mixedAt < mixInterval {
 		return
 	}
 	if p.loads.price() == 0 {
-		// No prompt has come of late, which does not tell that none will.
+		// No prompt has come recently, which does not show that none will.
 		return
 	}
 	p.mixedAt = now
-	p.loads.learnTrust(memory / historySpans)
-	p.recent.trust = p.loads.trust
-	mixer := p.newMixer(input)
-	mixer.run()
-	same := p.newMixer(input)
-	same.improve(p.presentMix(input))
-	if mixer.cost() > clearlyCheaper*same.cost() {
-		mixer = same
-	}
-	onlyStable := mixer.preemptible() == 0
-	if len(p.mix) == len(mixer.mix) && p.dry(input) {
-		// What is not to be had now stays wanted; others are added as far as they pay without it.
-		p.mix = raise(p.mix, mixer.mix)
+	p.loads.updateDelayRatio(window / historySpans)
+	p.recent.delayRatio = p.loads.delayRatio
+	optimizer := p.newOptimizer(input)
+	optimizer.build()
+	improved := p.newOptimizer(input)
+	improved.improve(p.currentMix(input))
+	if optimizer.cost() > rebuildCostRatio*improved.cost() {
+		optimizer = improved
+	}
+	onlyStable := optimizer.preemptible() == 0
+	if len(p.mix) == len(optimizer.mix) && p.anyUnavailable(input) {
+		// Preemptible replicas that are unavailable now remain wanted; others are added as far as
+		// they are worth their price in their absence.
+		p.mix = maximumPreemptible(p.mix, optimizer.mix)
 		return
 	}
-	fresh, planned := mixer.total(), total(p.mix)
-	step := max(1, int(growStep*float64(planned)))
-	changed := len(p.mix) != len(mixer.mix) || fresh <= planned-step || onlyStable != p.onlyStable
+	fresh, planned := optimizer.total(), total(p.mix)
+	step := max(1, int(stepShare*float64(planned)))
+	changed := len(p.mix) != len(optimizer.mix) || fresh <= planned-step || onlyStable != p.onlyStable
 	if fresh >= planned+step || changed && p.loads.full() {
-		p.mix, p.onlyStable = mixer.mix, onlyStable
+		p.mix, p.onlyStable = optimizer.mix, onlyStable
 	}
 }
 
-// presentMix is what mixes are made from: the present one, or what was ordered before there was one.
-func (p *Planner) presentMix(input Input) [][kinds]int {
+// currentMix is the mix that new mixes are derived from: the planned one, or the ordered
+// preemptible replicas while there is no plan.
+func (p *Planner) currentMix(input Input) [][kinds]int {
 	if len(p.mix) == len(input.Zones) {
 		return p.mix
 	}
@@ -62,19 +64,20 @@
 	return present
 }
 
-// raise has as many preemptible replicas in each zone as the one of two mixes that has more. Stable
-// ones are left to cover: those that a mix has in the place of what is not to be had were paid
-// until it was, and far more than were needed now.
-func raise(mix, other [][kinds]int) [][kinds]int {
-	raised := slices.Clone(mix)
-	for zone := range raised {
-		raised[zone][Preemptible] = max(mix[zone][Preemptible], other[zone][Preemptible])
-	}
-	return raised
+// maximumPreemptible returns the first mix with, in each zone, as many preemptible replicas as the
+// one of the two mixes that has more. Stable replicas are left to planStable: the stable ones that
+// a mix has in place of unavailable preemptible ones were paid for until those became available,
+// and were far more than needed.
+func maximumPreemptible(mix, other [][kinds]int) [][kinds]int {
+	result := slices.Clone(mix)
+	for zone := range result {
+		result[zone][Preemptible] = max(mix[zone][Preemptible], other[zone][Preemptible])
+	}
+	return result
 }
 
-// orderedMix is what was ordered last, nil if some number never was: a planner that takes over
-// keeps it until it has seen loads for long enough.
+// orderedMix is the mix that was ordered last, or nil if some count has never been ordered: a
+// planner that takes over keeps it until it has observed the load for long enough.
 func (i Input) orderedMix() [][kinds]int {
 	var mix [][kinds]int
 	for _, zone := range i.Zones {
@@ -86,22 +89,22 @@
 	return mix
 }
 
-// newMixer begins with the minimum of each zone. Zones that have no preemptible replicas to give
-// count with those that serve there.
-func (p *Planner) newMixer(input Input) *mixer {
-	mixer := &mixer{history: &p.loads, input: input, price: p.loads.price()}
+// newOptimizer returns an optimizer that starts with the minimum of each zone. Zones in which
+// preemptible replicas are unavailable are limited to those that serve there.
+func (p *Planner) newOptimizer(input Input) *mixOptimizer {
+	optimizer := &mixOptimizer{history: &p.loads, input: input, price: p.loads.price()}
 	for _, zone := range input.Zones {
 		bound := input.Maximum
-		if p.dryZone(zone) {
+		if p.preemptibleUnavailable(zone) {
 			bound = zone.Serving[Preemptible]
 		}
-		mixer.bound = append(mixer.bound, bound)
-		mixer.mix = append(mixer.mix, [kinds]int{Stable: input.Minimum})
+		optimizer.preemptibleLimits = append(optimizer.preemptibleLimits, bound)
+		optimizer.mix = append(optimizer.mix, [kinds]int{Stable: input.Minimum})
 	}
-	return mixer
+	return optimizer
 }
 
-// serving is the number of replicas that take work.
+// serving is the number of replicas that accept work.
 func (i Input) serving() int {
 	sum := 0
 	for _, zone := range i.Zones {
@@ -118,26 +121,26 @@
 	return sum
 }
 
-// explain keeps why the number of replicas is what it is.
-func (p *Planner) explain(input Input, wanted [][kinds]int) {
+// updateOutlook records why the planner wants its number of replicas.
+func (p *Planner) updateOutlook(input Input, target [][kinds]int) {
 	p.outlook = Outlook{
 		Learned: p.mix != nil,
-		Wanted:  total(wanted),
-		Enough:  p.enough(input),
-		Trust:   p.loads.trust,
+		Wanted:  total(target),
+		Enough:  p.sufficient(input),
+		Trust:   p.loads.delayRatio,
 		Readers: input.Readers,
 		Load:    input.Load,
 	}
 	if p.mix == nil {
 		return
 	}
-	mixer := p.newMixer(input)
-	copy(mixer.mix, wanted)
-	p.outlook.Late = mixer.lateRate()
-	zone, kind, count, gain := mixer.best(p.outlook.Late, Stable, Preemptible)
+	optimizer := p.newOptimizer(input)
+	copy(optimizer.mix, target)
+	p.outlook.Late = optimizer.lateRate()
+	zone, kind, count, gain := optimizer.bestAddition(p.outlook.Late, Stable, Preemptible)
 	if count == 0 {
 		return
 	}
-	p.outlook.NextPrice = mixer.price * input.priceOf(zone, kind)
+	p.outlook.NextPrice = optimizer.price * input.priceOf(zone, kind)
 	p.outlook.NextWorth = gain + p.outlook.NextPrice
 }
