--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -4,194 +4,196 @@
 
 const (
 	// rankSteps is the number of ranks over which the tolerated debt is spread: rank 0 may use all
-	// of it and this rank none, so that a tenant's urgent requests pass while others wait.
+	// of it and rank rankSteps none, so that a tenant's urgent requests pass while others wait.
 	rankSteps = 4
-	// smallShare of the debt is what a small request counts at most: an application's calls beside
-	// prompts of a hundred times their size. Without it 215 of 5,116 were refused while one tenant
-	// sent six times its usual.
-	smallShare = 1.0 / 64
-	// meterSlots is the number of parts that a window is counted in: enough to see what a tenant
-	// does, few enough for thousands of tenants.
+	// smallRequestFraction of the tolerated debt is the most that a small request counts, such as
+	// an application's call beside prompts of a hundred times its size. Without this rule, 215 of
+	// 5,116 such requests were refused while one tenant sent six times its usual load.
+	smallRequestFraction = 1.0 / 64
+	// meterSlots is the number of slots into which a window is divided: enough to show what a
+	// tenant does, few enough for thousands of tenants.
 	meterSlots = 8
 )
 
-// bucket counts one tenant in one pool, in two token buckets: a request passes if one of them has
-// room, and is charged to both. One has the limit's rate and burst. The other one has the whole
-// burst spread evenly over the window and holds nothing, so that a tenant which is busy all the
-// time may use rate x window + burst in each window too: with the first bucket alone, 208 of 2,400
-// requests a tenant sent inside its limit for 40 s were refused. Together they let no more than
-// that through in any window.
+// bucket counts one account in one pool, in two token buckets: a request passes if one of them has
+// enough tokens, and is charged to both. The first has the limit's rate and burst. The second, the
+// sustained one, refills by the burst too, spread evenly over the window, and has a capacity of 0, so
+// that a tenant which is busy all the time may use rate x window + burst in each window too: with
+// the first bucket alone, 208 of 2,400 requests that a tenant sent within its limit for 40 s were
+// refused. Together they let no more than that through in any window.
 type bucket struct {
 	limit Limit
-	// level are the units left as of at, negative in debt; even those of the second bucket, 0 or
-	// less.
-	level float64
-	even  float64
-	at    time.Duration
-	// handed is the debt that was handed to the holder and that it has not acknowledged, 0 or less.
-	handed float64
-	// returnAt is when the refused caller that was told the latest time should come back.
-	returnAt time.Duration
-	use      meter
+	// level is the number of units left at updatedAt, negative in debt; sustained is that of the
+	// second bucket, 0 or less.
+	level     float64
+	sustained float64
+	updatedAt time.Duration
+	// unacknowledged is the debt that was sent to the holder and not yet acknowledged, 0 or less.
+	unacknowledged float64
+	// lastRetryAt is the latest time at which a refused caller was told to retry.
+	lastRetryAt time.Duration
+	usage       usageMeter
 }
 
-// share is the part of a limit that a pool counts at a time.
-type share struct {
-	// parts of all is what the pool refills and holds, from 0 to 1. evenParts are those of them that
-	// have counted here for a window: of the others it is not known how much they have used.
-	parts     float64
-	evenParts float64
-	// owed are units, 0 or less, that count as used beside the level.
-	owed float64
-	// debt are the units by which a level may fall below 0, and mostDebt those of a pool that has
-	// held all parts for a window.
-	debt     float64
-	mostDebt float64
-	// window bounds what callers are told to wait.
+// allowance is the part of a limit that a pool may use at a time.
+type allowance struct {
+	// fraction of the rate and burst is what the pool refills and holds, from 0 to 1. matureFraction
+	// is that of the shares that have counted here for a window: how much of the others has been used
+	// within the window is unknown.
+	fraction       float64
+	matureFraction float64
+	// unacknowledged is a number of units, 0 or less, that count as used in addition to the level.
+	unacknowledged float64
+	// maxDebt is the number of units by which a level may fall below 0, and fullMaxDebt that of a
+	// pool that has held all shares for a window.
+	maxDebt     float64
+	fullMaxDebt float64
+	// window bounds the retry delay.
 	window time.Duration
 	// strict is Terms.Strict.
 	strict bool
-	// turn is by when a pool that counts nothing now counts a part, or has one that does.
-	turn time.Duration
+	// retryAfter is the time within which a pool that counts no share counts one again, or is
+	// attached to a pool that does.
+	retryAfter time.Duration
 }
 
-// rate and cap are what the first bucket refills a second, and the most that it holds.
-func (b *bucket) rate(s share) float64 { return b.limit.Rate * s.parts }
-func (b *bucket) cap(s share) float64  { return b.limit.Burst * s.parts }
+// rate and cap are the first bucket's refill rate in units a second, and its capacity.
+func (b *bucket) rate(a allowance) float64 { return b.limit.Rate * a.fraction }
+func (b *bucket) cap(a allowance) float64  { return b.limit.Burst * a.fraction }
 
-// evenRate is what the second bucket refills a second.
-func (b *bucket) evenRate(s share) float64 {
-	return (b.limit.Rate + b.limit.Burst/s.window.Seconds()) * s.evenParts
+// sustainedRate is the second bucket's refill rate in units a second.
+func (b *bucket) sustainedRate(a allowance) float64 {
+	return (b.limit.Rate + b.limit.Burst/a.window.Seconds()) * a.matureFraction
 }
 
-// evenDebt is by how much the second bucket may be in debt.
-func (s share) evenDebt() float64 {
-	if s.parts == 0 {
+// sustainedMaxDebt is the number of units by which the second bucket may be in debt.
+func (a allowance) sustainedMaxDebt() float64 {
+	if a.fraction == 0 {
 		return 0
 	}
-	return s.debt * s.evenParts / s.parts
+	return a.maxDebt * a.matureFraction / a.fraction
 }
 
-// refill brings the levels up to a time.
-func (b *bucket) refill(now time.Duration, s share) {
-	if now > b.at {
-		passed := (now - b.at).Seconds()
-		b.level += b.rate(s) * passed
-		b.even += b.evenRate(s) * passed
-		b.at = now
+// refill adds what has been refilled until a time.
+func (b *bucket) refill(now time.Duration, a allowance) {
+	if now > b.updatedAt {
+		elapsed := (now - b.updatedAt).Seconds()
+		b.level += b.rate(a) * elapsed
+		b.sustained += b.sustainedRate(a) * elapsed
+		b.updatedAt = now
 	}
-	b.cut(s)
+	b.clamp(a)
 }
 
-// cut holds the levels within what the pool may hold. The first one does not fall without end while
-// the second one lets requests pass, so that a burst may come after a quiet time. What a pool without
-// a part owes stays as it is: it is handed to the holder.
-func (b *bucket) cut(s share) {
-	b.level = min(b.level, b.cap(s))
-	b.even = min(b.even, 0)
-	if s.parts > 0 {
-		b.level = max(b.level, -b.limit.Burst-s.debt)
-		b.even = max(b.even, -b.limit.Burst-s.debt)
+// clamp bounds the levels. The first one has a lower bound, so that it does not fall without end
+// while the second one lets requests pass, and a burst is possible after a quiet time. The debt of a
+// pool without a share is not bounded: it is sent to the holder.
+func (b *bucket) clamp(a allowance) {
+	b.level = min(b.level, b.cap(a))
+	b.sustained = min(b.sustained, 0)
+	if a.fraction > 0 {
+		b.level = max(b.level, -b.limit.Burst-a.maxDebt)
+		b.sustained = max(b.sustained, -b.limit.Burst-a.maxDebt)
 	}
 }
 
 // decide charges a request, or refuses it.
-func (b *bucket) decide(now time.Duration, q Question, s share) Answer {
-	b.refill(now, s)
-	answer := Answer{ID: q.ID, Level: b.level, Rate: max(b.rate(s), b.evenRate(s))}
-	answer.Admitted = b.fits(q, s)
-	b.use.count(now, s.window, q.Units, answer.Admitted)
+func (b *bucket) decide(now time.Duration, q Question, a allowance) Answer {
+	b.refill(now, a)
+	answer := Answer{ID: q.ID, Level: b.level, Rate: max(b.rate(a), b.sustainedRate(a))}
+	answer.Admitted = b.fits(q, a)
+	b.usage.count(now, a.window, q.Units, answer.Admitted)
 	if answer.Admitted {
 		b.level -= q.Units
-		b.even -= q.Units
+		b.sustained -= q.Units
 		return answer
 	}
-	answer.Never = q.Units > b.limit.Burst+s.mostDebt
-	answer.WaitMicros = b.wait(now, q, s).Microseconds()
+	answer.Never = q.Units > b.limit.Burst+a.fullMaxDebt
+	answer.WaitMicros = b.retryAfter(now, q, a).Microseconds()
 	return answer
 }
 
 // fits reports whether a request may pass now.
-func (b *bucket) fits(q Question, s share) bool {
-	if b.level+s.owed-q.Units >= -q.mayOwe(s, s.debt) {
+func (b *bucket) fits(q Question, a allowance) bool {
+	if b.level+a.unacknowledged-q.Units >= -q.usableDebt(a, a.maxDebt) {
 		return true
 	}
-	if s.evenParts > 0 && b.even-q.Units >= -q.mayOwe(s, s.evenDebt()) {
+	if a.matureFraction > 0 && b.sustained-q.Units >= -q.usableDebt(a, a.sustainedMaxDebt()) {
 		return true
 	}
 	// A request that is larger than the bucket waits until the bucket is full, and may use all of
 	// the debt whatever its rank: it could pass at no other time.
-	return s.parts > 0 && b.level >= b.cap(s) && q.Units <= b.cap(s)+s.debt
+	return a.fraction > 0 && b.level >= b.cap(a) && q.Units <= b.cap(a)+a.maxDebt
 }
 
-// mayOwe is the part of a debt that a request may use, by its rank. A small request may use all of
-// it: to refuse it would leave no room to speak of for others. Under strict limits all requests are
-// of one size, and only ranks tell them apart.
-func (q *Question) mayOwe(s share, debt float64) float64 {
-	if !s.strict && q.Units <= smallShare*debt {
-		return debt
+// usableDebt is the part of a debt that a request may use, by its rank. A small request may use all
+// of it: to refuse it would save next to nothing for others. Under strict limits all requests are of
+// one size, and only their ranks differ.
+func (q *Question) usableDebt(a allowance, maxDebt float64) float64 {
+	if !a.strict && q.Units <= smallRequestFraction*maxDebt {
+		return maxDebt
 	}
-	return debt * float64(rankSteps-min(max(q.Rank, 0), rankSteps)) / rankSteps
+	return maxDebt * float64(rankSteps-min(max(q.Rank, 0), rankSteps)) / rankSteps
 }
 
-// wait is in how long a refused request should fit, if those who were refused before it come back
-// first: callers that are told the same time would return together, and be refused together.
-func (b *bucket) wait(now time.Duration, q Question, s share) time.Duration {
-	rate, evenRate := b.rate(s), b.evenRate(s)
-	if s.strict && rate <= 0 {
-		return s.turn
+// retryAfter returns the time after which a refused request should fit if those refused before it
+// retry first. Callers that are told the same time would retry together, and be refused together.
+func (b *bucket) retryAfter(now time.Duration, q Question, a allowance) time.Duration {
+	rate, sustainedRate := b.rate(a), b.sustainedRate(a)
+	if a.strict && rate <= 0 {
+		return a.retryAfter
 	}
-	if rate <= 0 || q.Units > b.cap(s)+s.debt {
-		return s.window
+	if rate <= 0 || q.Units > b.cap(a)+a.maxDebt {
+		return a.window
 	}
-	needed := min(q.Units-q.mayOwe(s, s.debt), b.cap(s)) - b.level
-	until := seconds(needed / rate)
-	if s.strict {
-		return min(until, s.window)
+	needed := min(q.Units-q.usableDebt(a, a.maxDebt), b.cap(a)) - b.level
+	wait := seconds(needed / rate)
+	if a.strict {
+		return min(wait, a.window)
 	}
-	if evenRate > 0 && q.Units <= q.mayOwe(s, s.evenDebt()) {
-		until = min(until, seconds((q.Units-q.mayOwe(s, s.evenDebt())-b.even)/evenRate))
+	if sustainedRate > 0 && q.Units <= q.usableDebt(a, a.sustainedMaxDebt()) {
+		wait = min(wait, seconds((q.Units-q.usableDebt(a, a.sustainedMaxDebt())-b.sustained)/sustainedRate))
 	}
-	behind := b.returnAt + seconds(q.Units/max(rate, evenRate))
-	b.returnAt = min(max(now+until, behind), now+s.window)
-	return b.returnAt - now
+	behind := b.lastRetryAt + seconds(q.Units/max(rate, sustainedRate))
+	b.lastRetryAt = min(max(now+wait, behind), now+a.window)
+	return b.lastRetryAt - now
 }
 
-// seconds is a time of a number of seconds, bounded to a day.
+// seconds returns a number of seconds as a duration between 0 and one day.
 func seconds(number float64) time.Duration {
 	return time.Duration(min(max(number, 0), (24*time.Hour).Seconds()) * float64(time.Second))
 }
 
-// meter counts units in the last window, by slots.
-type meter struct {
+// usageMeter counts the units of the last window, by slots.
+type usageMeter struct {
 	slots [meterSlots]slot
 }
 
-// slot is a part of a window; number is that of the part since the process began.
+// slot is a part of a window; number counts the slots since time 0 of the clock.
 type slot struct {
 	number            int64
 	admitted, refused float64
 }
 
-// numberOf is the number of the slot that a time lies in.
-func numberOf(now, window time.Duration) int64 { return int64(now / max(window/meterSlots, 1)) }
+// slotNumber is the number of the slot that contains a time.
+func slotNumber(now, window time.Duration) int64 { return int64(now / max(window/meterSlots, 1)) }
 
-func (m *meter) count(now, window time.Duration, units float64, admitted bool) {
-	number := numberOf(now, window)
-	at := &m.slots[number%meterSlots]
-	if at.number != number {
-		*at = slot{number: number}
+func (m *usageMeter) count(now, window time.Duration, units float64, admitted bool) {
+	number := slotNumber(now, window)
+	current := &m.slots[number%meterSlots]
+	if current.number != number {
+		*current = slot{number: number}
 	}
 	if admitted {
-		at.admitted += units
+		current.admitted += units
 		return
 	}
-	at.refused += units
+	current.refused += units
 }
 
-// sum is what was counted within the window before a time.
-func (m *meter) sum(now, window time.Duration) (admitted, refused float64) {
-	number := numberOf(now, window)
+// sum returns what was counted within the window before a time.
+func (m *usageMeter) sum(now, window time.Duration) (admitted, refused float64) {
+	number := slotNumber(now, window)
 	for _, each := range m.slots {
 		if number-each.number < meterSlots {
 			admitted += each.admitted
--- a/internal/quota/group_test.go
+++ b/internal/quota/group_test.go
@@ -17,319 +17,319 @@
 const (
 	tenant = "tenant"
 	lease  = 500 * time.Millisecond
-	// delay is what a datagram takes.
+	// delay is the latency of a datagram.
 	delay = time.Millisecond
-	// heard is how long after a leader has gone another one is elected.
-	heard = time.Second
+	// electionDelay is the time between the failure of a leader and the election of another one.
+	electionDelay = time.Second
 )
 
 // terms are those of a deployment with some tolerance.
 var terms = quota.Terms{Window: 8 * time.Second, Over: 0.1, Slack: 190_000}
 
-// group runs the pools of some coordinators in virtual time. Datagrams take delay; what a test
-// does to coordinators and links is held in plain fields.
-type group struct {
-	t      *testing.T
-	random *rand.Rand
-	now    time.Duration
-	lives  int64
-	limit  quota.Limit
-	terms  quota.Terms
-	names  []string
-	nodes  map[string]*node
-	events eventHeap
-	order  int
-	// cut reports whether a datagram is lost.
-	cut func(from, to string) bool
-	// gateways is the number of gateways that ask; local are their own counts.
-	gateways int
-	local    []*quota.Local
-	// alone is how a gateway decides that reaches no coordinator, and heardBack is told when one has
-	// answered it.
-	alone     func(gateway int, q quota.Question) quota.Answer
-	heardBack func(gateway int)
-	// told is given each answer, with the gateway that had asked. It may be nil.
-	told    func(gateway int, answer quota.Answer)
-	charges []charged
-	refused float64
+// simulation runs the pools of some coordinators in virtual time. Datagrams take delay; tests change
+// the state of coordinators and links in plain fields.
+type simulation struct {
+	t            *testing.T
+	random       *rand.Rand
+	now          time.Duration
+	incarnations int64
+	limit        quota.Limit
+	terms        quota.Terms
+	names        []string
+	nodes        map[string]*coordinator
+	events       eventHeap
+	sequence     int
+	// isLost reports whether a datagram is lost.
+	isLost func(from, to string) bool
+	// gateways is the number of gateways that ask; localLimiters are their own buckets.
+	gateways      int
+	localLimiters []*quota.Local
+	// decideLocally decides at a gateway that reaches no coordinator. onCoordinatorAnswer, which
+	// may be nil, is called when a coordinator has answered a gateway.
+	decideLocally       func(gateway int, q quota.Question) quota.Answer
+	onCoordinatorAnswer func(gateway int)
+	// onAnswer is called with each answer, and the gateway that had asked. It may be nil.
+	onAnswer     func(gateway int, answer quota.Answer)
+	admissions   []admission
+	refusedUnits float64
 }
 
-// node is a coordinator.
-type node struct {
+// coordinator is a coordinator's process.
+type coordinator struct {
 	pool   *quota.Pool
 	leader string
-	// down is set while the process is dead, and frozenUntil ends a freeze; what came meanwhile is
-	// taken after it.
+	// down is set while the process is dead. frozenUntil is the end of a freeze; datagrams that arrive
+	// meanwhile are handled after it.
 	down        bool
 	frozenUntil time.Duration
 }
 
-// charged is an admitted request.
-type charged struct {
+// admission is an admitted request.
+type admission struct {
 	at    time.Duration
 	units float64
 }
 
-type scheduled struct {
-	at    time.Duration
-	order int
-	run   func()
+type scheduledEvent struct {
+	at       time.Duration
+	sequence int
+	run      func()
 }
 
-func newGroup(t *testing.T, seed uint64, coordinators, gateways int, limit quota.Limit) *group {
-	return newGroupUnder(t, seed, coordinators, gateways, limit, terms)
+func newSimulation(t *testing.T, seed uint64, coordinators, gateways int, limit quota.Limit) *simulation {
+	return newSimulationWithTerms(t, seed, coordinators, gateways, limit, terms)
 }
 
-func newGroupUnder(t *testing.T, seed uint64, coordinators, gateways int, limit quota.Limit, terms quota.Terms) *group {
-	g := &group{
+func newSimulationWithTerms(t *testing.T, seed uint64, coordinators, gateways int, limit quota.Limit, terms quota.Terms) *simulation {
+	g := &simulation{
 		t: t, random: rand.New(rand.NewPCG(seed, 1)), limit: limit, terms: terms, gateways: gateways,
-		nodes: map[string]*node{}, cut: func(string, string) bool { return false },
+		nodes: map[string]*coordinator{}, isLost: func(string, string) bool { return false },
 	}
 	for index := range coordinators {
 		name := string(rune('a' + index))
 		g.names = append(g.names, name)
-		g.nodes[name] = &node{}
+		g.nodes[name] = &coordinator{}
 	}
 	for range gateways {
-		g.local = append(g.local, quota.NewLocal(g.terms))
+		g.localLimiters = append(g.localLimiters, quota.NewLocal(g.terms))
 	}
-	g.alone = func(gateway int, q quota.Question) quota.Answer {
-		return g.local[gateway].Ask(g.now, g.limit, g.gateways, q)
+	g.decideLocally = func(gateway int, q quota.Question) quota.Answer {
+		return g.localLimiters[gateway].Ask(g.now, g.limit, g.gateways, q)
 	}
 	for _, name := range g.names {
 		g.start(name)
 	}
-	g.elect(g.names[0], g.names...)
+	g.setLeader(g.names[0], g.names...)
 	return g
 }
 
-// at schedules something.
-func (g *group) at(when time.Duration, run func()) {
-	g.order++
-	heap.Push(&g.events, scheduled{at: when, order: g.order, run: run})
+// schedule adds an event.
+func (g *simulation) schedule(when time.Duration, run func()) {
+	g.sequence++
+	heap.Push(&g.events, scheduledEvent{at: when, sequence: g.sequence, run: run})
 }
 
-// run goes on until a time.
-func (g *group) run(until time.Duration) {
+// runUntil runs all events up to a time.
+func (g *simulation) runUntil(until time.Duration) {
 	for len(g.events) > 0 && g.events[0].at <= until {
-		next := heap.Pop(&g.events).(scheduled)
+		next := heap.Pop(&g.events).(scheduledEvent)
 		g.now = max(g.now, next.at)
 		next.run()
 	}
 	g.now = until
 }
 
-// eventHeap is what is scheduled, the next first.
-type eventHeap []scheduled
+// eventHeap holds the scheduled events, the next first.
+type eventHeap []scheduledEvent
 
 func (h eventHeap) Len() int      { return len(h) }
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 func (h eventHeap) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(h[i].at, h[j].at), cmp.Compare(h[i].order, h[j].order)) < 0
+	return cmp.Or(cmp.Compare(h[i].at, h[j].at), cmp.Compare(h[i].sequence, h[j].sequence)) < 0
 }
-func (h *eventHeap) Push(added any) { *h = append(*h, added.(scheduled)) }
+func (h *eventHeap) Push(added any) { *h = append(*h, added.(scheduledEvent)) }
 func (h *eventHeap) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
 	return last
 }
 
-// start begins a new life of a coordinator.
-func (g *group) start(name string) {
-	g.lives++
-	started := &node{leader: g.nodes[name].leader}
-	started.pool = quota.NewPool(g.now, quota.Options{Address: name, Life: g.lives, Lease: lease, Terms: g.terms})
+// start starts a new process of a coordinator.
+func (g *simulation) start(name string) {
+	g.incarnations++
+	started := &coordinator{leader: g.nodes[name].leader}
+	started.pool = quota.NewPool(g.now, quota.Options{Address: name, Life: g.incarnations, Lease: lease, Terms: g.terms})
 	started.pool.SetLimits(g.now, map[string]quota.Limit{tenant: g.limit})
 	g.nodes[name] = started
 	g.tick(name, started)
 }
 
-// tick runs a coordinator's timer for as long as its process lives.
-func (g *group) tick(name string, ticked *node) {
+// tick runs a coordinator's timer for as long as its process runs.
+func (g *simulation) tick(name string, ticked *coordinator) {
 	if ticked.down || g.nodes[name] != ticked {
 		return
 	}
 	if g.now < ticked.frozenUntil {
-		g.at(ticked.frozenUntil, func() { g.tick(name, ticked) })
+		g.schedule(ticked.frozenUntil, func() { g.tick(name, ticked) })
 		return
 	}
-	ticked.step(g.now, g.names)
+	ticked.runDue(g.now, g.names)
 	g.flush(name)
-	g.at(max(ticked.pool.Due(g.now), g.now+time.Millisecond), func() { g.tick(name, ticked) })
+	g.schedule(max(ticked.pool.Due(g.now), g.now+time.Millisecond), func() { g.tick(name, ticked) })
 }
 
-// step does what is due.
-func (n *node) step(now time.Duration, names []string) {
+// runDue does what is due.
+func (n *coordinator) runDue(now time.Duration, names []string) {
 	n.pool.SetGroup(now, n.leader, names)
 	n.pool.Tick(now)
 }
 
-// elect has coordinators believe in a leader.
-func (g *group) elect(leader string, believers ...string) {
-	for _, name := range believers {
+// setLeader sets the leader that coordinators know, whether or not it is the right one.
+func (g *simulation) setLeader(leader string, coordinators ...string) {
+	for _, name := range coordinators {
 		g.nodes[name].leader = leader
 	}
 }
 
-// deliver hands a datagram over, after a freeze if there is one.
-func (g *group) deliver(to string, take func(*node)) {
+// deliver delivers a datagram, after a freeze if there is one.
+func (g *simulation) deliver(to string, handle func(*coordinator)) {
 	receiver := g.nodes[to]
 	if g.now < receiver.frozenUntil {
-		g.at(receiver.frozenUntil, func() { g.deliver(to, take) })
+		g.schedule(receiver.frozenUntil, func() { g.deliver(to, handle) })
 		return
 	}
 	if receiver.down {
 		return
 	}
-	take(receiver)
+	handle(receiver)
 	g.flush(to)
-	g.at(receiver.pool.Due(g.now), func() {
+	g.schedule(receiver.pool.Due(g.now), func() {
 		if g.nodes[to] == receiver && !receiver.down && g.now >= receiver.frozenUntil {
-			receiver.step(g.now, g.names)
+			receiver.runDue(g.now, g.names)
 			g.flush(to)
 		}
 	})
 }
 
-// flush sends what a pool has decided.
-func (g *group) flush(name string) {
+// flush sends a pool's messages and decisions.
+func (g *simulation) flush(name string) {
 	ready := g.nodes[name].pool.Ready()
 	for index := range ready.Messages {
 		message, to := ready.Messages[index], ready.To[index]
-		if !g.cut(name, to) {
-			g.at(g.now+delay, func() {
-				g.deliver(to, func(n *node) { n.pool.Receive(g.now, &message) })
+		if !g.isLost(name, to) {
+			g.schedule(g.now+delay, func() {
+				g.deliver(to, func(n *coordinator) { n.pool.Receive(g.now, &message) })
 			})
 		}
 	}
 	for _, each := range ready.Decisions {
-		g.at(g.now+delay, func() { g.answers(name, each) })
+		g.schedule(g.now+delay, func() { g.deliverDecision(name, each) })
 	}
 }
 
-// openQuestion is a question of a gateway.
-type openQuestion struct {
-	done func(quota.Answer)
-	open bool
+// openQuery is a gateway's query.
+type openQuery struct {
+	onAnswer func(quota.Answer)
+	open     bool
 }
 
-var questions = map[uint64]*openQuestion{}
+var openQueries = map[uint64]*openQuery{}
 
-func (g *group) answers(from string, decided quota.Decision) {
-	question := questions[decided.Answer.ID]
-	if question != nil && question.open && !g.cut(from, "gateways") {
-		question.open = false
-		question.done(decided.Answer)
+func (g *simulation) deliverDecision(from string, decided quota.Decision) {
+	query := openQueries[decided.Answer.ID]
+	if query != nil && query.open && !g.isLost(from, "gateways") {
+		query.open = false
+		query.onAnswer(decided.Answer)
 	}
 }
 
-// request has a gateway ask for a request, at one coordinator and then at another one, and then
-// decide by itself.
-func (g *group) request(gateway int, units float64, rank int) {
+// request queries one coordinator for a request of a gateway, then another one, and then decides
+// locally.
+func (g *simulation) request(gateway int, units float64, rank int) {
 	first := g.names[gateway%len(g.names)]
 	second := g.names[(gateway+1+g.random.IntN(len(g.names)-1))%len(g.names)]
 	q := quota.Question{Account: tenant, Units: units, Rank: rank}
-	g.ask(gateway, first, q, func() {
-		g.ask(gateway, second, q, func() {
-			answer := g.alone(gateway, q)
-			g.note(units, answer)
-			if g.told != nil {
-				g.told(gateway, answer)
+	g.queryCoordinator(gateway, first, q, func() {
+		g.queryCoordinator(gateway, second, q, func() {
+			answer := g.decideLocally(gateway, q)
+			g.record(units, answer)
+			if g.onAnswer != nil {
+				g.onAnswer(gateway, answer)
 			}
 		})
 	})
 }
 
-const answerWait = lease / 5
+const answerTimeout = lease / 5
 
-func (g *group) ask(gateway int, coordinator string, q quota.Question, silent func()) {
-	id := uint64(len(questions) + 1)
+func (g *simulation) queryCoordinator(gateway int, name string, q quota.Question, onTimeout func()) {
+	id := uint64(len(openQueries) + 1)
 	q.ID = id
-	question := &openQuestion{open: true, done: func(answer quota.Answer) {
+	query := &openQuery{open: true, onAnswer: func(answer quota.Answer) {
 		if answer.Unsure {
-			silent()
+			onTimeout()
 			return
 		}
-		g.note(q.Units, answer)
-		if g.told != nil {
-			g.told(gateway, answer)
+		g.record(q.Units, answer)
+		if g.onAnswer != nil {
+			g.onAnswer(gateway, answer)
 		}
-		if g.heardBack != nil {
-			g.heardBack(gateway)
+		if g.onCoordinatorAnswer != nil {
+			g.onCoordinatorAnswer(gateway)
 		}
 	}}
-	questions[id] = question
+	openQueries[id] = query
 	send := func() {
-		if question.open && !g.cut("gateways", coordinator) {
-			g.at(g.now+delay, func() {
-				g.deliver(coordinator, func(n *node) { n.pool.Ask(g.now, "gateway", q) })
+		if query.open && !g.isLost("gateways", name) {
+			g.schedule(g.now+delay, func() {
+				g.deliver(name, func(n *coordinator) { n.pool.Ask(g.now, "gateway", q) })
 			})
 		}
 	}
 	send()
-	g.at(g.now+answerWait/2, send)
-	g.at(g.now+answerWait, func() {
-		if question.open {
-			question.open = false
-			silent()
+	g.schedule(g.now+answerTimeout/2, send)
+	g.schedule(g.now+answerTimeout, func() {
+		if query.open {
+			query.open = false
+			onTimeout()
 		}
 	})
 }
 
-func (g *group) note(units float64, answer quota.Answer) {
+func (g *simulation) record(units float64, answer quota.Answer) {
 	if answer.Admitted {
-		g.charges = append(g.charges, charged{at: g.now, units: units})
+		g.admissions = append(g.admissions, admission{at: g.now, units: units})
 		return
 	}
-	g.refused += units
+	g.refusedUnits += units
 }
 
-// load has requests come at random gateways for a time, at a share of the limit. Sizes vary from a
-// fifth to three times the mean, as long and short prompts do.
-func (g *group) load(from, until time.Duration, share, mean float64) {
-	pause := time.Duration(mean / (share * g.limit.Rate) * float64(time.Second))
-	for at := from; at < until; at += time.Duration(float64(pause) * g.random.ExpFloat64()) {
+// generateLoad schedules requests at random gateways for a time, at a multiple of the limit's rate.
+// Sizes vary from 0.2 to 1.8 times the mean, as long and short prompts do.
+func (g *simulation) generateLoad(from, until time.Duration, loadFactor, mean float64) {
+	interval := time.Duration(mean / (loadFactor * g.limit.Rate) * float64(time.Second))
+	for at := from; at < until; at += time.Duration(float64(interval) * g.random.ExpFloat64()) {
 		units := mean * (0.2 + 1.6*g.random.Float64())
 		gateway := g.random.IntN(g.gateways)
-		g.at(at, func() { g.request(gateway, units, 0) })
+		g.schedule(at, func() { g.request(gateway, units, 0) })
 	}
 }
 
-// admitted is what was admitted in all.
-func (g *group) admitted() float64 {
+// admittedUnits returns the number of units admitted in all.
+func (g *simulation) admittedUnits() float64 {
 	sum := 0.0
-	for _, each := range g.charges {
+	for _, each := range g.admissions {
 		sum += each.units
 	}
 	return sum
 }
 
-// requireBound holds every window against the limit with its tolerance.
-func (g *group) requireBound() {
+// requireBound compares every window with the limit and its tolerance.
+func (g *simulation) requireBound() {
 	g.t.Helper()
 	allowed := (g.limit.Rate*g.terms.Window.Seconds()+g.limit.Burst)*(1+g.terms.Over) + g.terms.Slack
 	most, at := g.mostInWindow()
 	require.LessOrEqual(g.t, most, allowed, "admitted within a window that begins at %s", at)
 }
 
-// mostInWindow is the most that was admitted within a window.
-func (g *group) mostInWindow() (most float64, at time.Duration) {
-	slices.SortFunc(g.charges, func(a, b charged) int { return cmp.Compare(a.at, b.at) })
+// mostInWindow returns the most that was admitted within a window, and when that window begins.
+func (g *simulation) mostInWindow() (most float64, at time.Duration) {
+	slices.SortFunc(g.admissions, func(a, b admission) int { return cmp.Compare(a.at, b.at) })
 	first, sum := 0, 0.0
-	for _, each := range g.charges {
+	for _, each := range g.admissions {
 		sum += each.units
-		for each.at-g.charges[first].at > g.terms.Window {
-			sum -= g.charges[first].units
+		for each.at-g.admissions[first].at > g.terms.Window {
+			sum -= g.admissions[first].units
 			first++
 		}
 		if sum > most {
-			most, at = sum, g.charges[first].at
+			most, at = sum, g.admissions[first].at
 		}
 	}
 	return most, at
 }
 
-// requireNear holds a share against what is expected.
+// requireNear compares a value with what is expected.
 func requireNear(t *testing.T, expected, actual, within float64) {
 	t.Helper()
 	require.LessOrEqual(t, math.Abs(actual-expected), within, "expected %v, got %v", expected, actual)
--- a/internal/quota/limit.go
+++ b/internal/quota/limit.go
@@ -10,22 +10,23 @@
 	Rate, Burst float64
 }
 
-// Terms say by how much all machines together may overrun a limit.
+// Terms define by how much all processes together may overrun a limit.
 type Terms struct {
-	// Window is the time over which the use is judged, defaultWindow if it is 0.
+	// Window is the time over which the use is measured, defaultWindow if it is 0.
 	Window time.Duration
-	// Over is a share of what the limit allows within the window, and Slack are units above that.
+	// Over is a fraction of what the limit allows within the window, and Slack a number of units in
+	// addition to it.
 	Over, Slack float64
 	// Strict limits are not exceeded over any longer time either: a full burst may be used once, not
-	// in each window. Each refused request is told when the bucket will have room for it, and nothing
-	// passes for an account whose limit is not known.
+	// in each window. Each refused request is told when the bucket will have enough tokens for it,
+	// and no request passes for an account whose limit is not known.
 	Strict bool
 }
 
-// defaultWindow is long enough for the largest requests of a tenant to be a part of its use.
+// defaultWindow is long enough for a tenant's largest requests to be only a part of its use.
 const defaultWindow = 8 * time.Second
 
-// window is the time over which the use is judged.
+// window is the time over which the use is measured.
 func (t Terms) window() time.Duration {
 	if t.Window <= 0 {
 		return defaultWindow
@@ -33,7 +34,7 @@
 	return t.Window
 }
 
-// tolerance is by how many units a limit may be overrun within the window.
+// tolerance is the number of units by which a limit may be overrun within the window.
 func (t Terms) tolerance(limit Limit) float64 {
 	return (limit.Rate*t.window().Seconds()+limit.Burst)*t.Over + t.Slack
 }
--- a/internal/quota/local.go
+++ b/internal/quota/local.go
@@ -2,34 +2,35 @@
 
 import "time"
 
-// Local is what a gateway admits by itself while no coordinator answers: its part of the
+// Local limits what a gateway admits locally, while no coordinator answers: its part of the
 // tolerance, so that all gateways together stay within it.
 type Local struct {
 	terms   Terms
 	buckets map[string]*bucket
 }
 
-// NewLocal returns a gateway's own count.
+// NewLocal returns a Local without buckets; an account's bucket begins full.
 func NewLocal(terms Terms) *Local { return &Local{terms: terms, buckets: map[string]*bucket{}} }
 
-// Ask decides on a request, at one of a number of gateways.
+// Ask decides on a request; gateways is the number of gateways in the region.
 func (l *Local) Ask(now time.Duration, limit Limit, gateways int, q Question) Answer {
-	// What a bucket holds and what it refills within a window are half of the part each.
-	part := l.terms.tolerance(limit) * gatewayShare / float64(max(gateways, 1)) / 2
-	own := Limit{Rate: part / l.terms.window().Seconds(), Burst: part}
-	counted, known := l.buckets[q.Account]
+	// Half of the gateway's part is the bucket's capacity, and half is refilled within a window.
+	bucketUnits := l.terms.tolerance(limit) * gatewayFraction / float64(max(gateways, 1)) / 2
+	localLimit := Limit{Rate: bucketUnits / l.terms.window().Seconds(), Burst: bucketUnits}
+	b, known := l.buckets[q.Account]
 	if !known {
-		counted = &bucket{level: part, at: now}
-		l.buckets[q.Account] = counted
+		b = &bucket{level: bucketUnits, updatedAt: now}
+		l.buckets[q.Account] = b
 	}
-	counted.limit = own
-	answer := counted.decide(now, q, share{parts: 1, window: l.terms.window()})
-	// Coordinators are back long before a small part has refilled, and know the limit.
+	b.limit = localLimit
+	answer := b.decide(now, q, allowance{fraction: 1, window: l.terms.window()})
+	// Whether a request can ever fit is decided by a coordinator, which knows the whole limit: one
+	// answers again long before this small bucket has refilled.
 	answer.Never = false
 	return answer
 }
 
-// Keep forgets the tenants that have no limit any more.
+// Keep deletes the buckets of tenants that no longer have a limit.
 func (l *Local) Keep(limited func(tenant string) bool) {
 	for tenant := range l.buckets {
 		if !limited(tenant) {
--- a/internal/quota/memory.go
+++ b/internal/quota/memory.go
@@ -2,30 +2,31 @@
 
 import "time"
 
-// asker names a question of another process.
-type asker struct {
+// queryKey identifies a query of another process.
+type queryKey struct {
 	from string
 	id   uint64
 }
 
-// memory holds what was answered of late, so that a question that comes again is charged once: its
-// answer may have been lost. It forgets by generations of a lease.
-type memory struct {
+// answerCache holds recent answers, so that a query that is sent again, because its answer may have
+// been lost, is charged once. Entries are dropped by generations, each as long as a lease.
+type answerCache struct {
 	lease    time.Duration
-	turnAt   time.Duration
-	recent   map[asker]*Answer
-	previous map[asker]*Answer
+	rotateAt time.Duration
+	recent   map[queryKey]*Answer
+	previous map[queryKey]*Answer
 }
 
-func newMemory(lease time.Duration) *memory {
-	return &memory{lease: lease, recent: map[asker]*Answer{}, previous: map[asker]*Answer{}}
+func newAnswerCache(lease time.Duration) *answerCache {
+	return &answerCache{lease: lease, recent: map[queryKey]*Answer{}, previous: map[queryKey]*Answer{}}
 }
 
-// begin notes a question. known says that it has come before; its answer is nil while it is open.
-func (m *memory) begin(now time.Duration, q asker) (answer *Answer, known bool) {
-	if now >= m.turnAt {
-		m.previous, m.recent = m.recent, map[asker]*Answer{}
-		m.turnAt = now + m.lease
+// reserve adds a query. known reports that it was received before; its answer is nil while it is
+// undecided.
+func (m *answerCache) reserve(now time.Duration, q queryKey) (answer *Answer, known bool) {
+	if now >= m.rotateAt {
+		m.previous, m.recent = m.recent, map[queryKey]*Answer{}
+		m.rotateAt = now + m.lease
 	}
 	if answer, known = m.recent[q]; known {
 		return answer, true
@@ -37,5 +38,5 @@
 	return nil, false
 }
 
-// end keeps the answer to a question.
-func (m *memory) end(q asker, answer Answer) { m.recent[q] = &answer }
+// store records the answer to a query.
+func (m *answerCache) store(q queryKey, answer Answer) { m.recent[q] = &answer }
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -7,81 +7,81 @@
 // Mode is how a pool decides.
 type Mode string
 
-// Modes.
 const (
-	// ModeAlone: the pool has the part of its own coordinator.
+	// ModeAlone: the pool counts the share of its own coordinator.
 	ModeAlone Mode = "alone"
-	// ModeAttached: another pool counts the part, and is asked.
+	// ModeAttached: another pool, the holder, counts the share and answers queries.
 	ModeAttached Mode = "attached"
-	// ModeHolding: the pool has its own part and those of the coordinators attached to it.
+	// ModeHolding: the pool counts its own share and those of the coordinators attached to it.
 	ModeHolding Mode = "holding"
 )
 
-// Question asks whether a request may run.
+// Question is a query whether a request may run.
 type Question struct {
-	// ID is the asker's name for the question.
+	// ID identifies the query among those of its sender.
 	ID uint64 `msg:"id"`
 	// Account is whose limit the request counts against: a tenant's name, or that of a replica's
-	// life.
+	// incarnation.
 	Account string `msg:"account"`
-	// Units is what the request counts.
+	// Units is what the request is charged.
 	Units float64 `msg:"units"`
-	// Rank is the request's urgency among those of its tenant, 0 is the highest.
+	// Rank is the request's urgency among those of its account, 0 is the highest.
 	Rank int `msg:"rank"`
 }
 
-// Answer is a decision on a question, with what it was made on.
+// Answer is the decision on a query, with the state on which it was based.
 type Answer struct {
 	ID       uint64 `msg:"id"`
 	Admitted bool   `msg:"admitted"`
-	// Level are the units left in the bucket before the decision, negative in debt, and Rate those
-	// that came back a second.
+	// Level is the number of units left in the bucket before the decision, negative in debt, and
+	// Rate the units refilled a second.
 	Level float64 `msg:"level"`
 	Rate  float64 `msg:"rate"`
-	// WaitMicros is in how long a refused request should fit.
+	// WaitMicros is the time after which a refused request should fit, in microseconds.
 	WaitMicros int64 `msg:"wait_us"`
-	// Unsure says that the holder of the count did not answer in time, and that this pool alone can't
-	// admit the request: another one may.
+	// Unsure means that the holder did not answer in time, and that this pool alone can't admit
+	// the request: another one may.
 	Unsure bool `msg:"unsure"`
-	// Never says that the limit can't hold a request of this size.
+	// Never means that the limit can't hold a request of this size.
 	Never bool `msg:"never"`
 }
 
-// Amount are units of an account that come back, or that are charged if they are negative.
+// Amount is a number of units that are returned to an account, or charged if negative.
 type Amount struct {
 	Account string  `msg:"account"`
 	Units   float64 `msg:"units"`
 }
 
-// GatewayMessage is what a gateway asks and tells a coordinator.
+// GatewayMessage is what a gateway sends to a coordinator.
 type GatewayMessage struct {
 	Questions []Question `msg:"questions"`
-	// Amounts are of requests that were admitted before: what never ran, and what ran again.
+	// Amounts correct the charges of requests admitted before: units of those that never ran are
+	// returned, and further runs are charged.
 	Amounts []Amount `msg:"amounts"`
 }
 
-// GatewayReply answers a gateway's questions.
+// GatewayReply answers a gateway's queries.
 type GatewayReply struct {
 	Answers []Answer `msg:"answers"`
 	// Mode is the deciding pool's, for logs.
 	Mode Mode `msg:"mode"`
 }
 
-// PeerMessage is what a coordinator tells the one that holds the count, and what that one
-// answers.
+// PeerMessage is what a coordinator sends to the holder, and the holder's reply.
 type PeerMessage struct {
-	// From is the sender's address, and Life the start of its process.
-	From string `msg:"from"`
-	Life int64  `msg:"life"`
-	// Holding says that the sender holds the count, as far as it knows. Two that took each other for
-	// the holder would else take each other's questions for answers, and nobody would count.
+	// From is the sender's address, and Incarnation the start time of its process.
+	From        string `msg:"from"`
+	Incarnation int64  `msg:"life"`
+	// Holding means that the sender is the holder, as far as it knows. Without it, two that each
+	// took the other for the holder would take each other's queries for answers, and neither would
+	// count.
 	Holding bool `msg:"holding"`
-	// Time is the sender's clock. EchoTime is the last Time that the sender has had from the
-	// receiver, in the receiver's life EchoLife; 0 if there was none.
-	Time     int64 `msg:"time"`
-	EchoLife int64 `msg:"echo_life"`
-	EchoTime int64 `msg:"echo_time"`
-	// Amounts are handed to the holder: levels of an attached pool, debts too.
+	// Time is the sender's clock. EchoTime is the last Time that the sender received from the
+	// receiver, in the receiver's incarnation EchoIncarnation; 0 if there was none.
+	Time            int64 `msg:"time"`
+	EchoIncarnation int64 `msg:"echo_life"`
+	EchoTime        int64 `msg:"echo_time"`
+	// Amounts are moved to the holder: the levels of an attached pool, including debts.
 	Amounts   []Amount   `msg:"amounts"`
 	Questions []Question `msg:"questions"`
 	Answers   []Answer   `msg:"answers"`
@@ -90,22 +90,23 @@
 // StatusRequest asks the holder for its Status.
 type StatusRequest struct{}
 
-// Status is what a pool knows, for operators.
+// Status is the state of a pool, for operators.
 type Status struct {
-	// Address is the pool's coordinator, and Holder the one whose pool holds the count.
+	// Address is the pool's coordinator, and Holder the group's leader, whose pool is the holder.
 	Address string `json:"address" msg:"address"`
 	Mode    Mode   `json:"mode" msg:"mode"`
 	Holder  string `json:"holder" msg:"holder"`
-	// Parts of Members count here.
+	// Parts is the number of shares that count here, of Members in all.
 	Parts   int `json:"parts" msg:"parts"`
 	Members int `json:"members" msg:"members"`
-	// Attached are the coordinators whose parts count here too, with how long their leases last.
-	Attached []Attached     `json:"attached" msg:"attached"`
-	Tenants  []TenantStatus `json:"tenants" msg:"tenants"`
+	// Attached lists the other coordinators whose shares count here, with the time left of their
+	// leases.
+	Attached []AttachedCoordinator `json:"attached" msg:"attached"`
+	Tenants  []TenantStatus        `json:"tenants" msg:"tenants"`
 }
 
-// Attached is a coordinator whose part counts at another one.
-type Attached struct {
+// AttachedCoordinator is a coordinator whose share counts at another one.
+type AttachedCoordinator struct {
 	Address    string  `json:"address" msg:"address"`
 	LeaseLeftS float64 `json:"lease_left_s" msg:"lease_left_s"`
 }
@@ -116,14 +117,14 @@
 	// Rate and Burst are the limit, in units a second and units.
 	Rate  float64 `json:"rate" msg:"rate"`
 	Burst float64 `json:"burst" msg:"burst"`
-	// Level are the units left, negative in debt.
+	// Level is the number of units left, negative in debt.
 	Level float64 `json:"level" msg:"level"`
-	// Admitted and Refused are the units of the last WindowS seconds that this pool decided on.
+	// Admitted and Refused are the units that this pool decided on in the last WindowS seconds.
 	Admitted float64 `json:"admitted" msg:"admitted"`
 	Refused  float64 `json:"refused" msg:"refused"`
 	WindowS  float64 `json:"window_s" msg:"window_s"`
-	// Debt is by how much the level may fall below 0 now.
+	// Debt is the number of units by which the level may fall below 0 now.
 	Debt float64 `json:"debt" msg:"debt"`
-	// Tolerance is by how much the limit may be overrun within the window.
+	// Tolerance is the number of units by which the limit may be overrun within the window.
 	Tolerance float64 `json:"tolerance" msg:"tolerance"`
 }
--- a/internal/quota/messages_gen.go
+++ b/internal/quota/messages_gen.go
@@ -127,7 +127,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z Attached) MarshalMsg(b []byte) (o []byte, err error) {
+func (z AttachedCoordinator) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 2
 	// string "address"
@@ -140,7 +140,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Attached) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *AttachedCoordinator) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -186,7 +186,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Attached) Msgsize() (s int) {
+func (z AttachedCoordinator) Msgsize() (s int) {
 	s = 1 + 8 + msgp.StringPrefixSize + len(z.Address) + 13 + msgp.Float64Size
 	return
 }
@@ -410,10 +410,10 @@
 	// array header, size 9
 	o = append(o, 0x99)
 	o = msgp.AppendString(o, z.From)
-	o = msgp.AppendInt64(o, z.Life)
+	o = msgp.AppendInt64(o, z.Incarnation)
 	o = msgp.AppendBool(o, z.Holding)
 	o = msgp.AppendInt64(o, z.Time)
-	o = msgp.AppendInt64(o, z.EchoLife)
+	o = msgp.AppendInt64(o, z.EchoIncarnation)
 	o = msgp.AppendInt64(o, z.EchoTime)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Amounts)))
 	for za0001 := range z.Amounts {
@@ -458,9 +458,9 @@
 		err = msgp.WrapError(err, "From")
 		return
 	}
-	z.Life, bts, err = msgp.ReadInt64Bytes(bts)
+	z.Incarnation, bts, err = msgp.ReadInt64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Life")
+		err = msgp.WrapError(err, "Incarnation")
 		return
 	}
 	z.Holding, bts, err = msgp.ReadBoolBytes(bts)
@@ -473,9 +473,9 @@
 		err = msgp.WrapError(err, "Time")
 		return
 	}
-	z.EchoLife, bts, err = msgp.ReadInt64Bytes(bts)
+	z.EchoIncarnation, bts, err = msgp.ReadInt64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "EchoLife")
+		err = msgp.WrapError(err, "EchoIncarnation")
 		return
 	}
 	z.EchoTime, bts, err = msgp.ReadInt64Bytes(bts)
@@ -753,7 +753,7 @@
 			if cap(z.Attached) >= int(zb0003) {
 				z.Attached = (z.Attached)[:zb0003]
 			} else {
-				z.Attached = make([]Attached, zb0003)
+				z.Attached = make([]AttachedCoordinator, zb0003)
 			}
 			for za0001 := range z.Attached {
 				var zb0004 uint32
--- a/internal/quota/parts.go
+++ b/internal/quota/parts.go
@@ -5,58 +5,58 @@
 	"time"
 )
 
-// Shares of the tolerance: what the pools' debts, questions that the holder does not answer, and
-// gateways that reach no coordinator may use up. Together they are 1, with debts counted twice:
-// a holder that takes over does not know those of the one before.
+// Fractions of the tolerance that may be used up by the pools' debts, by queries that the holder
+// does not answer, and by gateways that reach no coordinator. With debts counted twice, since a new
+// holder does not know the debts of the previous one, they add up to 1.
 const (
-	debtShare    = 0.35
-	silentShare  = 0.15
-	gatewayShare = 0.15
+	debtFraction          = 0.35
+	holderTimeoutFraction = 0.15
+	gatewayFraction       = 0.15
 )
 
-// Mode is how the pool decides at a time.
+// Mode returns how the pool decides at a time.
 func (p *Pool) Mode(now time.Duration) Mode {
 	switch {
 	case p.leader == p.options.Address:
 		return ModeHolding
-	case p.leader != "" && p.holder == p.leader && now < p.freeFrom:
+	case p.leader != "" && p.holder == p.leader && now < p.leaseEnd:
 		return ModeAttached
 	default:
 		return ModeAlone
 	}
 }
 
-// countedParts are the parts that count in a pool at a time.
-type countedParts struct {
-	// all is their number, and even that of those which have counted here for a window.
-	all, even int
-	// aged is all with each part younger than a window counted by its age. Debts are allowed by it:
-	// a pool that could use all of its debt at once would add it to those of all that held the same
-	// parts within the window.
-	aged float64
+// shareCount is the number of shares that count in a pool at a time.
+type shareCount struct {
+	// total counts all shares, and mature those that have counted here for a window.
+	total, mature int
+	// ageWeighted is total with each share younger than a window counted by its age as a fraction
+	// of the window. It limits debts: a pool that could use all of its debt at once would add it to
+	// the debts of all pools that held the same shares within the window.
+	ageWeighted float64
 }
 
-// add counts a part that has been here since a time.
-func (c *countedParts) add(now, since, window time.Duration) {
-	c.all++
+// add counts a share that has counted here since a time.
+func (c *shareCount) add(now, since, window time.Duration) {
+	c.total++
 	age := now - since
 	if age >= window {
-		c.even++
+		c.mature++
 	}
-	c.aged += min(age.Seconds()/window.Seconds(), 1)
+	c.ageWeighted += min(age.Seconds()/window.Seconds(), 1)
 }
 
-// countParts are the parts that count here at a time.
-func (p *Pool) countParts(now time.Duration) countedParts {
+// countShares returns the number of shares that count here at a time.
+func (p *Pool) countShares(now time.Duration) shareCount {
 	window := p.options.Terms.window()
 	mode := p.Mode(now)
-	isOwn := mode != ModeAttached && now >= p.freeFrom && slices.Contains(p.members, p.options.Address)
-	if isOwn && !p.hasOwn {
+	countsOwn := mode != ModeAttached && now >= p.leaseEnd && slices.Contains(p.members, p.options.Address)
+	if countsOwn && !p.countsOwn {
 		p.ownSince = now
 	}
-	p.hasOwn = isOwn
-	var counted countedParts
-	if isOwn {
+	p.countsOwn = countsOwn
+	var counted shareCount
+	if countsOwn {
 		counted.add(now, p.ownSince, window)
 	}
 	if mode != ModeHolding {
@@ -70,58 +70,59 @@
 	return counted
 }
 
-// refresh notes how many parts count here now. For the time since the last refresh the smaller
-// number counts: which of them ended when is not worth knowing.
-func (p *Pool) refresh(now time.Duration) {
-	counted := p.countParts(now)
-	before := p.parts
-	if counted.all == before.all && counted.even == before.even {
-		p.parts = counted
+// updateShares updates the number of shares that count here. The time since the last update is
+// refilled with the smaller number: when exactly a share ended in between does not matter.
+func (p *Pool) updateShares(now time.Duration) {
+	counted := p.countShares(now)
+	previous := p.shares
+	if counted.total == previous.total && counted.mature == previous.mature {
+		p.shares = counted
 		return
 	}
-	p.parts = countedParts{all: min(before.all, counted.all), even: min(before.even, counted.even), aged: min(before.aged, counted.aged)}
-	p.settle(now)
-	p.parts = counted
-	p.settle(now)
-	if counted.all != before.all {
-		p.output.Modes = append(p.output.Modes, ModeChange{Mode: p.Mode(now), Parts: counted.all, Of: len(p.members), Holder: p.holder})
+	p.shares = shareCount{total: min(previous.total, counted.total), mature: min(previous.mature, counted.mature), ageWeighted: min(previous.ageWeighted, counted.ageWeighted)}
+	p.refillAll(now)
+	p.shares = counted
+	p.refillAll(now)
+	if counted.total != previous.total {
+		p.output.Modes = append(p.output.Modes, ModeChange{Mode: p.Mode(now), Parts: counted.total, Of: len(p.members), Holder: p.holder})
 	}
 }
 
-// settle refills all buckets up to a time, and cuts them to the parts that count here.
-func (p *Pool) settle(now time.Duration) {
+// refillAll refills all buckets up to a time, and clamps them to the shares that count here.
+func (p *Pool) refillAll(now time.Duration) {
 	for tenant, each := range p.buckets {
-		each.refill(now, p.share(tenant))
+		each.refill(now, p.allowance(tenant))
 	}
 }
 
-// share is what of a tenant's limit counts here.
-func (p *Pool) share(tenant string) share {
+// allowance returns the part of a tenant's limit that may be used here.
+func (p *Pool) allowance(tenant string) allowance {
 	members := float64(max(len(p.members), 1))
-	most := p.options.Terms.tolerance(p.limits[tenant]) * debtShare
-	held := share{
-		parts:     float64(p.parts.all) / members,
-		evenParts: float64(p.parts.even) / members,
-		debt:      most * p.parts.aged / members,
-		mostDebt:  most,
-		window:    p.options.Terms.window(),
-		strict:    p.options.Terms.Strict,
-		turn:      p.options.Lease,
+	fullMaxDebt := p.options.Terms.tolerance(p.limits[tenant]) * debtFraction
+	current := allowance{
+		fraction:       float64(p.shares.total) / members,
+		matureFraction: float64(p.shares.mature) / members,
+		maxDebt:        fullMaxDebt * p.shares.ageWeighted / members,
+		fullMaxDebt:    fullMaxDebt,
+		window:         p.options.Terms.window(),
+		strict:         p.options.Terms.Strict,
+		retryAfter:     p.options.Lease,
 	}
-	if held.strict {
-		held.evenParts = 0
+	if current.strict {
+		current.matureFraction = 0
 	}
-	return held
+	return current
 }
 
-// silentShareOf is what of a tenant's limit may be used while the holder does not answer.
-func (p *Pool) silentShareOf(tenant string) share {
-	return share{
-		mostDebt: p.options.Terms.tolerance(p.limits[tenant]) * debtShare,
+// holderTimeoutAllowance returns the part of a tenant's limit that may be used while the holder does
+// not answer.
+func (p *Pool) holderTimeoutAllowance(tenant string) allowance {
+	return allowance{
+		fullMaxDebt: p.options.Terms.tolerance(p.limits[tenant]) * debtFraction,
 
-		debt:   p.options.Terms.tolerance(p.limits[tenant]) * silentShare / float64(max(len(p.members), 1)),
-		window: p.options.Terms.window(),
-		strict: p.options.Terms.Strict,
-		turn:   p.options.Lease,
+		maxDebt:    p.options.Terms.tolerance(p.limits[tenant]) * holderTimeoutFraction / float64(max(len(p.members), 1)),
+		window:     p.options.Terms.window(),
+		strict:     p.options.Terms.Strict,
+		retryAfter: p.options.Lease,
 	}
 }
--- a/internal/quota/peer.go
+++ b/internal/quota/peer.go
@@ -5,260 +5,262 @@
 	"time"
 )
 
-// Receive takes a message of another coordinator.
+// Receive handles a message of another coordinator.
 func (p *Pool) Receive(now time.Duration, message *PeerMessage) {
-	p.refresh(now)
+	p.updateShares(now)
 	if p.Mode(now) == ModeHolding {
-		// Another holder's part counts there: each would else count the other's.
+		// Another holder's share counts at that holder: otherwise each would count the other's.
 		if !message.Holding {
 			p.receiveAsHolder(now, message)
 		}
 		return
 	}
 	if message.From == p.leader && message.Holding {
-		p.receiveOfHolder(now, message)
+		p.receiveFromHolder(now, message)
 	}
 }
 
-// receiveAsHolder counts the sender's part for the time of a lease, and answers its questions.
+// receiveAsHolder counts the sender's share until a lease ends, and answers its queries.
 func (p *Pool) receiveAsHolder(now time.Duration, message *PeerMessage) {
-	// The lease begins at a time of this process's own clock that the sender has had since: a
-	// message that was held up somewhere attaches nobody.
+	// The lease begins at a time of this process's own clock that the sender has echoed: a
+	// message that was delayed in the network attaches nobody.
 	until := time.Duration(message.EchoTime) + p.options.Lease
 	isMember := slices.Contains(p.members, message.From)
-	if isMember && message.EchoLife == p.options.Life && now < until {
-		p.noteAttached(now, message.From, until)
+	if isMember && message.EchoIncarnation == p.options.Life && now < until {
+		p.extendLease(now, message.From, until)
 	}
 	for _, each := range message.Amounts {
 		p.Give(now, each)
 	}
-	reply := PeerMessage{EchoLife: message.Life, EchoTime: message.Time}
+	reply := PeerMessage{EchoIncarnation: message.Incarnation, EchoTime: message.Time}
 	for _, each := range message.Questions {
 		reply.Answers = append(reply.Answers, p.answerPeer(now, message.From, each))
 	}
 	p.send(now, message.From, reply)
 }
 
-// noteAttached has a coordinator's part count here until a time.
-func (p *Pool) noteAttached(now time.Duration, from string, until time.Duration) {
-	before, known := p.attached[from]
-	if !known || now >= before.until {
-		before = attachment{since: now}
-	}
-	p.attached[from] = attachment{since: before.since, until: max(before.until, until)}
-	p.refresh(now)
+// extendLease counts a coordinator's share here until a time.
+func (p *Pool) extendLease(now time.Duration, from string, until time.Duration) {
+	previous, known := p.attached[from]
+	if !known || now >= previous.until {
+		previous = attachment{since: now}
+	}
+	p.attached[from] = attachment{since: previous.since, until: max(previous.until, until)}
+	p.updateShares(now)
 }
 
-// answerPeer decides a question of an attached pool, once.
+// answerPeer decides a query of an attached pool, once.
 func (p *Pool) answerPeer(now time.Duration, from string, q Question) Answer {
-	if answer, known := p.answered.begin(now, asker{from, q.ID}); known && answer != nil {
+	if answer, known := p.answers.reserve(now, queryKey{from, q.ID}); known && answer != nil {
 		return *answer
 	}
-	answer := p.answerUnknown(q)
-	if limited := p.buckets[q.Account]; limited != nil {
-		answer = p.decideHere(now, limited, q)
+	answer := p.answerWithoutLimit(q)
+	if b := p.buckets[q.Account]; b != nil {
+		answer = p.decideFromBucket(now, b, q)
 	}
-	p.answered.end(asker{from, q.ID}, answer)
+	p.answers.store(queryKey{from, q.ID}, answer)
 	return answer
 }
 
-// receiveOfHolder takes the holder's answers, and its lease.
-func (p *Pool) receiveOfHolder(now time.Duration, message *PeerMessage) {
-	if message.EchoLife == p.options.Life {
+// receiveFromHolder handles the holder's answers, and renews the lease.
+func (p *Pool) receiveFromHolder(now time.Duration, message *PeerMessage) {
+	if message.EchoIncarnation == p.options.Life {
 		p.acknowledge(message.EchoTime)
 	}
-	if p.isNews(message) {
+	if p.isNewer(message) {
 		p.attach(now, message)
 	}
 	for _, each := range message.Answers {
-		p.takeAnswer(now, each)
+		p.receiveAnswer(now, each)
 	}
 }
 
-// boundDebts forgets what a bucket owes beyond its debt: it was let through by the even rate, which
-// the holder's empty buckets make up for.
-func (p *Pool) boundDebts() {
+// clampDebts drops what a bucket owes beyond its maximum debt: it was admitted by the sustained
+// bucket, and the holder's buckets, which begin empty, make up for it.
+func (p *Pool) clampDebts() {
 	for tenant, each := range p.buckets {
-		each.level = max(each.level, -p.share(tenant).debt)
+		each.level = max(each.level, -p.allowance(tenant).maxDebt)
 	}
 }
 
-// isNews reports whether a message of the holder is newer than all before.
-func (p *Pool) isNews(message *PeerMessage) bool {
-	if p.holder != message.From || p.holderLife != message.Life {
-		return p.holder != message.From || p.holderLife < message.Life
+// isNewer reports whether a message of the holder is newer than all before.
+func (p *Pool) isNewer(message *PeerMessage) bool {
+	if p.holder != message.From || p.holderIncarnation != message.Incarnation {
+		return p.holder != message.From || p.holderIncarnation < message.Incarnation
 	}
 	return p.holderTime < message.Time
 }
 
-// attach notes that the holder has answered. From the first answer on the part counts there, and
-// what has counted here is handed in at once.
+// attach records that the holder has answered. From the first answer on the share counts there, and
+// what the buckets here contain is to be sent to it at once.
 func (p *Pool) attach(now time.Duration, message *PeerMessage) {
 	attached := p.Mode(now) == ModeAttached
 	if !attached {
-		p.settle(now)
-		p.boundDebts()
-		p.handing = append(p.handing, p.takeLevels()...)
-		p.beatAt = now
-	}
-	p.holder, p.holderLife, p.holderTime = message.From, message.Life, message.Time
-	p.freeFrom = now + p.options.Lease
-	p.refresh(now)
+		p.refillAll(now)
+		p.clampDebts()
+		p.unsentAmounts = append(p.unsentAmounts, p.drainBuckets()...)
+		p.heartbeatAt = now
+	}
+	p.holder, p.holderIncarnation, p.holderTime = message.From, message.Incarnation, message.Time
+	p.leaseEnd = now + p.options.Lease
+	p.updateShares(now)
 }
 
-// takeAnswer takes the holder's decision on a question. One that comes too late was decided here
-// meanwhile: what it charged is given back.
-func (p *Pool) takeAnswer(now time.Duration, answer Answer) {
-	if asked, found := p.waiting[answer.ID]; found {
-		delete(p.waiting, answer.ID)
-		p.answer(now, asked.from, asked.question, answer)
+// receiveAnswer handles the holder's decision on a query. If it comes too late, the query has been
+// decided here meanwhile, and what the holder charged is returned.
+func (p *Pool) receiveAnswer(now time.Duration, answer Answer) {
+	if forwarded, found := p.pending[answer.ID]; found {
+		delete(p.pending, answer.ID)
+		p.respond(now, forwarded.from, forwarded.query, answer)
 		return
 	}
-	if late, found := p.late[answer.ID]; found && answer.Admitted {
-		delete(p.late, answer.ID)
+	if late, found := p.timedOut[answer.ID]; found && answer.Admitted {
+		delete(p.timedOut, answer.ID)
 		p.Give(now, late.amount)
 	}
 }
 
-// Tick does what is due: it decides what the holder has not answered in time, and sends.
+// Tick does what is due: it decides queries that the holder has not answered in time, and sends
+// messages.
 func (p *Pool) Tick(now time.Duration) {
-	p.refresh(now)
-	if p.Mode(now) != ModeAttached && len(p.handed) > 0 {
-		p.takeBack()
+	p.updateShares(now)
+	if p.Mode(now) != ModeAttached && len(p.unacknowledged) > 0 {
+		p.restoreDebts()
 	}
 	p.decideOverdue(now)
-	for id, each := range p.late {
+	for id, each := range p.timedOut {
 		if now >= each.until {
-			delete(p.late, id)
+			delete(p.timedOut, id)
 		}
 	}
-	if !p.mayTell(now) {
+	if !p.maySendToHolder(now) {
 		return
 	}
-	if now >= p.beatAt || len(p.asking) > 0 && now >= p.flushAt {
-		p.tellHolder(now)
+	if now >= p.heartbeatAt || len(p.outgoing) > 0 && now >= p.flushAt {
+		p.sendToHolder(now)
 	}
 }
 
-// mayTell reports whether there is a holder to tell. While the part may count at the one before,
-// another one is told nothing: it would count there too.
-func (p *Pool) mayTell(now time.Duration) bool {
+// maySendToHolder reports whether there is a holder to send to. While the share may still count at the
+// previous holder, a new one is sent nothing: the share would count there too.
+func (p *Pool) maySendToHolder(now time.Duration) bool {
 	if len(p.limits) == 0 || p.leader == "" || p.leader == p.options.Address {
 		return false
 	}
-	return p.holder == p.leader || now >= p.freeFrom
+	return p.holder == p.leader || now >= p.leaseEnd
 }
 
-// acknowledge notes that the holder counts the debts of a message.
+// acknowledge records that the holder counts the debts of a message.
 func (p *Pool) acknowledge(sentAt int64) {
-	for _, each := range p.handed[sentAt] {
-		if counted := p.buckets[each.Account]; counted != nil {
-			counted.handed = min(counted.handed-each.Units, 0)
+	for _, each := range p.unacknowledged[sentAt] {
+		if b := p.buckets[each.Account]; b != nil {
+			b.unacknowledged = min(b.unacknowledged-each.Units, 0)
 		}
 	}
-	delete(p.handed, sentAt)
-	p.takeBackBefore(sentAt - int64(p.holderWait()))
+	delete(p.unacknowledged, sentAt)
+	p.restoreDebtsBefore(sentAt - int64(p.holderWait()))
 }
 
-// takeBackBefore counts the debts of messages here again that were sent before a time: the holder
-// has acknowledged a later one, so that they, or their acknowledgements, are lost. They are handed
-// in anew; a debt that counts twice has less admitted, and not more.
-func (p *Pool) takeBackBefore(sentAt int64) {
-	for sent, amounts := range p.handed {
+// restoreDebtsBefore counts debts here again whose messages were sent before a time: the holder has
+// acknowledged a later message, so that these or their acknowledgements are lost. The debts are sent
+// anew; a debt that counts twice causes less to be admitted, not more.
+func (p *Pool) restoreDebtsBefore(sentAt int64) {
+	for sent, amounts := range p.unacknowledged {
 		if sent >= sentAt {
 			continue
 		}
 		for _, each := range amounts {
-			if counted := p.buckets[each.Account]; counted != nil {
-				counted.level += each.Units
-				counted.handed = min(counted.handed-each.Units, 0)
+			if b := p.buckets[each.Account]; b != nil {
+				b.level += each.Units
+				b.unacknowledged = min(b.unacknowledged-each.Units, 0)
 			}
 		}
-		delete(p.handed, sent)
+		delete(p.unacknowledged, sent)
 	}
 }
 
-// takeBack counts debts here that the holder has not acknowledged: it may have gone.
-func (p *Pool) takeBack() {
+// restoreDebts counts debts here that the holder has not acknowledged: it may have stopped.
+func (p *Pool) restoreDebts() {
 	for _, each := range p.buckets {
-		each.level += each.handed
-		each.handed = 0
+		each.level += each.unacknowledged
+		each.unacknowledged = 0
 	}
-	clear(p.handed)
+	clear(p.unacknowledged)
 }
 
-// decideOverdue decides the questions that the holder has not answered.
+// decideOverdue decides the queries that the holder has not answered in time, and sends those
+// once more that are due for it.
 func (p *Pool) decideOverdue(now time.Duration) {
-	for id, asked := range p.waiting {
-		if now < asked.until && p.Mode(now) == ModeAttached {
-			if asked.againAt > 0 && now >= asked.againAt {
-				asked.againAt = 0
-				p.waiting[id] = asked
-				p.askHolder(now, id, asked.question)
+	for id, forwarded := range p.pending {
+		if now < forwarded.until && p.Mode(now) == ModeAttached {
+			if forwarded.resendAt > 0 && now >= forwarded.resendAt {
+				forwarded.resendAt = 0
+				p.pending[id] = forwarded
+				p.enqueueForHolder(now, id, forwarded.query)
 			}
 			continue
 		}
-		delete(p.waiting, id)
-		p.asking = slices.DeleteFunc(p.asking, func(q Question) bool { return q.ID == id })
-		p.late[id] = lateQuestion{
-			amount: Amount{Account: asked.question.Account, Units: asked.question.Units},
+		delete(p.pending, id)
+		p.outgoing = slices.DeleteFunc(p.outgoing, func(q Question) bool { return q.ID == id })
+		p.timedOut[id] = timedOutQuery{
+			amount: Amount{Account: forwarded.query.Account, Units: forwarded.query.Units},
 			until:  now + p.options.Lease,
 		}
-		p.answerForHolder(now, asked)
+		p.decideForHolder(now, forwarded)
 	}
 }
 
-// tellHolder sends the holder what it is to know, in as many messages as it takes.
-func (p *Pool) tellHolder(now time.Duration) {
-	p.beatAt = now + time.Duration(beatShare*float64(p.options.Lease))
-	amounts := p.handIn(now)
+// sendToHolder sends amounts and queries to the holder, in as many messages as it takes.
+func (p *Pool) sendToHolder(now time.Duration) {
+	p.heartbeatAt = now + time.Duration(heartbeatFraction*float64(p.options.Lease))
+	amounts := p.takeAmounts(now)
 	for {
-		message := PeerMessage{Amounts: cutBatch(&amounts), Questions: cutBatch(&p.asking)}
+		message := PeerMessage{Amounts: takeBatch(&amounts), Questions: takeBatch(&p.outgoing)}
 		if p.holder == p.leader {
-			message.EchoLife, message.EchoTime = p.holderLife, p.holderTime
+			message.EchoIncarnation, message.EchoTime = p.holderIncarnation, p.holderTime
 		}
 		p.send(now, p.leader, message)
-		p.noteHanded(message.Amounts)
-		if len(amounts) == 0 && len(p.asking) == 0 {
+		p.recordUnacknowledged(message.Amounts)
+		if len(amounts) == 0 && len(p.outgoing) == 0 {
 			return
 		}
 	}
 }
 
-// noteHanded keeps the debts of the last message until they are acknowledged.
-func (p *Pool) noteHanded(amounts []Amount) {
+// recordUnacknowledged stores the debts of the last message until they are acknowledged.
+func (p *Pool) recordUnacknowledged(amounts []Amount) {
 	for _, each := range amounts {
-		if counted := p.buckets[each.Account]; counted != nil && each.Units < 0 {
-			counted.handed += each.Units
-			p.handed[p.sentAt] = append(p.handed[p.sentAt], each)
+		if b := p.buckets[each.Account]; b != nil && each.Units < 0 {
+			b.unacknowledged += each.Units
+			p.unacknowledged[p.sentAt] = append(p.unacknowledged[p.sentAt], each)
 		}
 	}
 }
 
-// handIn takes what an attached pool has: the holder counts it.
-func (p *Pool) handIn(now time.Duration) []Amount {
+// takeAmounts empties an attached pool's buckets, since the holder counts their contents.
+func (p *Pool) takeAmounts(now time.Duration) []Amount {
 	if p.Mode(now) != ModeAttached {
 		return nil
 	}
-	amounts := append(p.handing, p.takeLevels()...)
-	p.handing = nil
+	amounts := append(p.unsentAmounts, p.drainBuckets()...)
+	p.unsentAmounts = nil
 	return amounts
 }
 
-// takeLevels empties all buckets.
-func (p *Pool) takeLevels() []Amount {
+// drainBuckets empties all buckets, and returns their levels.
+func (p *Pool) drainBuckets() []Amount {
 	var amounts []Amount
 	for tenant, each := range p.buckets {
 		if each.level != 0 {
 			amounts = append(amounts, Amount{Account: tenant, Units: each.level})
-			each.level, each.even = 0, 0
+			each.level, each.sustained = 0, 0
 		}
 	}
 	return amounts
 }
 
-// cutBatch takes the first part of a list that a message holds.
-func cutBatch[T any](list *[]T) []T {
+// takeBatch removes the first elements of a list, as many as fit into a message.
+func takeBatch[T any](list *[]T) []T {
 	count := min(len(*list), maximumBatch)
 	batch := (*list)[:count:count]
 	*list = (*list)[count:]
@@ -268,33 +270,33 @@
 func (p *Pool) send(now time.Duration, to string, message PeerMessage) {
 	message.From = p.options.Address
 	message.Holding = p.Mode(now) == ModeHolding
-	message.Life = p.options.Life
+	message.Incarnation = p.options.Life
 	p.sentAt = max(int64(now), p.sentAt+1)
 	message.Time = p.sentAt
 	p.output.Messages = append(p.output.Messages, message)
 	p.output.To = append(p.output.To, to)
 }
 
-// Ready takes what is to be sent.
+// Ready returns what is to be sent, once.
 func (p *Pool) Ready() Output {
 	ready := p.output
 	p.output = Output{}
 	return ready
 }
 
-// Due is when Tick is to be called next, as of a time.
+// Due returns when Tick is to be called next, as of a time.
 func (p *Pool) Due(now time.Duration) time.Duration {
-	due := now + time.Duration(beatShare*float64(p.options.Lease))
-	if p.mayTell(now) {
-		due = min(due, p.beatAt)
+	due := now + time.Duration(heartbeatFraction*float64(p.options.Lease))
+	if p.maySendToHolder(now) {
+		due = min(due, p.heartbeatAt)
 	}
-	if len(p.asking) > 0 {
+	if len(p.outgoing) > 0 {
 		due = min(due, p.flushAt)
 	}
-	for _, asked := range p.waiting {
-		due = min(due, asked.until)
-		if asked.againAt > 0 {
-			due = min(due, asked.againAt)
+	for _, forwarded := range p.pending {
+		due = min(due, forwarded.until)
+		if forwarded.resendAt > 0 {
+			due = min(due, forwarded.resendAt)
 		}
 	}
 	return due
--- a/internal/quota/pool.go
+++ b/internal/quota/pool.go
@@ -6,36 +6,36 @@
 )
 
 const (
-	// beatShare of a lease is the pause between two messages to the holder: four may be lost in a
-	// row before the lease ends.
-	beatShare = 0.2
-	// holderWaitShare of a lease is how long the holder is waited for. What it costs a caller when
-	// a leader has just gone has to be small against any objective.
-	holderWaitShare = 0.125
-	// batchPause is how long questions wait for others to go with them to the holder: far less
-	// than a request takes at a replica, and a bound on the messages.
-	batchPause = 2 * time.Millisecond
-	// maximumBatch bounds the questions, answers and amounts of a message, so that it stays below
+	// heartbeatFraction of a lease is the interval between messages to the holder: four in a row may
+	// be lost before the lease ends.
+	heartbeatFraction = 0.2
+	// holderWaitFraction of a lease is the timeout of queries to the holder. The delay that it causes
+	// for a caller when a leader has just stopped has to be small compared with any objective.
+	holderWaitFraction = 0.125
+	// batchDelay is how long queries wait to be batched with others to the holder: far less than a
+	// request takes at a replica, and a bound on the number of messages.
+	batchDelay = 2 * time.Millisecond
+	// maximumBatch bounds the queries, answers and amounts of a message, so that it stays below
 	// datagram.MaximumBytes with names of usual length.
 	maximumBatch = 50
-	// maximumWaiting bounds the questions that wait for the holder: three times what one of 20
+	// maximumPending bounds the queries that wait for the holder: three times what one of 20
 	// coordinators is asked in 60 ms at 60,000 requests a second. Further ones are decided as if the
-	// holder were silent.
-	maximumWaiting = 600
+	// holder had not answered in time.
+	maximumPending = 600
 )
 
-// Options are what a Pool is made from.
+// Options configure a Pool.
 type Options struct {
-	// Address is the coordinator's, and Life the start of its process.
+	// Address is the coordinator's, and Life the start time of its process.
 	Address string
 	Life    int64
-	// Lease is for how long a part counts at the holder after its last message.
+	// Lease is for how long a share counts at the holder after the sender's last message.
 	Lease time.Duration
 	Terms Terms
 }
 
-// Pool is a coordinator's count of what tenants use. Its methods take the time on one clock that
-// never goes back and counts suspensions. What is to be sent is taken by Ready.
+// Pool is a coordinator's count of what tenants use. Its methods take the time on one clock that is
+// monotonic and includes time for which the machine was suspended. Ready returns what is to be sent.
 type Pool struct {
 	options Options
 	limits  map[string]Limit
@@ -43,82 +43,83 @@
 	members []string
 	leader  string
 
-	// freeFrom is when no other pool counts this coordinator's part any more.
-	freeFrom time.Duration
-	// holder is the one that answered last, in the life holderLife at its time holderTime.
-	holder     string
-	holderLife int64
-	holderTime int64
-	// attached are the coordinators whose parts count here; ownSince is since when the own part does,
-	// meaningful if hasOwn is set.
-	attached map[string]attachment
-	hasOwn   bool
-	ownSince time.Duration
-	// parts are those that count here, as of the last refresh.
-	parts countedParts
+	// leaseEnd is when no other pool counts this coordinator's share any more.
+	leaseEnd time.Duration
+	// holder is the one that answered last, in its incarnation holderIncarnation at its time holderTime.
+	holder            string
+	holderIncarnation int64
+	holderTime        int64
+	// attached are the coordinators whose shares count here. ownSince is since when the own share
+	// counts here, valid only if countsOwn is set.
+	attached  map[string]attachment
+	countsOwn bool
+	ownSince  time.Duration
+	// shares are those that count here, as of the last updateShares.
+	shares shareCount
 
-	beatAt  time.Duration
-	flushAt time.Duration
-	// handing is what the pool had when it attached, to be handed in; handed are the debts of
-	// messages that the holder has not acknowledged, by the messages' times.
-	handing []Amount
-	handed  map[int64][]Amount
+	heartbeatAt time.Duration
+	flushAt     time.Duration
+	// unsentAmounts are the levels that the pool had when it attached, to be sent to the holder.
+	// unacknowledged are the debts of messages that the holder has not acknowledged, by the
+	// messages' Time.
+	unsentAmounts  []Amount
+	unacknowledged map[int64][]Amount
 	// sentAt is the Time of the last message.
 	sentAt int64
 	lastID uint64
-	// waiting are the questions that the holder has been asked, and asking those to be sent.
-	waiting map[uint64]waitingQuestion
-	asking  []Question
-	// late are questions that were decided here since the holder did not answer in time.
-	late map[uint64]lateQuestion
-	// answered are the questions of gateways, and at the holder those of coordinators.
-	answered *memory
-	output   Output
+	// pending are the queries that are waiting for the holder's answer, and outgoing those to be sent.
+	pending  map[uint64]pendingQuery
+	outgoing []Question
+	// timedOut are queries that were decided here because the holder did not answer in time.
+	timedOut map[uint64]timedOutQuery
+	// answers are those to queries of gateways, and at the holder also to those of coordinators.
+	answers *answerCache
+	output  Output
 }
 
-// attachment is a time for which a coordinator's part counts at the holder.
+// attachment is the time for which a coordinator's share counts at the holder.
 type attachment struct {
 	since, until time.Duration
 }
 
-// waitingQuestion is a gateway's question that was passed on to the holder.
-type waitingQuestion struct {
-	from     string
-	question Question
-	until    time.Duration
-	// againAt is when the holder is asked once more, 0 once it has been.
-	againAt time.Duration
+// pendingQuery is a gateway's query that was forwarded to the holder.
+type pendingQuery struct {
+	from  string
+	query Question
+	until time.Duration
+	// resendAt is when the query is sent to the holder once more, 0 once it has been.
+	resendAt time.Duration
 }
 
-// lateQuestion is one whose answer comes to nothing.
-type lateQuestion struct {
+// timedOutQuery is a query whose answer is no longer used.
+type timedOutQuery struct {
 	amount Amount
 	until  time.Duration
 }
 
-// Output is what a pool has decided and wants to be sent.
+// Output is what a pool has decided and the messages to send.
 type Output struct {
 	Decisions []Decision
 	Messages  []PeerMessage
-	// To are the receivers of Messages, one each.
+	// To are the recipients of Messages, one each.
 	To []string
-	// Modes are the changes of the pool's mode, oldest first.
+	// Modes are the changes of the number of shares that count here, oldest first.
 	Modes []ModeChange
 }
 
-// Decision is the answer to a question of a gateway.
+// Decision is the answer to a gateway's query.
 type Decision struct {
 	From     string
 	Question Question
 	Answer   Answer
 	Mode     Mode
-	// Silent says that the holder was to decide and did not answer in time.
+	// Silent means that the holder was to decide and did not answer in time.
 	Silent bool
-	// Again says that the question has come again, and gets the answer that it had.
+	// Again means that the query was received before, and gets the same answer.
 	Again bool
 }
 
-// ModeChange says that the pool decides in another way.
+// ModeChange reports that the number of shares that count here has changed.
 type ModeChange struct {
 	Mode   Mode
 	Parts  int
@@ -126,29 +127,29 @@
 	Holder string
 }
 
-// NewPool returns the pool of a process that begins now, with empty buckets: what an earlier
-// process had counted is not known, and the part may count elsewhere for the time of a lease.
+// NewPool returns the pool of a process that begins now, with empty buckets: what an earlier process
+// had counted is not known, and the share may count elsewhere for the time of a lease.
 func NewPool(now time.Duration, options Options) *Pool {
 	return &Pool{
-		options:  options,
-		limits:   map[string]Limit{},
-		buckets:  map[string]*bucket{},
-		freeFrom: now + options.Lease,
-		attached: map[string]attachment{},
-		waiting:  map[uint64]waitingQuestion{},
-		late:     map[uint64]lateQuestion{},
-		handed:   map[int64][]Amount{},
-		// Names of an earlier process's questions are never used again.
-		lastID:   uint64(options.Life),
-		answered: newMemory(options.Lease),
+		options:        options,
+		limits:         map[string]Limit{},
+		buckets:        map[string]*bucket{},
+		leaseEnd:       now + options.Lease,
+		attached:       map[string]attachment{},
+		pending:        map[uint64]pendingQuery{},
+		timedOut:       map[uint64]timedOutQuery{},
+		unacknowledged: map[int64][]Amount{},
+		// IDs of an earlier process's queries are never used again.
+		lastID:  uint64(options.Life),
+		answers: newAnswerCache(options.Lease),
 	}
 }
 
-// SetLimits takes the limits of a configuration over, by tenant. Tenants without one are not
-// counted.
+// SetLimits replaces all limits by those of a configuration, by tenant. Tenants without a limit are
+// not counted.
 func (p *Pool) SetLimits(now time.Duration, limits map[string]Limit) {
-	p.refresh(now)
-	p.settle(now)
+	p.updateShares(now)
+	p.refillAll(now)
 	p.limits = limits
 	for tenant := range p.buckets {
 		if _, limited := limits[tenant]; !limited {
@@ -156,150 +157,150 @@
 		}
 	}
 	for tenant, limit := range limits {
-		if known := p.buckets[tenant]; known != nil {
-			known.limit = limit
-			known.cut(p.share(tenant))
+		if b := p.buckets[tenant]; b != nil {
+			b.limit = limit
+			b.clamp(p.allowance(tenant))
 			continue
 		}
-		p.buckets[tenant] = &bucket{limit: limit, at: now}
+		p.buckets[tenant] = &bucket{limit: limit, updatedAt: now}
 	}
 }
 
-// SetLimit sets the limit of one account, and RemoveLimit ends it. A pool is used with these or with
-// SetLimits.
+// SetLimit sets the limit of one account, and RemoveLimit removes it. A pool is used either with these
+// or with SetLimits.
 func (p *Pool) SetLimit(now time.Duration, account string, limit Limit) {
-	p.refresh(now)
-	known := p.buckets[account]
-	if known == nil {
-		known = &bucket{at: now}
-		p.buckets[account] = known
+	p.updateShares(now)
+	b := p.buckets[account]
+	if b == nil {
+		b = &bucket{updatedAt: now}
+		p.buckets[account] = b
 	}
-	known.refill(now, p.share(account))
+	b.refill(now, p.allowance(account))
 	p.limits[account] = limit
-	known.limit = limit
-	known.cut(p.share(account))
+	b.limit = limit
+	b.clamp(p.allowance(account))
 }
 
-// RemoveLimit ends the limit of an account: it is not counted any more.
+// RemoveLimit removes the limit of an account, which is no longer counted.
 func (p *Pool) RemoveLimit(account string) {
 	delete(p.limits, account)
 	delete(p.buckets, account)
 }
 
-// SetGroup says who leads the group of coordinators, empty if nobody is known to, and who its
-// members are.
+// SetGroup sets the leader of the group of coordinators, empty if none is known, and its members.
 func (p *Pool) SetGroup(now time.Duration, leader string, members []string) {
 	if leader == p.leader && slices.Equal(members, p.members) {
 		return
 	}
-	p.refresh(now)
-	p.settle(now)
+	p.updateShares(now)
+	p.refillAll(now)
 	if leader != p.leader {
-		p.beatAt = now
+		p.heartbeatAt = now
 		clear(p.attached)
 	}
 	p.leader, p.members = leader, slices.Clone(members)
-	p.refresh(now)
-	// The parts may be as many as before, of another number of members.
-	p.settle(now)
+	p.updateShares(now)
+	// The number of shares may be the same as before while the number of members has changed.
+	p.refillAll(now)
 }
 
-// Ask takes a gateway's question. A coordinator that does not know the group yet answers nothing:
-// it can't tell its part, and the gateway asks another one.
+// Ask handles a gateway's query. A coordinator that does not know the group yet gives no answer: it
+// does not know its share, and the gateway asks another one.
 func (p *Pool) Ask(now time.Duration, from string, q Question) {
 	if len(p.members) == 0 {
 		return
 	}
-	p.refresh(now)
-	if answer, known := p.answered.begin(now, asker{from, q.ID}); known {
+	p.updateShares(now)
+	if answer, known := p.answers.reserve(now, queryKey{from, q.ID}); known {
 		if answer != nil {
 			p.output.Decisions = append(p.output.Decisions, Decision{From: from, Question: q, Answer: *answer, Mode: p.Mode(now), Again: true})
 		}
 		return
 	}
-	limited := p.buckets[q.Account]
+	b := p.buckets[q.Account]
 	switch {
-	case limited == nil:
-		p.answer(now, from, q, p.answerUnknown(q))
-	case p.Mode(now) == ModeAttached && len(p.waiting) < maximumWaiting:
-		p.passOn(now, from, q)
+	case b == nil:
+		p.respond(now, from, q, p.answerWithoutLimit(q))
+	case p.Mode(now) == ModeAttached && len(p.pending) < maximumPending:
+		p.forward(now, from, q)
 	default:
-		p.answer(now, from, q, p.decideHere(now, limited, q))
+		p.respond(now, from, q, p.decideFromBucket(now, b, q))
 	}
 }
 
-// answerForHolder decides a question that the holder was to decide.
-func (p *Pool) answerForHolder(now time.Duration, asked waitingQuestion) {
-	answer := p.answerUnknown(asked.question)
-	if limited := p.buckets[asked.question.Account]; limited != nil {
-		answer = p.decideHere(now, limited, asked.question)
+// decideForHolder decides a query that the holder was to decide.
+func (p *Pool) decideForHolder(now time.Duration, forwarded pendingQuery) {
+	answer := p.answerWithoutLimit(forwarded.query)
+	if b := p.buckets[forwarded.query.Account]; b != nil {
+		answer = p.decideFromBucket(now, b, forwarded.query)
 		answer.Unsure = !answer.Admitted
 	}
-	p.answer(now, asked.from, asked.question, answer)
+	p.respond(now, forwarded.from, forwarded.query, answer)
 	p.output.Decisions[len(p.output.Decisions)-1].Silent = true
 }
 
-// answerUnknown is the answer on an account without a limit. Where limits are strict who asks knows of
-// one that has not been heard of here yet: to let it through would let through all that are asked about
-// until then.
-func (p *Pool) answerUnknown(q Question) Answer {
+// answerWithoutLimit returns the answer for an account without a limit. With strict limits, the sender
+// knows of a limit that has not been received here yet: admitting the request would admit all requests
+// for the account until then.
+func (p *Pool) answerWithoutLimit(q Question) Answer {
 	if p.options.Terms.Strict {
 		return Answer{ID: q.ID, WaitMicros: p.options.Lease.Microseconds()}
 	}
 	return Answer{ID: q.ID, Admitted: true}
 }
 
-// decideHere decides with what this pool has.
-func (p *Pool) decideHere(now time.Duration, limited *bucket, q Question) Answer {
-	if p.parts.all == 0 {
-		// A debt counts here until it is known to count at the holder: else each message that is
-		// lost would let the pool use up its part of the tolerance again.
-		silent := p.silentShareOf(q.Account)
-		silent.owed = limited.handed
-		return limited.decide(now, q, silent)
+// decideFromBucket decides with the shares that count here; without any, it uses the part of the
+// tolerance for holder timeouts.
+func (p *Pool) decideFromBucket(now time.Duration, b *bucket, q Question) Answer {
+	if p.shares.total == 0 {
+		// A debt counts here until it is known to count at the holder: otherwise the pool could use
+		// up its part of the tolerance again with each message that is lost.
+		current := p.holderTimeoutAllowance(q.Account)
+		current.unacknowledged = b.unacknowledged
+		return b.decide(now, q, current)
 	}
-	return limited.decide(now, q, p.share(q.Account))
+	return b.decide(now, q, p.allowance(q.Account))
 }
 
-func (p *Pool) answer(now time.Duration, from string, q Question, answer Answer) {
+func (p *Pool) respond(now time.Duration, from string, q Question, answer Answer) {
 	answer.ID = q.ID
-	p.answered.end(asker{from, q.ID}, answer)
+	p.answers.store(queryKey{from, q.ID}, answer)
 	p.output.Decisions = append(p.output.Decisions, Decision{From: from, Question: q, Answer: answer, Mode: p.Mode(now)})
 }
 
-// passOn has the holder asked.
-func (p *Pool) passOn(now time.Duration, from string, q Question) {
+// forward sends a query on to the holder.
+func (p *Pool) forward(now time.Duration, from string, q Question) {
 	p.lastID++
 	wait := p.holderWait()
-	p.waiting[p.lastID] = waitingQuestion{from: from, question: q, until: now + wait, againAt: now + wait/2}
-	p.askHolder(now, p.lastID, q)
+	p.pending[p.lastID] = pendingQuery{from: from, query: q, until: now + wait, resendAt: now + wait/2}
+	p.enqueueForHolder(now, p.lastID, q)
 }
 
-// askHolder has a question sent with the next message, under the pool's own name for it.
-func (p *Pool) askHolder(now time.Duration, id uint64, q Question) {
-	if len(p.asking) == 0 {
-		p.flushAt = now + batchPause
+// enqueueForHolder adds a query to the next message, under the pool's own ID for it.
+func (p *Pool) enqueueForHolder(now time.Duration, id uint64, q Question) {
+	if len(p.outgoing) == 0 {
+		p.flushAt = now + batchDelay
 	}
 	q.ID = id
-	p.asking = append(p.asking, q)
+	p.outgoing = append(p.outgoing, q)
 }
 
 func (p *Pool) holderWait() time.Duration {
-	return time.Duration(holderWaitShare * float64(p.options.Lease))
+	return time.Duration(holderWaitFraction * float64(p.options.Lease))
 }
 
-// Give takes units back that were charged, or charges some that were not if they are negative.
+// Give returns units that were charged, or charges further ones if they are negative.
 func (p *Pool) Give(now time.Duration, amount Amount) {
-	p.refresh(now)
-	limited := p.buckets[amount.Account]
-	if limited == nil {
+	p.updateShares(now)
+	b := p.buckets[amount.Account]
+	if b == nil {
 		return
 	}
-	held := p.share(amount.Account)
-	limited.refill(now, held)
-	limited.level += amount.Units
-	limited.even += amount.Units
-	// What comes back to an attached pool waits here for its next message to the holder.
-	held.parts = max(held.parts, 1/float64(max(len(p.members), 1)))
-	limited.cut(held)
+	current := p.allowance(amount.Account)
+	b.refill(now, current)
+	b.level += amount.Units
+	b.sustained += amount.Units
+	// What is returned to an attached pool waits here for its next message to the holder.
+	current.fraction = max(current.fraction, 1/float64(max(len(p.members), 1)))
+	b.clamp(current)
 }
--- a/internal/quota/status.go
+++ b/internal/quota/status.go
@@ -6,45 +6,45 @@
 	"time"
 )
 
-// Status returns what the pool knows; tenants are sorted by their names.
+// Status returns the state of the pool, with tenants sorted by name.
 func (p *Pool) Status(now time.Duration) Status {
-	p.refresh(now)
-	known := Status{
+	p.updateShares(now)
+	status := Status{
 		Address:  p.options.Address,
 		Mode:     p.Mode(now),
 		Holder:   p.leader,
-		Parts:    p.parts.all,
+		Parts:    p.shares.total,
 		Members:  len(p.members),
-		Attached: []Attached{},
+		Attached: []AttachedCoordinator{},
 		Tenants:  []TenantStatus{},
 	}
 	for _, address := range slices.Sorted(maps.Keys(p.attached)) {
 		if left := p.attached[address].until - now; left > 0 {
-			known.Attached = append(known.Attached, Attached{Address: address, LeaseLeftS: left.Seconds()})
+			status.Attached = append(status.Attached, AttachedCoordinator{Address: address, LeaseLeftS: left.Seconds()})
 		}
 	}
 	for _, tenant := range slices.Sorted(maps.Keys(p.limits)) {
-		known.Tenants = append(known.Tenants, p.tenantStatus(now, tenant))
+		status.Tenants = append(status.Tenants, p.tenantStatus(now, tenant))
 	}
-	return known
+	return status
 }
 
 func (p *Pool) tenantStatus(now time.Duration, tenant string) TenantStatus {
 	limit, window := p.limits[tenant], p.options.Terms.window()
-	shown := TenantStatus{
+	status := TenantStatus{
 		Tenant:    tenant,
 		Rate:      limit.Rate,
 		Burst:     limit.Burst,
 		WindowS:   window.Seconds(),
-		Debt:      p.share(tenant).debt,
+		Debt:      p.allowance(tenant).maxDebt,
 		Tolerance: p.options.Terms.tolerance(limit),
 	}
-	if known := p.buckets[tenant]; known != nil {
-		// A copy: to look at a bucket must not change what it holds.
-		counted := *known
-		counted.refill(now, p.share(tenant))
-		shown.Level = counted.level
-		shown.Admitted, shown.Refused = counted.use.sum(now, window)
+	if b := p.buckets[tenant]; b != nil {
+		// A copy, since reading the status must not change a bucket.
+		snapshot := *b
+		snapshot.refill(now, p.allowance(tenant))
+		status.Level = snapshot.level
+		status.Admitted, status.Refused = snapshot.usage.sum(now, window)
 	}
-	return shown
+	return status
 }
--- a/internal/quota/versions_test.go
+++ b/internal/quota/versions_test.go
@@ -6,7 +6,7 @@
 	"github.com/pierhaven/pierhaven/internal/recorded"
 )
 
-// samples are the messages on limits as an earlier build knew them.
+// samples returns the quota messages whose encoding by an earlier build is in testdata.
 func samples() recorded.Samples {
 	questions := []Question{{ID: 7, Account: "tenant", Units: 2.5, Rank: 1}}
 	answers := []Answer{{ID: 7, Admitted: true, Level: -0.5, Rate: 3, WaitMicros: 250, Unsure: true, Never: true}}
@@ -15,12 +15,12 @@
 		"gateway_message": &GatewayMessage{Questions: questions, Amounts: amounts},
 		"gateway_reply":   &GatewayReply{Answers: answers, Mode: ModeHolding},
 		"peer_message": &PeerMessage{
-			From: "10.0.0.3:7380", Life: 5, Holding: true, Time: 11, EchoLife: 4, EchoTime: 10,
+			From: "10.0.0.3:7380", Incarnation: 5, Holding: true, Time: 11, EchoIncarnation: 4, EchoTime: 10,
 			Amounts: amounts, Questions: questions, Answers: answers,
 		},
 		"status": &Status{
 			Address: "10.0.0.3:7380", Mode: ModeHolding, Holder: "10.0.0.3:7380", Parts: 2, Members: 3,
-			Attached: []Attached{{Address: "10.0.0.4:7380", LeaseLeftS: 0.3}},
+			Attached: []AttachedCoordinator{{Address: "10.0.0.4:7380", LeaseLeftS: 0.3}},
 			Tenants:  []TenantStatus{{Tenant: "tenant", Rate: 3, Burst: 6, Level: -0.5, Admitted: 8, Refused: 9, WindowS: 8}},
 		},
 	}
