--- a/internal/poison/benchmark_test.go
+++ b/internal/poison/benchmark_test.go
@@ -5,59 +5,59 @@
 	"testing"
 )
 
-// full returns as much evidence as there may be: of each request two replicas.
-func full() *evidence {
+// fullEvidence returns evidence with MaximumRecords records of two replicas each.
+func fullEvidence() *evidence {
 	e := &evidence{}
 	for number := range MaximumRecords {
 		name := fmt.Sprint("r", number)
-		e.ended(fmt.Sprint("i-", number), name)
-		e.ended(fmt.Sprint("j-", number), name)
+		e.crashed(fmt.Sprint("i-", number), name)
+		e.crashed(fmt.Sprint("j-", number), name)
 	}
 	return e
 }
 
-// BenchmarkEvidence gives what the evidence costs a coordinator: 0.58 ms for a report of an end with
-// 64 requests among 2,048 known ones, and 3.3 us for a look whether a request is due while none is.
-// A report with one request takes 70 bytes, one with 64 1,206, a change told to a gateway 57, and all
-// of the evidence 130 KB.
+// BenchmarkEvidence measures what the evidence costs a coordinator: 0.58 ms for a report of a crash
+// with 64 requests among 2,048 known ones, and 3.3 us for a check whether a request is due while none
+// is. A report with one request takes 70 bytes, one with 64 1,206, a change sent to a gateway 57, and
+// all of the evidence 130 KB.
 func BenchmarkEvidence(b *testing.B) {
 	var under []string
 	for number := range 64 {
 		under = append(under, fmt.Sprint("r", number))
 	}
 	b.Run("report of an end", func(b *testing.B) {
-		e := full()
+		e := fullEvidence()
 		b.ReportAllocs()
 		for b.Loop() {
-			e.ended(fmt.Sprint("k-", e.position), under...)
+			e.crashed(fmt.Sprint("k-", e.position), under...)
 		}
 	})
 	b.Run("look", func(b *testing.B) {
-		e := full()
+		e := fullEvidence()
 		b.ReportAllocs()
 		for b.Loop() {
 			if len(e.Due(e.at, 0)) > 0 {
-				b.Fatal("nothing is due")
+				b.Fatal("a request is due after two crashes")
 			}
 		}
 	})
 	b.Run("bytes", func(b *testing.B) {
 		one := Report{Gateway: "gateway-480", Ends: []End{{Replica: "i-0123456789", Under: digestsOf("r1")}}}
 		many := Report{Gateway: "gateway-480", Ends: []End{{Replica: "i-0123456789", Under: digestsOf(under...)}}}
-		e := full()
+		e := fullEvidence()
 		revision := e.Revision
-		e.ended("k", "r1")
+		e.crashed("k", "r1")
 		news := e.NewsSince(revision)
 		for b.Loop() {
 		}
-		b.ReportMetric(float64(encoded(b, &one)), "report-B")
-		b.ReportMetric(float64(encoded(b, &many)), "report64-B")
-		b.ReportMetric(float64(encoded(b, news)), "news-B")
-		b.ReportMetric(float64(encoded(b, &e.State)), "state-B")
+		b.ReportMetric(float64(encodedSize(b, &one)), "report-B")
+		b.ReportMetric(float64(encodedSize(b, &many)), "report64-B")
+		b.ReportMetric(float64(encodedSize(b, news)), "news-B")
+		b.ReportMetric(float64(encodedSize(b, &e.State)), "state-B")
 	})
 }
 
-func encoded(b *testing.B, message interface {
+func encodedSize(b *testing.B, message interface {
 	MarshalMsg([]byte) ([]byte, error)
 },
 ) int {
--- a/internal/poison/digest.go
+++ b/internal/poison/digest.go
@@ -15,18 +15,18 @@
 // DigestBytes is the length of a Digest.
 const DigestBytes = 16
 
-// Digest identifies a request by its content: two requests that differ in one byte of their
-// bodies, in their callers or in their targets have different digests. It gives nothing of the
-// content away, so that it may be logged and stored.
+// Digest identifies a request by its content: two requests that differ in one byte of their bodies, in
+// their callers or in their targets have different digests. It reveals nothing of the content, so it
+// may be logged and stored.
 type Digest [DigestBytes]byte
 
-// targetBytes of a digest tell the host and the target alone, so that requests to other targets
-// need not be hashed whole to see that they are different ones.
+// targetBytes is the length of the part of a digest that depends on the host and the target alone. It
+// tells requests to other targets apart without hashing their whole content.
 const targetBytes = 4
 
-// Content is what a Digest is made of.
+// Content is the part of a request from which its Digest is computed.
 type Content struct {
-	// Caller is the tenant that sends the request, empty if callers bring no keys.
+	// Caller is the tenant that sends the request, empty if callers present no keys.
 	Caller string
 	Method string
 	Host   string
@@ -35,8 +35,8 @@
 	Body   []byte
 }
 
-// Digest returns the content's digest: the first bytes are those of TargetOf, the others of a
-// SHA-256 over all of it, since callers choose the content and must not be able to meet the
+// Digest returns the content's digest: the first bytes are those of TargetOf, the others those of a
+// SHA-256 over all of the content, since callers choose the content and must not be able to produce the
 // digest of another's request.
 func (c Content) Digest() Digest {
 	var digest Digest
@@ -50,7 +50,7 @@
 	return digest
 }
 
-// writeField writes a field behind its length, so that no two contents give the same bytes.
+// writeField writes a field preceded by its length, so that no two contents give the same bytes.
 func writeField(sum hash.Hash, field []byte) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(field)))
@@ -78,30 +78,30 @@
 	return msgp.AppendBytes(encoded, d[:]), nil
 }
 
-// UnmarshalMsg implements msgp.Unmarshaler. The generated one (msgp v1.6) takes a digest whose
-// last bytes are cut off for one that ends in zeros.
+// UnmarshalMsg implements msgp.Unmarshaler. The method that msgp v1.6 generates accepts a truncated
+// digest as one that ends in zeros.
 func (d *Digest) UnmarshalMsg(encoded []byte) ([]byte, error) {
 	content, rest, err := msgp.ReadBytesZC(encoded)
 	if err != nil {
 		return encoded, err
 	}
 	if len(content) != DigestBytes {
-		return encoded, errNoDigest
+		return encoded, errInvalidDigest
 	}
 	copy(d[:], content)
 	return rest, nil
 }
 
-// Msgsize is an upper bound of the encoded length.
+// Msgsize returns an upper bound of the encoded length.
 func (Digest) Msgsize() int { return msgp.BytesPrefixSize + DigestBytes }
 
-var errNoDigest = errors.New("a digest has 32 hexadecimal digits")
+var errInvalidDigest = errors.New("a digest has 32 hexadecimal digits")
 
-// ParseDigest reads what String returns.
+// ParseDigest parses the text that String returns.
 func ParseDigest(text string) (Digest, error) {
 	decoded, err := hex.DecodeString(text)
 	if err != nil || len(decoded) != DigestBytes {
-		return Digest{}, errNoDigest
+		return Digest{}, errInvalidDigest
 	}
 	return Digest(decoded), nil
 }
--- a/internal/poison/digest_test.go
+++ b/internal/poison/digest_test.go
@@ -35,7 +35,7 @@
 	assert.NotEqual(t, digest, Content{Target: "/t", Body: long[:len(long)-1]}.Digest())
 }
 
-func TestADigestTellsItsTargetAndIsReadBack(t *testing.T) {
+func TestDigestContainsTargetHashAndIsParsed(t *testing.T) {
 	digest := Content{Host: "h", Target: "/t"}.Digest()
 	assert.Equal(t, TargetOf("h", "/t"), digest.Target())
 	read, err := ParseDigest(digest.String())
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestMessagesThatAreCutOffAreRefused(t *testing.T) {
+func TestTruncatedMessagesAreRejected(t *testing.T) {
 	news := News{
 		Revision: 3, Whole: true, Entries: []NewsEntry{{Digest: digestOf("a"), Held: true}}, Freed: digestsOf("b", "c"),
 	}
--- a/internal/poison/doc.go
+++ b/internal/poison/doc.go
@@ -1,9 +1,10 @@
-// Package poison finds requests that end each replica which begins to run them (a query of
-// death, a poison message), and says which requests must be sent to no further replica.
+// Package poison detects poison requests (also known as queries of death): requests that crash each
+// replica that starts to run them. It decides which requests must be sent to no further replica; these
+// are held.
 //
-// A Digest identifies a request by its content, since each try of a caller has an id of its own.
-// State is the evidence: under which requests which replicas have ended. It is a pure state
-// machine, which coordinators replicate and gateways keep for themselves while they reach no
-// coordinator. Due says which requests the evidence convicts. A Guard is a gateway's side: it
-// notes what happens to the gateway's requests, and knows which are held.
+// A Digest identifies a request by its content, since each of a caller's retries has an id of its own.
+// State is the evidence: which replicas have crashed under which requests. It is a deterministic state
+// machine that coordinators replicate, and that a gateway keeps for itself while it reaches no
+// coordinator. Due returns the requests that the evidence shows to be the cause. A Guard is a gateway's
+// part: it records what happens to the gateway's requests and knows which are held.
 package poison
--- a/internal/poison/due.go
+++ b/internal/poison/due.go
@@ -6,38 +6,38 @@
 	"time"
 )
 
-// Due returns the requests that the evidence convicts at a time: HoldAfter replicas or more, twice
-// as many if they ended in crowds, have ended under the request, and no other request that was at
-// these replicas has as much evidence against it. The request that ends replicas is at all of them,
-// while those beside it are at some. Where two can't be told apart both are sent on until one has
-// run to a good end or ended another replica.
+// Due returns the requests that are to be held at a time: those under which HoldAfter replicas or more
+// have crashed, twice as many if they crashed in bursts, where no other request that ran at these
+// replicas has as many crashes. A poison request ran at all replicas that it crashed, while each of the
+// requests beside it ran at some of them. Where two requests can't be told apart, both continue to be
+// sent until one of them has run to completion or crashed another replica.
 //
-// settle is how long the evidence has to stand, so that all gateways have told theirs.
+// settle is how long the evidence has to exist, so that all gateways have reported theirs.
 func (s *State) Due(now int64, settle time.Duration) []Digest {
 	candidates := s.candidates(now, settle)
 	if len(candidates) == 0 {
 		return nil
 	}
-	others := s.byEnd()
-	crowds := s.crowds()
-	explained := map[uint64]bool{}
+	recordsByCrash := s.recordsByCrash()
+	bursts := s.bursts()
+	attributed := map[uint64]bool{}
 	var due []Digest
 	for _, candidate := range candidates {
-		if convicted(candidate, others, explained, crowds) {
+		if isCause(candidate, recordsByCrash, attributed, bursts) {
 			due = append(due, candidate.Digest)
-			for _, end := range candidate.Ends {
-				explained[end] = true
+			for _, crash := range candidate.Crashes {
+				attributed[crash] = true
 			}
 		}
 	}
 	return due
 }
 
-// Next returns the command of a leader that holds what the evidence convicts at a time, and forgets
-// what is older than memory, nil if there is nothing to do. settle is that of Due.
+// Next returns the command by which a leader holds the requests that Due returns, and deletes evidence
+// that is older than memory; nil if there is nothing to do. settle is that of Due.
 func (s *State) Next(now int64, settle, memory time.Duration) *Command {
 	command := &Command{Hold: s.Due(now, settle)}
-	if before := now - memory.Nanoseconds(); s.Lapsed(before) {
+	if before := now - memory.Nanoseconds(); s.HasExpired(before) {
 		command.ForgetBefore = before
 	}
 	if len(command.Hold) == 0 && command.ForgetBefore == 0 {
@@ -46,96 +46,101 @@
 	return command
 }
 
-// crowds are the replicas that have ended together with many others, and how many each crowd was.
-type crowds struct {
-	of   map[uint64]uint64
-	size map[uint64]int
+// bursts are the replicas that have crashed in bursts, with the burst of each and the size of each
+// burst.
+type bursts struct {
+	byCrash map[uint64]uint64
+	size    map[uint64]int
 }
 
-func (s *State) crowds() crowds {
-	known := crowds{of: make(map[uint64]uint64, len(s.Crowds)), size: map[uint64]int{}}
-	for _, end := range s.Crowds {
-		known.of[end.Replica] = end.Crowd
-		known.size[end.Crowd]++
+func (s *State) bursts() bursts {
+	bursts := bursts{byCrash: make(map[uint64]uint64, len(s.BurstCrashes)), size: map[uint64]int{}}
+	for _, crash := range s.BurstCrashes {
+		bursts.byCrash[crash.Replica] = crash.Burst
+		bursts.size[crash.Burst]++
 	}
-	return known
+	return bursts
 }
 
-// explainedBy returns the crowds most of which ended under one request: it may have ended them itself,
-// being at many replicas at once. A caller that repeats at once is at a few.
-func (c crowds) explainedBy(record *Record) map[uint64]bool {
+// dominatedBy returns the bursts in which most of the replicas crashed under one request: being at many
+// replicas at once, it may have crashed them itself. A request that its caller repeats at once is only
+// at a few. Crashes outside of bursts have the key 0 and always count as the request's own.
+func (c bursts) dominatedBy(record *Record) map[uint64]bool {
 	count := map[uint64]int{}
-	for _, end := range record.Ends {
-		count[c.of[end]]++
+	for _, crash := range record.Crashes {
+		count[c.byCrash[crash]]++
 	}
-	explained := map[uint64]bool{}
-	for crowd, ends := range count {
-		explained[crowd] = crowd == 0 || 2*ends > c.size[crowd]
+	dominated := map[uint64]bool{}
+	for burst, crashes := range count {
+		dominated[burst] = burst == 0 || 2*crashes > c.size[burst]
 	}
-	return explained
+	return dominated
 }
 
-// candidates are the records with enough evidence for long enough, those with the most first.
+// candidates returns the records that have had enough evidence for long enough, those with the most
+// crashes first.
 func (s *State) candidates(now int64, settle time.Duration) []*Record {
 	var candidates []*Record
 	for index := range s.Records {
 		record := &s.Records[index]
-		if record.HeldAt == 0 && record.DueAt != 0 && now-record.DueAt >= settle.Nanoseconds() {
+		if record.HeldAt == 0 && record.SufficientAt != 0 && now-record.SufficientAt >= settle.Nanoseconds() {
 			candidates = append(candidates, record)
 		}
 	}
-	slices.SortStableFunc(candidates, func(a, b *Record) int { return cmp.Compare(len(b.Ends), len(a.Ends)) })
+	slices.SortStableFunc(candidates, func(a, b *Record) int { return cmp.Compare(len(b.Crashes), len(a.Crashes)) })
 	return candidates
 }
 
-// byEnd are the records that are not held, by the replicas that have ended under them.
-func (s *State) byEnd() map[uint64][]*Record {
-	byEnd := map[uint64][]*Record{}
+// recordsByCrash returns the records that are not held, by the replicas that have crashed under them.
+func (s *State) recordsByCrash() map[uint64][]*Record {
+	byCrash := map[uint64][]*Record{}
 	for index := range s.Records {
 		record := &s.Records[index]
 		if record.HeldAt != 0 {
 			continue
 		}
-		for _, end := range record.Ends {
-			byEnd[end] = append(byEnd[end], record)
+		for _, crash := range record.Crashes {
+			byCrash[crash] = append(byCrash[crash], record)
 		}
 	}
-	return byEnd
+	return byCrash
 }
 
-// An end counts fullEnd, and crowdEnd if many replicas have ended at the same time, most of them not
-// under the request.
+// A crash has crashWeight as evidence, or burstCrashWeight if many replicas crashed at the same time,
+// most of them not under the request.
 const (
-	fullEnd  = 2
-	crowdEnd = 1
+	crashWeight      = 2
+	burstCrashWeight = 1
 )
 
-// convicted reports whether enough replicas have ended for which no other request answers as much.
-func convicted(candidate *Record, byEnd map[uint64][]*Record, explained map[uint64]bool, known crowds) bool {
-	evidence := unexplained(candidate, explained)
-	own := 0
-	itsOwn := known.explainedBy(candidate)
-	for _, end := range candidate.Ends {
-		outweighed := slices.ContainsFunc(byEnd[end], func(other *Record) bool {
-			return other != candidate && unexplained(other, explained) >= evidence
+// isCause reports whether enough crashes count against a candidate. A crash counts if it is not
+// attributed to a request that is already due, and if no other request that ran at the replica has as
+// many unattributed crashes as the candidate.
+func isCause(candidate *Record, recordsByCrash map[uint64][]*Record, attributed map[uint64]bool, bursts bursts) bool {
+	count := countUnattributed(candidate, attributed)
+	weight := 0
+	dominated := bursts.dominatedBy(candidate)
+	for _, crash := range candidate.Crashes {
+		outweighed := slices.ContainsFunc(recordsByCrash[crash], func(other *Record) bool {
+			return other != candidate && countUnattributed(other, attributed) >= count
 		})
 		switch {
-		case explained[end] || outweighed:
-		case !itsOwn[known.of[end]]:
-			own += crowdEnd
+		case attributed[crash] || outweighed:
+		case !dominated[bursts.byCrash[crash]]:
+			weight += burstCrashWeight
 		default:
-			own += fullEnd
+			weight += crashWeight
 		}
 	}
-	return own >= HoldAfter*fullEnd
+	return weight >= HoldAfter*crashWeight
 }
 
-// unexplained counts the replicas that have ended under a request and under none that was
-// convicted before it.
-func unexplained(record *Record, explained map[uint64]bool) int {
+// countUnattributed counts the replicas that have crashed under a request and under none that Due has
+// already found to be a cause.
+func countUnattributed(record *Record, attributed map[uint64]bool) int {
 	count := 0
-	for _, end := range record.Ends {
-		if !explained[end] {
+	for _, crash := range record.Crashes {
+		if !attributed[crash] {
 			count++
 		}
 	}
--- a/internal/poison/guard.go
+++ b/internal/poison/guard.go
@@ -7,92 +7,96 @@
 	"time"
 )
 
-// Options are what a Guard is made from.
+// Options configure a Guard.
 type Options struct {
-	// Now is the time since some moment, on a clock that does not jump.
+	// Now returns the time since an arbitrary moment, on a monotonic clock.
 	Now func() time.Duration
-	// InTouch reports whether the gateway knows what the coordinators know.
+	// InTouch reports whether the gateway's view of the coordinators' state is up to date.
 	InTouch func() bool
-	// Contact is how long processes that reach each other may take to know what one knows.
+	// Contact bounds the time that processes which can reach each other need to learn what one of them
+	// knows.
 	Contact time.Duration
-	// Memory is how long evidence counts.
+	// Memory is how long evidence is retained.
 	Memory time.Duration
-	// Dropped is told of evidence that is given up for lack of room.
-	Dropped func(digests int)
+	// OnDropped is called with the number of digests in evidence that is dropped because too much of it
+	// has not been reported.
+	OnDropped func(digests int)
 }
 
-// SettleShare of the contact time is for how long evidence has to stand before a request is held:
-// it reaches the leader from all gateways within some tens of milliseconds, and what is left is
-// for the hold to reach all of them.
+// SettleShare is the part of the contact time for which evidence has to exist before a request is held.
+// All gateways' evidence reaches the leader within some tens of milliseconds; the rest of the contact
+// time is left for the hold to reach all gateways.
 const SettleShare = 0.1
 
-// Settle is for how long evidence has to stand before a request is held.
+// Settle returns how long evidence has to exist before a request is held.
 func Settle(contact time.Duration) time.Duration {
 	return time.Duration(SettleShare * float64(contact))
 }
 
 const (
-	// maximumUntold bounds the digests that wait to be told to a coordinator: 64 KB.
-	maximumUntold = 4096
-	// maximumReport bounds the digests of one report: 4 KB.
-	maximumReport = 256
+	// maximumUnreported bounds the digests that wait to be reported to a coordinator: 64 KB.
+	maximumUnreported = 4096
+	// maximumReportDigests bounds the digests of one report: 4 KB. A crash is not split, so a report
+	// with only one may have more.
+	maximumReportDigests = 256
 )
 
-// Guard is what a gateway knows of requests that end replicas. It may be used concurrently.
+// Guard is a gateway's knowledge of requests that crash replicas. It may be used concurrently.
 type Guard struct {
 	options Options
-	// view is what requests are held against; it is replaced, never changed.
+	// view is what requests are checked against; it is replaced, never modified.
 	view atomic.Pointer[guardView]
-	// wake has one token while there is something to tell, and noted while there may be own evidence
-	// to look at.
-	wake, noted chan struct{}
+	// reportReady holds one token while there is something to report, and localEvidence while there may
+	// be local evidence to check.
+	reportReady, localEvidence chan struct{}
 
 	mutex    sync.Mutex
 	revision uint64
-	// entries are those that the coordinators have told.
+	// entries are the watched requests that the coordinators have reported.
 	entries map[Digest]NewsEntry
-	// own is the evidence of this gateway alone, by which it holds requests while it reaches no
-	// coordinator; ownHeld are those, with the time up to which they are held.
-	own      State
-	position uint64
-	ownHeld  map[Digest]time.Duration
-	// ends and ranWell are what is to be told.
-	ends    []End
-	ranWell []Digest
+	// local is the evidence of this gateway alone, by which it holds requests while it reaches no
+	// coordinator. localHeldUntil are the requests that it holds, with the time until which it does.
+	local          State
+	localPosition  uint64
+	localHeldUntil map[Digest]time.Duration
+	// unreportedCrashes and unreportedCompletions wait to be reported.
+	unreportedCrashes     []End
+	unreportedCompletions []Digest
 }
 
-// guardView is a state of a Guard.
+// guardView is an immutable snapshot of what a Guard knows.
 type guardView struct {
-	// targets are those of all digests that are watched.
+	// targets are the target hashes of all watched digests.
 	targets map[uint32]struct{}
 	held    map[Digest]struct{}
+	// watched are the requests that the coordinators have reported, and all with local evidence.
 	watched map[Digest]struct{}
-	// onProbation are those that may be held soon.
+	// onProbation are the requests that may be held soon.
 	onProbation map[Digest]struct{}
 }
 
-// NewGuard returns a Guard that knows of nothing.
+// NewGuard returns a Guard without evidence.
 func NewGuard(options Options) *Guard {
 	return &Guard{
-		options: options,
-		wake:    make(chan struct{}, 1),
-		noted:   make(chan struct{}, 1),
-		entries: map[Digest]NewsEntry{},
-		ownHeld: map[Digest]time.Duration{},
+		options:        options,
+		reportReady:    make(chan struct{}, 1),
+		localEvidence:  make(chan struct{}, 1),
+		entries:        map[Digest]NewsEntry{},
+		localHeldUntil: map[Digest]time.Duration{},
 	}
 }
 
-// Request is one whose content identifies it.
+// Request is a request that is identified by its content.
 type Request interface {
-	// TargetHash is TargetOf its host and target.
+	// TargetHash is TargetOf the request's host and target.
 	TargetHash() uint32
-	// Digest is that of its content.
+	// Digest is the digest of the request's content.
 	Digest() Digest
 }
 
-// Holds reports whether a request must be sent to no replica. Its content is hashed only if
-// something is known of its target: a call then costs 17 us for 17 KB of body, and else 0.15 us
-// (BenchmarkGuardedCall, one processor).
+// Holds reports whether a request is held and must be sent to no replica. The content is hashed only if
+// a request with the same target is watched: a call then takes 17 us for a body of 17 KB, and otherwise
+// 0.15 us (BenchmarkGuardedCall, one processor).
 func (g *Guard) Holds(request Request) bool {
 	view := g.view.Load()
 	if !view.watches(request) {
@@ -102,14 +106,13 @@
 	return held
 }
 
-// MayRepeat reports whether a request that has lost a replica may be sent to another one in the
-// same call. One that has ended as many replicas as one that is held, and can't be told from others
-// that were there, is sent once a call: in one call it may end several more before the evidence of
-// the first has arrived.
+// MayRepeat reports whether a request whose replica has crashed may be retried on another replica
+// within the same call. A request on probation is sent only once a call: within one call it might crash
+// several more replicas before the evidence of the first crash has arrived.
 func (g *Guard) MayRepeat(request Request) bool { return !g.OnProbation(request) }
 
-// OnProbation reports whether a request has ended as many replicas as one that is held, and can't be
-// told from others that were there.
+// OnProbation reports whether a request is on probation: as many replicas have crashed under it as
+// under a held request, but other requests that ran there might be the cause.
 func (g *Guard) OnProbation(request Request) bool {
 	view := g.view.Load()
 	if !view.watches(request) {
@@ -119,8 +122,8 @@
 	return onProbation
 }
 
-// MayLeave reports whether a request may be passed on to others that do not know the evidence that
-// is known here: not if two replicas or more have ended under it.
+// MayLeave reports whether a request may be forwarded to processes that do not have the evidence known
+// here. It may not once two or more replicas have crashed under it.
 func (g *Guard) MayLeave(request Request) bool {
 	view := g.view.Load()
 	if !view.watches(request) {
@@ -129,35 +132,36 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	digest := request.Digest()
-	_, told := g.entries[digest]
-	own, _ := g.own.Find(digest)
-	return !told && !own.watched()
+	_, reported := g.entries[digest]
+	local, _ := g.local.Find(digest)
+	return !reported && !local.watched()
 }
 
-// watches reports whether something is known of a request's target.
+// watches reports whether a request with the same target is watched.
 func (v *guardView) watches(request Request) bool {
 	if v == nil || len(v.targets) == 0 {
 		return false
 	}
-	_, known := v.targets[request.TargetHash()]
-	return known
+	_, watched := v.targets[request.TargetHash()]
+	return watched
 }
 
-// Ended notes that a replica has ended under requests of this gateway.
+// Ended records that a replica has crashed under requests of this gateway.
 func (g *Guard) Ended(replica string, under []Digest) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.applyOwn(&Command{Ends: []End{{Replica: replica, Under: under}}})
-	g.ends = append(g.ends, End{Replica: replica, Under: under})
-	g.bound()
-	g.refresh()
-	g.wakeUp()
+	g.applyLocal(&Command{Ends: []End{{Replica: replica, Under: under}}})
+	g.unreportedCrashes = append(g.unreportedCrashes, End{Replica: replica, Under: under})
+	g.dropExcess()
+	g.rebuildView()
+	g.signal()
 }
 
-// RanWell notes that a replica has run a request to a good end. met says that a replica had ended
-// under it before; else it is told only if the request is watched.
-func (g *Guard) RanWell(request Request, met bool) {
-	if !met {
+// RanWell records that a replica has run a request to completion. afterCrash says that a replica had
+// crashed under it earlier in the call; otherwise the completion is reported only if the request is
+// watched.
+func (g *Guard) RanWell(request Request, afterCrash bool) {
+	if !afterCrash {
 		view := g.view.Load()
 		if !view.watches(request) {
 			return
@@ -169,152 +173,153 @@
 	digest := request.Digest()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.applyOwn(&Command{RanWell: []Digest{digest}})
-	delete(g.ownHeld, digest)
-	g.ranWell = append(g.ranWell, digest)
-	g.bound()
-	g.refresh()
-	g.wakeUp()
+	g.applyLocal(&Command{RanWell: []Digest{digest}})
+	delete(g.localHeldUntil, digest)
+	g.unreportedCompletions = append(g.unreportedCompletions, digest)
+	g.dropExcess()
+	g.rebuildView()
+	g.signal()
 }
 
-// applyOwn is called with the mutex held.
-func (g *Guard) applyOwn(command *Command) {
-	g.position++
+// applyLocal applies a command to the local evidence. The caller must hold g.mutex.
+func (g *Guard) applyLocal(command *Command) {
+	g.localPosition++
 	command.At = g.options.Now().Nanoseconds() + 1
-	g.own.Apply(g.position, command)
+	g.local.Apply(g.localPosition, command)
 }
 
-// bound gives up the oldest of what waits to be told if it is too much. It is called with the
-// mutex held.
-func (g *Guard) bound() {
+// dropExcess drops the oldest unreported evidence, crashes before completions, while there is more than
+// maximumUnreported. The caller must hold g.mutex.
+func (g *Guard) dropExcess() {
 	dropped := 0
-	for untold(g.ends)+len(g.ranWell) > maximumUntold {
-		if len(g.ends) == 0 {
-			g.ranWell = g.ranWell[1:]
+	for countDigests(g.unreportedCrashes)+len(g.unreportedCompletions) > maximumUnreported {
+		if len(g.unreportedCrashes) == 0 {
+			g.unreportedCompletions = g.unreportedCompletions[1:]
 			dropped++
 			continue
 		}
-		dropped += len(g.ends[0].Under)
-		g.ends = g.ends[1:]
+		dropped += len(g.unreportedCrashes[0].Under)
+		g.unreportedCrashes = g.unreportedCrashes[1:]
 	}
-	if dropped > 0 && g.options.Dropped != nil {
-		g.options.Dropped(dropped)
+	if dropped > 0 && g.options.OnDropped != nil {
+		g.options.OnDropped(dropped)
 	}
 }
 
-func untold(ends []End) int {
+func countDigests(crashes []End) int {
 	sum := 0
-	for _, end := range ends {
-		sum += len(end.Under)
+	for _, crash := range crashes {
+		sum += len(crash.Under)
 	}
 	return sum
 }
 
-func (g *Guard) wakeUp() {
+func (g *Guard) signal() {
 	select {
-	case g.noted <- struct{}{}:
+	case g.localEvidence <- struct{}{}:
 	default:
 	}
 	select {
-	case g.wake <- struct{}{}:
+	case g.reportReady <- struct{}{}:
 	default:
 	}
 }
 
-// Wake has a token whenever there is something to tell.
-func (g *Guard) Wake() <-chan struct{} { return g.wake }
+// ReportReady returns a channel that holds a token whenever there is something to report.
+func (g *Guard) ReportReady() <-chan struct{} { return g.reportReady }
 
-// Revision is that of the news last taken.
+// Revision returns the revision of the last news applied.
 func (g *Guard) Revision() uint64 {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.revision
 }
 
-// Take takes a coordinator's news over; nil is none.
-func (g *Guard) Take(news *News) {
-	if news == nil {
+// Take applies news from a coordinator; nil means that there is none.
+func (g *Guard) Take(update *News) {
+	if update == nil {
 		return
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if news.Revision <= g.revision {
+	if update.Revision <= g.revision {
 		return
 	}
-	if news.Whole {
+	if update.Whole {
 		clear(g.entries)
 	}
-	for _, entry := range news.Entries {
+	for _, entry := range update.Entries {
 		g.entries[entry.Digest] = entry
 		if entry.Held {
-			// The replicas that it has ended are no evidence against requests beside it.
-			g.applyOwn(&Command{Hold: []Digest{entry.Digest}})
+			// The replicas that it has crashed are no evidence against requests that ran beside it.
+			g.applyLocal(&Command{Hold: []Digest{entry.Digest}})
 		}
 	}
-	for _, digest := range news.Freed {
+	for _, digest := range update.Freed {
 		delete(g.entries, digest)
-		// An operator may have let it go, or it has run well elsewhere.
-		g.applyOwn(&Command{Release: []Digest{digest}})
-		delete(g.ownHeld, digest)
+		// An operator may have released it, or it has run to completion elsewhere.
+		g.applyLocal(&Command{Release: []Digest{digest}})
+		delete(g.localHeldUntil, digest)
 	}
-	g.revision = news.Revision
-	g.refresh()
+	g.revision = update.Revision
+	g.rebuildView()
 }
 
-// HasOwn reports whether there is own evidence to look at.
-func (g *Guard) HasOwn() bool {
+// HasLocalEvidence reports whether there is local evidence to check.
+func (g *Guard) HasLocalEvidence() bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.hasOwn()
+	return g.hasLocalEvidence()
 }
 
-// hasOwn is called with the mutex held.
-func (g *Guard) hasOwn() bool { return len(g.own.Records) > 0 || len(g.ownHeld) > 0 }
+// The caller must hold g.mutex.
+func (g *Guard) hasLocalEvidence() bool { return len(g.local.Records) > 0 || len(g.localHeldUntil) > 0 }
 
-// Noted has a token once there may be own evidence.
-func (g *Guard) Noted() <-chan struct{} { return g.noted }
+// LocalEvidence returns a channel that holds a token once there may be local evidence.
+func (g *Guard) LocalEvidence() <-chan struct{} { return g.localEvidence }
 
-// Look holds requests by the gateway's own evidence while it is out of touch, and for a contact
-// time after, in which the coordinators decide. It returns those that it has begun to hold.
+// Look deletes expired local evidence and holds requests by the rest while the gateway is out of touch.
+// These holds last for one contact time after it is in touch again, in which the coordinators decide.
+// It returns the requests that it has begun to hold.
 func (g *Guard) Look() []Digest {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if !g.hasOwn() {
+	if !g.hasLocalEvidence() {
 		return nil
 	}
 	now := g.options.Now()
-	if before := (now - g.options.Memory).Nanoseconds(); before > 0 && g.own.Lapsed(before) {
-		g.applyOwn(&Command{ForgetBefore: before})
+	if expiry := (now - g.options.Memory).Nanoseconds(); expiry > 0 && g.local.HasExpired(expiry) {
+		g.applyLocal(&Command{ForgetBefore: expiry})
 	}
 	outOfTouch := !g.options.InTouch()
 	changed := false
-	var begun []Digest
+	var newlyHeld []Digest
 	if outOfTouch {
-		begun = g.own.Due(now.Nanoseconds()+1, Settle(g.options.Contact))
-		if len(begun) > 0 {
-			g.applyOwn(&Command{Hold: begun})
+		newlyHeld = g.local.Due(now.Nanoseconds()+1, Settle(g.options.Contact))
+		if len(newlyHeld) > 0 {
+			g.applyLocal(&Command{Hold: newlyHeld})
 		}
-		for index := range g.own.Records {
-			if record := &g.own.Records[index]; record.HeldAt != 0 {
-				changed = changed || g.ownHeld[record.Digest] == 0
-				g.ownHeld[record.Digest] = now + g.options.Contact
+		for index := range g.local.Records {
+			if record := &g.local.Records[index]; record.HeldAt != 0 {
+				changed = changed || g.localHeldUntil[record.Digest] == 0
+				g.localHeldUntil[record.Digest] = now + g.options.Contact
 			}
 		}
 	}
-	for digest, until := range g.ownHeld {
+	for digest, until := range g.localHeldUntil {
 		if now >= until {
-			delete(g.ownHeld, digest)
+			delete(g.localHeldUntil, digest)
 			changed = true
 		}
 	}
 	if changed {
-		g.refresh()
+		g.rebuildView()
 	}
-	return begun
+	return newlyHeld
 }
 
-// refresh shows the present state. It is called with the mutex held.
-func (g *Guard) refresh() {
+// rebuildView replaces the view by one of the present state. The caller must hold g.mutex.
+func (g *Guard) rebuildView() {
 	view := &guardView{
 		targets: map[uint32]struct{}{}, held: map[Digest]struct{}{}, watched: map[Digest]struct{}{},
 		onProbation: map[Digest]struct{}{},
@@ -332,60 +337,60 @@
 			view.onProbation[digest] = struct{}{}
 		}
 	}
-	for index := range g.own.Records {
-		record := &g.own.Records[index]
+	for index := range g.local.Records {
+		record := &g.local.Records[index]
 		watch(record.Digest)
 		if record.onProbation() {
 			view.onProbation[record.Digest] = struct{}{}
 		}
 	}
-	for digest := range g.ownHeld {
+	for digest := range g.localHeldUntil {
 		watch(digest)
 		view.held[digest] = struct{}{}
 	}
 	g.view.Store(view)
 }
 
-// Report takes what is to be told next, nil if nothing.
+// Report removes and returns what is to be reported next, nil if there is nothing.
 func (g *Guard) Report(gateway string) *Report {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if len(g.ends) == 0 && len(g.ranWell) == 0 {
+	if len(g.unreportedCrashes) == 0 && len(g.unreportedCompletions) == 0 {
 		return nil
 	}
 	report := &Report{Gateway: gateway}
-	room := maximumReport
-	for _, end := range g.ends {
-		if len(report.Ends) > 0 && len(end.Under) > room {
+	remaining := maximumReportDigests
+	for _, crash := range g.unreportedCrashes {
+		if len(report.Ends) > 0 && len(crash.Under) > remaining {
 			break
 		}
-		room -= len(end.Under)
-		report.Ends = append(report.Ends, end)
+		remaining -= len(crash.Under)
+		report.Ends = append(report.Ends, crash)
 	}
-	g.ends = g.ends[len(report.Ends):]
-	if len(g.ends) == 0 {
-		// A good end must not overtake an earlier end of a replica.
-		count := min(len(g.ranWell), max(room, 1))
-		report.RanWell = g.ranWell[:count:count]
-		g.ranWell = g.ranWell[count:]
+	g.unreportedCrashes = g.unreportedCrashes[len(report.Ends):]
+	if len(g.unreportedCrashes) == 0 {
+		// A completion must not overtake an earlier crash.
+		count := min(len(g.unreportedCompletions), max(remaining, 1))
+		report.RanWell = g.unreportedCompletions[:count:count]
+		g.unreportedCompletions = g.unreportedCompletions[count:]
 	}
-	if len(g.ends)+len(g.ranWell) > 0 {
-		g.wakeUp()
+	if len(g.unreportedCrashes)+len(g.unreportedCompletions) > 0 {
+		g.signal()
 	}
 	return report
 }
 
-// Return takes a report back that no coordinator has taken.
+// Return puts a report back that no coordinator has accepted.
 func (g *Guard) Return(report *Report) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.ends = append(slices.Clip(report.Ends), g.ends...)
-	g.ranWell = append(slices.Clip(report.RanWell), g.ranWell...)
-	g.bound()
-	g.wakeUp()
+	g.unreportedCrashes = append(slices.Clip(report.Ends), g.unreportedCrashes...)
+	g.unreportedCompletions = append(slices.Clip(report.RanWell), g.unreportedCompletions...)
+	g.dropExcess()
+	g.signal()
 }
 
-// Counts are the requests that are held and those that are watched.
+// Counts returns the number of held requests and that of watched ones.
 func (g *Guard) Counts() (held, watched int) {
 	view := g.view.Load()
 	if view == nil {
--- a/internal/poison/innocents_test.go
+++ b/internal/poison/innocents_test.go
@@ -13,41 +13,41 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// innocentsWorld is a region in virtual time whose replicas end, under a request that ends them or
-// for reasons of their own, with what its gateways tell and what its leader makes of it.
-type innocentsWorld struct {
+// regionModel simulates a region in virtual time: replicas that crash, because of a poison request or
+// for other reasons, what the gateways report, and which requests the leader holds.
+type regionModel struct {
 	random   *rand.Rand
 	now      time.Duration
 	events   eventQueue
 	replicas []*modelReplica
 	state    State
 	position uint64
-	// due is the rule by which requests are held.
+	// due returns the requests to be held.
 	due func(s *State, now int64, settle time.Duration) []Digest
 
-	started, served, refused int
-	heldInnocents            map[Digest]bool
-	poisonHeld               bool
-	poisonEnds               int
+	started, served, rejected int
+	heldInnocents             map[Digest]bool
+	poisonHeld                bool
+	poisonCrashes             int
 }
 
 type modelReplica struct {
-	number, life int
-	down         bool
-	running      map[*modelCall]bool
+	number, incarnation int
+	down                bool
+	running             map[*modelCall]bool
 }
 
-// modelCall is one caller's request with its tries.
+// modelCall is a request with its caller's tries.
 type modelCall struct {
 	digest   Digest
 	poison   bool
-	length   time.Duration
+	duration time.Duration
 	attempts int
 	tries    int
-	// at counts the sends, so that what an earlier send was to do is void.
-	at      int
-	visited map[int]bool
-	met     bool
+	// sends is increased by each send and each retry, so that events of an earlier send are ignored.
+	sends       int
+	tried       map[int]bool
+	lostReplica bool
 }
 
 type modelEvent struct {
@@ -68,24 +68,24 @@
 }
 
 const (
-	modelReplicas = 18
-	modelGateways = 9
-	modelRate     = 150.0 // requests a second
-	modelAttempts = 3
-	modelTries    = 3
-	modelDown     = 4 * time.Second
-	modelDay      = time.Minute
-	modelContact  = 3 * time.Second
+	modelReplicaCount = 18
+	modelGatewayCount = 9
+	modelRate         = 150.0 // requests a second
+	modelAttempts     = 3
+	modelTries        = 3
+	modelRestartTime  = 4 * time.Second
+	modelDuration     = time.Minute
+	modelContactTime  = 3 * time.Second
 )
 
-func (w *innocentsWorld) after(wait time.Duration, do func()) {
+func (w *regionModel) schedule(wait time.Duration, do func()) {
 	heap.Push(&w.events, modelEvent{w.now + wait, do})
 }
 
-func (w *innocentsWorld) run() {
+func (w *regionModel) run() {
 	for len(w.events) > 0 {
 		next := heap.Pop(&w.events).(modelEvent)
-		if next.at > modelDay {
+		if next.at > modelDuration {
 			return
 		}
 		w.now = next.at
@@ -93,39 +93,39 @@
 	}
 }
 
-// tell applies a command once it has reached the leader.
-func (w *innocentsWorld) tell(command Command) {
+// applyDelayed applies a command after a random delay, in which it reaches the leader.
+func (w *regionModel) applyDelayed(command Command) {
 	delay := 20*time.Millisecond + time.Duration(w.random.ExpFloat64()*float64(40*time.Millisecond))
-	w.after(delay, func() { w.apply(command) })
+	w.schedule(delay, func() { w.apply(command) })
 }
 
-func (w *innocentsWorld) apply(command Command) {
+func (w *regionModel) apply(command Command) {
 	w.position++
 	command.At = w.now.Nanoseconds() + 1
 	w.state.Apply(w.position, &command)
 }
 
-// arrive has innocent requests come, one after the other.
-func (w *innocentsWorld) arrive(number int) {
+// sendInnocents sends innocent requests, at random intervals.
+func (w *regionModel) sendInnocents(number int) {
 	length := time.Duration(w.random.ExpFloat64() * float64(400*time.Millisecond))
 	if w.random.IntN(7) == 0 {
 		length *= 5
 	}
 	w.started++
-	w.send(&modelCall{digest: digestOf(fmt.Sprint("innocent ", number)), length: length, visited: map[int]bool{}})
-	w.after(time.Duration(w.random.ExpFloat64()/modelRate*float64(time.Second)), func() { w.arrive(number + 1) })
+	w.send(&modelCall{digest: digestOf(fmt.Sprint("innocent ", number)), duration: length, tried: map[int]bool{}})
+	w.schedule(time.Duration(w.random.ExpFloat64()/modelRate*float64(time.Second)), func() { w.sendInnocents(number + 1) })
 }
 
-// send sends a call to the replica with the fewest requests that it has not been at.
-func (w *innocentsWorld) send(call *modelCall) {
+// send sends a call to the replica with the fewest running requests that it has not tried.
+func (w *regionModel) send(call *modelCall) {
 	if w.state.Holds(call.digest) {
-		w.refuse(call)
+		w.reject(call)
 		return
 	}
 	var best *modelReplica
 	for _, index := range w.random.Perm(len(w.replicas)) {
 		replica := w.replicas[index]
-		if !replica.down && !call.visited[index] && (best == nil || len(replica.running) < len(best.running)) {
+		if !replica.down && !call.tried[index] && (best == nil || len(replica.running) < len(best.running)) {
 			best = replica
 		}
 	}
@@ -133,116 +133,116 @@
 		return
 	}
 	call.attempts++
-	call.at++
-	call.visited[best.number] = true
+	call.sends++
+	call.tried[best.number] = true
 	best.running[call] = true
-	sent := call.at
+	send := call.sends
 	if call.poison {
-		w.after(60*time.Millisecond, func() { w.endUnder(best, call, sent) })
+		w.schedule(60*time.Millisecond, func() { w.crashUnder(best, call, send) })
 		return
 	}
-	w.after(call.length, func() {
-		if call.at == sent && best.running[call] {
+	w.schedule(call.duration, func() {
+		if call.sends == send && best.running[call] {
 			delete(best.running, call)
 			w.served++
-			if call.met {
-				w.tell(Command{RanWell: []Digest{call.digest}})
+			if call.lostReplica {
+				w.applyDelayed(Command{RanWell: []Digest{call.digest}})
 			}
 		}
 	})
 }
 
-func (w *innocentsWorld) refuse(call *modelCall) {
+func (w *regionModel) reject(call *modelCall) {
 	if !call.poison {
-		w.refused++
+		w.rejected++
 		w.heldInnocents[call.digest] = true
 	}
 }
 
-func (w *innocentsWorld) endUnder(replica *modelReplica, call *modelCall, sent int) {
-	if call.at == sent && replica.running[call] {
-		w.poisonEnds++
-		w.end(replica)
+func (w *regionModel) crashUnder(replica *modelReplica, call *modelCall, send int) {
+	if call.sends == send && replica.running[call] {
+		w.poisonCrashes++
+		w.crashReplica(replica)
 	}
 }
 
-// end ends a replica: the gateways tell under which requests, and send these on.
-func (w *innocentsWorld) end(replica *modelReplica) {
+// crashReplica crashes a replica: the gateways report the requests that ran there, and retry them.
+func (w *regionModel) crashReplica(replica *modelReplica) {
 	replica.down = true
-	replica.life++
-	id := fmt.Sprint(replica.number, ".", replica.life)
-	var byGateway [modelGateways][]Digest
+	replica.incarnation++
+	id := fmt.Sprint(replica.number, ".", replica.incarnation)
+	var byGateway [modelGatewayCount][]Digest
 	running := slices.SortedFunc(maps.Keys(replica.running), func(a, b *modelCall) int {
 		return bytes.Compare(a.digest[:], b.digest[:])
 	})
 	clear(replica.running)
 	for _, call := range running {
-		gateway := int(call.digest[5]) % modelGateways
+		gateway := int(call.digest[5]) % modelGatewayCount
 		byGateway[gateway] = append(byGateway[gateway], call.digest)
-		call.met = true
-		w.sendOn(call)
+		call.lostReplica = true
+		w.retry(call)
 	}
-	for _, under := range byGateway {
-		if len(under) > 0 {
-			w.tell(Command{Ends: []End{{Replica: id, Under: under}}})
+	for _, requests := range byGateway {
+		if len(requests) > 0 {
+			w.applyDelayed(Command{Ends: []End{{Replica: id, Under: requests}}})
 		}
 	}
-	w.after(modelDown, func() { replica.down = false })
+	w.schedule(modelRestartTime, func() { replica.down = false })
 }
 
-// sendOn sends a call to another replica or, when its attempts are used up, has its caller come
-// again.
-func (w *innocentsWorld) sendOn(call *modelCall) {
-	call.at++
+// retry sends a call to another replica or, once its attempts are used up, as its caller's next try.
+func (w *regionModel) retry(call *modelCall) {
+	call.sends++
 	if call.attempts < modelAttempts {
-		w.after(time.Millisecond, func() { w.send(call) })
+		w.schedule(time.Millisecond, func() { w.send(call) })
 		return
 	}
 	if call.tries++; call.tries < modelTries {
 		call.attempts = 0
-		clear(call.visited)
-		w.after(50*time.Millisecond, func() { w.send(call) })
+		clear(call.tried)
+		w.schedule(50*time.Millisecond, func() { w.send(call) })
 	}
 }
 
-// repeatPoison has a request that ends replicas come every three seconds.
-func (w *innocentsWorld) repeatPoison() {
-	w.send(&modelCall{digest: digestOf("poison"), poison: true, visited: map[int]bool{}})
-	w.after(modelContact, w.repeatPoison)
+// repeatPoison sends a poison request every three seconds.
+func (w *regionModel) repeatPoison() {
+	w.send(&modelCall{digest: digestOf("poison"), poison: true, tried: map[int]bool{}})
+	w.schedule(modelContactTime, w.repeatPoison)
 }
 
-// storm has a further request that ends replicas begin to come every so often.
-func (w *innocentsWorld) storm(number int, every time.Duration) {
+// sendNewPoisons starts to send a further poison request at each interval.
+func (w *regionModel) sendNewPoisons(number int, every time.Duration) {
 	var repeat func()
 	digest := digestOf(fmt.Sprint("poison ", number))
 	repeat = func() {
-		w.send(&modelCall{digest: digest, poison: true, visited: map[int]bool{}})
-		w.after(modelContact, repeat)
+		w.send(&modelCall{digest: digest, poison: true, tried: map[int]bool{}})
+		w.schedule(modelContactTime, repeat)
 	}
 	repeat()
-	w.after(every, func() { w.storm(number+1, every) })
+	w.schedule(every, func() { w.sendNewPoisons(number+1, every) })
 }
 
-// crash ends a share of the replicas at once, every so often.
-func (w *innocentsWorld) crash(share float64, every time.Duration) {
-	for _, index := range w.random.Perm(len(w.replicas))[:int(share*modelReplicas)] {
+// crashShare crashes a share of the replicas at once, at each interval.
+func (w *regionModel) crashShare(share float64, every time.Duration) {
+	for _, index := range w.random.Perm(len(w.replicas))[:int(share*modelReplicaCount)] {
 		if !w.replicas[index].down {
-			w.end(w.replicas[index])
+			w.crashReplica(w.replicas[index])
 		}
 	}
-	w.after(every, func() { w.crash(share, every) })
+	w.schedule(every, func() { w.crashShare(share, every) })
 }
 
-func (w *innocentsWorld) lead() {
-	if due := w.due(&w.state, w.now.Nanoseconds()+1, Settle(modelContact)); len(due) > 0 {
+func (w *regionModel) runLeader() {
+	if due := w.due(&w.state, w.now.Nanoseconds()+1, Settle(modelContactTime)); len(due) > 0 {
 		w.apply(Command{Hold: due})
 	}
 	w.poisonHeld = w.poisonHeld || w.state.Holds(digestOf("poison"))
-	w.after(50*time.Millisecond, w.lead)
+	w.schedule(50*time.Millisecond, w.runLeader)
 }
 
-// byCount holds whatever has met enough ends, whoever was beside it.
-func byCount(s *State, now int64, settle time.Duration) []Digest {
+// dueByCount returns the requests under which enough replicas have crashed, whatever other requests ran
+// there.
+func dueByCount(s *State, now int64, settle time.Duration) []Digest {
 	var due []Digest
 	for _, candidate := range s.candidates(now, settle) {
 		due = append(due, candidate.Digest)
@@ -250,59 +250,59 @@
 	return due
 }
 
-// playInnocents plays days of a kind, and returns the innocent requests, those of them that were
-// wrongly held, and on how many days the request that ends replicas was held, with how many ends.
-func playInnocents(days int, due func(*State, int64, time.Duration) []Digest, faults func(*innocentsWorld)) (started, held, caught, ends int) {
-	for seed := range uint64(days) {
-		w := &innocentsWorld{random: rand.New(rand.NewPCG(seed, 7)), due: due, heldInnocents: map[Digest]bool{}}
-		for number := range modelReplicas {
+// simulateInnocents runs simulations with a kind of fault. It returns the number of innocent requests,
+// of those of them that were wrongly held, of the runs in which the poison request was held, and of all
+// crashes by poison requests.
+func simulateInnocents(runs int, due func(*State, int64, time.Duration) []Digest, faults func(*regionModel)) (started, held, caught, crashes int) {
+	for seed := range uint64(runs) {
+		w := &regionModel{random: rand.New(rand.NewPCG(seed, 7)), due: due, heldInnocents: map[Digest]bool{}}
+		for number := range modelReplicaCount {
 			w.replicas = append(w.replicas, &modelReplica{number: number, running: map[*modelCall]bool{}})
 		}
-		w.after(0, func() { w.arrive(0) })
-		w.after(0, w.lead)
-		w.after(time.Second, func() { faults(w) })
+		w.schedule(0, func() { w.sendInnocents(0) })
+		w.schedule(0, w.runLeader)
+		w.schedule(time.Second, func() { faults(w) })
 		w.run()
 		started += w.started
 		held += len(w.heldInnocents)
-		ends += w.poisonEnds
+		crashes += w.poisonCrashes
 		if w.poisonHeld {
 			caught++
 		}
 	}
-	return started, held, caught, ends
+	return started, held, caught, crashes
 }
 
-// Innocent requests meet ends by bad luck: beside requests that end replicas, or when many replicas
-// end at once. None may be held beside one such request, and 1 in 10,000 at most where half of the
-// replicas crash every five seconds, or where a further request that ends replicas comes each
-// second.
+// Replicas crash under innocent requests by bad luck: beside poison requests, or when many replicas
+// crash at once. None may be held beside one poison request, and 1 in 10,000 at most where half of the
+// replicas crash every five seconds, or where a further poison request starts each second.
 func TestInnocentRequestsAreServed(t *testing.T) {
-	const days = 20
+	const runs = 20
 	for _, test := range []struct {
 		name   string
-		faults func(*innocentsWorld)
-		// poison says that one request ends replicas, and none says that no innocent one may be held.
+		faults func(*regionModel)
+		// poison says that there is one poison request, and none that no innocent request may be held.
 		poison, none bool
 	}{
-		{"one request that ends replicas", (*innocentsWorld).repeatPoison, true, true},
-		{"half crash every 5 s", func(w *innocentsWorld) { w.crash(0.5, 5*time.Second) }, false, false},
-		{"both", func(w *innocentsWorld) {
+		{"one poison request", (*regionModel).repeatPoison, true, true},
+		{"half crash every 5 s", func(w *regionModel) { w.crashShare(0.5, 5*time.Second) }, false, false},
+		{"both", func(w *regionModel) {
 			w.repeatPoison()
-			w.crash(0.5, 5*time.Second)
+			w.crashShare(0.5, 5*time.Second)
 		}, true, false},
-		{"a further request that ends replicas each second", func(w *innocentsWorld) { w.storm(0, time.Second) }, false, false},
+		{"a further poison request each second", func(w *regionModel) { w.sendNewPoisons(0, time.Second) }, false, false},
 	} {
-		started, held, caught, ends := playInnocents(days, (*State).Due, test.faults)
-		_, counted, _, countedEnds := playInnocents(days, byCount, test.faults)
-		t.Logf("%s: %d of %d held wrongly (%d by the count of ends alone); held rightly on %d of %d days, after %.1f ends (%.1f)",
-			test.name, held, started, counted, caught, days, float64(ends)/days, float64(countedEnds)/days)
+		started, held, caught, crashes := simulateInnocents(runs, (*State).Due, test.faults)
+		_, counted, _, countedCrashes := simulateInnocents(runs, dueByCount, test.faults)
+		t.Logf("%s: %d of %d innocent requests held (%d by the count of crashes alone); poison request held in %d of %d runs, after %.1f crashes (%.1f)",
+			test.name, held, started, counted, caught, runs, float64(crashes)/runs, float64(countedCrashes)/runs)
 		assert.LessOrEqual(t, float64(held), float64(started)/10_000, test.name)
 		if test.none {
 			assert.Zero(t, held, test.name)
 		}
 		if test.poison {
-			assert.Equal(t, days, caught, test.name)
-			assert.LessOrEqual(t, ends, 9*days, test.name)
+			assert.Equal(t, runs, caught, test.name)
+			assert.LessOrEqual(t, crashes, 9*runs, test.name)
 		}
 	}
 }
--- a/internal/poison/messages.go
+++ b/internal/poison/messages.go
@@ -2,66 +2,71 @@
 
 //go:generate go tool msgp -file messages.go -tests=false -io=false
 //msgp:limit arrays:65536 maps:65536
-//msgp:tuple Record FreedRecord End NewsEntry ReplicaEnd CrowdEnd
+//msgp:tuple Record UnwatchedRecord End NewsEntry RecentCrash BurstCrash
 //msgp:ignore Held Digest
 
-// State is what is known of all requests under which replicas have ended. Its slices are never
-// changed in place. The zero State is empty.
+// State is the evidence against all requests under which replicas have crashed. Its slices are never
+// modified in place. The zero State is empty.
 type State struct {
-	// Records are sorted by their digests.
+	// Records are sorted by digest.
 	Records []Record `msg:"records"`
-	// Revision is the position of the last change that gateways have to know.
+	// Revision is the log position of the last change that gateways have to learn.
 	Revision uint64 `msg:"revision"`
-	// Freed are the digests that gateways need not know any more, oldest first, after
-	// FreedSince.
-	Freed      []FreedRecord `msg:"freed"`
-	FreedSince uint64        `msg:"freed_since"`
-	// Dropped counts the records that were given up for lack of room.
+	// Unwatched are the digests that gateways need not watch any more, oldest first, with a revision
+	// after UnwatchedSince.
+	Unwatched      []UnwatchedRecord `msg:"freed"`
+	UnwatchedSince uint64            `msg:"freed_since"`
+	// Dropped counts the records that were dropped because there were MaximumRecords.
 	Dropped uint64 `msg:"dropped"`
-	// Recent are the replicas that have ended last, oldest first, and Crowds those of late that
-	// ended together with many others.
-	Recent []ReplicaEnd `msg:"recent"`
-	Crowds []CrowdEnd   `msg:"crowds"`
+	// RecentCrashes are the replicas that crashed at most burstWindow before the last one, oldest
+	// first, and BurstCrashes the most recent of those that crashed in bursts: together with many
+	// others.
+	RecentCrashes []RecentCrash `msg:"recent"`
+	BurstCrashes  []BurstCrash  `msg:"crowds"`
 }
 
-// CrowdEnd is a replica, hashed, that has ended together with others of the same crowd.
-type CrowdEnd struct {
+// BurstCrash is the hashed name of a replica that has crashed in a burst. Burst is the log position at
+// which that was detected.
+type BurstCrash struct {
 	Replica uint64
-	Crowd   uint64
+	Burst   uint64
 }
 
-// ReplicaEnd is a replica that has ended, hashed, and when that was first told.
-type ReplicaEnd struct {
+// RecentCrash is the hashed name of a replica that has crashed, and when that was first reported.
+type RecentCrash struct {
 	Replica uint64
 	At      int64
 }
 
-// Record is the evidence against one request. Times are in nanoseconds since 1970, by the
-// region's clock.
+// Record is the evidence against one request. Times are in nanoseconds since 1970, by the region's
+// clock.
 type Record struct {
 	Digest Digest
-	// Ends are the replicas that have ended under it and under no request that is held, hashed,
-	// oldest first; of a request that is held all of the last MaximumEnds.
-	Ends []uint64
-	// Total is the number of replicas that have ended under it.
+	// Crashes are the hashed names of the replicas that have crashed under the request and under no
+	// held one, oldest first, at most the last MaximumCrashes. Those of a held request include replicas
+	// that crashed under another held one.
+	Crashes []uint64
+	// Total is the number of replicas that have crashed under the request.
 	Total uint32
-	// FirstAt and LastAt are when replicas ended.
+	// FirstAt and LastAt are when the first and the last of these crashes were reported. A request that
+	// is held elsewhere and has no record here gets the time of the hold as both; an expired hold sets
+	// LastAt to the time of its expiry.
 	FirstAt, LastAt int64
-	// DueAt is when the evidence first sufficed to hold it, 0 while it does not.
-	DueAt int64
-	// HeldAt is since when it is sent to no replica, 0 if it is not held.
+	// SufficientAt is when the number of crashes reached HoldAfter, 0 while it is less.
+	SufficientAt int64
+	// HeldAt is when the request was held: sent to no replica from then on. 0 if it is not held.
 	HeldAt int64
-	// Revision is the position of the last change of it that gateways have to know.
+	// Revision is the log position of the last change of this record that gateways have to learn.
 	Revision uint64
 }
 
-// FreedRecord is a digest that gateways need not know any more.
-type FreedRecord struct {
+// UnwatchedRecord is a digest that gateways need not watch any more.
+type UnwatchedRecord struct {
 	Digest   Digest
 	Revision uint64
 }
 
-// End is a replica that has ended, with the requests that a gateway had there.
+// End is a replica that has crashed, with the requests that a gateway had in flight there.
 type End struct {
 	Replica string
 	Under   []Digest
@@ -71,61 +76,61 @@
 type Command struct {
 	// At is the region's time, in nanoseconds since 1970.
 	At int64 `msg:"at"`
-	// Ends are replicas that have ended, and RanWell requests that a replica has run to a good
-	// end.
+	// Ends are replicas that have crashed, and RanWell requests that a replica has run to
+	// completion.
 	Ends    []End    `msg:"ends"`
 	RanWell []Digest `msg:"ran_well"`
-	// Hold are requests to be held, HeldElsewhere those that others hold by evidence of their own,
-	// and Release those that an operator lets go.
+	// Hold are requests to be held, HeldElsewhere those that are held elsewhere on evidence from there,
+	// and Release those that an operator releases.
 	Hold          []Digest `msg:"hold"`
 	HeldElsewhere []Digest `msg:"held_elsewhere,omitempty"`
 	Release       []Digest `msg:"release"`
-	// ForgetBefore, if above 0, is the time before which evidence and holds have lapsed.
+	// ForgetBefore, if above 0, is the time before which evidence and holds have expired.
 	ForgetBefore int64 `msg:"forget_before"`
 }
 
-// Report is what a gateway tells of its requests.
+// Report is what a gateway reports about its requests.
 type Report struct {
 	Gateway string   `msg:"gateway"`
 	Ends    []End    `msg:"ends"`
 	RanWell []Digest `msg:"ran_well"`
 }
 
-// PermitRequest asks whether a request on probation may be tried now.
+// PermitRequest asks whether a request on probation may be sent now.
 type PermitRequest struct {
 	Digest Digest `msg:"digest"`
 }
 
-// PermitReply says in how long it may be asked again; 0 that it may be tried.
+// PermitReply says after how many milliseconds to ask again; 0 if the request may be sent now.
 type PermitReply struct {
 	WaitMillis int64 `msg:"wait_ms"`
 }
 
-// News is what a gateway with an earlier revision has to know.
+// News is what a gateway at an earlier revision has to learn.
 type News struct {
 	Revision uint64 `msg:"revision"`
-	// Whole says that Entries are all; else they are those that have come or changed, and Freed
-	// those that have gone.
+	// Whole says that Entries are complete; otherwise Entries are new or changed, and Freed need not be
+	// watched any more.
 	Whole   bool        `msg:"whole"`
 	Entries []NewsEntry `msg:"entries"`
 	Freed   []Digest    `msg:"freed"`
 }
 
-// NewsEntry is a request that gateways watch: a good end of it should be told.
+// NewsEntry is a request that gateways watch: its completion has to be reported.
 type NewsEntry struct {
 	Digest Digest
 	Held   bool
-	// OnProbation says that it has enough evidence against it to be held, as others have that were at
-	// the same replicas.
+	// OnProbation says that as many replicas have crashed under the request as are needed to hold it,
+	// but other requests that ran there may be the cause.
 	OnProbation bool
 }
 
-// Held is a request that is held, as operators see it.
+// Held is a held request as operators see it.
 type Held struct {
 	Digest string `json:"digest"`
-	// Replicas is the number of replicas that have ended under it.
+	// Replicas is the number of replicas that have crashed under it.
 	Replicas int `json:"replicas_ended"`
-	// FirstEnd, LastEnd and Since are times of day (RFC 3339).
+	// FirstEnd, LastEnd and Since are timestamps (RFC 3339).
 	FirstEnd string `json:"first_end"`
 	LastEnd  string `json:"last_end"`
 	Since    string `json:"held_since"`
--- a/internal/poison/messages_gen.go
+++ b/internal/poison/messages_gen.go
@@ -12,6 +12,48 @@
 	z2c18a699limitMaps   = 65536
 )
 
+// MarshalMsg implements msgp.Marshaler
+func (z BurstCrash) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// array header, size 2
+	o = append(o, 0x92)
+	o = msgp.AppendUint64(o, z.Replica)
+	o = msgp.AppendUint64(o, z.Burst)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *BurstCrash) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 != 2 {
+		err = msgp.ArrayError{Wanted: 2, Got: zb0001}
+		return
+	}
+	z.Replica, bts, err = msgp.ReadUint64Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Replica")
+		return
+	}
+	z.Burst, bts, err = msgp.ReadUint64Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Burst")
+		return
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z BurstCrash) Msgsize() (s int) {
+	s = 1 + msgp.Uint64Size + msgp.Uint64Size
+	return
+}
+
 // MarshalMsg implements msgp.Marshaler
 func (z *Command) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
@@ -318,48 +360,6 @@
 	return
 }
 
-// MarshalMsg implements msgp.Marshaler
-func (z CrowdEnd) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// array header, size 2
-	o = append(o, 0x92)
-	o = msgp.AppendUint64(o, z.Replica)
-	o = msgp.AppendUint64(o, z.Crowd)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *CrowdEnd) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 != 2 {
-		err = msgp.ArrayError{Wanted: 2, Got: zb0001}
-		return
-	}
-	z.Replica, bts, err = msgp.ReadUint64Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Replica")
-		return
-	}
-	z.Crowd, bts, err = msgp.ReadUint64Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Crowd")
-		return
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z CrowdEnd) Msgsize() (s int) {
-	s = 1 + msgp.Uint64Size + msgp.Uint64Size
-	return
-}
-
 // MarshalMsg implements msgp.Marshaler
 func (z *End) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
@@ -429,52 +429,6 @@
 	return
 }
 
-// MarshalMsg implements msgp.Marshaler
-func (z *FreedRecord) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// array header, size 2
-	o = append(o, 0x92)
-	o, err = z.Digest.MarshalMsg(o)
-	if err != nil {
-		err = msgp.WrapError(err, "Digest")
-		return
-	}
-	o = msgp.AppendUint64(o, z.Revision)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *FreedRecord) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 != 2 {
-		err = msgp.ArrayError{Wanted: 2, Got: zb0001}
-		return
-	}
-	bts, err = z.Digest.UnmarshalMsg(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Digest")
-		return
-	}
-	z.Revision, bts, err = msgp.ReadUint64Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Revision")
-		return
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *FreedRecord) Msgsize() (s int) {
-	s = 1 + z.Digest.Msgsize() + msgp.Uint64Size
-	return
-}
-
 // MarshalMsg implements msgp.Marshaler
 func (z *News) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
@@ -805,6 +759,48 @@
 	return
 }
 
+// MarshalMsg implements msgp.Marshaler
+func (z RecentCrash) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// array header, size 2
+	o = append(o, 0x92)
+	o = msgp.AppendUint64(o, z.Replica)
+	o = msgp.AppendInt64(o, z.At)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *RecentCrash) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 != 2 {
+		err = msgp.ArrayError{Wanted: 2, Got: zb0001}
+		return
+	}
+	z.Replica, bts, err = msgp.ReadUint64Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Replica")
+		return
+	}
+	z.At, bts, err = msgp.ReadInt64Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "At")
+		return
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z RecentCrash) Msgsize() (s int) {
+	s = 1 + msgp.Uint64Size + msgp.Int64Size
+	return
+}
+
 // MarshalMsg implements msgp.Marshaler
 func (z *Record) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
@@ -815,14 +811,14 @@
 		err = msgp.WrapError(err, "Digest")
 		return
 	}
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Ends)))
-	for za0001 := range z.Ends {
-		o = msgp.AppendUint64(o, z.Ends[za0001])
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Crashes)))
+	for za0001 := range z.Crashes {
+		o = msgp.AppendUint64(o, z.Crashes[za0001])
 	}
 	o = msgp.AppendUint32(o, z.Total)
 	o = msgp.AppendInt64(o, z.FirstAt)
 	o = msgp.AppendInt64(o, z.LastAt)
-	o = msgp.AppendInt64(o, z.DueAt)
+	o = msgp.AppendInt64(o, z.SufficientAt)
 	o = msgp.AppendInt64(o, z.HeldAt)
 	o = msgp.AppendUint64(o, z.Revision)
 	return
@@ -848,22 +844,22 @@
 	var zb0002 uint32
 	zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Ends")
+		err = msgp.WrapError(err, "Crashes")
 		return
 	}
 	if zb0002 > z2c18a699limitArrays {
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	if cap(z.Ends) >= int(zb0002) {
-		z.Ends = (z.Ends)[:zb0002]
+	if cap(z.Crashes) >= int(zb0002) {
+		z.Crashes = (z.Crashes)[:zb0002]
 	} else {
-		z.Ends = make([]uint64, zb0002)
+		z.Crashes = make([]uint64, zb0002)
 	}
-	for za0001 := range z.Ends {
-		z.Ends[za0001], bts, err = msgp.ReadUint64Bytes(bts)
+	for za0001 := range z.Crashes {
+		z.Crashes[za0001], bts, err = msgp.ReadUint64Bytes(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "Ends", za0001)
+			err = msgp.WrapError(err, "Crashes", za0001)
 			return
 		}
 	}
@@ -882,9 +878,9 @@
 		err = msgp.WrapError(err, "LastAt")
 		return
 	}
-	z.DueAt, bts, err = msgp.ReadInt64Bytes(bts)
+	z.SufficientAt, bts, err = msgp.ReadInt64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "DueAt")
+		err = msgp.WrapError(err, "SufficientAt")
 		return
 	}
 	z.HeldAt, bts, err = msgp.ReadInt64Bytes(bts)
@@ -903,49 +899,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Record) Msgsize() (s int) {
-	s = 1 + z.Digest.Msgsize() + msgp.ArrayHeaderSize + (len(z.Ends) * (msgp.Uint64Size)) + msgp.Uint32Size + msgp.Int64Size + msgp.Int64Size + msgp.Int64Size + msgp.Int64Size + msgp.Uint64Size
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z ReplicaEnd) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// array header, size 2
-	o = append(o, 0x92)
-	o = msgp.AppendUint64(o, z.Replica)
-	o = msgp.AppendInt64(o, z.At)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *ReplicaEnd) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 != 2 {
-		err = msgp.ArrayError{Wanted: 2, Got: zb0001}
-		return
-	}
-	z.Replica, bts, err = msgp.ReadUint64Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Replica")
-		return
-	}
-	z.At, bts, err = msgp.ReadInt64Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "At")
-		return
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z ReplicaEnd) Msgsize() (s int) {
-	s = 1 + msgp.Uint64Size + msgp.Int64Size
+	s = 1 + z.Digest.Msgsize() + msgp.ArrayHeaderSize + (len(z.Crashes) * (msgp.Uint64Size)) + msgp.Uint32Size + msgp.Int64Size + msgp.Int64Size + msgp.Int64Size + msgp.Int64Size + msgp.Uint64Size
 	return
 }
 
@@ -1138,40 +1092,40 @@
 	o = msgp.AppendUint64(o, z.Revision)
 	// string "freed"
 	o = append(o, 0xa5, 0x66, 0x72, 0x65, 0x65, 0x64)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Freed)))
-	for za0002 := range z.Freed {
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Unwatched)))
+	for za0002 := range z.Unwatched {
 		// array header, size 2
 		o = append(o, 0x92)
-		o, err = z.Freed[za0002].Digest.MarshalMsg(o)
+		o, err = z.Unwatched[za0002].Digest.MarshalMsg(o)
 		if err != nil {
-			err = msgp.WrapError(err, "Freed", za0002, "Digest")
+			err = msgp.WrapError(err, "Unwatched", za0002, "Digest")
 			return
 		}
-		o = msgp.AppendUint64(o, z.Freed[za0002].Revision)
+		o = msgp.AppendUint64(o, z.Unwatched[za0002].Revision)
 	}
 	// string "freed_since"
 	o = append(o, 0xab, 0x66, 0x72, 0x65, 0x65, 0x64, 0x5f, 0x73, 0x69, 0x6e, 0x63, 0x65)
-	o = msgp.AppendUint64(o, z.FreedSince)
+	o = msgp.AppendUint64(o, z.UnwatchedSince)
 	// string "dropped"
 	o = append(o, 0xa7, 0x64, 0x72, 0x6f, 0x70, 0x70, 0x65, 0x64)
 	o = msgp.AppendUint64(o, z.Dropped)
 	// string "recent"
 	o = append(o, 0xa6, 0x72, 0x65, 0x63, 0x65, 0x6e, 0x74)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Recent)))
-	for za0003 := range z.Recent {
+	o = msgp.AppendArrayHeader(o, uint32(len(z.RecentCrashes)))
+	for za0003 := range z.RecentCrashes {
 		// array header, size 2
 		o = append(o, 0x92)
-		o = msgp.AppendUint64(o, z.Recent[za0003].Replica)
-		o = msgp.AppendInt64(o, z.Recent[za0003].At)
+		o = msgp.AppendUint64(o, z.RecentCrashes[za0003].Replica)
+		o = msgp.AppendInt64(o, z.RecentCrashes[za0003].At)
 	}
 	// string "crowds"
 	o = append(o, 0xa6, 0x63, 0x72, 0x6f, 0x77, 0x64, 0x73)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Crowds)))
-	for za0004 := range z.Crowds {
+	o = msgp.AppendArrayHeader(o, uint32(len(z.BurstCrashes)))
+	for za0004 := range z.BurstCrashes {
 		// array header, size 2
 		o = append(o, 0x92)
-		o = msgp.AppendUint64(o, z.Crowds[za0004].Replica)
-		o = msgp.AppendUint64(o, z.Crowds[za0004].Crowd)
+		o = msgp.AppendUint64(o, z.BurstCrashes[za0004].Replica)
+		o = msgp.AppendUint64(o, z.BurstCrashes[za0004].Burst)
 	}
 	return
 }
@@ -1231,44 +1185,44 @@
 			var zb0003 uint32
 			zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Freed")
+				err = msgp.WrapError(err, "Unwatched")
 				return
 			}
 			if zb0003 > z2c18a699limitArrays {
 				err = msgp.ErrLimitExceeded
 				return
 			}
-			if cap(z.Freed) >= int(zb0003) {
-				z.Freed = (z.Freed)[:zb0003]
+			if cap(z.Unwatched) >= int(zb0003) {
+				z.Unwatched = (z.Unwatched)[:zb0003]
 			} else {
-				z.Freed = make([]FreedRecord, zb0003)
+				z.Unwatched = make([]UnwatchedRecord, zb0003)
 			}
-			for za0002 := range z.Freed {
+			for za0002 := range z.Unwatched {
 				var zb0004 uint32
 				zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Freed", za0002)
+					err = msgp.WrapError(err, "Unwatched", za0002)
 					return
 				}
 				if zb0004 != 2 {
 					err = msgp.ArrayError{Wanted: 2, Got: zb0004}
 					return
 				}
-				bts, err = z.Freed[za0002].Digest.UnmarshalMsg(bts)
+				bts, err = z.Unwatched[za0002].Digest.UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Freed", za0002, "Digest")
+					err = msgp.WrapError(err, "Unwatched", za0002, "Digest")
 					return
 				}
-				z.Freed[za0002].Revision, bts, err = msgp.ReadUint64Bytes(bts)
+				z.Unwatched[za0002].Revision, bts, err = msgp.ReadUint64Bytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Freed", za0002, "Revision")
+					err = msgp.WrapError(err, "Unwatched", za0002, "Revision")
 					return
 				}
 			}
 		case "freed_since":
-			z.FreedSince, bts, err = msgp.ReadUint64Bytes(bts)
+			z.UnwatchedSince, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "FreedSince")
+				err = msgp.WrapError(err, "UnwatchedSince")
 				return
 			}
 		case "dropped":
@@ -1281,37 +1235,37 @@
 			var zb0005 uint32
 			zb0005, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Recent")
+				err = msgp.WrapError(err, "RecentCrashes")
 				return
 			}
 			if zb0005 > z2c18a699limitArrays {
 				err = msgp.ErrLimitExceeded
 				return
 			}
-			if cap(z.Recent) >= int(zb0005) {
-				z.Recent = (z.Recent)[:zb0005]
+			if cap(z.RecentCrashes) >= int(zb0005) {
+				z.RecentCrashes = (z.RecentCrashes)[:zb0005]
 			} else {
-				z.Recent = make([]ReplicaEnd, zb0005)
+				z.RecentCrashes = make([]RecentCrash, zb0005)
 			}
-			for za0003 := range z.Recent {
+			for za0003 := range z.RecentCrashes {
 				var zb0006 uint32
 				zb0006, bts, err = msgp.ReadArrayHeaderBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Recent", za0003)
+					err = msgp.WrapError(err, "RecentCrashes", za0003)
 					return
 				}
 				if zb0006 != 2 {
 					err = msgp.ArrayError{Wanted: 2, Got: zb0006}
 					return
 				}
-				z.Recent[za0003].Replica, bts, err = msgp.ReadUint64Bytes(bts)
+				z.RecentCrashes[za0003].Replica, bts, err = msgp.ReadUint64Bytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Recent", za0003, "Replica")
+					err = msgp.WrapError(err, "RecentCrashes", za0003, "Replica")
 					return
 				}
-				z.Recent[za0003].At, bts, err = msgp.ReadInt64Bytes(bts)
+				z.RecentCrashes[za0003].At, bts, err = msgp.ReadInt64Bytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Recent", za0003, "At")
+					err = msgp.WrapError(err, "RecentCrashes", za0003, "At")
 					return
 				}
 			}
@@ -1319,37 +1273,37 @@
 			var zb0007 uint32
 			zb0007, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Crowds")
+				err = msgp.WrapError(err, "BurstCrashes")
 				return
 			}
 			if zb0007 > z2c18a699limitArrays {
 				err = msgp.ErrLimitExceeded
 				return
 			}
-			if cap(z.Crowds) >= int(zb0007) {
-				z.Crowds = (z.Crowds)[:zb0007]
+			if cap(z.BurstCrashes) >= int(zb0007) {
+				z.BurstCrashes = (z.BurstCrashes)[:zb0007]
 			} else {
-				z.Crowds = make([]CrowdEnd, zb0007)
+				z.BurstCrashes = make([]BurstCrash, zb0007)
 			}
-			for za0004 := range z.Crowds {
+			for za0004 := range z.BurstCrashes {
 				var zb0008 uint32
 				zb0008, bts, err = msgp.ReadArrayHeaderBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Crowds", za0004)
+					err = msgp.WrapError(err, "BurstCrashes", za0004)
 					return
 				}
 				if zb0008 != 2 {
 					err = msgp.ArrayError{Wanted: 2, Got: zb0008}
 					return
 				}
-				z.Crowds[za0004].Replica, bts, err = msgp.ReadUint64Bytes(bts)
+				z.BurstCrashes[za0004].Replica, bts, err = msgp.ReadUint64Bytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Crowds", za0004, "Replica")
+					err = msgp.WrapError(err, "BurstCrashes", za0004, "Replica")
 					return
 				}
-				z.Crowds[za0004].Crowd, bts, err = msgp.ReadUint64Bytes(bts)
+				z.BurstCrashes[za0004].Burst, bts, err = msgp.ReadUint64Bytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Crowds", za0004, "Crowd")
+					err = msgp.WrapError(err, "BurstCrashes", za0004, "Burst")
 					return
 				}
 			}
@@ -1372,9 +1326,55 @@
 		s += z.Records[za0001].Msgsize()
 	}
 	s += 9 + msgp.Uint64Size + 6 + msgp.ArrayHeaderSize
-	for za0002 := range z.Freed {
-		s += 1 + z.Freed[za0002].Digest.Msgsize() + msgp.Uint64Size
+	for za0002 := range z.Unwatched {
+		s += 1 + z.Unwatched[za0002].Digest.Msgsize() + msgp.Uint64Size
 	}
-	s += 12 + msgp.Uint64Size + 8 + msgp.Uint64Size + 7 + msgp.ArrayHeaderSize + (len(z.Recent) * (12 + msgp.Uint64Size + msgp.Int64Size)) + 7 + msgp.ArrayHeaderSize + (len(z.Crowds) * (15 + msgp.Uint64Size + msgp.Uint64Size))
+	s += 12 + msgp.Uint64Size + 8 + msgp.Uint64Size + 7 + msgp.ArrayHeaderSize + (len(z.RecentCrashes) * (12 + msgp.Uint64Size + msgp.Int64Size)) + 7 + msgp.ArrayHeaderSize + (len(z.BurstCrashes) * (15 + msgp.Uint64Size + msgp.Uint64Size))
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *UnwatchedRecord) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// array header, size 2
+	o = append(o, 0x92)
+	o, err = z.Digest.MarshalMsg(o)
+	if err != nil {
+		err = msgp.WrapError(err, "Digest")
+		return
+	}
+	o = msgp.AppendUint64(o, z.Revision)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *UnwatchedRecord) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 != 2 {
+		err = msgp.ArrayError{Wanted: 2, Got: zb0001}
+		return
+	}
+	bts, err = z.Digest.UnmarshalMsg(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Digest")
+		return
+	}
+	z.Revision, bts, err = msgp.ReadUint64Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Revision")
+		return
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *UnwatchedRecord) Msgsize() (s int) {
+	s = 1 + z.Digest.Msgsize() + msgp.Uint64Size
 	return
 }
--- a/internal/poison/permits.go
+++ b/internal/poison/permits.go
@@ -2,37 +2,38 @@
 
 import "time"
 
-// Permits let one gateway at a time try a request on probation. Without them a caller that repeats
-// it through several gateways at once ends a replica at each before the evidence of the first has
+// Permits let one gateway at a time send a request on probation. Without them, a caller that repeats it
+// through several gateways at once crashes a replica at each before the evidence of the first crash has
 // arrived: 4 after the third, where 3 are tolerated.
 type Permits struct {
-	until map[Digest]time.Duration
+	expiry map[Digest]time.Duration
 }
 
-// NewPermits returns permits of which none is given.
-func NewPermits() *Permits { return &Permits{until: map[Digest]time.Duration{}} }
+// NewPermits returns Permits of which none is taken.
+func NewPermits() *Permits { return &Permits{expiry: map[Digest]time.Duration{}} }
 
-// Take gives the permit for a request to whoever asks, for the time in which the others learn how
-// it went. If it is given already, wait is above 0: how long that lasts.
-func (p *Permits) Take(now, contact time.Duration, digest Digest) (wait time.Duration) {
-	if until := p.until[digest]; now < until {
+// Take gives the permit for a request to the first caller that asks, for the time in which the others
+// learn of the outcome. If the permit is taken, wait is the time until it expires.
+func (p *Permits) Take(now, contactTime time.Duration, digest Digest) (wait time.Duration) {
+	if until := p.expiry[digest]; now < until {
 		return until - now
 	}
-	if len(p.until) >= maximumPermits {
-		p.forget(now)
+	if len(p.expiry) >= maximumPermits {
+		p.deleteExpired(now)
 	}
-	p.until[digest] = now + contact
+	p.expiry[digest] = now + contactTime
 	return 0
 }
 
-// forget gives up the permits that have lapsed.
-func (p *Permits) forget(now time.Duration) {
-	for digest, until := range p.until {
+// deleteExpired deletes expired permits.
+func (p *Permits) deleteExpired(now time.Duration) {
+	for digest, until := range p.expiry {
 		if now >= until {
-			delete(p.until, digest)
+			delete(p.expiry, digest)
 		}
 	}
 }
 
-// maximumPermits is as many as there are records of requests: no others are on probation.
+// maximumPermits is the number of permits from which on expired ones are deleted: that of records,
+// since no other requests are on probation.
 const maximumPermits = MaximumRecords
--- a/internal/poison/permits_test.go
+++ b/internal/poison/permits_test.go
@@ -9,10 +9,10 @@
 	"github.com/pierhaven/pierhaven/internal/poison"
 )
 
-// Symptom: a request that could not be told from others ended four more replicas after its third.
-// Sequence: its caller sent it again through several gateways at once, ten seconds later.
-// Cause: each gateway might send it once a call, and none knew that another had.
-func TestOneGatewayAtATimeTriesARequestOnProbation(t *testing.T) {
+// Guards against crashes of four more replicas by a request on probation, after the third: its caller
+// sent it again through several gateways at once, ten seconds later. Each gateway could send it once a
+// call, and none knew that another had.
+func TestProbationPermitIsGivenToOneGatewayAtATime(t *testing.T) {
 	const contact = 3 * time.Second
 	permits := poison.NewPermits()
 	digest, other := poison.Content{Body: []byte("a")}.Digest(), poison.Content{Body: []byte("b")}.Digest()
--- a/internal/poison/state.go
+++ b/internal/poison/state.go
@@ -10,45 +10,48 @@
 )
 
 const (
-	// HoldAfter is the number of replicas that a request may end before it is held. Two may end
-	// under an innocent request by bad luck: it is sent on with the one that ended the first.
+	// HoldAfter is the number of replicas that must have crashed under a request before it is held. Two
+	// may crash under an innocent request by bad luck: its retry can go to the same replica as that of
+	// the request that crashed the first.
 	HoldAfter = 3
-	// DefaultHold is for how long a request that ends replicas is held, if the settings do not
-	// say: what it meets there changes with their software, some times a week.
+	// DefaultHold is for how long a request that crashes replicas is held if the settings do not say:
+	// after that it may find other software on the replicas, which changes a few times a week.
 	DefaultHold = 24 * time.Hour
-	// watchAfter is the number from which on gateways tell of a good end, which clears the
-	// request: one that comes often meets an end now and then, and would be held some day.
+	// watchAfter is the number of crashes from which on gateways report a completion, which clears the
+	// request. Without that, a request that is sent often, and during a crash now and then, would be
+	// held in the end.
 	watchAfter = 2
-	// MaximumRecords bounds the requests that are known, and MaximumEnds the replicas that are
-	// known of each: 2,048 records of at most 600 bytes are 1.2 MB.
+	// MaximumRecords bounds the records, and MaximumCrashes the replicas that are kept for each: 2,048
+	// records of at most 600 bytes are 1.2 MB.
 	MaximumRecords = 2048
-	MaximumEnds    = 64
-	// crowdSize replicas that end within crowdWindow end for a cause that they share more likely than
-	// each under a request of its own: one end among them is half of the evidence of another. Where
-	// half of 18 replicas crash every 5 s, 32 in 100,000 innocent requests with up to 9 tries were held
-	// without it (TestInnocentRequestsAreServed).
-	crowdSize   = 5
-	crowdWindow = 300 * time.Millisecond
-	// maximumRecent and maximumCrowd bound the replicas that are known of these: 12 KB.
-	maximumRecent = 512
-	maximumCrowd  = 512
-	// maximumFreed bounds the digests that are known to have gone; a gateway that knows less is
-	// told everything.
-	maximumFreed = 512
+	MaximumCrashes = 64
+	// burstSize replicas that crash within burstWindow more likely have a common cause than each a
+	// poison request of its own, so that a crash in such a burst has half the weight of another.
+	// Without this rule, 32 in 100,000 innocent requests with up to 9 tries were held where half of 18
+	// replicas crashed every 5 s (TestInnocentRequestsAreServed).
+	burstSize   = 5
+	burstWindow = 300 * time.Millisecond
+	// maximumRecentCrashes and maximumBurstCrashes bound the replicas that are kept to detect bursts:
+	// 12 KB.
+	maximumRecentCrashes = 512
+	maximumBurstCrashes  = 512
+	// maximumUnwatched bounds the digests that are kept as no longer watched; a gateway whose revision
+	// is older than these gets the complete list.
+	maximumUnwatched = 512
 )
 
-// Apply applies a command at a position, which grows from command to command.
+// Apply applies a command at a log position; positions increase from command to command.
 func (s *State) Apply(position uint64, command *Command) {
-	change := &stateChange{State: s, position: position, at: command.At, records: slices.Clone(s.Records), freed: slices.Clone(s.Freed)}
+	change := &stateChange{State: s, position: position, at: command.At, records: slices.Clone(s.Records), unwatched: slices.Clone(s.Unwatched)}
 	if command.ForgetBefore > 0 {
-		change.forget(command.ForgetBefore)
-	}
-	explained := change.explained()
-	for _, end := range command.Ends {
-		replica := xxhash.Sum64String(end.Replica)
-		change.noteEnd(replica)
-		for _, digest := range end.Under {
-			change.ended(digest, replica, explained)
+		change.deleteExpired(command.ForgetBefore)
+	}
+	attributed := change.attributedCrashes()
+	for _, crash := range command.Ends {
+		replica := xxhash.Sum64String(crash.Replica)
+		change.recordRecentCrash(replica)
+		for _, digest := range crash.Under {
+			change.addCrash(digest, replica, attributed)
 		}
 	}
 	for _, digest := range command.RanWell {
@@ -58,7 +61,7 @@
 		change.hold(digest)
 	}
 	for _, digest := range command.HeldElsewhere {
-		change.holdAsOthers(digest)
+		change.holdFromElsewhere(digest)
 	}
 	for _, digest := range command.Release {
 		change.remove(digest)
@@ -66,22 +69,22 @@
 	change.finish()
 }
 
-// stateChange is one command's change of a State.
+// stateChange is the change that one command makes to a State.
 type stateChange struct {
 	*State
-	position uint64
-	at       int64
-	records  []Record
-	freed    []FreedRecord
+	position  uint64
+	at        int64
+	records   []Record
+	unwatched []UnwatchedRecord
 }
 
-// finish puts the change in force.
+// finish stores the changed records in the State.
 func (c *stateChange) finish() {
-	if excess := len(c.freed) - maximumFreed; excess > 0 {
-		c.FreedSince = c.freed[excess-1].Revision
-		c.freed = c.freed[excess:]
+	if excess := len(c.unwatched) - maximumUnwatched; excess > 0 {
+		c.UnwatchedSince = c.unwatched[excess-1].Revision
+		c.unwatched = c.unwatched[excess:]
 	}
-	c.Records, c.Freed = c.records, c.freed
+	c.Records, c.Unwatched = c.records, c.unwatched
 }
 
 func compareDigest(record Record, digest Digest) int {
@@ -92,70 +95,71 @@
 	return slices.BinarySearchFunc(records, digest, compareDigest)
 }
 
-// shown notes that gateways have to know the record as it is now.
-func (c *stateChange) shown(record *Record) {
+// markChanged marks a record as changed, so that gateways learn of it.
+func (c *stateChange) markChanged(record *Record) {
 	record.Revision = c.position
 	c.Revision = c.position
 }
 
-// noteEnd notes that a replica has ended, and whether it is one of a crowd.
-func (c *stateChange) noteEnd(replica uint64) {
-	known := slices.ContainsFunc(c.Recent, func(end ReplicaEnd) bool { return end.Replica == replica })
-	if known {
+// recordRecentCrash records that a replica has crashed, and whether it belongs to a burst.
+func (c *stateChange) recordRecentCrash(replica uint64) {
+	found := slices.ContainsFunc(c.RecentCrashes, func(crash RecentCrash) bool { return crash.Replica == replica })
+	if found {
 		return
 	}
-	recent := slices.DeleteFunc(slices.Clone(c.Recent), func(end ReplicaEnd) bool { return c.at-end.At > crowdWindow.Nanoseconds() })
-	if len(recent) >= maximumRecent {
+	recent := slices.DeleteFunc(slices.Clone(c.RecentCrashes), func(crash RecentCrash) bool { return c.at-crash.At > burstWindow.Nanoseconds() })
+	if len(recent) >= maximumRecentCrashes {
 		recent = recent[1:]
 	}
-	recent = append(recent, ReplicaEnd{Replica: replica, At: c.at})
-	c.Recent = recent
-	if len(recent) >= crowdSize {
-		c.noteCrowd(recent)
+	recent = append(recent, RecentCrash{Replica: replica, At: c.at})
+	c.RecentCrashes = recent
+	if len(recent) >= burstSize {
+		c.recordBurst(recent)
 	}
 }
 
-// noteCrowd notes that replicas have ended together.
-func (c *stateChange) noteCrowd(ends []ReplicaEnd) {
-	crowds := slices.Clone(c.Crowds)
-	number := c.position
+// recordBurst records that replicas have crashed together. If some of them belong to a burst already,
+// the others join it.
+func (c *stateChange) recordBurst(crashes []RecentCrash) {
+	bursts := slices.Clone(c.BurstCrashes)
+	burst := c.position
 	var added []uint64
-	for _, end := range ends {
-		at := slices.IndexFunc(crowds, func(known CrowdEnd) bool { return known.Replica == end.Replica })
+	for _, crash := range crashes {
+		at := slices.IndexFunc(bursts, func(known BurstCrash) bool { return known.Replica == crash.Replica })
 		if at < 0 {
-			added = append(added, end.Replica)
+			added = append(added, crash.Replica)
 			continue
 		}
-		number = crowds[at].Crowd
+		burst = bursts[at].Burst
 	}
 	for _, replica := range added {
-		crowds = append(crowds, CrowdEnd{Replica: replica, Crowd: number})
+		bursts = append(bursts, BurstCrash{Replica: replica, Burst: burst})
 	}
-	c.Crowds = crowds[max(0, len(crowds)-maximumCrowd):]
+	c.BurstCrashes = bursts[max(0, len(bursts)-maximumBurstCrashes):]
 }
 
-// explained are the replicas that have ended under requests that are held.
-func (c *stateChange) explained() map[uint64]bool {
-	explained := map[uint64]bool{}
+// attributedCrashes returns the replicas that have crashed under held requests.
+func (c *stateChange) attributedCrashes() map[uint64]bool {
+	attributed := map[uint64]bool{}
 	for _, record := range c.records {
 		if record.HeldAt == 0 {
 			continue
 		}
-		for _, end := range record.Ends {
-			explained[end] = true
+		for _, crash := range record.Crashes {
+			attributed[crash] = true
 		}
 	}
-	return explained
+	return attributed
 }
 
-// ended notes that a replica has ended under a request.
-func (c *stateChange) ended(digest Digest, replica uint64, explained map[uint64]bool) {
+// addCrash records that a replica has crashed under a request.
+func (c *stateChange) addCrash(digest Digest, replica uint64, attributed map[uint64]bool) {
 	at, found := find(c.records, digest)
-	if found && slices.Contains(c.records[at].Ends, replica) {
+	if found && slices.Contains(c.records[at].Crashes, replica) {
 		return
 	}
-	if explained[replica] && (!found || c.records[at].HeldAt == 0) {
-		// The request that is held has ended it, and this one was beside it.
+	if attributed[replica] && (!found || c.records[at].HeldAt == 0) {
+		// The held request has crashed the replica; this one only ran beside it.
 		return
 	}
 	if !found {
@@ -164,22 +168,22 @@
 		c.records = slices.Insert(c.records, at, Record{Digest: digest, FirstAt: c.at})
 	}
 	record := &c.records[at]
-	record.Ends = append(slices.Clip(record.Ends), replica)
-	if len(record.Ends) > MaximumEnds {
-		record.Ends = record.Ends[1:]
+	record.Crashes = append(slices.Clip(record.Crashes), replica)
+	if len(record.Crashes) > MaximumCrashes {
+		record.Crashes = record.Crashes[1:]
 	}
 	record.Total++
 	record.LastAt = c.at
-	if len(record.Ends) >= HoldAfter && record.DueAt == 0 {
-		record.DueAt = c.at
+	if len(record.Crashes) >= HoldAfter && record.SufficientAt == 0 {
+		record.SufficientAt = c.at
 	}
-	if len(record.Ends) == watchAfter || len(record.Ends) == HoldAfter {
-		c.shown(record)
+	if len(record.Crashes) == watchAfter || len(record.Crashes) == HoldAfter {
+		c.markChanged(record)
 	}
 }
 
-// holdAsOthers holds a request that others hold, whatever is known of it here.
-func (c *stateChange) holdAsOthers(digest Digest) {
+// holdFromElsewhere holds a request that is held elsewhere, whatever the evidence here.
+func (c *stateChange) holdFromElsewhere(digest Digest) {
 	if _, found := find(c.records, digest); !found {
 		c.makeRoom()
 		at, _ := find(c.records, digest)
@@ -188,70 +192,71 @@
 	c.hold(digest)
 }
 
-// hold holds a request. Replicas that have ended under it are no evidence against others.
+// hold holds a request. Replicas that have crashed under it no longer count as evidence against others.
 func (c *stateChange) hold(digest Digest) {
 	at, found := find(c.records, digest)
 	if !found || c.records[at].HeldAt != 0 {
 		return
 	}
 	c.records[at].HeldAt = c.at
-	c.shown(&c.records[at])
-	ends := c.records[at].Ends
-	kept := c.records[:0]
+	c.markChanged(&c.records[at])
+	crashes := c.records[at].Crashes
+	remaining := c.records[:0]
 	for _, record := range c.records {
 		if record.HeldAt == 0 {
-			record = c.without(record, ends)
+			record = c.withoutCrashes(record, crashes)
 		}
-		if record.HeldAt != 0 || len(record.Ends) > 0 {
-			kept = append(kept, record)
+		if record.HeldAt != 0 || len(record.Crashes) > 0 {
+			remaining = append(remaining, record)
 		}
 	}
-	c.records = kept
+	c.records = remaining
 }
 
-// without returns a record without some of its ends.
-func (c *stateChange) without(record Record, ends []uint64) Record {
-	left := slices.DeleteFunc(slices.Clone(record.Ends), func(end uint64) bool { return slices.Contains(ends, end) })
+// withoutCrashes returns a record without some of its crashes.
+func (c *stateChange) withoutCrashes(record Record, crashes []uint64) Record {
+	remaining := slices.DeleteFunc(slices.Clone(record.Crashes), func(crash uint64) bool { return slices.Contains(crashes, crash) })
 	before := record
-	record.Ends = left
-	if len(left) < HoldAfter {
-		record.DueAt = 0
+	record.Crashes = remaining
+	if len(remaining) < HoldAfter {
+		record.SufficientAt = 0
 	}
 	switch {
 	case before.watched() && !record.watched():
-		c.free(record.Digest)
+		c.markUnwatched(record.Digest)
 	case before.onProbation() && !record.onProbation():
-		c.shown(&record)
+		c.markChanged(&record)
 	}
 	return record
 }
 
-// free notes that gateways need not know a digest any more.
-func (c *stateChange) free(digest Digest) {
+// markUnwatched records that gateways need not watch a digest any more.
+func (c *stateChange) markUnwatched(digest Digest) {
 	c.Revision = c.position
-	c.freed = append(c.freed, FreedRecord{Digest: digest, Revision: c.position})
+	c.unwatched = append(c.unwatched, UnwatchedRecord{Digest: digest, Revision: c.position})
 }
 
-// remove forgets a request.
+// remove deletes the record of a request.
 func (c *stateChange) remove(digest Digest) {
 	at, found := find(c.records, digest)
 	if !found {
 		return
 	}
 	if c.records[at].watched() {
-		c.free(digest)
+		c.markUnwatched(digest)
 	}
 	c.records = slices.Delete(c.records, at, at+1)
 }
 
 // watched reports whether gateways have to know the request.
-func (r *Record) watched() bool { return r.HeldAt != 0 || len(r.Ends) >= watchAfter }
+func (r *Record) watched() bool { return r.HeldAt != 0 || len(r.Crashes) >= watchAfter }
 
-// onProbation reports whether there is enough evidence to hold the request, which others may share.
-func (r *Record) onProbation() bool { return r.HeldAt == 0 && len(r.Ends) >= HoldAfter }
+// onProbation reports whether as many replicas have crashed under the request as are needed to hold it,
+// though other requests may be the cause.
+func (r *Record) onProbation() bool { return r.HeldAt == 0 && len(r.Crashes) >= HoldAfter }
 
-// makeRoom gives a record up if there are as many as there may be: the one with the least
-// evidence, of these the oldest; one that is held only if all are.
+// makeRoom drops a record if there are MaximumRecords: of those that are not held, the oldest with the
+// fewest crashes; a held one only if all are held.
 func (c *stateChange) makeRoom() {
 	if len(c.records) < MaximumRecords {
 		return
@@ -259,83 +264,84 @@
 	least := slices.MinFunc(c.records, func(a, b Record) int {
 		switch {
 		case (a.HeldAt != 0) != (b.HeldAt != 0):
-			return order(a.HeldAt != 0)
-		case a.HeldAt == 0 && len(a.Ends) != len(b.Ends):
-			return len(a.Ends) - len(b.Ends)
+			return compareResult(a.HeldAt != 0)
+		case a.HeldAt == 0 && len(a.Crashes) != len(b.Crashes):
+			return len(a.Crashes) - len(b.Crashes)
 		default:
-			return order(a.LastAt > b.LastAt)
+			return compareResult(a.LastAt > b.LastAt)
 		}
 	})
 	c.Dropped++
 	c.remove(least.Digest)
 }
 
-// order is what a comparison returns: 1 if the first is the greater one.
-func order(greater bool) int {
+// compareResult returns the result of a comparison function: 1 if the first value is the greater one,
+// otherwise -1.
+func compareResult(greater bool) int {
 	if greater {
 		return 1
 	}
 	return -1
 }
 
-// forget forgets evidence that is older than a time. A request whose hold has lapsed may be
-// sent again, but is held as soon as it ends one more replica.
-func (c *stateChange) forget(before int64) {
-	kept := c.records[:0]
+// deleteExpired deletes evidence from before a time. A request whose hold has expired may be sent
+// again, but is held as soon as one more replica crashes under it.
+func (c *stateChange) deleteExpired(before int64) {
+	remaining := c.records[:0]
 	for _, record := range c.records {
 		switch {
 		case max(record.LastAt, record.HeldAt) >= before:
 		case record.HeldAt == 0:
 			if record.watched() {
-				c.free(record.Digest)
+				c.markUnwatched(record.Digest)
 			}
 			continue
 		default:
-			record.HeldAt, record.DueAt, record.LastAt = 0, 0, c.at
-			record.Ends = lapsedEnds(record.Digest)
-			c.shown(&record)
+			record.HeldAt, record.SufficientAt, record.LastAt = 0, 0, c.at
+			record.Crashes = placeholderCrashes(record.Digest)
+			c.markChanged(&record)
 		}
-		kept = append(kept, record)
+		remaining = append(remaining, record)
 	}
-	c.records = kept
+	c.records = remaining
 }
 
-// lapsedEnds stand for the evidence of a hold that has lapsed: one less than is needed, shared with no
-// other request.
-func lapsedEnds(digest Digest) []uint64 {
-	ends := make([]uint64, HoldAfter-1)
-	for index := range ends {
-		ends[index] = xxhash.Sum64(append(digest[:], byte(index)))
-	}
-	return ends
+// placeholderCrashes replace the evidence of an expired hold: one crash fewer than are needed to hold
+// the request, none of them shared with another request.
+func placeholderCrashes(digest Digest) []uint64 {
+	crashes := make([]uint64, HoldAfter-1)
+	for index := range crashes {
+		crashes[index] = xxhash.Sum64(append(digest[:], byte(index)))
+	}
+	return crashes
 }
 
-// Lapsed reports whether a command that forgets what is older than a time would change anything.
-func (s *State) Lapsed(before int64) bool {
+// HasExpired reports whether a command with this ForgetBefore would change anything.
+func (s *State) HasExpired(before int64) bool {
 	return slices.ContainsFunc(s.Records, func(r Record) bool { return max(r.LastAt, r.HeldAt) < before })
 }
 
-// NewsSince is what a gateway has to know that knows a revision; nil if nothing. A gateway that
-// knows more has heard of it from a replica of the state that is ahead of this one.
+// NewsSince returns what a gateway at a revision has to learn, nil if nothing. A gateway at a later
+// revision than this State has learned it from a replica of the State that is ahead of this one.
 func (s *State) NewsSince(revision uint64) *News {
 	if revision >= s.Revision {
 		return nil
 	}
-	news := &News{Revision: s.Revision, Whole: revision == 0 || revision < s.FreedSince}
+	update := &News{Revision: s.Revision, Whole: revision == 0 || revision < s.UnwatchedSince}
 	for _, record := range s.Records {
-		if record.watched() && (news.Whole || record.Revision > revision) {
-			news.Entries = append(news.Entries, NewsEntry{Digest: record.Digest, Held: record.HeldAt != 0, OnProbation: record.onProbation()})
+		if record.watched() && (update.Whole || record.Revision > revision) {
+			update.Entries = append(update.Entries, NewsEntry{Digest: record.Digest, Held: record.HeldAt != 0, OnProbation: record.onProbation()})
 		}
 	}
-	if news.Whole {
-		return news
+	if update.Whole {
+		return update
 	}
-	for _, freed := range s.Freed {
-		if at, back := find(s.Records, freed.Digest); freed.Revision > revision && (!back || !s.Records[at].watched()) {
-			news.Freed = append(news.Freed, freed.Digest)
+	for _, freed := range s.Unwatched {
+		if at, found := find(s.Records, freed.Digest); freed.Revision > revision && (!found || !s.Records[at].watched()) {
+			update.Freed = append(update.Freed, freed.Digest)
 		}
 	}
-	return news
+	return update
 }
 
 // Find returns the record of a request.
@@ -347,7 +353,7 @@
 	return s.Records[at], true
 }
 
-// HeldDigests are the requests that are held.
+// HeldDigests returns the digests of the held requests.
 func (s *State) HeldDigests() []Digest {
 	var held []Digest
 	for _, record := range s.Records {
@@ -364,7 +370,7 @@
 	return record.HeldAt != 0
 }
 
-// Held lists the requests that are held, those that were held last first.
+// Held lists the held requests, the most recently held first.
 func (s *State) Held() []Held {
 	records := slices.DeleteFunc(slices.Clone(s.Records), func(r Record) bool { return r.HeldAt == 0 })
 	slices.SortStableFunc(records, func(a, b Record) int { return cmp.Compare(b.HeldAt, a.HeldAt) })
@@ -372,11 +378,11 @@
 	for _, record := range records {
 		held = append(held, Held{
 			Digest: record.Digest.String(), Replicas: int(record.Total),
-			FirstEnd: timeOfDay(record.FirstAt), LastEnd: timeOfDay(record.LastAt), Since: timeOfDay(record.HeldAt),
+			FirstEnd: formatTime(record.FirstAt), LastEnd: formatTime(record.LastAt), Since: formatTime(record.HeldAt),
 		})
 	}
 	return held
 }
 
-// timeOfDay formats nanoseconds since 1970 (RFC 3339, UTC).
-func timeOfDay(nanos int64) string { return time.Unix(0, nanos).UTC().Format(time.RFC3339) }
+// formatTime formats nanoseconds since 1970 (RFC 3339, UTC).
+func formatTime(nanos int64) string { return time.Unix(0, nanos).UTC().Format(time.RFC3339) }
--- a/internal/poison/state_test.go
+++ b/internal/poison/state_test.go
@@ -22,13 +22,13 @@
 	return digests
 }
 
-// fixedRequest is a request with a digest.
+// fixedRequest is a request with a fixed digest.
 type fixedRequest Digest
 
 func (r fixedRequest) TargetHash() uint32 { return Digest(r).Target() }
 func (r fixedRequest) Digest() Digest     { return Digest(r) }
 
-// evidence applies commands one after the other.
+// evidence is a State to which commands are applied in sequence, 1 ms apart.
 type evidence struct {
 	State
 	position uint64
@@ -42,66 +42,66 @@
 	e.Apply(e.position, &command)
 }
 
-// ended notes that replicas have ended under requests.
-func (e *evidence) ended(replica string, under ...string) {
-	e.apply(Command{Ends: []End{{Replica: replica, Under: digestsOf(under...)}}})
+// crashed records that a replica has crashed under requests.
+func (e *evidence) crashed(replica string, requests ...string) {
+	e.apply(Command{Ends: []End{{Replica: replica, Under: digestsOf(requests...)}}})
 }
 
-// holdDue holds what is due, and returns it.
+// holdDue holds the requests that are due, and returns them.
 func (e *evidence) holdDue() []Digest {
 	due := e.Due(e.at, 0)
 	e.apply(Command{Hold: due})
 	return due
 }
 
-func TestARequestIsDueOnceThreeReplicasHaveEndedUnderIt(t *testing.T) {
+func TestRequestIsDueAfterThreeReplicasCrashed(t *testing.T) {
 	e := &evidence{}
-	e.ended("i-1", "poison", "a")
-	e.ended("i-1", "poison", "b")
-	e.ended("i-2", "poison")
+	e.crashed("i-1", "poison", "a")
+	e.crashed("i-1", "poison", "b")
+	e.crashed("i-2", "poison")
 	assert.Empty(t, e.Due(e.at, 0), "the same replica counts once")
-	e.ended("i-3", "poison", "c")
-	assert.Empty(t, e.Due(e.at, time.Millisecond), "others may have evidence that is under way")
+	e.crashed("i-3", "poison", "c")
+	assert.Empty(t, e.Due(e.at, time.Millisecond), "other gateways may not have reported yet")
 	assert.Equal(t, digestsOf("poison"), e.Due(e.at+int64(time.Millisecond), time.Millisecond))
 	e.holdDue()
 	assert.True(t, e.Holds(digestOf("poison")))
 	assert.Empty(t, e.Due(e.at, 0))
 }
 
-func TestARequestBesideTheOneThatEndsReplicasIsNotHeld(t *testing.T) {
+func TestInnocentRequestBesidePoisonIsNotHeld(t *testing.T) {
 	e := &evidence{}
 	for number := range 3 {
-		e.ended(fmt.Sprint("i-", number), "poison", "beside")
+		e.crashed(fmt.Sprint("i-", number), "poison", "beside")
 	}
-	assert.Empty(t, e.Due(e.at, 0), "nothing tells them apart")
-	e.ended("i-4", "poison")
+	assert.Empty(t, e.Due(e.at, 0), "the requests were at the same replicas")
+	e.crashed("i-4", "poison")
 	assert.Equal(t, digestsOf("poison"), e.holdDue())
 	record, known := e.Find(digestOf("beside"))
-	assert.False(t, known, "all its replicas have ended under the other: %v", record)
-	e.ended("i-4", "late")
+	assert.False(t, known, "all its replicas have crashed under the other: %v", record)
+	e.crashed("i-4", "late")
 	_, known = e.Find(digestOf("late"))
-	assert.False(t, known, "told later than the hold")
-	e.ended("i-5", "late")
+	assert.False(t, known, "reported after the hold")
+	e.crashed("i-5", "late")
 	_, known = e.Find(digestOf("late"))
 	assert.True(t, known)
 }
 
-// Two requests were at the same three engines, and nothing tells which of them has ended these: both
-// go on, one send a call, and are not passed on to those who know nothing of it.
-func TestRequestsThatCanNotBeToldApartAreOnProbation(t *testing.T) {
+// Two requests were at the same three replicas, and nothing shows which of them has crashed these: both
+// continue to be sent, once a call, and are not forwarded to processes without the evidence.
+func TestIndistinguishableRequestsAreOnProbation(t *testing.T) {
 	e := &evidence{}
 	guard := NewGuard(Options{Now: func() time.Duration { return 0 }, InTouch: func() bool { return true }})
 	poison, beside := fixedRequest(digestOf("poison")), fixedRequest(digestOf("beside"))
 	for number := range 3 {
 		assert.True(t, guard.MayRepeat(poison))
-		e.ended(fmt.Sprint("i-", number), "poison", "beside")
+		e.crashed(fmt.Sprint("i-", number), "poison", "beside")
 		guard.Take(e.NewsSince(guard.Revision()))
 		assert.Equal(t, number < 1, guard.MayLeave(poison))
 	}
 	assert.False(t, guard.MayRepeat(poison))
 	assert.False(t, guard.MayRepeat(beside))
 	assert.False(t, guard.Holds(poison))
-	e.ended("i-4", "poison")
+	e.crashed("i-4", "poison")
 	e.holdDue()
 	guard.Take(e.NewsSince(guard.Revision()))
 	assert.True(t, guard.Holds(poison))
@@ -109,100 +109,100 @@
 	assert.True(t, guard.MayLeave(beside))
 }
 
-func TestWhatOthersHoldIsHeldHere(t *testing.T) {
+func TestRequestHeldElsewhereIsHeld(t *testing.T) {
 	e := &evidence{}
-	e.ended("i-1", "known", "beside")
+	e.crashed("i-1", "known", "beside")
 	e.apply(Command{HeldElsewhere: digestsOf("known", "unknown")})
 	assert.ElementsMatch(t, digestsOf("known", "unknown"), e.HeldDigests())
 	_, left := e.Find(digestOf("beside"))
-	assert.False(t, left, "its replica has ended under the one that is held")
+	assert.False(t, left, "its replica has crashed under the held request")
 	e.apply(Command{HeldElsewhere: digestsOf("known"), Release: digestsOf("unknown")})
 	assert.Equal(t, digestsOf("known"), e.HeldDigests())
 }
 
-// A caller that repeats at once has its request at several replicas, of which a crash of many ends
-// some.
-func TestARequestAtSeveralReplicasOfACrowdIsNotHeld(t *testing.T) {
+// A request that its caller repeats at once is at several replicas, some of which crash together with
+// many others.
+func TestRequestAtSeveralReplicasOfABurstIsNotHeld(t *testing.T) {
 	e := &evidence{}
 	for number := range 9 {
-		e.ended(fmt.Sprint("i-", number), fmt.Sprint("beside ", number))
+		e.crashed(fmt.Sprint("i-", number), fmt.Sprint("beside ", number))
 	}
 	for number := range 4 {
-		e.ended(fmt.Sprint("i-", number), "repeated at once")
+		e.crashed(fmt.Sprint("i-", number), "repeated at once")
 	}
 	assert.Empty(t, e.Due(e.at, 0))
 }
 
-func TestAnEndInACrowdIsHalfTheEvidence(t *testing.T) {
+func TestBurstCrashHasHalfTheWeight(t *testing.T) {
 	e := &evidence{}
 	crash := func(crash int) {
 		for number := range 9 {
-			e.ended(fmt.Sprint("i-", crash, "-", number), fmt.Sprint("beside ", crash, " ", number))
+			e.crashed(fmt.Sprint("i-", crash, "-", number), fmt.Sprint("beside ", crash, " ", number))
 		}
-		e.ended(fmt.Sprint("i-", crash, "-8"), "innocent")
+		e.crashed(fmt.Sprint("i-", crash, "-8"), "innocent")
 		e.at += int64(time.Minute)
 	}
 	for number := range 5 {
 		crash(number)
 	}
-	assert.Empty(t, e.Due(e.at, 0), "five ends, each in a crowd")
+	assert.Empty(t, e.Due(e.at, 0), "five crashes, each in a burst")
 	crash(5)
 	assert.Equal(t, digestsOf("innocent"), e.Due(e.at, 0))
 	for number := range 5 {
-		e.ended(fmt.Sprint("j-", number), "poison")
+		e.crashed(fmt.Sprint("j-", number), "poison")
 	}
-	assert.ElementsMatch(t, digestsOf("innocent", "poison"), e.Due(e.at, 0), "a request at five gateways at once makes the crowd itself")
+	assert.ElementsMatch(t, digestsOf("innocent", "poison"), e.Due(e.at, 0), "a request that crashes five replicas at once makes up the burst itself")
 }
 
-func TestAGoodEndClearsARequest(t *testing.T) {
+func TestCompletionClearsARequest(t *testing.T) {
 	e := &evidence{}
-	e.ended("i-1", "often")
-	e.ended("i-2", "often")
+	e.crashed("i-1", "often")
+	e.crashed("i-2", "often")
 	e.apply(Command{RanWell: digestsOf("often")})
-	e.ended("i-3", "often")
+	e.crashed("i-3", "often")
 	assert.Empty(t, e.Due(e.at, 0))
-	e.ended("i-4", "often")
-	e.ended("i-5", "often")
+	e.crashed("i-4", "often")
+	e.crashed("i-5", "often")
 	e.holdDue()
 	require.True(t, e.Holds(digestOf("often")))
 	e.apply(Command{RanWell: digestsOf("often")})
-	assert.False(t, e.Holds(digestOf("often")), "an attempt that was under way has run well")
+	assert.False(t, e.Holds(digestOf("often")), "an attempt that was in flight has completed")
 }
 
-func TestTwoRequestsThatEndReplicasAreBothHeld(t *testing.T) {
+func TestTwoPoisonRequestsAreBothHeld(t *testing.T) {
 	e := &evidence{}
-	e.ended("i-1", "one", "two")
+	e.crashed("i-1", "one", "two")
 	for _, replica := range []string{"i-2", "i-3", "i-4"} {
-		e.ended(replica, "one")
+		e.crashed(replica, "one")
 	}
 	for _, replica := range []string{"i-5", "i-6", "i-7"} {
-		e.ended(replica, "two")
+		e.crashed(replica, "two")
 	}
-	assert.ElementsMatch(t, digestsOf("one", "two"), e.holdDue(), "each has ended three where the other was not")
+	assert.ElementsMatch(t, digestsOf("one", "two"), e.holdDue(), "each has crashed three where the other was not")
 }
 
-func TestAHoldLapsesAndBeginsAnewWithTheNextEnd(t *testing.T) {
+func TestExpiredHoldResumesWithTheNextCrash(t *testing.T) {
 	e := &evidence{}
 	for number := range 5 {
-		e.ended(fmt.Sprint("i-", number), "poison")
+		e.crashed(fmt.Sprint("i-", number), "poison")
 	}
-	e.ended("i-9", "once")
+	e.crashed("i-9", "once")
 	e.holdDue()
-	assert.False(t, e.Lapsed(e.at-int64(time.Hour)))
+	assert.False(t, e.HasExpired(e.at-int64(time.Hour)))
 	e.at += int64(time.Hour)
-	require.True(t, e.Lapsed(e.at-int64(time.Minute)))
+	require.True(t, e.HasExpired(e.at-int64(time.Minute)))
 	e.apply(Command{ForgetBefore: e.at - int64(time.Minute)})
 	assert.False(t, e.Holds(digestOf("poison")))
 	_, known := e.Find(digestOf("once"))
 	assert.False(t, known)
-	e.ended("i-10", "poison")
+	e.crashed("i-10", "poison")
 	assert.Equal(t, digestsOf("poison"), e.Due(e.at, 0))
 }
 
 func TestAnOperatorLetsARequestGo(t *testing.T) {
 	e := &evidence{}
 	for number := range 3 {
-		e.ended(fmt.Sprint("i-", number), "poison")
+		e.crashed(fmt.Sprint("i-", number), "poison")
 	}
 	e.holdDue()
 	held := e.Held()
@@ -211,23 +211,23 @@
 	assert.Equal(t, 3, held[0].Replicas)
 	e.apply(Command{Release: digestsOf("poison")})
 	assert.Empty(t, e.Held())
-	e.ended("i-7", "poison")
-	assert.Empty(t, e.Due(e.at, 0), "it begins anew")
+	e.crashed("i-7", "poison")
+	assert.Empty(t, e.Due(e.at, 0), "its evidence was deleted")
 }
 
 func TestTheLeastDangerousGoFirstWhenThereIsNoRoom(t *testing.T) {
 	e := &evidence{}
 	for number := range 3 {
-		e.ended(fmt.Sprint("i-", number), "poison")
+		e.crashed(fmt.Sprint("i-", number), "poison")
 	}
 	e.holdDue()
-	e.ended("i-8", "two")
-	e.ended("i-9", "two")
+	e.crashed("i-8", "two")
+	e.crashed("i-9", "two")
 	var under []string
 	for number := range 2 * MaximumRecords {
 		under = append(under, fmt.Sprint("once-", number))
 	}
-	e.ended("i-10", under...)
+	e.crashed("i-10", under...)
 	assert.Len(t, e.Records, MaximumRecords)
 	assert.EqualValues(t, 2*MaximumRecords+2-MaximumRecords, e.Dropped)
 	assert.True(t, e.Holds(digestOf("poison")))
@@ -236,17 +236,17 @@
 	encoded, err := e.MarshalMsg(nil)
 	require.NoError(t, err)
 	assert.Less(t, len(encoded), 200<<10)
-	for number := range 2 * MaximumEnds {
-		e.ended(fmt.Sprint("j-", number), "poison")
+	for number := range 2 * MaximumCrashes {
+		e.crashed(fmt.Sprint("j-", number), "poison")
 	}
 	record, _ := e.Find(digestOf("poison"))
-	assert.Len(t, record.Ends, MaximumEnds)
-	assert.EqualValues(t, 3+2*MaximumEnds, record.Total)
+	assert.Len(t, record.Crashes, MaximumCrashes)
+	assert.EqualValues(t, 3+2*MaximumCrashes, record.Total)
 }
 
-// TestGatewaysThatFollowNewsKnowWhatIsHeld has gateways that ask now and then follow random
-// commands.
-func TestGatewaysThatFollowNewsKnowWhatIsHeld(t *testing.T) {
+// Checks that gateways that ask for news now and then know the watched and held requests, while random
+// commands change the state.
+func TestGatewaysThatApplyUpdatesKnowWhatIsHeld(t *testing.T) {
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 0))
 		e := &evidence{}
@@ -263,7 +263,7 @@
 			case 3:
 				e.apply(Command{ForgetBefore: e.at - int64(random.IntN(2000))*int64(time.Millisecond)})
 			default:
-				e.ended(fmt.Sprint("i-", step), name)
+				e.crashed(fmt.Sprint("i-", step), name)
 			}
 			if random.IntN(4) > 0 {
 				continue
@@ -284,15 +284,15 @@
 	}
 }
 
-func TestReadersKeepTheStateThatTheyRead(t *testing.T) {
+func TestStateReadEarlierIsNotModified(t *testing.T) {
 	e := &evidence{}
-	e.ended("i-1", "a", "b")
-	e.ended("i-2", "a", "b")
+	e.crashed("i-1", "a", "b")
+	e.crashed("i-2", "a", "b")
 	before := e.State
 	encoded, err := before.MarshalMsg(nil)
 	require.NoError(t, err)
 	for number := range 200 {
-		e.ended(fmt.Sprint("j-", number), "a", fmt.Sprint("n", number))
+		e.crashed(fmt.Sprint("j-", number), "a", fmt.Sprint("n", number))
 	}
 	e.holdDue()
 	e.apply(Command{RanWell: digestsOf("b")})
--- a/internal/poison/teller.go
+++ b/internal/poison/teller.go
@@ -13,30 +13,30 @@
 )
 
 const (
-	// tellPause gathers what happens at the same moment into one report, and is the pause before
-	// a report is told again.
-	tellPause   = 50 * time.Millisecond
-	tellTimeout = 900 * time.Millisecond
-	// lookInterval is the pause between two looks at a gateway's own evidence.
-	lookInterval = 100 * time.Millisecond
+	// reportDelay collects the events of about the same moment into one report, and is the delay before
+	// a report is retried.
+	reportDelay   = 50 * time.Millisecond
+	reportTimeout = 900 * time.Millisecond
+	// evidenceCheckInterval is the pause between two checks of a gateway's local evidence.
+	evidenceCheckInterval = 100 * time.Millisecond
 )
 
-// Teller tells what a Guard has learned, and has it look at its own evidence.
+// Teller sends the reports of a Guard, and has it check its local evidence.
 type Teller struct {
 	Guard   *Guard
 	gateway string
-	// tell makes one call with a report, to whoever replicates the evidence.
-	tell   func(ctx context.Context, report *Report) error
+	// send sends one report to the process that replicates the evidence.
+	send   func(ctx context.Context, report *Report) error
 	logger logr.Logger
-	// dropped counts the digests that were given up for lack of room.
+	// dropped counts the digests in evidence that was dropped before it was reported.
 	dropped atomic.Int64
 }
 
-// NewTeller returns a Teller with a Guard of its own, and logs what they give up, what can't be told
-// and what is held by the gateway's own evidence. Options.Dropped is its own.
-func NewTeller(gateway string, options Options, tell func(ctx context.Context, report *Report) error, logger logr.Logger) *Teller {
-	t := &Teller{gateway: gateway, tell: tell, logger: logger}
-	options.Dropped = func(digests int) {
+// NewTeller returns a Teller with a Guard of its own. It logs dropped evidence, reports that fail, and
+// requests that are held by local evidence. It replaces options.OnDropped.
+func NewTeller(gateway string, options Options, send func(ctx context.Context, report *Report) error, logger logr.Logger) *Teller {
+	t := &Teller{gateway: gateway, send: send, logger: logger}
+	options.OnDropped = func(digests int) {
 		t.dropped.Add(int64(digests))
 		logger.Info(event.PoisonDropped, "digests", digests)
 	}
@@ -44,27 +44,27 @@
 	return t
 }
 
-// Dropped counts the digests that were given up for lack of room.
+// Dropped returns the number of digests in evidence that was dropped before it was reported.
 func (t *Teller) Dropped() int64 { return t.dropped.Load() }
 
-// Run works until the context ends.
+// Run sends reports and checks local evidence until the context ends.
 func (t *Teller) Run(ctx context.Context) {
-	go t.look(ctx)
+	go t.checkLocalEvidence(ctx)
 	failed := false
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.Guard.Wake():
+		case <-t.Guard.ReportReady():
 		}
-		if !lifecycle.Sleep(ctx, tellPause) {
+		if !lifecycle.Sleep(ctx, reportDelay) {
 			return
 		}
 		report := t.Guard.Report(t.gateway)
 		if report == nil {
 			continue
 		}
-		err := t.tellOnce(ctx, report)
+		err := t.sendReport(ctx, report)
 		if err != nil {
 			t.Guard.Return(report)
 		}
@@ -75,22 +75,22 @@
 	}
 }
 
-func (t *Teller) tellOnce(ctx context.Context, report *Report) error {
-	bounded, cancel := context.WithTimeout(ctx, tellTimeout)
+func (t *Teller) sendReport(ctx context.Context, report *Report) error {
+	bounded, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	return t.tell(bounded, report)
+	return t.send(bounded, report)
 }
 
-// look looks at the gateway's own evidence while there is any: most gateways never have some, and would
-// wake up for nothing.
-func (t *Teller) look(ctx context.Context) {
+// checkLocalEvidence checks the local evidence while there is any: most gateways never have any, and
+// would wake up for nothing.
+func (t *Teller) checkLocalEvidence(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.Guard.Noted():
+		case <-t.Guard.LocalEvidence():
 		}
-		for t.Guard.HasOwn() && lifecycle.Sleep(ctx, lookInterval) {
+		for t.Guard.HasLocalEvidence() && lifecycle.Sleep(ctx, evidenceCheckInterval) {
 			for _, digest := range t.Guard.Look() {
 				t.logger.Info(event.RequestHeldHere, "digest", digest.String())
 			}
--- a/internal/poison/versions_test.go
+++ b/internal/poison/versions_test.go
@@ -6,7 +6,7 @@
 	"github.com/pierhaven/pierhaven/internal/recorded"
 )
 
-// samples are the messages and records on requests that end replicas, as an earlier build knew them.
+// samples are the messages and records of this package as an earlier build encoded them.
 func samples() recorded.Samples {
 	held, freed := Digest{1, 2, 3}, Digest{4, 5, 6}
 	ends := []End{{Replica: "a@5", Under: []Digest{held}}}
@@ -20,9 +20,9 @@
 		"permit_request": &PermitRequest{Digest: held},
 		"report":         &Report{Gateway: "g", Ends: ends, RanWell: []Digest{freed}},
 		"state": &State{
-			Records:  []Record{{Digest: held, Ends: []uint64{7, 8}, Total: 3, FirstAt: 1, LastAt: 2, DueAt: 3, HeldAt: 4, Revision: 9}},
-			Revision: 9, Freed: []FreedRecord{{Digest: freed, Revision: 8}}, FreedSince: 2, Dropped: 1,
-			Recent: []ReplicaEnd{{Replica: 7, At: 2}}, Crowds: []CrowdEnd{{Replica: 8, Crowd: 6}},
+			Records:  []Record{{Digest: held, Crashes: []uint64{7, 8}, Total: 3, FirstAt: 1, LastAt: 2, SufficientAt: 3, HeldAt: 4, Revision: 9}},
+			Revision: 9, Unwatched: []UnwatchedRecord{{Digest: freed, Revision: 8}}, UnwatchedSince: 2, Dropped: 1,
+			RecentCrashes: []RecentCrash{{Replica: 7, At: 2}}, BurstCrashes: []BurstCrash{{Replica: 8, Burst: 6}},
 		},
 	}
 }
