--- a/internal/poison/guard.go
+++ b/internal/poison/guard.go
@@ -106,9 +106,9 @@
 	return held
 }
 
-// MayRepeat reports whether a request whose replica has crashed may be retried on another replica
-// within the same call. A request on probation is sent only once a call: within one call it might crash
-// several more replicas before the evidence of the first crash has arrived.
+// MayRepeat reports whether a request that has lost its connection to a replica may be retried on
+// another one within the same call. A request on probation is sent only once a call: within one call it
+// might crash several more replicas before the evidence of the first crash has arrived.
 func (g *Guard) MayRepeat(request Request) bool { return !g.OnProbation(request) }
 
 // OnProbation reports whether a request is on probation: as many replicas have crashed under it as
@@ -157,11 +157,11 @@
 	g.signal()
 }
 
-// RanWell records that a replica has run a request to completion. afterCrash says that a replica had
-// crashed under it earlier in the call; otherwise the completion is reported only if the request is
+// RanWell records that a replica has run a request to completion. lostReplica says that the call had
+// lost its connection to a replica before; otherwise the completion is reported only if the request is
 // watched.
-func (g *Guard) RanWell(request Request, afterCrash bool) {
-	if !afterCrash {
+func (g *Guard) RanWell(request Request, lostReplica bool) {
+	if !lostReplica {
 		view := g.view.Load()
 		if !view.watches(request) {
 			return
