--- a/internal/rollout/choose.go
+++ b/internal/rollout/choose.go
@@ -7,40 +7,41 @@
 	"github.com/pierhaven/pierhaven/internal/api/engineapi"
 )
 
-// choose takes the engines of the next step. KV caches only pass between engines
-// of one version, so that the roles are changed side by side: the next engine is
-// of the role that is furthest behind, and of it the one with the least in hand.
-func choose(model *Model, left []*Engine, step int) []*Engine {
-	all, behind := map[engineapi.Role]int{}, map[engineapi.Role]int{}
+// selectEngines selects the engines of the next step, at most limit. KV caches
+// can only be transferred between engines of the same version, so roles are
+// changed in proportion: the next engine is of the role with the largest fraction
+// of unchanged engines, and among those the one with the fewest attempts in flight.
+func selectEngines(model *Model, remaining []*Engine, limit int) []*Engine {
+	total, remainingByRole := map[engineapi.Role]int{}, map[engineapi.Role]int{}
 	for index := range model.Engines {
-		all[model.Engines[index].Desired.Role]++
+		total[model.Engines[index].Desired.Role]++
 	}
-	for _, engine := range left {
-		behind[engine.Desired.Role]++
+	for _, engine := range remaining {
+		remainingByRole[engine.Desired.Role]++
 	}
-	candidates := slices.DeleteFunc(slices.Clone(left), func(engine *Engine) bool {
+	candidates := slices.DeleteFunc(slices.Clone(remaining), func(engine *Engine) bool {
 		return !engine.Changeable || !engine.Settled
 	})
 	var chosen []*Engine
-	for len(chosen) < step && len(candidates) > 0 {
+	for len(chosen) < limit && len(candidates) > 0 {
 		next := slices.MinFunc(candidates, func(a, b *Engine) int {
 			return cmp.Or(
-				// Compare the shares that are left, the larger first.
-				cmp.Compare(behind[b.Desired.Role]*all[a.Desired.Role], behind[a.Desired.Role]*all[b.Desired.Role]),
-				cmp.Compare(roleOrder(a), roleOrder(b)),
+				// Cross-multiplied fractions of unchanged engines, larger first.
+				cmp.Compare(remainingByRole[b.Desired.Role]*total[a.Desired.Role], remainingByRole[a.Desired.Role]*total[b.Desired.Role]),
+				cmp.Compare(rolePriority(a), rolePriority(b)),
 				cmp.Compare(a.InFlight, b.InFlight),
 				cmp.Compare(a.ID, b.ID),
 			)
 		})
 		chosen = append(chosen, next)
-		behind[next.Desired.Role]--
+		remainingByRole[next.Desired.Role]--
 		candidates = slices.DeleteFunc(candidates, func(engine *Engine) bool { return engine == next })
 	}
 	return chosen
 }
 
-// roleOrder puts engines first that can serve by themselves.
-func roleOrder(engine *Engine) int {
+// rolePriority orders mixed engines, which can serve without a partner, first.
+func rolePriority(engine *Engine) int {
 	if engine.Desired.Role == engineapi.RoleMixed {
 		return 0
 	}
--- a/internal/rollout/doc.go
+++ b/internal/rollout/doc.go
@@ -1,11 +1,13 @@
-// Package rollout decides how a model's version is changed over the engines of a
-// zone while they serve: one engine first, then further ones within the cap on
-// engines away, each after a time of watching. It halts by itself when engines
-// can't load the new version, or when attempts on it fail or come late more often
-// than on the old one.
+// Package rollout decides how a model's version is rolled out to the engines of a
+// zone while they serve. It changes one engine first and then as many as the limit
+// on unavailable engines allows, with an observation period after each step. It
+// halts a rollout automatically when engines can't load the new version, when a
+// step does not end in time, or when attempts fail or are late more often on the
+// new version than on the old one.
 //
-// The phase of each rollout is replicated in the zone group's state; the core
-// holds only the times and counts that its leader has seen, so that a new leader
-// watches anew before it goes on. It has no clock, sockets or goroutines. See
+// The phase of each rollout is replicated in the zone group's state. The core
+// holds only the times and counts that the current leader has observed, so a new
+// leader repeats the observation period before it continues. The core has no
+// clock, sockets or goroutines. See
 // docs/design/model-versions.md.
 package rollout
--- a/internal/rollout/input.go
+++ b/internal/rollout/input.go
@@ -7,32 +7,34 @@
 	"github.com/pierhaven/pierhaven/internal/zonestate"
 )
 
-// Options are the settings of a Core.
+// Options configures a Core.
 type Options struct {
-	// Observe is the least time between two steps, and ObserveLimit the longest
-	// if there are too few attempts to judge by.
+	// Observe is the minimum time between two steps. ObserveLimit is the time
+	// after which the next step is taken even with fewer than MinimumAttempts.
 	Observe      time.Duration
 	ObserveLimit time.Duration
-	// StepLimit is the longest time that one step may take.
+	// StepLimit is the time after which an unfinished step halts the rollout.
 	StepLimit time.Duration
-	// MinimumAttempts is the number of attempts after which a step has been
-	// watched for long enough, and the least to judge lateness by.
+	// MinimumAttempts is the number of attempts on the new version that ends the
+	// observation period once Observe has passed. It is also the minimum sample
+	// for judging lateness.
 	MinimumAttempts uint64
-	// FailureMargin is the largest share of attempts that may fail on the new
-	// version beyond that on the old one; LateMargin the same for first tokens
-	// that come later than the model's objective.
+	// FailureMargin is how far the failure rate on the new version may exceed
+	// that on the old one. LateMargin is the same for the rate of first tokens
+	// that miss the model's objective.
 	FailureMargin float64
 	LateMargin    float64
-	// Significance is the probability below which a share beyond its margin is
-	// no chance.
+	// Significance is the significance level of the test whether a rate exceeds
+	// its margin.
 	Significance float64
 	// MaximumFailedLoads is the number of failed orders to load the new version
-	// on one engine after which the rollout is halted.
+	// on one engine that halts the rollout.
 	MaximumFailedLoads int
 }
 
-// DefaultOptions returns the settings of the controllers. A fresh engine answers
-// late while its prefix cache is cold, so that the margin for lateness is wide.
+// DefaultOptions returns the options that the controllers use. The margin for
+// lateness is wide because a newly changed engine is slow while its prefix cache
+// is cold.
 func DefaultOptions() Options {
 	return Options{
 		Observe:            10 * time.Second,
@@ -49,31 +51,34 @@
 // Engine is one engine of a model.
 type Engine struct {
 	ID string
-	// Desired is what it should run; DesiredAt guards a new wish.
+	// Desired is the configuration that the engine should run. DesiredAt is the
+	// log position at which it was set; an update made on an older one is rejected.
 	Desired   engineapi.Configuration
 	DesiredAt uint64
-	// Version and Adapters are what the policy's placement wants.
+	// Version and Adapters are what the policy's placement requires.
 	Version  string
 	Adapters []string
-	// Settled says that it runs what it should and takes work, or would if no
-	// operator had drained it.
+	// Settled reports whether the engine runs its desired configuration and is in
+	// service, or would be if no operator had drained it.
 	Settled bool
-	// FailedLoads counts failed orders to reach Desired.
+	// FailedLoads counts the failed orders to reach Desired.
 	FailedLoads int
-	// GivenUp is the version that the engine failed to load for good, and
-	// GivenUpAt the position of the giving up.
+	// GivenUp is the version of the last abandoned change, and GivenUpAt the log
+	// position at which the change was abandoned.
 	GivenUp   string
 	GivenUpAt uint64
-	// Problem is the engine's account of its last failure.
+	// Problem is the detail that the engine reported for its last failure.
 	Problem string
-	// Changeable says that it answers, and that neither an operator nor a
-	// cut-off gateway stands in the way.
+	// Changeable reports whether the engine is reachable, neither drained by an
+	// operator nor leaving, and not usable by a gateway that is cut off from the
+	// leader.
 	Changeable bool
-	// InFlight counts the unfinished attempts of all gateways.
+	// InFlight counts the unfinished attempts on the engine, over all gateways.
 	InFlight int
 }
 
-// Outcomes counts attempts on a version, over all gateways, since some time.
+// Outcomes counts the attempts on a version over all gateways, from an arbitrary
+// starting point.
 type Outcomes struct {
 	Ended  uint64
 	Failed uint64
@@ -88,29 +93,31 @@
 	return Outcomes{Ended: o.Ended + other.Ended, Failed: o.Failed + other.Failed, Late: o.Late + other.Late}
 }
 
-// Model is one model with its engines in the zone.
+// Model is the rollout state of one model and its engines in the zone.
 type Model struct {
 	Name string
-	// Committed is the model's rollout, nil if there has been none.
+	// Committed is the model's latest rollout, nil if there was none.
 	Committed *zonestate.Rollout
-	// Forbidden says that the policy of the model permits no changes.
+	// Forbidden reports whether the model's policy permits no changes.
 	Forbidden bool
 	Engines   []Engine
-	// Outcomes are by version, and never fall while a leader leads.
+	// Outcomes maps each version to its counts, which never decrease during one
+	// leadership.
 	Outcomes map[string]Outcomes
 }
 
-// Input is what Step decides on.
+// Input is the state on which Step decides.
 type Input struct {
 	Models []Model
-	// MaximumAway bounds the engines that change at the same time; 0 forbids
-	// rollouts.
+	// MaximumAway is the maximum number of engines that change at the same time;
+	// 0 forbids rollouts.
 	MaximumAway int
-	// Away counts the engines that are away for other changes.
+	// Away counts the engines that are unavailable because of other changes.
 	Away int
 }
 
-// Output is what Step decided: commands about rollouts, and wishes.
+// Output holds the rollout commands and the updates of desired configurations
+// that Step decided on.
 type Output struct {
 	Commands []zonestate.Command
 	Desired  []zonestate.DesiredEntry
--- a/internal/rollout/judge.go
+++ b/internal/rollout/judge.go
@@ -6,31 +6,31 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// problem says why a rollout must be halted, empty if nothing is wrong.
-func (c *Core) problem(model *Model, watch *watch) string {
-	if reason := c.failedLoad(model); reason != "" {
+// haltReason returns the reason to halt a rollout, or "" if there is none.
+func (c *Core) haltReason(model *Model, observed *observation) string {
+	if reason := c.failedLoadReason(model); reason != "" {
 		return reason
 	}
 	to := model.Committed.To
-	fresh := model.Outcomes[to].minus(watch.before[to])
-	var old Outcomes
+	newVersion := model.Outcomes[to].minus(observed.baseline[to])
+	var oldVersion Outcomes
 	for version, outcomes := range model.Outcomes {
 		if version != to {
-			old = old.plus(outcomes.minus(watch.before[version]))
+			oldVersion = oldVersion.plus(outcomes.minus(observed.baseline[version]))
 		}
 	}
-	if c.isWorse(fresh.Failed, fresh.Ended, share(old.Failed, old.Ended)+c.options.FailureMargin) {
-		return compare("fail", to, fresh.Failed, fresh.Ended, old.Failed, old.Ended)
+	if c.exceedsShare(newVersion.Failed, newVersion.Ended, share(oldVersion.Failed, oldVersion.Ended)+c.options.FailureMargin) {
+		return describeOutcomes("fail", to, newVersion.Failed, newVersion.Ended, oldVersion.Failed, oldVersion.Ended)
 	}
-	enough := fresh.Ended >= c.options.MinimumAttempts
-	if enough && c.isWorse(fresh.Late, fresh.Ended, share(old.Late, old.Ended)+c.options.LateMargin) {
-		return compare("come late", to, fresh.Late, fresh.Ended, old.Late, old.Ended)
+	enough := newVersion.Ended >= c.options.MinimumAttempts
+	if enough && c.exceedsShare(newVersion.Late, newVersion.Ended, share(oldVersion.Late, oldVersion.Ended)+c.options.LateMargin) {
+		return describeOutcomes("come late", to, newVersion.Late, newVersion.Ended, oldVersion.Late, oldVersion.Ended)
 	}
 	return ""
 }
 
-// failedLoad names an engine that can't load the new version.
-func (c *Core) failedLoad(model *Model) string {
+// failedLoadReason returns a halt reason if an engine can't load the new version.
+func (c *Core) failedLoadReason(model *Model) string {
 	to := model.Committed.To
 	for index := range model.Engines {
 		engine := &model.Engines[index]
@@ -43,11 +43,11 @@
 	return ""
 }
 
-// isWorse reports whether so many of all attempts would be very unlikely if the
-// share were no higher than accepted: a one-sided exact binomial test (Clopper
-// and Pearson, 1934). Few attempts suffice if nearly all of them go wrong, which
-// matters since routers soon avoid such an engine.
-func (c *Core) isWorse(wrong, all uint64, accepted float64) bool {
+// exceedsShare reports whether the share of wrong attempts is significantly higher
+// than accepted, by a one-sided exact binomial test (Clopper and Pearson, 1934).
+// A few attempts are enough if nearly all of them go wrong, which matters because
+// routers soon avoid such an engine.
+func (c *Core) exceedsShare(wrong, all uint64, accepted float64) bool {
 	if wrong == 0 || accepted >= 1 {
 		return false
 	}
@@ -62,6 +62,6 @@
 	return float64(part) / float64(whole)
 }
 
-func compare(what, version string, fresh, freshAll, old, oldAll uint64) string {
+func describeOutcomes(what, version string, fresh, freshAll, old, oldAll uint64) string {
 	return fmt.Sprintf("%d of %d attempts %s on version %s, and %d of %d on the other", fresh, freshAll, what, version, old, oldAll)
 }
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -9,35 +9,38 @@
 	"github.com/pierhaven/pierhaven/internal/zonestate"
 )
 
-// Core is the soft state of one leadership.
+// Core holds the uncommitted state of one leadership. It is not replicated.
 type Core struct {
-	options Options
-	watches map[string]*watch
+	options      Options
+	observations map[string]*observation
 }
 
-// watch is what a leader has seen of a rollout since it came into its phase.
-type watch struct {
+// observation is what a leader has observed of a rollout since the rollout entered
+// its current phase.
+type observation struct {
 	changedAt uint64
-	// before are the outcomes at the beginning.
-	before map[string]Outcomes
-	// steadySince is when the last engine under change was seen settled, or the
-	// beginning; stepBefore the attempts on the new version at that time.
-	steadySince time.Duration
-	stepBefore  uint64
-	// stepping says that engines are under change, since steppingSince.
-	stepping      bool
-	steppingSince time.Duration
+	// baseline holds the outcomes by version when the observation began.
+	baseline map[string]Outcomes
+	// settledSince is when the last step was seen to be complete, at first when
+	// the observation began. stepBaseline is the number of ended attempts on the
+	// new version at that time.
+	settledSince time.Duration
+	stepBaseline uint64
+	// stepInProgress reports whether engines are being changed. stepStartedAt is
+	// when this was first observed.
+	stepInProgress bool
+	stepStartedAt  time.Duration
 }
 
-// New returns the core of a leadership.
+// New returns the Core of a new leadership.
 func New(options Options) *Core {
-	return &Core{options: options, watches: make(map[string]*watch)}
+	return &Core{options: options, observations: make(map[string]*observation)}
 }
 
-// Step decides what is to be done at now. Call it about once a second.
+// Step decides what to do at time now. It should be called about once a second.
 func (c *Core) Step(now time.Duration, input Input) Output {
 	var output Output
-	free := input.MaximumAway - input.Away
+	slots := input.MaximumAway - input.Away
 	for index := range input.Models {
 		model := &input.Models[index]
 		if model.Forbidden {
@@ -45,17 +48,17 @@
 			c.stepModel(now, model, &none, &output)
 			continue
 		}
-		c.stepModel(now, model, &free, &output)
+		c.stepModel(now, model, &slots, &output)
 	}
 	return output
 }
 
-func (c *Core) stepModel(now time.Duration, model *Model, free *int, output *Output) {
+func (c *Core) stepModel(now time.Duration, model *Model, slots *int, output *Output) {
 	committed := model.Committed
-	from, to := wanted(model)
+	from, to := nextVersion(model)
 	isNew := committed == nil || committed.Phase == zonestate.RolloutDone || committed.To != to
 	if to != "" && isNew {
-		if *free > 0 {
+		if *slots > 0 {
 			output.propose(zonestate.KindBeginRollout, model, &zonestate.RolloutCommand{From: from, To: to})
 		}
 		return
@@ -65,18 +68,19 @@
 	}
 	switch committed.Phase {
 	case zonestate.RolloutRunning:
-		c.advance(now, model, free, output)
+		c.advance(now, model, slots, output)
 	case zonestate.RolloutHalted:
-		output.takeBackFailed(model)
+		output.revertFailed(model)
 	case zonestate.RolloutReverting:
-		c.revert(model, free, output)
+		c.revert(model, slots, output)
 	}
 }
 
-// wanted finds the next version that the placement names and not all engines
-// have, and what most of these have instead; empty if there is none. The version
-// of a rollout under way goes first.
-func wanted(model *Model) (from, to string) {
+// nextVersion returns the next version (to) that the placement requires and that
+// some engines do not have yet, and the version that most of those engines have
+// instead (from). Both are empty if there is none. The target of the committed
+// rollout takes precedence.
+func nextVersion(model *Model) (from, to string) {
 	for _, engine := range model.Engines {
 		if !engine.atTarget() && (to == "" || model.Committed != nil && engine.Version == model.Committed.To) {
 			to = engine.Version
@@ -98,70 +102,72 @@
 
 func (e *Engine) atTarget() bool { return e.Version == "" || e.Desired.Version == e.Version }
 
-func (c *Core) watch(now time.Duration, model *Model) *watch {
-	known, found := c.watches[model.Name]
+// observe returns the observation of a rollout, and starts a new one if the
+// rollout has changed its phase since.
+func (c *Core) observe(now time.Duration, model *Model) *observation {
+	known, found := c.observations[model.Name]
 	if !found || known.changedAt != model.Committed.ChangedAt {
-		known = &watch{
-			changedAt:   model.Committed.ChangedAt,
-			before:      maps.Clone(model.Outcomes),
-			steadySince: now,
-			stepBefore:  model.Outcomes[model.Committed.To].Ended,
+		known = &observation{
+			changedAt:    model.Committed.ChangedAt,
+			baseline:     maps.Clone(model.Outcomes),
+			settledSince: now,
+			stepBaseline: model.Outcomes[model.Committed.To].Ended,
 		}
-		c.watches[model.Name] = known
+		c.observations[model.Name] = known
 	}
 	return known
 }
 
-// advance takes the next step of a rollout, halts it or ends it.
-func (c *Core) advance(now time.Duration, model *Model, free *int, output *Output) {
-	watch := c.watch(now, model)
-	if reason := c.problem(model, watch); reason != "" {
+// advance takes the next step of a running rollout, halts it or ends it.
+func (c *Core) advance(now time.Duration, model *Model, slots *int, output *Output) {
+	observed := c.observe(now, model)
+	if reason := c.haltReason(model, observed); reason != "" {
 		output.propose(zonestate.KindHaltRollout, model, &zonestate.RolloutCommand{Reason: reason})
 		return
 	}
-	done, under, left := split(model)
-	if under > 0 {
-		c.watchStep(now, model, watch, output)
+	done, changing, remaining := groupEngines(model)
+	if changing > 0 {
+		c.checkStepTimeout(now, model, observed, output)
 		return
 	}
-	if watch.stepping {
-		watch.stepping = false
-		watch.steadySince = now
-		watch.stepBefore = model.Outcomes[model.Committed.To].Ended
+	if observed.stepInProgress {
+		observed.stepInProgress = false
+		observed.settledSince = now
+		observed.stepBaseline = model.Outcomes[model.Committed.To].Ended
 	}
-	if done > 0 && !c.observed(now, model, watch) {
+	if done > 0 && !c.observedLongEnough(now, model, observed) {
 		return
 	}
-	if len(left) == 0 {
+	if len(remaining) == 0 {
 		output.propose(zonestate.KindEndRollout, model, &zonestate.RolloutCommand{})
 		return
 	}
-	step := *free
+	step := *slots
 	if done == 0 {
 		step = min(step, 1)
 	}
-	for _, engine := range choose(model, left, step) {
-		output.wish(engine, engine.Version, engine.Adapters)
-		*free--
+	for _, engine := range selectEngines(model, remaining, step) {
+		output.setDesired(engine, engine.Version, engine.Adapters)
+		*slots--
 	}
 }
 
-// watchStep halts a rollout whose step does not end: an engine that waits for
-// weights for ever keeps others from changing.
-func (c *Core) watchStep(now time.Duration, model *Model, watch *watch, output *Output) {
-	if !watch.stepping {
-		watch.stepping = true
-		watch.steppingSince = now
+// checkStepTimeout halts a rollout whose step exceeds StepLimit. Otherwise an engine
+// that never finishes loading its weights would block all other changes.
+func (c *Core) checkStepTimeout(now time.Duration, model *Model, observed *observation, output *Output) {
+	if !observed.stepInProgress {
+		observed.stepInProgress = true
+		observed.stepStartedAt = now
 	}
-	if now-watch.steppingSince > c.options.StepLimit {
+	if now-observed.stepStartedAt > c.options.StepLimit {
 		reason := fmt.Sprintf("engines have been changing to version %s for more than %v", model.Committed.To, c.options.StepLimit)
 		output.propose(zonestate.KindHaltRollout, model, &zonestate.RolloutCommand{Reason: reason})
 	}
 }
 
-// split tells the engines that run the new version from those under change to it
-// and those that are left.
-func split(model *Model) (done, under int, left []*Engine) {
+// groupEngines counts the engines that run the new version and those that are being
+// changed to it, and returns those that are still to be changed.
+func groupEngines(model *Model) (done, changing int, remaining []*Engine) {
 	to := model.Committed.To
 	for index := range model.Engines {
 		engine := &model.Engines[index]
@@ -169,41 +175,42 @@
 		case engine.Desired.Version == to && engine.Settled:
 			done++
 		case engine.Desired.Version == to && engine.Changeable:
-			under++
+			changing++
 		case engine.Version == to && !engine.atTarget():
-			left = append(left, engine)
+			remaining = append(remaining, engine)
 		}
 	}
-	return done, under, left
+	return done, changing, remaining
 }
 
-// observed reports whether the last step has been watched for long enough.
-func (c *Core) observed(now time.Duration, model *Model, watch *watch) bool {
-	waited := now - watch.steadySince
-	attempts := model.Outcomes[model.Committed.To].Ended - watch.stepBefore
+// observedLongEnough reports whether the observation period of the last step is over.
+func (c *Core) observedLongEnough(now time.Duration, model *Model, observed *observation) bool {
+	waited := now - observed.settledSince
+	attempts := model.Outcomes[model.Committed.To].Ended - observed.stepBaseline
 	if waited < c.options.Observe {
 		return false
 	}
 	return attempts >= c.options.MinimumAttempts || waited >= c.options.ObserveLimit
 }
 
-// revert takes the changed engines back, within the cap.
-func (c *Core) revert(model *Model, free *int, output *Output) {
-	back, under := 0, 0
+// revert returns the changed engines to the old version, within the limit on
+// concurrent changes.
+func (c *Core) revert(model *Model, slots *int, output *Output) {
+	reverting, changing := 0, 0
 	for index := range model.Engines {
 		engine := &model.Engines[index]
 		switch {
 		case engine.Desired.Version == model.Committed.To:
-			back++
-			if *free > 0 {
-				output.wish(engine, model.Committed.From, engine.Desired.Adapters)
-				*free--
+			reverting++
+			if *slots > 0 {
+				output.setDesired(engine, model.Committed.From, engine.Desired.Adapters)
+				*slots--
 			}
 		case !engine.Settled && engine.Changeable:
-			under++
+			changing++
 		}
 	}
-	if back == 0 && under == 0 {
+	if reverting == 0 && changing == 0 {
 		output.propose(zonestate.KindEndRollout, model, &zonestate.RolloutCommand{})
 	}
 }
@@ -217,7 +224,7 @@
 	o.Commands = append(o.Commands, zonestate.Command{Kind: kind, Rollout: part})
 }
 
-func (o *Output) wish(engine *Engine, version string, adapters []string) {
+func (o *Output) setDesired(engine *Engine, version string, adapters []string) {
 	target := engine.Desired
 	target.Version = version
 	target.Adapters = adapters
@@ -226,13 +233,12 @@
 	})
 }
 
-// takeBackFailed lets engines that can't load the new version serve the old one
-// again.
-func (o *Output) takeBackFailed(model *Model) {
+// revertFailed returns engines that failed to load the new version to the old one.
+func (o *Output) revertFailed(model *Model) {
 	for index := range model.Engines {
 		engine := &model.Engines[index]
 		if engine.Desired.Version == model.Committed.To && !engine.Settled && engine.FailedLoads > 0 {
-			o.wish(engine, model.Committed.From, engine.Desired.Adapters)
+			o.setDesired(engine, model.Committed.From, engine.Desired.Adapters)
 		}
 	}
 }
--- a/internal/rollout/zone_test.go
+++ b/internal/rollout/zone_test.go
@@ -11,43 +11,43 @@
 	"github.com/pierhaven/pierhaven/internal/zonestate"
 )
 
-// changeSeconds is how long an engine of the tests is away for an order.
+// changeSeconds is how long an engine takes to execute an order.
 const changeSeconds = 3
 
-// testZone is a zone in virtual time, with the real replicated state: engines
-// obey orders after some seconds, and attempts end at a steady rate.
+// testZone simulates a zone in virtual time on the real replicated state. Engines
+// execute orders after changeSeconds, and attempts end at a constant rate.
 type testZone struct {
-	t      *testing.T
-	core   *Core
-	state  *zonestate.State
-	index  uint64
-	now    time.Duration
-	target string
-	away   int
-	// forbidden says that the model's policy permits no changes.
+	t                   *testing.T
+	core                *Core
+	state               *zonestate.State
+	index               uint64
+	now                 time.Duration
+	placedVersion       string
+	awayForOtherChanges int
+	// forbidden reports whether the model's policy permits no changes.
 	forbidden bool
-	// stuck engines never end an order.
-	stuck   bool
-	maximum int
-	// orderedAt is when each engine was ordered to change.
+	// ordersStuck keeps engines from ever finishing an order.
+	ordersStuck bool
+	maximumAway int
+	// orderedAt is the time of each engine's last order, by engine id.
 	orderedAt map[string]time.Duration
 	outcomes  map[string]Outcomes
-	// failing versions can't be loaded; failed and late are shares of attempts
-	// on a version, in per cent.
-	failing map[string]bool
-	failed  map[string]uint64
-	late    map[string]uint64
-	// lostWishes are not committed.
-	lostWishes int
-	// mostAway is the highest number of engines away at the same time.
-	mostAway int
+	// failingVersions holds the versions that can't be loaded. failedPercent and
+	// latePercent are the percentages of failed and late attempts by version.
+	failingVersions map[string]bool
+	failedPercent   map[string]uint64
+	latePercent     map[string]uint64
+	// lostDesired is the number of coming desired updates that are not committed.
+	lostDesired int
+	// peakAway is the maximum number of engines out of service at the same time.
+	peakAway int
 }
 
 func newTestZone(t *testing.T, engines int) *testZone {
 	z := &testZone{
-		t: t, core: New(DefaultOptions()), state: zonestate.New(), target: "1", maximum: 2,
+		t: t, core: New(DefaultOptions()), state: zonestate.New(), placedVersion: "1", maximumAway: 2,
 		orderedAt: map[string]time.Duration{}, outcomes: map[string]Outcomes{},
-		failing: map[string]bool{}, failed: map[string]uint64{}, late: map[string]uint64{},
+		failingVersions: map[string]bool{}, failedPercent: map[string]uint64{}, latePercent: map[string]uint64{},
 	}
 	z.commit(zonestate.Command{Kind: zonestate.KindFound, Found: &zonestate.Found{
 		Zone: "zone-a", Generation: 1, Parameters: zonestate.DefaultParameters([]string{"zone-a"}),
@@ -82,7 +82,7 @@
 	require.Equal(z.t, zonestate.OutcomeDone, z.commit(zonestate.Command{Kind: kind, Rollout: part}).Outcome, kind)
 }
 
-// run lets seconds pass.
+// run advances the zone by a number of seconds, one step each.
 func (z *testZone) run(seconds int) {
 	for range seconds {
 		z.now += time.Second
@@ -92,8 +92,8 @@
 		for _, command := range output.Commands {
 			require.Equal(z.t, zonestate.OutcomeDone, z.commit(command).Outcome)
 		}
-		if len(output.Desired) > 0 && z.lostWishes > 0 {
-			z.lostWishes--
+		if len(output.Desired) > 0 && z.lostDesired > 0 {
+			z.lostDesired--
 			continue
 		}
 		if len(output.Desired) > 0 {
@@ -102,13 +102,13 @@
 	}
 }
 
-// changeEngines takes the steps of the reconciler.
+// changeEngines does the work of the reconciler.
 func (z *testZone) changeEngines() {
 	away := 0
 	for _, engine := range z.state.Engines() {
 		part := zonestate.EngineCommand{ID: engine.ID, DesiredAt: engine.DesiredAt}
 		switch {
-		case engine.Order != nil && z.stuck:
+		case engine.Order != nil && z.ordersStuck:
 		case engine.Order != nil && z.now-z.orderedAt[engine.ID] >= changeSeconds*time.Second:
 			z.endOrder(engine)
 		case engine.Order == nil && engine.Changing && !engine.NeedsChange():
@@ -125,13 +125,13 @@
 			away++
 		}
 	}
-	z.mostAway = max(z.mostAway, away)
+	z.peakAway = max(z.peakAway, away)
 }
 
 func (z *testZone) endOrder(engine *zonestate.Engine) {
 	part := zonestate.EngineCommand{ID: engine.ID, Fence: engine.Order.Fence, Detail: "no weights", Observed: engine.Verified}
 	kind := zonestate.KindCompleteOrder
-	if z.failing[engine.Order.Target.Version] {
+	if z.failingVersions[engine.Order.Target.Version] {
 		kind = zonestate.KindFailOrder
 	}
 	z.engine(kind, part)
@@ -142,7 +142,7 @@
 	for _, engine := range z.state.Engines() {
 		if engine.Dispatchable() {
 			version := engine.Verified.Version
-			z.outcomes[version] = z.outcomes[version].plus(Outcomes{Ended: 10, Failed: z.failed[version] / 10, Late: z.late[version] / 10})
+			z.outcomes[version] = z.outcomes[version].plus(Outcomes{Ended: 10, Failed: z.failedPercent[version] / 10, Late: z.latePercent[version] / 10})
 		}
 	}
 }
@@ -157,7 +157,7 @@
 	}
 	for _, engine := range z.state.Engines() {
 		row := Engine{
-			ID: engine.ID, Desired: *engine.Desired, DesiredAt: engine.DesiredAt, Version: z.target,
+			ID: engine.ID, Desired: *engine.Desired, DesiredAt: engine.DesiredAt, Version: z.placedVersion,
 			Settled: engine.Dispatchable() && !engine.NeedsChange(), FailedLoads: engine.Failures,
 			Problem: engine.FailureDetail, Changeable: true,
 		}
@@ -166,10 +166,10 @@
 		}
 		model.Engines = append(model.Engines, row)
 	}
-	return Input{Models: []Model{model}, MaximumAway: z.maximum, Away: z.away}
+	return Input{Models: []Model{model}, MaximumAway: z.maximumAway, Away: z.awayForOtherChanges}
 }
 
-// versions counts the engines by the version that they serve.
+// versions counts the engines in service by version.
 func (z *testZone) versions() map[string]int {
 	counts := map[string]int{}
 	for _, engine := range z.state.Engines() {
