--- a/internal/reconcile/away.go
+++ b/internal/reconcile/away.go
@@ -7,38 +7,38 @@
 	"time"
 )
 
-// beginChanges withholds engines that need a change, up to the cap on engines
-// away at once. The longest wish comes first.
+// beginChanges withholds engines that need a change, up to the limit on concurrent
+// changes. Engines whose desired configuration was set first come first.
 func (c *Core) beginChanges(now time.Duration, state *zonestate.State, engines []*zonestate.Engine) {
 	candidates := c.changeCandidates(now, state, engines)
-	free := c.maximumAway(state) - c.away(now, engines)
+	slots := c.maximumAway(state) - c.countChanging(now, engines)
 	for _, engine := range candidates {
-		watch := c.engineWatch(now, engine.ID)
-		if free <= 0 {
-			watch.reason = ReasonCap
+		tracker := c.engineTracker(now, engine.ID)
+		if slots <= 0 {
+			tracker.reason = ReasonCap
 			continue
 		}
 		c.proposeEngine(now, zonestate.KindBeginChange, zonestate.EngineCommand{
 			ID:        engine.ID,
 			DesiredAt: engine.DesiredAt,
 		})
-		free--
+		slots--
 	}
 }
 
 func (c *Core) changeCandidates(now time.Duration, state *zonestate.State, engines []*zonestate.Engine) []*zonestate.Engine {
 	var candidates []*zonestate.Engine
 	for _, engine := range engines {
-		watch := c.engineWatch(now, engine.ID)
-		serves := watch.contact.hasAnswer && !c.isLost(now, watch) && engine.Verified != nil && !engine.Leaving
+		tracker := c.engineTracker(now, engine.ID)
+		serves := tracker.polls.hasResponse && !c.isLost(now, tracker) && engine.Verified != nil && !engine.Leaving
 		if engine.Changing || engine.Order != nil || !serves || !engine.NeedsChange() {
 			continue
 		}
 		if c.isPending(now, engineKey(engine.ID)) {
 			continue
 		}
-		if holders := c.heldBySilent(now, state, engine.ID); len(holders) > 0 {
-			watch.reason, watch.waiting = ReasonIsolated, holders
+		if holders := c.isolatedHolders(now, state, engine.ID); len(holders) > 0 {
+			tracker.reason, tracker.waitingFor = ReasonIsolated, holders
 			continue
 		}
 		candidates = append(candidates, engine)
@@ -49,27 +49,29 @@
 	return candidates
 }
 
-// away counts the engines that are under a planned change or about to be. Lost
-// ones are not counted, or one lost engine would stop all changes.
-func (c *Core) away(now time.Duration, engines []*zonestate.Engine) int {
+// countChanging counts the engines that are under a planned change or about to be.
+// Lost engines under change are not counted, since one lost engine would otherwise
+// block all changes.
+func (c *Core) countChanging(now time.Duration, engines []*zonestate.Engine) int {
 	count := 0
 	for _, engine := range engines {
-		watch := c.engineWatch(now, engine.ID)
+		tracker := c.engineTracker(now, engine.ID)
 		underChange := engine.Changing || engine.Order != nil
-		if underChange && !c.isLost(now, watch) || watch.beginPending(c, now, engine) {
+		if underChange && !c.isLost(now, tracker) || tracker.hasPendingBegin(c, now, engine) {
 			count++
 		}
 	}
 	return count
 }
 
-// beginPending reports whether a proposal that may withhold the engine has not
-// ended.
-func (w *engineWatch) beginPending(c *Core, now time.Duration, engine *zonestate.Engine) bool {
+// hasPendingBegin reports whether a proposal that may withhold the engine is
+// pending.
+func (t *engineTracker) hasPendingBegin(c *Core, now time.Duration, engine *zonestate.Engine) bool {
 	return !engine.Changing && engine.Order == nil && engine.NeedsChange() && c.isPending(now, engineKey(engine.ID))
 }
 
-// maximumAway is the smallest cap that a policy sets.
+// maximumAway returns the smallest limit on concurrent changes that a policy sets,
+// or the configured default if none does.
 func (c *Core) maximumAway(state *zonestate.State) int {
 	smallest := 0
 	if state.Config() != nil {
--- a/internal/reconcile/backends.go
+++ b/internal/reconcile/backends.go
@@ -8,84 +8,84 @@
 	"github.com/pierhaven/pierhaven/internal/zonestate"
 )
 
-// backEndWatch is what the leader knows of an application back end.
-type backEndWatch struct {
+// backEndTracker is the leader's soft state of an application back end.
+type backEndTracker struct {
 	address  string
-	contact  contact
-	answered bool
+	polls    pollState
+	hasState bool
 	state    applicationapi.State
 }
 
 func backEndKey(id string) string { return "back_end/" + id }
 
-func (c *Core) backEndWatch(now time.Duration, id string) *backEndWatch {
-	watch, found := c.backEnds[id]
+func (c *Core) backEndTracker(now time.Duration, id string) *backEndTracker {
+	tracker, found := c.backEndTrackers[id]
 	if !found {
-		watch = &backEndWatch{contact: contact{heardAt: now}}
-		c.backEnds[id] = watch
+		tracker = &backEndTracker{polls: pollState{lastResponseAt: now}}
+		c.backEndTrackers[id] = tracker
 	}
-	return watch
+	return tracker
 }
 
-// BackEndAnswered takes in the answer to a poll that was sent at sentAt.
+// BackEndAnswered records the response to a poll that was sent at sentAt.
 func (c *Core) BackEndAnswered(sentAt, now time.Duration, id string, state *applicationapi.State) {
-	watch := c.backEndWatch(now, id)
-	if !watch.contact.answered(sentAt, now) {
+	tracker := c.backEndTracker(now, id)
+	if !tracker.polls.recordResponse(sentAt, now) {
 		return
 	}
-	watch.answered = true
-	watch.state = *state
+	tracker.hasState = true
+	tracker.state = *state
 }
 
-// BackEndFailed notes a poll without an answer.
+// BackEndFailed records a poll that got no response.
 func (c *Core) BackEndFailed(now time.Duration, id string) {
-	c.backEndWatch(now, id).contact.busy = false
+	c.backEndTracker(now, id).polls.inFlight = false
 }
 
 func (c *Core) tickBackEnds(now time.Duration, state *zonestate.State) {
 	backEnds := state.BackEnds()
 	interval := c.pollInterval(len(backEnds))
 	for _, backEnd := range backEnds {
-		watch := c.backEndWatch(now, backEnd.ID)
-		if watch.address != "" && watch.address != backEnd.Address {
-			*watch = backEndWatch{contact: contact{heardAt: now, notBefore: now}}
+		tracker := c.backEndTracker(now, backEnd.ID)
+		if tracker.address != "" && tracker.address != backEnd.Address {
+			*tracker = backEndTracker{polls: pollState{lastResponseAt: now, validFrom: now}}
 		}
-		watch.address = backEnd.Address
-		if watch.contact.poll(now, interval, c.config.PollTimeout) {
+		tracker.address = backEnd.Address
+		if tracker.polls.startIfDue(now, interval, c.config.PollTimeout) {
 			c.outputs.BackEndPolls = append(c.outputs.BackEndPolls, Poll{ID: backEnd.ID, Address: backEnd.Address})
 		}
-		c.decideBackEnd(now, backEnd, watch)
+		c.decideBackEnd(now, backEnd, tracker)
 	}
-	for id := range c.backEnds {
+	for id := range c.backEndTrackers {
 		if _, found := state.BackEnd(id); !found {
-			delete(c.backEnds, id)
+			delete(c.backEndTrackers, id)
 		}
 	}
 }
 
-func (c *Core) decideBackEnd(now time.Duration, backEnd *zonestate.BackEnd, watch *backEndWatch) {
-	if c.isGone(now, watch.contact.heardAt, backEnd.ID) && !c.isConfigured(c.config.BackEnds, backEnd.ID) {
+func (c *Core) decideBackEnd(now time.Duration, backEnd *zonestate.BackEnd, tracker *backEndTracker) {
+	if c.goneLongEnough(now, tracker.polls.lastResponseAt, backEnd.ID) && !c.isConfigured(c.config.BackEnds, backEnd.ID) {
 		c.propose(now, backEndKey(backEnd.ID), zonestate.Command{
 			Kind:    zonestate.KindRemoveBackEnd,
 			BackEnd: &zonestate.BackEndCommand{ID: backEnd.ID},
 		})
 		return
 	}
-	hinted := c.hintsLeaving(backEnd.ID)
-	if !watch.answered {
-		if c.hintsAway(backEnd.ID) && backEnd.Serving {
+	hinted := c.isReportedLeaving(backEnd.ID)
+	if !tracker.hasState {
+		if c.isReportedUnavailable(backEnd.ID) && backEnd.Serving {
 			c.setServing(now, backEnd.ID, false)
 		}
 		return
 	}
-	serving := watch.state.Phase == applicationapi.PhaseServing && !hinted
-	if !sameElements(watch.state.Applications, backEnd.Applications) {
+	serving := tracker.state.Phase == applicationapi.PhaseServing && !hinted
+	if !sameElements(tracker.state.Applications, backEnd.Applications) {
 		c.propose(now, backEndKey(backEnd.ID), zonestate.Command{
 			Kind: zonestate.KindRegisterBackEnd,
 			BackEnd: &zonestate.BackEndCommand{
 				ID:           backEnd.ID,
 				Address:      backEnd.Address,
-				Applications: watch.state.Applications,
+				Applications: tracker.state.Applications,
 				Serving:      serving,
 			},
 		})
--- a/internal/reconcile/config.go
+++ b/internal/reconcile/config.go
@@ -7,48 +7,51 @@
 	"github.com/pierhaven/pierhaven/internal/zonestate"
 )
 
-// Config holds the settings of a leader's core.
+// Config configures a Core.
 type Config struct {
 	Zone string
-	// Generation of the replica group, from its founding.
+	// Generation is the replica group's generation, which is set when the group
+	// is founded.
 	Generation uint64
-	// Parameters are put in force in the group.
+	// Parameters are the parameters to commit in the group.
 	Parameters zonestate.Parameters
 	// Engines and BackEnds come from the settings file.
 	Engines  []Target
 	BackEnds []Target
-	// Margin is added to a silent gateway's times.
+	// Margin extends the lease and isolation times of an unresponsive gateway to
+	// allow for clock drift.
 	Margin membership.Margin
-	// MaximumAway bounds the engines that change at the same time when no
-	// policy does. Default 1.
+	// MaximumAway is the maximum number of engines that change at the same time
+	// if no policy sets one. Default 1.
 	MaximumAway int
-	// PollInterval is the time between polls of one engine or back end.
-	// Default 1 s; an engine under change is polled four times as often.
+	// PollInterval is the time between polls of one engine or back end. Engines
+	// that are being changed or verified are polled four times as often.
+	// Default 1 s.
 	PollInterval time.Duration
 	// PollTimeout is the time after which an unanswered poll or order is
 	// sent again. Default 2 s.
 	PollTimeout time.Duration
-	// LostAfter is the time without an answer after which an engine counts as
-	// lost. Default 10 s.
+	// LostAfter is the time without a response after which an engine is
+	// considered lost. Default 10 s.
 	LostAfter time.Duration
-	// ProposalTimeout is the time after which a proposal that has not ended is
-	// made again. Default 5 s.
+	// ProposalTimeout is the time after which an unfinished proposal is made
+	// again. Default 5 s.
 	ProposalTimeout time.Duration
-	// FailureBackoff is the wait after an engine's first failed order; it
-	// doubles with each further one up to a minute. Default 1 s.
+	// FailureBackoff is the backoff after an engine's first failed order. It
+	// doubles with each further failure, up to one minute. Default 1 s.
 	FailureBackoff time.Duration
 	// MaximumFailures is the number of failed orders after which the change is
-	// given up if the engine still runs its old configuration. Default 3.
+	// abandoned, if the engine still runs its old configuration. Default 3.
 	MaximumFailures int
 	// AdvanceInterval is the time between sweeps of the once-only claims.
 	// Default 10 s.
 	AdvanceInterval time.Duration
-	// SkipDrainWait is a planted fault: orders are issued without waiting for
-	// gateways and running requests. Only tests and the simulator set it.
+	// SkipDrainWait is a fault injected by tests and the simulator: orders are
+	// issued without waiting for gateways and running requests.
 	SkipDrainWait bool
 }
 
-// Target is an engine or a back end at its address.
+// Target is an engine or a back end with its address.
 type Target struct {
 	ID           string
 	Address      string
@@ -57,17 +60,21 @@
 
 const (
 	maximumBackoff = time.Minute
-	// pollSpacing bounds the polls of a large zone: at most a hundred a second.
+	// pollSpacing is the minimum poll interval per target. It limits the regular
+	// polls of a large zone's engines to 100 a second, and those of its back ends
+	// likewise.
 	pollSpacing = 10 * time.Millisecond
-	// changePollDivisor: engines under change are polled more often.
+	// changePollDivisor divides the poll interval of engines that are being
+	// changed or verified.
 	changePollDivisor = 4
-	// isolationInterval is the least time between isolation sets of a session.
+	// isolationInterval is the minimum time between two isolation sets of a
+	// session.
 	isolationInterval = 30 * time.Second
-	// removeAfter is how long a machine that the platform calls gone must have
-	// been silent before its row is removed.
+	// removeAfter is how long a machine that the platform lists as gone must have
+	// been unresponsive before its row is removed.
 	removeAfter = 10 * time.Minute
-	// removeDoubtedAfter is the same while the platform's list is doubted.
-	removeDoubtedAfter = time.Hour
+	// removeSuspectAfter replaces removeAfter while the platform's list is suspect.
+	removeSuspectAfter = time.Hour
 )
 
 func (c Config) withDefaults() Config {
--- a/internal/reconcile/contact.go
+++ b/internal/reconcile/contact.go
@@ -2,50 +2,54 @@
 
 import "time"
 
-// contact is the timing of the polls of one engine or back end.
-type contact struct {
-	busy bool
-	// polled says that there was a poll.
-	polled bool
-	// sentAt is the time of the poll under way or the last one.
-	sentAt time.Duration
-	// heardAt is the time of the last answer, at first the time of the first
-	// poll; latestSent is when the poll was sent that it answered.
-	heardAt    time.Duration
-	latestSent time.Duration
-	hasAnswer  bool
-	// notBefore is when the target came to its address; an answer to an
-	// earlier poll is another machine's.
-	notBefore time.Duration
+// pollState tracks the polls of one engine or back end and their responses.
+type pollState struct {
+	inFlight bool
+	// everPolled reports whether a poll was sent at all.
+	everPolled bool
+	// lastSentAt is when the latest poll was sent.
+	lastSentAt time.Duration
+	// lastResponseAt is when the last accepted response arrived, initially when
+	// the tracker was created. answeredPollSentAt is when the poll or order that it
+	// answers was sent.
+	lastResponseAt     time.Duration
+	answeredPollSentAt time.Duration
+	hasResponse        bool
+	// validFrom is when the target's current address was first seen. A response to
+	// an earlier poll came from another machine.
+	validFrom time.Duration
 }
 
-// poll reports whether a poll is due, and counts it as sent.
-func (c *contact) poll(now, interval, timeout time.Duration) bool {
-	if c.busy && now-c.sentAt < timeout {
+// startIfDue reports whether a poll is due, and if so records it as sent.
+func (p *pollState) startIfDue(now, interval, timeout time.Duration) bool {
+	if p.inFlight && now-p.lastSentAt < timeout {
 		return false
 	}
-	if c.polled && now-c.sentAt < interval {
+	if p.everPolled && now-p.lastSentAt < interval {
 		return false
 	}
-	c.busy = true
-	c.polled = true
-	c.sentAt = now
+	p.inFlight = true
+	p.everPolled = true
+	p.lastSentAt = now
 	return true
 }
 
-// answered notes an answer and reports whether it is newer than the last.
-func (c *contact) answered(sentAt, now time.Duration) bool {
-	c.busy = false
-	if sentAt < c.notBefore || c.hasAnswer && sentAt < c.latestSent {
+// recordResponse records the response to a poll that was sent at sentAt. It reports
+// whether the response is accepted: one from a former address, or to an earlier
+// poll than the last accepted response, is not.
+func (p *pollState) recordResponse(sentAt, now time.Duration) bool {
+	p.inFlight = false
+	if sentAt < p.validFrom || p.hasResponse && sentAt < p.answeredPollSentAt {
 		return false
 	}
-	c.hasAnswer = true
-	c.latestSent = sentAt
-	c.heardAt = now
+	p.hasResponse = true
+	p.answeredPollSentAt = sentAt
+	p.lastResponseAt = now
 	return true
 }
 
-// pollInterval spaces out the polls of a large zone.
+// pollInterval returns the poll interval for a number of targets. It is longer in a
+// large zone.
 func (c *Core) pollInterval(targets int) time.Duration {
 	return max(c.config.PollInterval, time.Duration(targets)*pollSpacing)
 }
--- a/internal/reconcile/core.go
+++ b/internal/reconcile/core.go
@@ -9,56 +9,58 @@
 	"github.com/pierhaven/pierhaven/internal/zonestate"
 )
 
-// Core is the soft state of one leadership: make a new one each time this
-// replica wins it, once a read barrier has succeeded. It is not safe for
-// concurrent use.
+// Core holds the soft state of one leadership. Create a new one each time this
+// replica becomes the leader, once a read barrier has succeeded. It is not safe
+// for concurrent use.
 type Core struct {
-	config   Config
-	since    time.Duration
-	liveness *membership.Liveness
-	engines  map[string]*engineWatch
-	backEnds map[string]*backEndWatch
-	machines machineList
-	// doubted says that the platform's list is not believed.
-	doubted bool
-	offered *dynamic.Snapshot
-	// pending holds the proposals that have not ended, with the time of each.
+	config          Config
+	leaderSince     time.Duration
+	liveness        *membership.Liveness
+	engineTrackers  map[string]*engineTracker
+	backEndTrackers map[string]*backEndTracker
+	machines        machineList
+	// machineListSuspect reports whether the platform's list is likely wrong and
+	// its hints are ignored.
+	machineListSuspect bool
+	offeredConfig      *dynamic.Snapshot
+	// pending maps the key of each unfinished proposal to the time it was made.
 	pending map[string]time.Duration
-	// ending holds the sessions whose end has been proposed. Their heartbeats
-	// are answered as unknown from then on, since the end may be committed at
-	// any time.
-	ending map[uint64]struct{}
-	// assignedAt is the time of the last isolation set of each session.
-	assignedAt map[uint64]time.Duration
-	// fittingAt is the revision at which a session's isolation set was last
-	// found to fit; the engines have not changed while it stays the same.
-	fittingAt map[uint64]uint64
-	// unheard lists the targets in service that have not answered lately.
-	unheard     []string
-	nextAdvance time.Duration
-	outputs     Outputs
-	wallMillis  int64
+	// endingSessions holds the sessions whose end has been proposed. Since the end
+	// may be committed at any time, their heartbeats are answered as for unknown
+	// sessions.
+	endingSessions map[uint64]struct{}
+	// isolationAssignedAt is when each session's last isolation set was proposed.
+	isolationAssignedAt map[uint64]time.Duration
+	// isolationCheckedAt is the revision at which each session's isolation set was
+	// last found to be up to date. The engines have not changed while the revision
+	// stays the same.
+	isolationCheckedAt map[uint64]uint64
+	// unresponsive lists the targets in service that have not responded recently.
+	unresponsive    []string
+	nextTimeAdvance time.Duration
+	outputs         Outputs
+	wallMillis      int64
 }
 
-// New returns the core of a leadership that begins at now.
+// New returns the Core of a leadership that begins at now.
 func New(now time.Duration, config Config) *Core {
 	config = config.withDefaults()
 	return &Core{
-		config:     config,
-		since:      now,
-		liveness:   membership.NewLiveness(config.Margin),
-		engines:    make(map[string]*engineWatch),
-		backEnds:   make(map[string]*backEndWatch),
-		machines:   newMachineList(),
-		pending:    make(map[string]time.Duration),
-		ending:     make(map[uint64]struct{}),
-		assignedAt: make(map[uint64]time.Duration),
-		fittingAt:  make(map[uint64]uint64),
+		config:              config,
+		leaderSince:         now,
+		liveness:            membership.NewLiveness(config.Margin),
+		engineTrackers:      make(map[string]*engineTracker),
+		backEndTrackers:     make(map[string]*backEndTracker),
+		machines:            newMachineList(),
+		pending:             make(map[string]time.Duration),
+		endingSessions:      make(map[uint64]struct{}),
+		isolationAssignedAt: make(map[uint64]time.Duration),
+		isolationCheckedAt:  make(map[uint64]uint64),
 	}
 }
 
-// Tick works out what to do at now. wallMillis is the wall clock in Unix
-// milliseconds; it only becomes the log time of once-only claims.
+// Tick decides what to do at now. wallMillis is the wall clock in Unix
+// milliseconds, which is used only as the log time of once-only claims.
 func (c *Core) Tick(now time.Duration, wallMillis int64, state *zonestate.State) Outputs {
 	c.outputs = Outputs{}
 	c.wallMillis = wallMillis
@@ -79,12 +81,12 @@
 	c.tickRegistrations(now, state)
 	c.tickEngines(now, state)
 	c.tickBackEnds(now, state)
-	c.tickUnheard(now, state)
+	c.tickUnresponsive(now, state)
 	return c.outputs
 }
 
-// propose adds a proposal unless one with the same key has not ended. It reports
-// whether it did.
+// propose adds a proposal, unless one with the same key is pending. It reports
+// whether the proposal was added.
 func (c *Core) propose(now time.Duration, key string, command zonestate.Command) bool {
 	if c.isPending(now, key) {
 		return false
@@ -100,13 +102,14 @@
 	return found && now-at < c.config.ProposalTimeout
 }
 
-// ProposalEnded notes that a proposal was applied, or failed in any way.
+// ProposalEnded records that a proposal was applied or failed.
 func (c *Core) ProposalEnded(key string) { delete(c.pending, key) }
 
-// OfferConfig hands over the newest committed configuration of the config group.
+// OfferConfig records the newest committed configuration of the config group. Older
+// revisions are ignored.
 func (c *Core) OfferConfig(snapshot *dynamic.Snapshot) {
-	if c.offered == nil || snapshot.Revision > c.offered.Revision {
-		c.offered = snapshot
+	if c.offeredConfig == nil || snapshot.Revision > c.offeredConfig.Revision {
+		c.offeredConfig = snapshot
 	}
 }
 
@@ -115,14 +118,14 @@
 		parameters := c.config.Parameters
 		c.propose(now, "configure", zonestate.Command{Kind: zonestate.KindConfigure, Parameters: &parameters})
 	}
-	if state.PriorSessions() && now-c.since > c.config.Margin.Stretch(state.Parameters().Terms.Isolation()) {
+	if state.PriorSessions() && now-c.leaderSince > c.config.Margin.Stretch(state.Parameters().Terms.Isolation()) {
 		c.propose(now, "prior", zonestate.Command{Kind: zonestate.KindEndPriorSessions})
 	}
-	if c.offered != nil && c.offered.Revision > state.ConfigRevision() {
-		c.propose(now, "config", zonestate.Command{Kind: zonestate.KindAdoptConfig, Config: c.offered})
+	if c.offeredConfig != nil && c.offeredConfig.Revision > state.ConfigRevision() {
+		c.propose(now, "config", zonestate.Command{Kind: zonestate.KindAdoptConfig, Config: c.offeredConfig})
 	}
-	if now >= c.nextAdvance && c.propose(now, "advance", zonestate.Command{Kind: zonestate.KindAdvanceTime}) {
-		c.nextAdvance = now + c.config.AdvanceInterval
+	if now >= c.nextTimeAdvance && c.propose(now, "advance", zonestate.Command{Kind: zonestate.KindAdvanceTime}) {
+		c.nextTimeAdvance = now + c.config.AdvanceInterval
 	}
 }
 
@@ -138,8 +141,8 @@
 	return left.Terms == right.Terms && left.OnceOnly == right.OnceOnly
 }
 
-// Heard notes a heartbeat that arrived at now. Call it before the read barrier
-// that must come before AnswerHeartbeat.
+// Heard records a heartbeat that arrived at now. It must be called before the read
+// barrier that precedes AnswerHeartbeat.
 func (c *Core) Heard(now time.Duration, request *wire.HeartbeatRequest, state *zonestate.State) {
 	session, open := state.Sessions().Get(request.SessionID)
 	if open && session.MemberID == request.GatewayID {
@@ -147,12 +150,13 @@
 	}
 }
 
-// AnswerHeartbeat makes the reply. It must be called after a read barrier that
-// was asked for after the heartbeat arrived: then no later leader can have begun
-// to count the gateway's silence before it sent this heartbeat.
+// AnswerHeartbeat returns the reply to a heartbeat. It must be called after a read
+// barrier that was requested after the heartbeat arrived. This ensures that no
+// later leader started to measure the time since the gateway's last heartbeat
+// before the gateway sent this one.
 func (c *Core) AnswerHeartbeat(request *wire.HeartbeatRequest, state *zonestate.State) wire.HeartbeatReply {
 	session, open := state.Sessions().Get(request.SessionID)
-	_, ending := c.ending[request.SessionID]
+	_, ending := c.endingSessions[request.SessionID]
 	if !open || ending || session.MemberID != request.GatewayID {
 		return wire.HeartbeatReply{}
 	}
@@ -165,29 +169,30 @@
 		})
 		reply.View = &view
 	}
-	reply.Unheard = c.unheard
+	reply.Unheard = c.unresponsive
 	return reply
 }
 
-// Opened notes that a request which arrived at receivedAt has opened a session
-// or found it open. Call it before the request is answered.
+// Opened records that a request which arrived at receivedAt has opened a session
+// or found it open. It must be called before the request is answered.
 func (c *Core) Opened(receivedAt time.Duration, sessionID uint64) {
 	c.liveness.Heard(receivedAt, sessionID, 0)
 }
 
-// MayAnswerOpen reports whether a session may still be handed out; its end may
-// have been proposed.
+// MayAnswerOpen reports whether a session may still be returned to a gateway. It
+// may not once the end of the session has been proposed.
 func (c *Core) MayAnswerOpen(sessionID uint64) bool {
-	_, ending := c.ending[sessionID]
+	_, ending := c.endingSessions[sessionID]
 	return !ending
 }
 
-// SilentFor is how long a session has been silent towards this leader.
+// SilentFor returns the time since this leader last heard from a session.
 func (c *Core) SilentFor(now time.Duration, sessionID uint64) time.Duration {
 	return c.liveness.SilentFor(now, sessionID)
 }
 
-// Acknowledged is the newest view that a session has acknowledged to this leader.
+// Acknowledged returns the revision of the newest view that a session has
+// acknowledged to this leader.
 func (c *Core) Acknowledged(sessionID uint64) uint64 {
 	return c.liveness.Acknowledged(sessionID)
 }
--- a/internal/reconcile/doubt.go
+++ b/internal/reconcile/doubt.go
@@ -6,56 +6,62 @@
 	"time"
 )
 
-func (w *engineWatch) noteDoubt(now time.Duration, engine *zonestate.Engine) {
-	doubted := engine.Verified == nil
-	if doubted && !w.inDoubt {
-		w.doubtedAt = now
+// updateUnverified tracks since when the engine has been unverified.
+func (t *engineTracker) updateUnverified(now time.Duration, engine *zonestate.Engine) {
+	unverified := engine.Verified == nil
+	if unverified && !t.unverified {
+		t.unverifiedSince = now
 	}
-	w.inDoubt = doubted
+	t.unverified = unverified
 }
 
-// contradicts reports whether an engine without an order runs something else
-// than it was verified to run.
-func contradicts(engine *zonestate.Engine, seen *engineapi.State, generation uint64) bool {
-	if lostRecord(engine, seen) || obeysOthers(engine, seen, generation) {
+// contradictsVerified reports whether an engine without an order contradicts its
+// verified configuration: it serves another one, its last change is half done, it
+// does not know its last order, or it has executed another group's order.
+func contradictsVerified(engine *zonestate.Engine, reported *engineapi.State, generation uint64) bool {
+	if lostOrderRecord(engine, reported) || followsAnotherGroup(engine, reported, generation) {
 		return true
 	}
-	switch seen.Phase {
+	switch reported.Phase {
 	case engineapi.PhaseHalfDone:
 		return true
 	case engineapi.PhaseServing:
-		return !seen.Observed.Equal(*engine.Verified)
+		return !reported.Observed.Equal(*engine.Verified)
 	default:
 		return false
 	}
 }
 
-// lostRecord reports whether an engine does not know the newest order that was
-// issued to it: its disk was lost, or another machine took its place. It would
-// obey an old order that is still under way, so it needs a new one.
-func lostRecord(engine *zonestate.Engine, seen *engineapi.State) bool {
-	return seen.HighestFence.Less(engine.LastFence)
+// lostOrderRecord reports whether an engine does not know the newest order that was
+// issued to it because its disk was lost or another machine replaced it. Such an
+// engine would execute an old order that is still in flight, so it needs a new one.
+func lostOrderRecord(engine *zonestate.Engine, reported *engineapi.State) bool {
+	return reported.HighestFence.Less(engine.LastFence)
 }
 
-// obeysOthers reports whether an engine has obeyed an order that this group never
-// issued, as when two zones list the same engine. It is left to the other group.
-func obeysOthers(engine *zonestate.Engine, seen *engineapi.State, generation uint64) bool {
-	return seen.HighestFence.Generation >= generation && engine.LastFence.Less(seen.HighestFence)
+// followsAnotherGroup reports whether an engine has executed an order that this group
+// never issued, as happens when two zones list the same engine. This group leaves it
+// to the other one.
+func followsAnotherGroup(engine *zonestate.Engine, reported *engineapi.State, generation uint64) bool {
+	return reported.HighestFence.Generation >= generation && engine.LastFence.Less(reported.HighestFence)
 }
 
-// verify records what an engine in doubt runs, if it serves.
-func (c *Core) verify(now time.Duration, engine *zonestate.Engine, watch *engineWatch) bool {
-	serving := watch.state.Phase == engineapi.PhaseServing && watch.state.Observed.Model != ""
-	if !serving || watch.contact.latestSent < watch.doubtedAt || (lostRecord(engine, &watch.state) && engine.Desired != nil) {
+// verify proposes to record what an unverified engine runs, and reports whether it
+// did. It requires that the engine serves, that its response is to a poll sent
+// after it became unverified, and that it has not lost its record of orders unless
+// no configuration is desired.
+func (c *Core) verify(now time.Duration, engine *zonestate.Engine, tracker *engineTracker) bool {
+	serving := tracker.state.Phase == engineapi.PhaseServing && tracker.state.Observed.Model != ""
+	if !serving || tracker.polls.answeredPollSentAt < tracker.unverifiedSince || (lostOrderRecord(engine, &tracker.state) && engine.Desired != nil) {
 		return false
 	}
-	observed := watch.state.Observed
+	observed := tracker.state.Observed
 	c.proposeEngine(now, zonestate.KindVerifyEngine, zonestate.EngineCommand{
 		ID:          engine.ID,
 		WithheldAt:  engine.WithheldAt,
-		Fence:       watch.state.HighestFence,
+		Fence:       tracker.state.HighestFence,
 		Observed:    &observed,
-		Incarnation: watch.state.Incarnation,
+		Incarnation: tracker.state.Incarnation,
 	})
 	return true
 }
--- a/internal/reconcile/engines.go
+++ b/internal/reconcile/engines.go
@@ -6,79 +6,82 @@
 	"time"
 )
 
-// engineWatch is what the leader knows of an engine.
-type engineWatch struct {
-	// address is where the engine was polled. Nothing that was heard from
-	// another address says anything about it.
+// engineTracker is the leader's soft state of an engine.
+type engineTracker struct {
+	// address is the address at which the engine is polled. Responses from another
+	// address say nothing about the engine.
 	address string
-	contact contact
-	// state is the newest report, valid if contact.hasAnswer.
+	polls   pollState
+	// state is the newest reported state, valid if polls.hasResponse.
 	state engineapi.State
-	// stoppedFor is the WithheldAt for which all gateways were seen to have
-	// stopped, at stoppedAt.
-	stoppedFor uint64
-	stoppedAt  time.Duration
-	// inDoubt says that the engine was seen unverified, first at doubtedAt. It is
-	// verified by a report that was asked for after that.
-	inDoubt   bool
-	doubtedAt time.Duration
-	// orderSentAt is when the order in flight was last sent.
+	// stoppedWithheldAt is the WithheldAt for which all gateways were seen to have
+	// stopped using the engine, at stoppedAt.
+	stoppedWithheldAt uint64
+	stoppedAt         time.Duration
+	// unverified reports whether the engine is unverified, first seen at
+	// unverifiedSince. Only the response to a poll sent after that verifies it.
+	unverified      bool
+	unverifiedSince time.Duration
+	// orderSentAt is when the order in flight was last sent, valid if orderSent.
 	orderSentAt time.Duration
 	orderSent   bool
-	// failedFence is an order in flight that the engine reported as failed.
+	// failedFence is the fencing token of the last order that the engine reported
+	// as failed. failedAt is when an order last failed.
 	failedFence  engineapi.Fence
 	failedDetail string
 	failedAt     time.Duration
-	// reason is why the engine is not further along, for the status.
-	reason  string
-	waiting []string
+	// reason is the reported reason why the engine makes no progress, and
+	// waitingFor the gateways that it waits for.
+	reason     string
+	waitingFor []string
 }
 
 func engineKey(id string) string { return "engine/" + id }
 
-func (c *Core) engineWatch(now time.Duration, id string) *engineWatch {
-	watch, found := c.engines[id]
+func (c *Core) engineTracker(now time.Duration, id string) *engineTracker {
+	tracker, found := c.engineTrackers[id]
 	if !found {
-		watch = &engineWatch{contact: contact{heardAt: now}}
-		c.engines[id] = watch
+		tracker = &engineTracker{polls: pollState{lastResponseAt: now}}
+		c.engineTrackers[id] = tracker
 	}
-	return watch
+	return tracker
 }
 
-// engineWatchAt starts anew when the engine has moved to another address.
-func (c *Core) engineWatchAt(now time.Duration, engine *zonestate.Engine) *engineWatch {
-	watch := c.engineWatch(now, engine.ID)
-	if watch.address != "" && watch.address != engine.Address {
-		watch = &engineWatch{contact: contact{heardAt: now, notBefore: now}}
-		c.engines[engine.ID] = watch
+// engineTrackerAt returns the engine's tracker, and resets it if the engine has
+// moved to another address.
+func (c *Core) engineTrackerAt(now time.Duration, engine *zonestate.Engine) *engineTracker {
+	tracker := c.engineTracker(now, engine.ID)
+	if tracker.address != "" && tracker.address != engine.Address {
+		tracker = &engineTracker{polls: pollState{lastResponseAt: now, validFrom: now}}
+		c.engineTrackers[engine.ID] = tracker
 	}
-	watch.address = engine.Address
-	return watch
+	tracker.address = engine.Address
+	return tracker
 }
 
-// EngineAnswered takes in the answer to a poll that was sent at sentAt.
+// EngineAnswered records the response to a poll that was sent at sentAt.
 func (c *Core) EngineAnswered(sentAt, now time.Duration, engineID string, state *engineapi.State) {
-	watch := c.engineWatch(now, engineID)
-	if watch.contact.answered(sentAt, now) {
-		watch.state = *state
+	tracker := c.engineTracker(now, engineID)
+	if tracker.polls.recordResponse(sentAt, now) {
+		tracker.state = *state
 	}
 }
 
-// EngineFailed notes a poll or an order without an answer.
+// EngineFailed records a poll or an order that got no response.
 func (c *Core) EngineFailed(now time.Duration, engineID string) {
-	c.engineWatch(now, engineID).contact.busy = false
+	c.engineTracker(now, engineID).polls.inFlight = false
 }
 
-// OrderAnswered takes in the answer to an order that was sent at sentAt.
+// OrderAnswered records the response to an order that was sent at sentAt.
 func (c *Core) OrderAnswered(sentAt, now time.Duration, order *engineapi.Order, reply *engineapi.OrderReply) {
-	watch := c.engineWatch(now, order.EngineID)
-	if watch.contact.answered(sentAt, now) {
-		watch.state = reply.State
+	tracker := c.engineTracker(now, order.EngineID)
+	if tracker.polls.recordResponse(sentAt, now) {
+		tracker.state = reply.State
 	}
 	if reply.Status == engineapi.OrderFailed {
-		watch.failedFence = order.Fence
-		watch.failedDetail = reply.Detail
-		watch.failedAt = now
+		tracker.failedFence = order.Fence
+		tracker.failedDetail = reply.Detail
+		tracker.failedAt = now
 	}
 }
 
@@ -86,51 +89,51 @@
 	engines := state.Engines()
 	interval := c.pollInterval(len(engines))
 	for _, engine := range engines {
-		watch := c.engineWatchAt(now, engine)
-		c.pollEngine(now, engine, watch, interval)
-		watch.reason, watch.waiting = "", nil
-		watch.noteDoubt(now, engine)
-		c.decideEngine(now, state, engine, watch)
+		tracker := c.engineTrackerAt(now, engine)
+		c.pollEngine(now, engine, tracker, interval)
+		tracker.reason, tracker.waitingFor = "", nil
+		tracker.updateUnverified(now, engine)
+		c.decideEngine(now, state, engine, tracker)
 	}
 	c.beginChanges(now, state, engines)
-	for id := range c.engines {
+	for id := range c.engineTrackers {
 		if _, found := state.Engine(id); !found {
-			delete(c.engines, id)
+			delete(c.engineTrackers, id)
 		}
 	}
 }
 
-func (c *Core) pollEngine(now time.Duration, engine *zonestate.Engine, watch *engineWatch, interval time.Duration) {
+func (c *Core) pollEngine(now time.Duration, engine *zonestate.Engine, tracker *engineTracker, interval time.Duration) {
 	if engine.Changing || engine.Order != nil || engine.Verified == nil {
 		interval = c.config.PollInterval / changePollDivisor
 	}
-	if watch.contact.poll(now, interval, c.config.PollTimeout) {
+	if tracker.polls.startIfDue(now, interval, c.config.PollTimeout) {
 		c.outputs.EnginePolls = append(c.outputs.EnginePolls, Poll{ID: engine.ID, Address: engine.Address})
 	}
 }
 
 // decideEngine takes the next step for one engine. Each engine has at most one
-// proposal that has not ended.
-func (c *Core) decideEngine(now time.Duration, state *zonestate.State, engine *zonestate.Engine, watch *engineWatch) {
+// pending proposal.
+func (c *Core) decideEngine(now time.Duration, state *zonestate.State, engine *zonestate.Engine, tracker *engineTracker) {
 	if c.isPending(now, engineKey(engine.ID)) {
 		return
 	}
 	switch {
-	case c.removable(now, engine, watch):
+	case c.isRemovable(now, engine, tracker):
 		c.proposeEngine(now, zonestate.KindRemoveEngine, zonestate.EngineCommand{ID: engine.ID})
 	case engine.Order != nil:
-		c.followOrder(now, engine, watch)
-	case !watch.contact.hasAnswer || c.isLost(now, watch):
-		watch.reason = ReasonLost
-		c.noteLeaving(now, engine, engine.Leaving || c.hintsAway(engine.ID))
-	case engine.Verified != nil && contradicts(engine, &watch.state, state.Generation()):
+		c.followOrder(now, engine, tracker)
+	case !tracker.polls.hasResponse || c.isLost(now, tracker):
+		tracker.reason = ReasonLost
+		c.updateLeaving(now, engine, engine.Leaving || c.isReportedUnavailable(engine.ID))
+	case engine.Verified != nil && contradictsVerified(engine, &tracker.state, state.Generation()):
 		c.proposeEngine(now, zonestate.KindDoubtEngine, zonestate.EngineCommand{ID: engine.ID})
-	case c.noteLeaving(now, engine, c.isLeaving(engine, watch)):
-	case obeysOthers(engine, &watch.state, state.Generation()):
-		watch.reason = ReasonForeign
-	case engine.Verified == nil && c.verify(now, engine, watch):
+	case c.updateLeaving(now, engine, c.isLeaving(engine, tracker)):
+	case followsAnotherGroup(engine, &tracker.state, state.Generation()):
+		tracker.reason = ReasonForeign
+	case engine.Verified == nil && c.verify(now, engine, tracker):
 	default:
-		c.changeEngine(now, state, engine, watch)
+		c.changeEngine(now, state, engine, tracker)
 	}
 }
 
@@ -138,21 +141,21 @@
 	c.propose(now, engineKey(part.ID), zonestate.Command{Kind: kind, Engine: &part})
 }
 
-func (c *Core) removable(now time.Duration, engine *zonestate.Engine, watch *engineWatch) bool {
-	return c.isGone(now, watch.contact.heardAt, engine.ID) && !c.isConfigured(c.config.Engines, engine.ID)
+func (c *Core) isRemovable(now time.Duration, engine *zonestate.Engine, tracker *engineTracker) bool {
+	return c.goneLongEnough(now, tracker.polls.lastResponseAt, engine.ID) && !c.isConfigured(c.config.Engines, engine.ID)
 }
 
-func (c *Core) isLost(now time.Duration, watch *engineWatch) bool {
-	return now-watch.contact.heardAt > c.config.LostAfter
+func (c *Core) isLost(now time.Duration, tracker *engineTracker) bool {
+	return now-tracker.polls.lastResponseAt > c.config.LostAfter
 }
 
-func (c *Core) isLeaving(engine *zonestate.Engine, watch *engineWatch) bool {
-	return watch.state.Phase == engineapi.PhaseLeaving || c.hintsLeaving(engine.ID)
+func (c *Core) isLeaving(engine *zonestate.Engine, tracker *engineTracker) bool {
+	return tracker.state.Phase == engineapi.PhaseLeaving || c.isReportedLeaving(engine.ID)
 }
 
-// noteLeaving records a change of the engine's leaving and reports whether there
-// was one.
-func (c *Core) noteLeaving(now time.Duration, engine *zonestate.Engine, leaving bool) bool {
+// updateLeaving proposes to record whether the engine is leaving, and reports
+// whether that has changed.
+func (c *Core) updateLeaving(now time.Duration, engine *zonestate.Engine, leaving bool) bool {
 	if leaving == engine.Leaving {
 		return false
 	}
--- a/internal/reconcile/machinelist.go
+++ b/internal/reconcile/machinelist.go
@@ -8,28 +8,30 @@
 )
 
 const (
-	// restartedAfter is the number of lists in a row with a lower sequence than
-	// before after which the platform counts as restarted.
-	restartedAfter = 3
-	// liveAfter is how long the list must call a machine live again before it
-	// is believed.
-	liveAfter = 5 * time.Second
-	// doubtedFrom is the least number of machines that the list must call
-	// leaving or gone for it to be doubted.
-	doubtedFrom = 3
+	// restartThreshold is the number of consecutive lists with a lower sequence
+	// number after which the platform is considered restarted.
+	restartThreshold = 3
+	// liveConfirmation is how long the list must report a machine as live again
+	// before its hint is dropped.
+	liveConfirmation = 5 * time.Second
+	// minimumSuspectMachines is the minimum number of engines or of back ends that
+	// the list must report as leaving or gone to be suspect.
+	minimumSuspectMachines = 3
 )
 
-// machineList is the platform's list. It lags, may be wrong, and is only a hint.
+// machineList is the platform's list of machines. It lags and may be wrong, so it is
+// only a hint.
 type machineList struct {
-	sequence uint64
-	older    int
-	rows     map[string]platformapi.Machine
-	// hints are the machines that the list called leaving or gone. A machine
-	// that the list does not show any more keeps its hint.
+	sequence       uint64
+	lowerSequences int
+	rows           map[string]platformapi.Machine
+	// hints holds the machines that the list reported as leaving or gone. A machine
+	// that is no longer on the list keeps its hint.
 	hints map[string]machineHint
 }
 
-// machineHint says what the list called a machine, and when it last did.
+// machineHint is the state that the list last reported for a machine that was not
+// live, and when.
 type machineHint struct {
 	state platformapi.MachineState
 	at    time.Duration
@@ -39,17 +41,18 @@
 	return machineList{hints: make(map[string]machineHint)}
 }
 
-// MachinesListed takes in the platform's list. One with a lower sequence is
-// ignored, unless there have been several: then the platform counts anew.
+// MachinesListed records the platform's list. A list with a lower sequence number
+// is ignored, unless it is the restartThreshold-th in a row: then the platform has
+// restarted and counts from the beginning.
 func (c *Core) MachinesListed(list *platformapi.MachineList) {
 	m := &c.machines
 	if m.rows != nil && list.Sequence < m.sequence {
-		m.older++
-		if m.older < restartedAfter {
+		m.lowerSequences++
+		if m.lowerSequences < restartThreshold {
 			return
 		}
 	}
-	m.older = 0
+	m.lowerSequences = 0
 	m.sequence = list.Sequence
 	m.rows = make(map[string]platformapi.Machine, len(list.Machines))
 	for _, machine := range list.Machines {
@@ -57,8 +60,8 @@
 	}
 }
 
-// tick takes the newest rows over into the hints, and drops those of machines
-// that are known no more or have been called live for long enough.
+// tick updates the hints from the newest rows. It drops the hints of machines that
+// are no longer known or have been reported live for liveConfirmation.
 func (m *machineList) tick(now time.Duration, known func(id string) bool) {
 	for id, row := range m.rows {
 		if row.State != platformapi.MachineLive && known(id) {
@@ -67,26 +70,28 @@
 	}
 	for id, hint := range m.hints {
 		row, listed := m.rows[id]
-		isLive := listed && row.State == platformapi.MachineLive && now-hint.at >= liveAfter
+		isLive := listed && row.State == platformapi.MachineLive && now-hint.at >= liveConfirmation
 		if isLive || !known(id) {
 			delete(m.hints, id)
 		}
 	}
 }
 
-func (m *machineList) saysLeaving(id string) bool {
+func (m *machineList) reportsLeaving(id string) bool {
 	return m.hints[id].state == platformapi.MachineLeaving
 }
 
-func (m *machineList) saysGone(id string) bool {
+func (m *machineList) reportsGone(id string) bool {
 	return m.hints[id].state == platformapi.MachineGone
 }
 
-func (m *machineList) saysAway(id string) bool { return m.saysLeaving(id) || m.saysGone(id) }
+func (m *machineList) reportsUnavailable(id string) bool {
+	return m.reportsLeaving(id) || m.reportsGone(id)
+}
 
-// tickMachines works out whether the list is doubted: one that calls most of the
-// zone's engines or back ends leaving or gone at the same time is more likely to
-// be wrong than right. Machines that really leave say so themselves.
+// tickMachines decides whether the list is suspect. A list that reports most of the
+// zone's engines or back ends as leaving or gone at the same time is more likely
+// wrong than right. Machines that are really leaving report it themselves.
 func (c *Core) tickMachines(now time.Duration, state *zonestate.State) {
 	c.machines.tick(now, func(id string) bool {
 		_, isEngine := state.Engine(id)
@@ -95,37 +100,44 @@
 	})
 	engines, backEnds := 0, 0
 	for _, engine := range state.Engines() {
-		if c.machines.saysAway(engine.ID) {
+		if c.machines.reportsUnavailable(engine.ID) {
 			engines++
 		}
 	}
 	for _, backEnd := range state.BackEnds() {
-		if c.machines.saysAway(backEnd.ID) {
+		if c.machines.reportsUnavailable(backEnd.ID) {
 			backEnds++
 		}
 	}
-	c.doubted = isDoubtful(engines, len(state.Engines())) || isDoubtful(backEnds, len(state.BackEnds()))
+	c.machineListSuspect = isSuspect(engines, len(state.Engines())) || isSuspect(backEnds, len(state.BackEnds()))
 }
 
-func isDoubtful(away, all int) bool { return away >= doubtedFrom && 2*away > all }
+func isSuspect(unavailable, all int) bool {
+	return unavailable >= minimumSuspectMachines && 2*unavailable > all
+}
 
-// MachineListDoubted reports whether the platform's list is not believed.
-func (c *Core) MachineListDoubted() bool { return c.doubted }
+// MachineListDoubted reports whether the platform's list is suspect.
+func (c *Core) MachineListDoubted() bool { return c.machineListSuspect }
 
-// hintsLeaving reports whether the list is believed that a machine is leaving.
-// One that answers is not gone.
-func (c *Core) hintsLeaving(id string) bool { return !c.doubted && c.machines.saysLeaving(id) }
+// isReportedLeaving reports whether a list that is not suspect reports a machine as
+// leaving. It applies to responding machines, which can't be gone whatever the list
+// reports.
+func (c *Core) isReportedLeaving(id string) bool {
+	return !c.machineListSuspect && c.machines.reportsLeaving(id)
+}
 
-// hintsAway reports whether the list is believed that a silent machine is
-// leaving or gone.
-func (c *Core) hintsAway(id string) bool { return !c.doubted && c.machines.saysAway(id) }
+// isReportedUnavailable reports whether a list that is not suspect reports an
+// unresponsive machine as leaving or gone.
+func (c *Core) isReportedUnavailable(id string) bool {
+	return !c.machineListSuspect && c.machines.reportsUnavailable(id)
+}
 
-// isGone reports whether a machine that has been silent since heardAt is to be
-// removed. A list that is doubted has to go on saying so for longer.
-func (c *Core) isGone(now, heardAt time.Duration, id string) bool {
+// goneLongEnough reports whether a machine that last responded at lastResponseAt and
+// is listed as gone is to be removed. The wait is longer while the list is suspect.
+func (c *Core) goneLongEnough(now, lastResponseAt time.Duration, id string) bool {
 	wait := removeAfter
-	if c.doubted {
-		wait = removeDoubtedAfter
+	if c.machineListSuspect {
+		wait = removeSuspectAfter
 	}
-	return c.machines.saysGone(id) && now-heardAt > wait
+	return c.machines.reportsGone(id) && now-lastResponseAt > wait
 }
--- a/internal/reconcile/machines.go
+++ b/internal/reconcile/machines.go
@@ -8,7 +8,7 @@
 	"github.com/pierhaven/pierhaven/internal/zonestate"
 )
 
-// tickRegistrations registers the engines and back ends of the settings and of
+// tickRegistrations registers the engines and back ends from the settings and from
 // the platform's list.
 func (c *Core) tickRegistrations(now time.Duration, state *zonestate.State) {
 	for _, target := range c.targets(c.config.Engines, platformapi.KindEngine) {
@@ -19,8 +19,8 @@
 	}
 }
 
-// targets joins those of the settings, which come first, with the live machines
-// of the zone.
+// targets returns the targets from the settings, which take precedence, and then the
+// zone's live machines of a kind from the platform's list.
 func (c *Core) targets(configured []Target, kind platformapi.MachineKind) []Target {
 	joined := slices.Clone(configured)
 	ids := make([]string, 0, len(c.machines.rows))
--- a/internal/reconcile/machines_test.go
+++ b/internal/reconcile/machines_test.go
@@ -10,8 +10,8 @@
 	"github.com/pierhaven/pierhaven/internal/api/platformapi"
 )
 
-// machines makes a list in which the given engines are in a state.
-func machines(sequence uint64, state platformapi.MachineState, ids ...string) *platformapi.MachineList {
+// listedEngines returns a list that reports the given engines in a state.
+func listedEngines(sequence uint64, state platformapi.MachineState, ids ...string) *platformapi.MachineList {
 	list := &platformapi.MachineList{Sequence: sequence}
 	for _, id := range ids {
 		list.Machines = append(list.Machines, platformapi.Machine{
@@ -21,26 +21,27 @@
 	return list
 }
 
-func TestAnEngineThatThePlatformCallsLeavingIsWithheld(t *testing.T) {
-	z := newSteadyZone(t, 4, Config{})
-	z.core.MachinesListed(machines(1, platformapi.MachineLeaving, "engine-2"))
+func TestPlatformLeavingWithholdsEngine(t *testing.T) {
+	z := newFaultFreeZone(t, 4, Config{})
+	z.core.MachinesListed(listedEngines(1, platformapi.MachineLeaving, "engine-2"))
 	z.run(time.Second)
 	require.Equal(t, []string{"engine-0", "engine-1", "engine-3"}, z.dispatchable())
 }
 
-// A wrong list must not drain the fleet: engines answer for themselves.
-func TestAListThatCallsMostEnginesLeavingIsNotBelieved(t *testing.T) {
+// A wrong list must not drain the fleet. Engines that are really leaving report it
+// themselves.
+func TestMachineListReportingMostEnginesUnavailableIsIgnored(t *testing.T) {
 	for _, state := range []platformapi.MachineState{platformapi.MachineLeaving, platformapi.MachineGone} {
-		z := newSteadyZone(t, 4, Config{})
-		z.core.MachinesListed(machines(1, state, "engine-0", "engine-1", "engine-2", "engine-3"))
+		z := newFaultFreeZone(t, 4, Config{})
+		z.core.MachinesListed(listedEngines(1, state, "engine-0", "engine-1", "engine-2", "engine-3"))
 		z.run(30 * time.Second)
 		require.Len(t, z.dispatchable(), 4, state)
 		require.True(t, z.core.MachineListDoubted())
 	}
 }
 
-func TestEnginesThatSayThemselvesThatTheyLeaveAreBelieved(t *testing.T) {
-	z := newSteadyZone(t, 4, Config{})
+func TestEnginesReportingLeavingAreWithheld(t *testing.T) {
+	z := newFaultFreeZone(t, 4, Config{})
 	for _, engine := range z.engines {
 		engine.Phase = engineapi.PhaseLeaving
 	}
@@ -48,55 +49,56 @@
 	require.Empty(t, z.dispatchable())
 }
 
-func TestAnEngineThatAnswersIsNotGone(t *testing.T) {
-	z := newSteadyZone(t, 4, Config{})
-	z.core.MachinesListed(machines(1, platformapi.MachineGone, "engine-2"))
+func TestRespondingEngineIsNotRemoved(t *testing.T) {
+	z := newFaultFreeZone(t, 4, Config{})
+	z.core.MachinesListed(listedEngines(1, platformapi.MachineGone, "engine-2"))
 	z.run(20 * time.Minute)
 	require.Len(t, z.dispatchable(), 4)
 }
 
-// After its restart the platform begins a new count and knows nothing yet.
-func TestAnEmptyListAfterThePlatformsRestartChangesNothing(t *testing.T) {
-	z := newSteadyZone(t, 4, Config{})
-	z.core.MachinesListed(machines(500, platformapi.MachineLeaving, "engine-2"))
+// After a restart the platform restarts its sequence numbers and lists no machines
+// at first. This must not put a leaving engine back into service.
+func TestEmptyMachineListAfterPlatformRestartKeepsHints(t *testing.T) {
+	z := newFaultFreeZone(t, 4, Config{})
+	z.core.MachinesListed(listedEngines(500, platformapi.MachineLeaving, "engine-2"))
 	z.run(time.Second)
 	for sequence := range uint64(10) {
-		z.core.MachinesListed(machines(sequence, platformapi.MachineLive))
+		z.core.MachinesListed(listedEngines(sequence, platformapi.MachineLive))
 		z.run(time.Second)
 	}
-	require.Equal(t, []string{"engine-0", "engine-1", "engine-3"}, z.dispatchable(), "absence is no news")
-	z.core.MachinesListed(machines(11, platformapi.MachineLive, "engine-2"))
+	require.Equal(t, []string{"engine-0", "engine-1", "engine-3"}, z.dispatchable(), "a machine missing from the list keeps its hint")
+	z.core.MachinesListed(listedEngines(11, platformapi.MachineLive, "engine-2"))
 	z.run(30 * time.Second)
-	require.Len(t, z.dispatchable(), 4, "the new count is followed")
+	require.Len(t, z.dispatchable(), 4, "the restarted sequence is accepted")
 }
 
-// A list that flaps must not put an engine into service and out of it each time.
-func TestAFlappingListKeepsTheEngineWithheld(t *testing.T) {
-	z := newSteadyZone(t, 4, Config{})
-	z.core.MachinesListed(machines(1, platformapi.MachineLeaving, "engine-2"))
+// A flapping list must not put an engine into service and withhold it each time.
+func TestFlappingMachineListKeepsEngineWithheld(t *testing.T) {
+	z := newFaultFreeZone(t, 4, Config{})
+	z.core.MachinesListed(listedEngines(1, platformapi.MachineLeaving, "engine-2"))
 	z.run(time.Second)
 	withheld, _ := z.state.Engine("engine-2")
 	since := withheld.WithheldAt
 	require.NotZero(t, since)
 	for sequence := uint64(2); sequence < 22; sequence += 2 {
-		z.core.MachinesListed(machines(sequence, platformapi.MachineLive, "engine-2"))
+		z.core.MachinesListed(listedEngines(sequence, platformapi.MachineLive, "engine-2"))
 		z.run(time.Second)
-		z.core.MachinesListed(machines(sequence+1, platformapi.MachineLeaving, "engine-2"))
+		z.core.MachinesListed(listedEngines(sequence+1, platformapi.MachineLeaving, "engine-2"))
 		z.run(time.Second)
 	}
 	require.Equal(t, since, withheld.WithheldAt)
-	z.core.MachinesListed(machines(30, platformapi.MachineLive, "engine-2"))
+	z.core.MachinesListed(listedEngines(30, platformapi.MachineLive, "engine-2"))
 	z.run(30 * time.Second)
 	require.Len(t, z.dispatchable(), 4)
 }
 
-func TestAnEngineThatMovesIsNotVerifiedByItsFormerAddress(t *testing.T) {
-	z := newSteadyZone(t, 4, Config{})
-	z.silent["engine-2"] = true
+func TestFormerAddressDoesNotVerifyMovedEngine(t *testing.T) {
+	z := newFaultFreeZone(t, 4, Config{})
+	z.unresponsive["engine-2"] = true
 	z.core.config.Engines[2].Address = "other:1"
 	z.run(5 * time.Second)
-	require.Equal(t, []string{"engine-0", "engine-1", "engine-3"}, z.dispatchable(), "nothing was heard from there")
-	z.silent["engine-2"] = false
+	require.Equal(t, []string{"engine-0", "engine-1", "engine-3"}, z.dispatchable(), "no response from the new address")
+	z.unresponsive["engine-2"] = false
 	z.run(5 * time.Second)
 	require.Len(t, z.dispatchable(), 4)
 }
--- a/internal/reconcile/sessions.go
+++ b/internal/reconcile/sessions.go
@@ -9,27 +9,27 @@
 	"github.com/pierhaven/pierhaven/internal/zonestate"
 )
 
-// tickSessions ends the sessions of gateways that have surely stopped, and keeps
-// the isolation sets of the others fitting.
+// tickSessions ends the sessions of gateways that are certain to have stopped, and
+// keeps the isolation sets of the others up to date.
 func (c *Core) tickSessions(now time.Duration, state *zonestate.State) {
-	var unfitting []zonestate.SessionCommand
+	var outdated []zonestate.SessionCommand
 	for _, session := range state.Sessions().List() {
-		_, ending := c.ending[session.ID]
+		_, ending := c.endingSessions[session.ID]
 		if ending || c.liveness.IsolationOver(now, session) {
 			c.endSession(now, session)
 			continue
 		}
 		if c.needsIsolationSet(now, state, session) {
-			unfitting = append(unfitting, zonestate.SessionCommand{
+			outdated = append(outdated, zonestate.SessionCommand{
 				SessionID: session.ID, Acknowledged: c.liveness.Acknowledged(session.ID),
 			})
 		}
 	}
-	c.assignIsolation(now, unfitting)
-	c.forgetEnded(state.Sessions())
+	c.assignIsolation(now, outdated)
+	c.pruneEnded(state.Sessions())
 }
 
-// assignIsolation gives all sessions that need one a new isolation set at once.
+// assignIsolation proposes new isolation sets for the given sessions in one command.
 func (c *Core) assignIsolation(now time.Duration, sessions []zonestate.SessionCommand) {
 	if len(sessions) == 0 {
 		return
@@ -38,12 +38,12 @@
 		return
 	}
 	for _, session := range sessions {
-		c.assignedAt[session.SessionID] = now
+		c.isolationAssignedAt[session.SessionID] = now
 	}
 }
 
 func (c *Core) endSession(now time.Duration, session *membership.Session) {
-	c.ending[session.ID] = struct{}{}
+	c.endingSessions[session.ID] = struct{}{}
 	c.propose(now, sessionKey(session.ID), zonestate.Command{
 		Kind:    zonestate.KindEndSession,
 		Session: &zonestate.SessionCommand{SessionID: session.ID, GatewayID: session.MemberID},
@@ -52,10 +52,11 @@
 
 func sessionKey(id uint64) string { return fmt.Sprintf("session/%d", id) }
 
-// needsIsolationSet reports whether the engines' roles have moved on since a
-// session got its isolation set, and it has acknowledged that.
+// needsIsolationSet reports whether a session's isolation set is out of date. It
+// returns false while the session has not acknowledged that set, has lost its lease,
+// or got the set less than isolationInterval ago.
 func (c *Core) needsIsolationSet(now time.Duration, state *zonestate.State, session *membership.Session) bool {
-	last, assigned := c.assignedAt[session.ID]
+	last, assigned := c.isolationAssignedAt[session.ID]
 	if assigned && now-last < isolationInterval {
 		return false
 	}
@@ -63,42 +64,42 @@
 	if c.liveness.Acknowledged(session.ID) < current.AssignedAt || c.liveness.LeaseOver(now, session) {
 		return false
 	}
-	if c.fittingAt[session.ID] == state.Revision() {
+	if c.isolationCheckedAt[session.ID] == state.Revision() {
 		return false
 	}
 	if slices.Equal(current.Targets, state.IsolationTargets(session.MemberID)) {
-		c.fittingAt[session.ID] = state.Revision()
+		c.isolationCheckedAt[session.ID] = state.Revision()
 		return false
 	}
 	return true
 }
 
-func (c *Core) forgetEnded(sessions *membership.Table) {
+func (c *Core) pruneEnded(sessions *membership.Table) {
 	isOpen := func(id uint64) bool {
 		_, open := sessions.Get(id)
 		return open
 	}
 	c.liveness.Forget(isOpen)
-	for id := range c.assignedAt {
+	for id := range c.isolationAssignedAt {
 		if !isOpen(id) {
-			delete(c.assignedAt, id)
+			delete(c.isolationAssignedAt, id)
 		}
 	}
-	for id := range c.fittingAt {
+	for id := range c.isolationCheckedAt {
 		if !isOpen(id) {
-			delete(c.fittingAt, id)
+			delete(c.isolationCheckedAt, id)
 		}
 	}
-	for id := range c.ending {
+	for id := range c.endingSessions {
 		if !isOpen(id) {
-			delete(c.ending, id)
+			delete(c.endingSessions, id)
 		}
 	}
 }
 
-// usersOf lists the gateways that may still start new work on an engine that is
-// withheld since its WithheldAt.
-func (c *Core) usersOf(now time.Duration, state *zonestate.State, engine *zonestate.Engine) []string {
+// activeGateways lists the gateways that may still start new work on an engine that
+// has been withheld since its WithheldAt.
+func (c *Core) activeGateways(now time.Duration, state *zonestate.State, engine *zonestate.Engine) []string {
 	var users []string
 	for _, session := range state.Sessions().List() {
 		if !c.liveness.HasStopped(now, session, engine.ID, engine.WithheldAt) {
@@ -108,9 +109,9 @@
 	return users
 }
 
-// heldBySilent lists the gateways that have lost their lease and may use the
+// isolatedHolders lists the gateways that have lost their lease but may use the
 // engine in isolation, so that withholding it now would take long.
-func (c *Core) heldBySilent(now time.Duration, state *zonestate.State, engineID string) []string {
+func (c *Core) isolatedHolders(now time.Duration, state *zonestate.State, engineID string) []string {
 	var holders []string
 	for _, session := range state.Sessions().List() {
 		silent := c.liveness.LeaseOver(now, session) && !c.liveness.IsolationOver(now, session)
@@ -121,8 +122,8 @@
 	return holders
 }
 
-// ChangeableQuickly reports whether no cut-off gateway stands in the way of a
-// change of the engine. The planner prefers such engines.
+// ChangeableQuickly reports whether no isolated gateway can delay a change of the
+// engine. The planner prefers such engines.
 func (c *Core) ChangeableQuickly(now time.Duration, state *zonestate.State, engineID string) bool {
-	return len(c.heldBySilent(now, state, engineID)) == 0
+	return len(c.isolatedHolders(now, state, engineID)) == 0
 }
--- a/internal/reconcile/status.go
+++ b/internal/reconcile/status.go
@@ -7,63 +7,66 @@
 	"github.com/pierhaven/pierhaven/internal/zonestate"
 )
 
-// Reasons why an engine is not further along.
+// Reasons why an engine makes no progress.
 const (
-	// ReasonLost: the engine does not answer.
+	// ReasonLost: the engine does not respond.
 	ReasonLost = "engine does not answer"
-	// ReasonOrdered: the engine is carrying out its order.
+	// ReasonOrdered: the engine is executing its order.
 	ReasonOrdered = "order is being carried out"
-	// ReasonGateways: gateways have not acknowledged the withholding.
+	// ReasonGateways: gateways have not acknowledged that the engine is withheld.
 	ReasonGateways = "waiting for gateways to acknowledge"
-	// ReasonIsolated: cut-off gateways may go on using the engine.
+	// ReasonIsolated: gateways that have lost their lease may still use the engine
+	// in isolation.
 	ReasonIsolated = "cut-off gateways may use the engine"
 	// ReasonRunning: requests are still running.
 	ReasonRunning = "waiting for running requests"
-	// ReasonDrained: the engine is withheld, and nothing runs on it any more.
+	// ReasonDrained: the engine is withheld and idle.
 	ReasonDrained = "drained"
-	// ReasonBusy: the engine carries out an order of an earlier generation.
+	// ReasonBusy: the engine is executing an order of an earlier generation.
 	ReasonBusy = "engine is changing"
-	// ReasonBackoff: the last order failed not long ago.
+	// ReasonBackoff: the engine is in backoff after a failed order.
 	ReasonBackoff = "waiting after a failed order"
-	// ReasonCap: as many engines change as may at the same time.
+	// ReasonCap: the limit on concurrent changes is reached.
 	ReasonCap = "waiting for other changes"
-	// ReasonLeaving: the engine announced its leaving.
+	// ReasonLeaving: the engine or the platform has reported that it is leaving.
 	ReasonLeaving = "engine is leaving"
-	// ReasonUnconfigured: it is not known what the engine should run.
+	// ReasonUnconfigured: the engine is unverified and has no desired configuration.
 	ReasonUnconfigured = "no configuration is wanted"
-	// ReasonForeign: the engine obeys the orders of another group.
+	// ReasonForeign: the engine executes the orders of another group.
 	ReasonForeign = "engine obeys another group's orders"
-	// ReasonPriorSessions: gateways of an earlier generation may still act.
+	// ReasonPriorSessions: gateways with sessions of an earlier generation may still
+	// start work.
 	ReasonPriorSessions = "gateways of an earlier generation may still act"
 )
 
-// EngineStatus is the leader's account of one engine.
+// EngineStatus is the status of one engine as the leader sees it.
 type EngineStatus struct {
 	Engine zonestate.Engine
-	// Reported is the newest report, nil if there was none.
+	// Reported is the newest reported state, nil if there was none.
 	Reported *engineapi.State
-	// SilentFor is the time since that report.
+	// SilentFor is the time since the last response, or since the leader began to
+	// track the engine.
 	SilentFor time.Duration
-	// Reason is why the engine is not further along, empty if all is well, and
-	// Waiting are the gateways that it waits for.
+	// Reason is why the engine makes no progress, empty if there is no such reason.
+	// Waiting holds the gateways that it waits for.
 	Reason  string
 	Waiting []string
 }
 
-// Status returns the leader's account of all engines, sorted by id.
+// Status returns the status of all engines, sorted by id.
 func (c *Core) Status(now time.Duration, state *zonestate.State) []EngineStatus {
 	engines := state.Engines()
 	list := make([]EngineStatus, 0, len(engines))
 	for _, engine := range engines {
-		watch := c.engineWatch(now, engine.ID)
+		tracker := c.engineTracker(now, engine.ID)
 		status := EngineStatus{
 			Engine:    *engine,
-			SilentFor: now - watch.contact.heardAt,
-			Reason:    watch.reason,
-			Waiting:   watch.waiting,
+			SilentFor: now - tracker.polls.lastResponseAt,
+			Reason:    tracker.reason,
+			Waiting:   tracker.waitingFor,
 		}
-		if watch.contact.hasAnswer {
-			reported := watch.state
+		if tracker.polls.hasResponse {
+			reported := tracker.state
 			status.Reported = &reported
 		}
 		list = append(list, status)
--- a/internal/reconcile/steady_test.go
+++ b/internal/reconcile/steady_test.go
@@ -11,26 +11,26 @@
 	"github.com/pierhaven/pierhaven/internal/zonestate"
 )
 
-// steadyZone is a zone without faults, whose leader's proposals are committed at
-// once and whose engines answer every poll and order.
-type steadyZone struct {
+// faultFreeZone simulates a zone whose leader's proposals are committed immediately
+// and whose engines answer every poll and order, unless a test sets otherwise.
+type faultFreeZone struct {
 	t       *testing.T
 	core    *Core
 	state   *zonestate.State
 	index   uint64
 	now     time.Duration
 	engines map[string]*engineapi.State
-	// silent engines answer nothing; failing ones can't carry out orders to
-	// load a version.
-	silent  map[string]bool
-	failing map[string]string
-	orders  []engineapi.Order
+	// unresponsive holds the engines that answer no poll or order. failingVersions
+	// maps an engine to the version that it can't load.
+	unresponsive    map[string]bool
+	failingVersions map[string]string
+	orders          []engineapi.Order
 }
 
-func newSteadyZone(t *testing.T, engines int, config Config) *steadyZone {
-	z := &steadyZone{
+func newFaultFreeZone(t *testing.T, engines int, config Config) *faultFreeZone {
+	z := &faultFreeZone{
 		t: t, state: zonestate.New(), engines: map[string]*engineapi.State{},
-		silent: map[string]bool{}, failing: map[string]string{},
+		unresponsive: map[string]bool{}, failingVersions: map[string]string{},
 	}
 	config.Zone, config.Generation = "zone-a", 1
 	config.Parameters = zonestate.DefaultParameters([]string{"zone-a"})
@@ -48,7 +48,7 @@
 	return z
 }
 
-func (z *steadyZone) commit(command zonestate.Command) zonestate.Result {
+func (z *faultFreeZone) commit(command zonestate.Command) zonestate.Result {
 	z.index++
 	data, err := command.Encode()
 	require.NoError(z.t, err)
@@ -57,8 +57,8 @@
 	return result
 }
 
-// run lets time pass, a tenth of a second a step.
-func (z *steadyZone) run(duration time.Duration) {
+// run advances the zone by a duration, in steps of 100 ms.
+func (z *faultFreeZone) run(duration time.Duration) {
 	for end := z.now + duration; z.now < end; {
 		z.now += 100 * time.Millisecond
 		outputs := z.core.Tick(z.now, z.now.Milliseconds(), z.state)
@@ -67,28 +67,28 @@
 			z.core.ProposalEnded(proposal.Key)
 		}
 		for _, poll := range outputs.EnginePolls {
-			if z.silent[poll.ID] {
+			if z.unresponsive[poll.ID] {
 				z.core.EngineFailed(z.now, poll.ID)
 				continue
 			}
 			z.core.EngineAnswered(z.now, z.now, poll.ID, z.engines[poll.ID])
 		}
 		for _, call := range outputs.Orders {
-			z.obey(&call.Order)
+			z.executeOrder(&call.Order)
 		}
 	}
 }
 
-// obey carries an order out at once.
-func (z *steadyZone) obey(order *engineapi.Order) {
+// executeOrder completes or fails an order immediately.
+func (z *faultFreeZone) executeOrder(order *engineapi.Order) {
 	engine := z.engines[order.EngineID]
-	if z.silent[order.EngineID] || order.Fence.Less(engine.HighestFence) {
+	if z.unresponsive[order.EngineID] || order.Fence.Less(engine.HighestFence) {
 		return
 	}
 	z.orders = append(z.orders, *order)
 	engine.HighestFence = order.Fence
 	status := engineapi.OrderDone
-	if version := z.failing[order.EngineID]; version != "" && version == order.Target.Version {
+	if version := z.failingVersions[order.EngineID]; version != "" && version == order.Target.Version {
 		status = engineapi.OrderFailed
 	} else {
 		engine.Observed = order.Target
@@ -97,7 +97,7 @@
 	z.core.OrderAnswered(z.now, z.now, order, &reply)
 }
 
-func (z *steadyZone) dispatchable() []string {
+func (z *faultFreeZone) dispatchable() []string {
 	var list []string
 	for _, engine := range z.state.Engines() {
 		if engine.Dispatchable() {
--- a/internal/reconcile/unheard.go
+++ b/internal/reconcile/unheard.go
@@ -6,28 +6,29 @@
 	"github.com/pierhaven/pierhaven/internal/zonestate"
 )
 
-// tickUnheard lists the engines and back ends in service that have not answered
-// this leader for more than a poll and its timeout. Nobody would tell the
-// gateways of their leaving.
-func (c *Core) tickUnheard(now time.Duration, state *zonestate.State) {
-	c.unheard = nil
+// tickUnresponsive lists the engines and back ends in service that have not responded
+// to this leader for longer than a poll interval and its timeout. The leader could
+// not report to gateways that such a target is leaving, so it reports these targets
+// in its heartbeat replies.
+func (c *Core) tickUnresponsive(now time.Duration, state *zonestate.State) {
+	c.unresponsive = nil
 	engines, backEnds := state.Engines(), state.BackEnds()
 	limit := c.pollInterval(len(engines)) + c.config.PollTimeout
 	for _, engine := range engines {
-		watch := c.engineWatch(now, engine.ID)
-		if engine.Dispatchable() && watch.contact.isUnheard(now, limit) {
-			c.unheard = append(c.unheard, engine.ID)
+		tracker := c.engineTracker(now, engine.ID)
+		if engine.Dispatchable() && tracker.polls.isUnresponsive(now, limit) {
+			c.unresponsive = append(c.unresponsive, engine.ID)
 		}
 	}
 	limit = c.pollInterval(len(backEnds)) + c.config.PollTimeout
 	for _, backEnd := range backEnds {
-		watch := c.backEndWatch(now, backEnd.ID)
-		if backEnd.Serving && watch.contact.isUnheard(now, limit) {
-			c.unheard = append(c.unheard, backEnd.ID)
+		tracker := c.backEndTracker(now, backEnd.ID)
+		if backEnd.Serving && tracker.polls.isUnresponsive(now, limit) {
+			c.unresponsive = append(c.unresponsive, backEnd.ID)
 		}
 	}
 }
 
-func (c *contact) isUnheard(now, limit time.Duration) bool {
-	return !c.hasAnswer || now-c.heardAt > limit
+func (p *pollState) isUnresponsive(now, limit time.Duration) bool {
+	return !p.hasResponse || now-p.lastResponseAt > limit
 }
--- a/internal/reconcile/unheard_test.go
+++ b/internal/reconcile/unheard_test.go
@@ -7,24 +7,24 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestTargetsThatDoNotAnswerAreUnheard holds the leader to tell gateways of
-// engines in service that it can't reach.
-func TestTargetsThatDoNotAnswerAreUnheard(t *testing.T) {
-	z := newSteadyZone(t, 3, Config{})
-	require.Empty(t, z.core.unheard)
-	z.silent["engine-1"] = true
+// TestUnresponsiveTargetsAreReported checks that the leader lists the engines in
+// service that it can't reach, which it reports to gateways.
+func TestUnresponsiveTargetsAreReported(t *testing.T) {
+	z := newFaultFreeZone(t, 3, Config{})
+	require.Empty(t, z.core.unresponsive)
+	z.unresponsive["engine-1"] = true
 	z.run(4 * time.Second)
-	require.Equal(t, []string{"engine-1"}, z.core.unheard)
-	z.silent["engine-1"] = false
+	require.Equal(t, []string{"engine-1"}, z.core.unresponsive)
+	z.unresponsive["engine-1"] = false
 	z.run(2 * time.Second)
-	require.Empty(t, z.core.unheard)
+	require.Empty(t, z.core.unresponsive)
 }
 
-// TestANewLeaderHasHeardOfNobody holds a new leader to vouch for nothing that it
-// has not polled.
-func TestANewLeaderHasHeardOfNobody(t *testing.T) {
-	z := newSteadyZone(t, 3, Config{})
+// TestNewLeaderReportsUnpolledTargetsAsUnresponsive checks that a new leader vouches
+// for no target that has not responded to it.
+func TestNewLeaderReportsUnpolledTargetsAsUnresponsive(t *testing.T) {
+	z := newFaultFreeZone(t, 3, Config{})
 	successor := New(z.now, z.core.config)
 	successor.Tick(z.now, 0, z.state)
-	require.Equal(t, []string{"engine-0", "engine-1", "engine-2"}, successor.unheard)
+	require.Equal(t, []string{"engine-0", "engine-1", "engine-2"}, successor.unresponsive)
 }
--- a/internal/reconcile/world_engine_test.go
+++ b/internal/reconcile/world_engine_test.go
@@ -7,25 +7,26 @@
 	"github.com/pierhaven/pierhaven/internal/api/engineapi"
 )
 
-// modelEngine is an engine with fenced orders that take seconds.
+// modelEngine simulates an engine that executes fenced orders, which take seconds.
 type modelEngine struct {
-	world       *world
-	id          string
-	down        bool
-	incarnation uint64
-	phase       engineapi.Phase
-	observed    engineapi.Configuration
-	highest     engineapi.Fence
-	target      engineapi.Configuration
-	failed      bool
-	running     int
-	// replaced is the incarnation in which another machine took the place.
-	replaced uint64
+	env          *testEnvironment
+	id           string
+	down         bool
+	incarnation  uint64
+	phase        engineapi.Phase
+	observed     engineapi.Configuration
+	highestFence engineapi.Fence
+	target       engineapi.Configuration
+	orderFailed  bool
+	running      int
+	// replacedIncarnation is the first incarnation after the last replacement by
+	// another machine, 0 if there was none.
+	replacedIncarnation uint64
 }
 
-func newModelEngine(w *world, number int) *modelEngine {
+func newModelEngine(env *testEnvironment, number int) *modelEngine {
 	return &modelEngine{
-		world:       w,
+		env:         env,
 		id:          fmt.Sprintf("engine-%d", number),
 		incarnation: 1,
 		phase:       engineapi.PhaseServing,
@@ -33,8 +34,8 @@
 	}
 }
 
-func (w *world) engine(id string) *modelEngine {
-	for _, engine := range w.engines {
+func (env *testEnvironment) engine(id string) *modelEngine {
+	for _, engine := range env.engines {
 		if engine.id == id {
 			return engine
 		}
@@ -48,36 +49,36 @@
 		Incarnation:  e.incarnation,
 		Phase:        e.phase,
 		Observed:     e.observed,
-		HighestFence: e.highest,
+		HighestFence: e.highestFence,
 		Running:      e.running,
 	}
 }
 
-func (e *modelEngine) obey(order *engineapi.Order) engineapi.OrderReply {
-	status := e.take(order)
+func (e *modelEngine) executeOrder(order *engineapi.Order) engineapi.OrderReply {
+	status := e.acceptOrder(order)
 	return engineapi.OrderReply{Status: status, State: e.report()}
 }
 
-func (e *modelEngine) take(order *engineapi.Order) engineapi.OrderStatus {
-	if !e.world.plants.ignoreFence {
-		if order.Fence.Less(e.highest) {
-			e.world.tally.staleOrdersRefused++
+func (e *modelEngine) acceptOrder(order *engineapi.Order) engineapi.OrderStatus {
+	if !e.env.plantedFaults.ignoreFence {
+		if order.Fence.Less(e.highestFence) {
+			e.env.counts.staleOrdersRejected++
 			return engineapi.OrderRefusedStale
 		}
-		if order.Fence == e.highest {
-			return e.progress()
+		if order.Fence == e.highestFence {
+			return e.orderStatus()
 		}
 	}
 	if e.phase == engineapi.PhaseChanging || e.running > 0 {
 		return engineapi.OrderRefusedBusy
 	}
-	e.begin(order)
+	e.beginOrder(order)
 	return engineapi.OrderAccepted
 }
 
-func (e *modelEngine) progress() engineapi.OrderStatus {
+func (e *modelEngine) orderStatus() engineapi.OrderStatus {
 	switch {
-	case e.failed:
+	case e.orderFailed:
 		return engineapi.OrderFailed
 	case e.phase == engineapi.PhaseChanging:
 		return engineapi.OrderInProgress
@@ -86,64 +87,64 @@
 	}
 }
 
-// begin carries out an order. Obeying anything but the newest order of the log
-// is a violation, and so is a gateway that may use the engine meanwhile.
-func (e *modelEngine) begin(order *engineapi.Order) {
-	w := e.world
-	if order.Fence.Less(e.highest) || order.Fence == e.highest {
-		w.violate("%s obeys order %+v after %+v", e.id, order.Fence, e.highest)
+// beginOrder starts to execute an order. It is a violation if this is not the newest
+// order in the log or if a gateway may use the engine at that time.
+func (e *modelEngine) beginOrder(order *engineapi.Order) {
+	env := e.env
+	if order.Fence.Less(e.highestFence) || order.Fence == e.highestFence {
+		env.addViolation("%s executes order %+v after %+v", e.id, order.Fence, e.highestFence)
 	}
 	e.checkNewest(order)
-	for _, gateway := range w.gateways {
-		if gateway.couldDispatch(e.id) && !e.isUnknownMachine() {
-			w.violate("%s changes while %s may use it", e.id, gateway.id)
+	for _, gateway := range env.gateways {
+		if gateway.couldDispatch(e.id) && !e.isUnseenReplacement() {
+			env.addViolation("%s changes while %s may use it", e.id, gateway.id)
 		}
 	}
-	e.highest = order.Fence
+	e.highestFence = order.Fence
 	e.target = order.Target
-	e.failed = false
+	e.orderFailed = false
 	e.phase = engineapi.PhaseChanging
 	incarnation := e.incarnation
-	w.after(w.upTo(3*time.Second), func() { e.end(incarnation, order.Fence) })
+	env.schedule(env.randomDuration(3*time.Second), func() { e.endOrder(incarnation, order.Fence) })
 }
 
-// isUnknownMachine reports whether a machine without a record of orders has taken
-// the engine's place, and the group has not seen it yet. Until then nothing can
-// keep an old order from it; it refuses requests while it changes, and is put
-// into service only after a new order.
-func (e *modelEngine) isUnknownMachine() bool {
-	committed, found := e.world.group.state.Engine(e.id)
-	return found && e.replaced > 0 && committed.Incarnation < e.replaced
+// isUnseenReplacement reports whether the engine was replaced by a machine without a
+// record of orders that the group has not verified yet. Until then nothing can keep
+// the machine from executing an old order. This is safe because it rejects requests
+// while it changes and is put into service only after a new order.
+func (e *modelEngine) isUnseenReplacement() bool {
+	committed, found := e.env.group.state.Engine(e.id)
+	return found && e.replacedIncarnation > 0 && committed.Incarnation < e.replacedIncarnation
 }
 
-// checkNewest holds a process that the group has put into service to obeying
-// nothing but the order in flight.
+// checkNewest checks that a process that the group has verified executes only the
+// order in flight.
 func (e *modelEngine) checkNewest(order *engineapi.Order) {
-	committed, found := e.world.group.state.Engine(e.id)
+	committed, found := e.env.group.state.Engine(e.id)
 	if !found || committed.Verified == nil || committed.Incarnation != e.incarnation {
 		return
 	}
 	if committed.Order == nil || committed.Order.Fence != order.Fence {
-		e.world.violate("%s obeys the old order %+v", e.id, order.Fence)
+		e.env.addViolation("%s executes the old order %+v", e.id, order.Fence)
 	}
 }
 
-func (e *modelEngine) end(incarnation uint64, fence engineapi.Fence) {
-	if e.incarnation != incarnation || e.highest != fence || e.phase != engineapi.PhaseChanging {
+func (e *modelEngine) endOrder(incarnation uint64, fence engineapi.Fence) {
+	if e.incarnation != incarnation || e.highestFence != fence || e.phase != engineapi.PhaseChanging {
 		return
 	}
 	e.phase = engineapi.PhaseServing
-	if !e.world.calm && e.world.chance(0.1) {
-		e.failed = true
-		e.world.tally.ordersFailed++
+	if !e.env.faultsEnded && e.env.chance(0.1) {
+		e.orderFailed = true
+		e.env.counts.ordersFailed++
 		return
 	}
 	e.observed = e.target
-	e.world.tally.ordersDone++
+	e.env.counts.ordersDone++
 }
 
-// crash loses what runs; in the middle of a change the engine comes back half
-// done.
+// crash loses the running requests. An engine that crashes during a change comes back
+// with the change half done.
 func (e *modelEngine) crash() {
 	if e.down {
 		return
@@ -156,7 +157,7 @@
 		e.observed = engineapi.Configuration{Role: e.observed.Role}
 	}
 	incarnation := e.incarnation
-	e.world.after(e.world.upTo(15*time.Second), func() {
+	e.env.schedule(e.env.randomDuration(15*time.Second), func() {
 		if e.down && e.incarnation == incarnation {
 			e.restart()
 		}
@@ -165,28 +166,28 @@
 
 func (e *modelEngine) restart() { e.down = false }
 
-// replace puts another machine in the engine's place, which knows of no order.
+// replace replaces the engine by another machine, which has no record of orders.
 func (e *modelEngine) replace() {
 	e.crash()
 	e.incarnation++
-	e.replaced = e.incarnation
-	e.highest = engineapi.Fence{}
-	e.failed = false
+	e.replacedIncarnation = e.incarnation
+	e.highestFence = engineapi.Fence{}
+	e.orderFailed = false
 	e.phase = engineapi.PhaseServing
 	e.observed = engineapi.Configuration{Role: engineapi.RoleMixed, Model: "model", Version: "0"}
-	e.world.tally.enginesReplaced++
-	e.world.after(e.world.upTo(5*time.Second), e.restart)
+	e.env.counts.enginesReplaced++
+	e.env.schedule(e.env.randomDuration(5*time.Second), e.restart)
 }
 
-// serve takes a request that a gateway has sent.
+// serve runs a request from a gateway, or rejects it if the engine does not serve.
 func (e *modelEngine) serve() {
 	if e.down || e.phase != engineapi.PhaseServing {
-		e.world.tally.requestsRefusedByEngine++
+		e.env.counts.requestsRejectedByEngine++
 		return
 	}
 	e.running++
 	incarnation := e.incarnation
-	e.world.after(e.world.upTo(4*time.Second), func() {
+	e.env.schedule(e.env.randomDuration(4*time.Second), func() {
 		if e.incarnation == incarnation && e.running > 0 {
 			e.running--
 		}
--- a/internal/reconcile/world_gateway_test.go
+++ b/internal/reconcile/world_gateway_test.go
@@ -10,36 +10,37 @@
 	"github.com/pierhaven/pierhaven/internal/wire"
 )
 
-// modelGateway runs the gateways' session core with a drifting clock.
+// modelGateway runs the session core of a gateway with a drifting clock.
 type modelGateway struct {
-	world       *world
-	id          string
-	incarnation uint64
-	session     *session.Session
-	rate        float64
-	alive       bool
-	cut         bool
-	pausedUntil time.Duration
-	// config is the highest configuration that was ever in force here.
-	config uint64
-}
-
-func newModelGateway(w *world, number int) *modelGateway {
-	gateway := &modelGateway{world: w, id: fmt.Sprintf("gateway-%d", number)}
+	env          *testEnvironment
+	id           string
+	incarnation  uint64
+	session      *session.Session
+	clockRate    float64
+	alive        bool
+	disconnected bool
+	pausedUntil  time.Duration
+	// highestConfig is the highest configuration revision that the gateway has
+	// used.
+	highestConfig uint64
+}
+
+func newModelGateway(env *testEnvironment, number int) *modelGateway {
+	gateway := &modelGateway{env: env, id: fmt.Sprintf("gateway-%d", number)}
 	gateway.start()
 	return gateway
 }
 
 func (g *modelGateway) start() {
-	w := g.world
-	g.incarnation = w.random.Uint64()
-	g.rate = w.clockRate()
+	env := g.env
+	g.incarnation = env.random.Uint64()
+	g.clockRate = env.clockRate()
 	g.alive = true
 	g.session = session.New(session.Config{
 		GatewayID:   g.id,
 		Incarnation: g.incarnation,
 		Address:     g.id + ":1",
-		Random:      w.random,
+		Random:      env.random,
 	})
 	incarnation := g.incarnation
 	var tick, dispatch func()
@@ -47,29 +48,29 @@
 		if g.incarnation != incarnation || !g.alive {
 			return
 		}
-		if g.runs() {
+		if g.isRunning() {
 			g.tick()
 		}
-		w.after(100*time.Millisecond, tick)
+		env.schedule(100*time.Millisecond, tick)
 	}
 	dispatch = func() {
 		if g.incarnation != incarnation || !g.alive {
 			return
 		}
-		if g.runs() {
+		if g.isRunning() {
 			g.dispatch()
 		}
-		w.after(w.upTo(400*time.Millisecond), dispatch)
+		env.schedule(env.randomDuration(400*time.Millisecond), dispatch)
 	}
-	w.after(w.upTo(time.Second), tick)
-	w.after(w.upTo(time.Second), dispatch)
+	env.schedule(env.randomDuration(time.Second), tick)
+	env.schedule(env.randomDuration(time.Second), dispatch)
 }
 
 func (g *modelGateway) clock() time.Duration {
-	return time.Duration(float64(g.world.now) * g.rate)
+	return time.Duration(float64(g.env.now) * g.clockRate)
 }
 
-func (g *modelGateway) runs() bool { return g.alive && g.world.now >= g.pausedUntil }
+func (g *modelGateway) isRunning() bool { return g.alive && g.env.now >= g.pausedUntil }
 
 func (g *modelGateway) mayDispatch(engineID string) bool {
 	if !g.alive {
@@ -79,8 +80,8 @@
 	return permitted
 }
 
-// couldDispatch reports whether the gateway may dispatch, or may as soon as the
-// engine says that it serves.
+// couldDispatch reports whether the gateway may dispatch to the engine, or may do so
+// as soon as the engine confirms that it serves.
 func (g *modelGateway) couldDispatch(engineID string) bool {
 	if !g.alive {
 		return false
@@ -95,7 +96,7 @@
 	}
 	g.alive = false
 	incarnation := g.incarnation
-	g.world.after(g.world.upTo(30*time.Second), func() {
+	g.env.schedule(g.env.randomDuration(30*time.Second), func() {
 		if !g.alive && g.incarnation == incarnation {
 			g.start()
 		}
@@ -103,38 +104,38 @@
 }
 
 func (g *modelGateway) pause(duration time.Duration) {
-	g.pausedUntil = max(g.pausedUntil, g.world.now+duration)
+	g.pausedUntil = max(g.pausedUntil, g.env.now+duration)
 }
 
-func (g *modelGateway) cutOff(duration time.Duration) {
-	g.cut = true
-	g.world.after(duration, func() { g.cut = false })
+func (g *modelGateway) disconnect(duration time.Duration) {
+	g.disconnected = true
+	g.env.schedule(duration, func() { g.disconnected = false })
 }
 
-func (g *modelGateway) heal() {
-	g.cut = false
+func (g *modelGateway) restore() {
+	g.disconnected = false
 	g.pausedUntil = 0
 	if !g.alive {
 		g.start()
 	}
 }
 
-// dispatch sends a request; between the check and the sending the process may
-// be paused.
+// dispatch sends a request to a random engine. The message delay allows for a pause
+// of the process between the check and the sending.
 func (g *modelGateway) dispatch() {
-	w := g.world
-	engine := w.engines[w.random.IntN(len(w.engines))]
+	env := g.env
+	engine := env.engines[env.random.IntN(len(env.engines))]
 	if !g.mayDispatch(engine.id) {
 		return
 	}
-	if committed, found := w.group.state.Engine(engine.id); found && committed.Order != nil {
-		w.violate("%s may use %s while order %+v is in flight", g.id, engine.id, committed.Order.Fence)
+	if committed, found := env.group.state.Engine(engine.id); found && committed.Order != nil {
+		env.addViolation("%s may use %s while order %+v is in flight", g.id, engine.id, committed.Order.Fence)
 	}
-	w.tally.dispatches++
+	env.counts.dispatches++
 	if g.session.LeaseState(g.clock()) == membership.LeaseIsolated {
-		w.tally.isolatedDispatches++
+		env.counts.isolatedDispatches++
 	}
-	w.after(w.delay(), engine.serve)
+	env.schedule(env.messageDelay(), engine.serve)
 }
 
 func (g *modelGateway) tick() {
@@ -142,74 +143,75 @@
 		g.call(call)
 	}
 	for _, target := range g.session.Asks(g.clock()) {
-		g.ask(target)
+		g.queryEngine(target)
 	}
 	g.checkConfig()
 }
 
-// ask asks an engine whether it serves.
-func (g *modelGateway) ask(target session.Target) {
-	w := g.world
+// queryEngine asks an engine whether it is serving.
+func (g *modelGateway) queryEngine(target session.Target) {
+	env := g.env
 	sentAt, asked := g.clock(), g.session
-	w.after(w.delay(), func() {
-		engine := w.engine(target.ID)
+	env.schedule(env.messageDelay(), func() {
+		engine := env.engine(target.ID)
 		if engine != nil && !engine.down {
 			asked.Told(sentAt, target, engine.phase == engineapi.PhaseServing)
 		}
 	})
 }
 
-// checkConfig holds the configuration in force to never going back.
+// checkConfig checks that the gateway's configuration revision never decreases and
+// is never ahead of the committed one.
 func (g *modelGateway) checkConfig() {
 	revision := g.session.Picture().ConfigRevision()
 	if g.session.ID() == 0 {
 		return
 	}
-	if revision < g.config {
-		g.world.violate("%s went back from configuration %d to %d", g.id, g.config, revision)
+	if revision < g.highestConfig {
+		g.env.addViolation("%s went back from configuration %d to %d", g.id, g.highestConfig, revision)
 	}
-	if committed := g.world.group.state.ConfigRevision(); revision > committed {
-		g.world.violate("%s uses configuration %d, but only %d is committed", g.id, revision, committed)
+	if committed := g.env.group.state.ConfigRevision(); revision > committed {
+		g.env.addViolation("%s uses configuration %d, but only %d is committed", g.id, revision, committed)
 	}
-	g.config = revision
+	g.highestConfig = revision
 }
 
-// call sends a call to the leader, or to a deposed one that still believes.
+// call sends a call to the leader, or to a deposed leader that still acts as one.
 func (g *modelGateway) call(call session.Call) {
-	w := g.world
-	leader := w.group.leader
-	if believers := w.group.believers; len(believers) > 0 && w.chance(0.3) {
-		leader = believers[w.random.IntN(len(believers))]
+	env := g.env
+	leader := env.group.leader
+	if staleLeaders := env.group.staleLeaders; len(staleLeaders) > 0 && env.chance(0.3) {
+		leader = staleLeaders[env.random.IntN(len(staleLeaders))]
 	}
 	if leader.stopped {
-		leader = w.group.leader
+		leader = env.group.leader
 	}
-	if g.cut || w.lost() {
+	if g.disconnected || env.messageLost() {
 		g.fail(call)
 		return
 	}
 	incarnation := g.incarnation
-	finish := func(run func()) { g.finish(incarnation, run) }
-	// A killed gateway's call may still arrive.
-	w.after(w.delay(), func() { g.handle(leader, call, finish) })
+	finish := func(run func()) { g.deliverReply(incarnation, run) }
+	// A call may still arrive after its gateway was killed.
+	env.schedule(env.messageDelay(), func() { g.handle(leader, call, finish) })
 }
 
 func (g *modelGateway) fail(call session.Call) {
-	g.finishLater(g.incarnation, call.Timeout, func() { g.session.Failed(g.clock(), call.Number) })
+	g.runAfter(g.incarnation, call.Timeout, func() { g.session.Failed(g.clock(), call.Number) })
 }
 
-// finish hands over a reply, once the gateway runs.
-func (g *modelGateway) finish(incarnation uint64, run func()) {
-	g.finishLater(incarnation, g.world.delay(), run)
+// deliverReply delivers a reply after a message delay, once the gateway is running.
+func (g *modelGateway) deliverReply(incarnation uint64, run func()) {
+	g.runAfter(incarnation, g.env.messageDelay(), run)
 }
 
-func (g *modelGateway) finishLater(incarnation uint64, delay time.Duration, run func()) {
-	g.world.after(delay, func() {
+func (g *modelGateway) runAfter(incarnation uint64, delay time.Duration, run func()) {
+	g.env.schedule(delay, func() {
 		if g.incarnation != incarnation || !g.alive {
 			return
 		}
-		if !g.runs() {
-			g.finishLater(incarnation, g.pausedUntil-g.world.now+time.Microsecond, run)
+		if !g.isRunning() {
+			g.runAfter(incarnation, g.pausedUntil-g.env.now+time.Microsecond, run)
 			return
 		}
 		run()
@@ -235,10 +237,10 @@
 			finish(func() { g.session.HeartbeatAnswered(g.clock(), call.Number, reply) })
 		})
 	case call.Watch != nil:
-		// Every replica serves watches, a deposed leader too.
-		g.world.after(500*time.Millisecond, func() {
-			view := leader.view().ViewFor(call.Watch)
-			leader.plantConfig(&view)
+		// Every replica serves watches, including a deposed leader.
+		g.env.schedule(500*time.Millisecond, func() {
+			view := leader.visibleState().ViewFor(call.Watch)
+			leader.exposeUncommittedConfig(&view)
 			finish(func() { g.session.WatchAnswered(g.clock(), call.Number, &wire.WatchReply{View: view}) })
 		})
 	}
--- a/internal/reconcile/world_group_test.go
+++ b/internal/reconcile/world_group_test.go
@@ -8,31 +8,32 @@
 	"github.com/pierhaven/pierhaven/internal/zonestate"
 )
 
-// group is the replicated log with its current leader. Deposed leaders go on
-// believing for a while, with the state of the moment they were deposed.
+// group simulates the replicated log with its current leader. Deposed leaders
+// continue to act for a while, on the state at the time they were deposed.
 type group struct {
-	world  *world
-	length uint64
-	state  *zonestate.State
-	leader *modelLeader
-	// believers are the deposed leaders that don't know it.
-	believers []*modelLeader
-	published uint64
+	env       *testEnvironment
+	logLength uint64
+	state     *zonestate.State
+	leader    *modelLeader
+	// staleLeaders holds the deposed leaders. Each acts as a leader until it is
+	// stopped.
+	staleLeaders    []*modelLeader
+	publishedConfig uint64
 }
 
 type modelLeader struct {
 	group *group
 	core  *Core
-	// stale is the state of a deposed leader.
-	stale *zonestate.State
-	rate  float64
-	// underway are proposals that are neither committed nor dropped.
-	underway map[int]Proposal
-	next     int
-	stopped  bool
+	// staleState is the state when the leader was deposed, nil before that.
+	staleState *zonestate.State
+	clockRate  float64
+	// inFlight holds the proposals that are neither committed nor dropped.
+	inFlight     map[int]Proposal
+	nextProposal int
+	stopped      bool
 }
 
-func newGroup(w *world) *group { return &group{world: w, state: zonestate.New()} }
+func newGroup(env *testEnvironment) *group { return &group{env: env, state: zonestate.New()} }
 
 // append commits a command.
 func (g *group) append(command zonestate.Command) zonestate.Result {
@@ -40,64 +41,64 @@
 	if err != nil {
 		panic(err)
 	}
-	g.length++
-	result, err := zonestate.DecodeResult(g.state.Apply(g.length, data))
+	g.logLength++
+	result, err := zonestate.DecodeResult(g.state.Apply(g.logLength, data))
 	if err != nil {
 		panic(err)
 	}
 	return result
 }
 
-// publishConfig commits a configuration in the config group; the zone's leader
-// hears of it later.
+// publishConfig commits a configuration in the config group. The zone's leader pulls
+// it later.
 func (g *group) publishConfig() {
-	g.published++
-	g.offerLater(g.leader)
+	g.publishedConfig++
+	g.offerConfigLater(g.leader)
 }
 
-// offerLater lets a leader pull the newest configuration, if the config group can
-// be reached by then.
-func (g *group) offerLater(leader *modelLeader) {
-	g.world.after(g.world.upTo(20*time.Second), func() {
-		if g.published > 0 {
-			leader.core.OfferConfig(&dynamic.Snapshot{Revision: g.published})
+// offerConfigLater lets a leader pull the newest configuration after a random delay,
+// if one has been published by then.
+func (g *group) offerConfigLater(leader *modelLeader) {
+	g.env.schedule(g.env.randomDuration(20*time.Second), func() {
+		if g.publishedConfig > 0 {
+			leader.core.OfferConfig(&dynamic.Snapshot{Revision: g.publishedConfig})
 		}
 	})
 }
 
-// elect makes a new leader. What the old one has proposed is committed before
-// the new one begins, or never.
+// elect replaces the leader. Each pending proposal of the old leader is either
+// committed before the new one begins or dropped.
 func (g *group) elect() {
-	w := g.world
+	env := g.env
 	if old := g.leader; old != nil {
 		old.depose()
-		g.believers = append(g.believers, old)
-		w.after(w.upTo(40*time.Second), func() { old.stopped = true })
+		g.staleLeaders = append(g.staleLeaders, old)
+		env.schedule(env.randomDuration(40*time.Second), func() { old.stopped = true })
 	}
 	config := Config{
 		Zone:          "zone-a",
 		Generation:    1,
 		Parameters:    zonestate.DefaultParameters([]string{"zone-a", "zone-b"}),
 		MaximumAway:   2,
-		SkipDrainWait: w.plants.skipDrainWait,
+		SkipDrainWait: env.plantedFaults.skipDrainWait,
 	}
 	config.Parameters.Terms = modelTerms()
-	for _, engine := range w.engines {
+	for _, engine := range env.engines {
 		config.Engines = append(config.Engines, Target{ID: engine.id, Address: engine.id})
 	}
 	leader := &modelLeader{
-		group:    g,
-		rate:     w.clockRate(),
-		underway: make(map[int]Proposal),
+		group:     g,
+		clockRate: env.clockRate(),
+		inFlight:  make(map[int]Proposal),
 	}
 	leader.core = New(leader.clock(), config)
-	g.offerLater(leader)
+	g.offerConfigLater(leader)
 	g.leader = leader
 	leader.tick()
 }
 
-// clockRate drifts by up to one per cent.
-func (w *world) clockRate() float64 { return 0.99 + 0.02*w.random.Float64() }
+// clockRate returns the rate of a clock that drifts by at most 1%.
+func (env *testEnvironment) clockRate() float64 { return 0.99 + 0.02*env.random.Float64() }
 
 func (g *group) reasonOf(engineID string) string {
 	for _, status := range g.leader.core.Status(g.leader.clock(), g.state) {
@@ -109,22 +110,22 @@
 }
 
 func (l *modelLeader) clock() time.Duration {
-	return time.Duration(float64(l.group.world.now) * l.rate)
+	return time.Duration(float64(l.group.env.now) * l.clockRate)
 }
 
 func (l *modelLeader) leads() bool { return l.group.leader == l }
 
-func (l *modelLeader) view() *zonestate.State {
-	if l.stale != nil {
-		return l.stale
+func (l *modelLeader) visibleState() *zonestate.State {
+	if l.staleState != nil {
+		return l.staleState
 	}
 	return l.group.state
 }
 
 func (l *modelLeader) depose() {
-	for number := range l.next {
-		proposal, found := l.underway[number]
-		if found && l.group.world.chance(0.5) {
+	for number := range l.nextProposal {
+		proposal, found := l.inFlight[number]
+		if found && l.group.env.chance(0.5) {
 			l.group.append(proposal.Command)
 		}
 	}
@@ -132,8 +133,8 @@
 	if err != nil {
 		panic(err)
 	}
-	l.stale = zonestate.New()
-	if err := l.stale.Restore(data); err != nil {
+	l.staleState = zonestate.New()
+	if err := l.staleState.Restore(data); err != nil {
 		panic(err)
 	}
 }
@@ -142,8 +143,8 @@
 	if l.stopped {
 		return
 	}
-	w := l.group.world
-	outputs := l.core.Tick(l.clock(), w.now.Milliseconds(), l.view())
+	env := l.group.env
+	outputs := l.core.Tick(l.clock(), env.now.Milliseconds(), l.visibleState())
 	for _, proposal := range outputs.Proposals {
 		l.propose(proposal)
 	}
@@ -153,18 +154,18 @@
 	for _, order := range outputs.Orders {
 		l.send(order)
 	}
-	w.after(100*time.Millisecond, l.tick)
+	env.schedule(100*time.Millisecond, l.tick)
 }
 
 func (l *modelLeader) propose(proposal Proposal) {
-	number := l.next
-	l.next++
-	l.underway[number] = proposal
-	l.group.world.after(l.group.world.delay(), func() {
-		if _, found := l.underway[number]; !found {
+	number := l.nextProposal
+	l.nextProposal++
+	l.inFlight[number] = proposal
+	l.group.env.schedule(l.group.env.messageDelay(), func() {
+		if _, found := l.inFlight[number]; !found {
 			return
 		}
-		delete(l.underway, number)
+		delete(l.inFlight, number)
 		if l.leads() {
 			l.group.append(proposal.Command)
 		}
@@ -173,39 +174,39 @@
 }
 
 func (l *modelLeader) poll(poll Poll) {
-	w := l.group.world
+	env := l.group.env
 	sentAt := l.clock()
-	engine := w.engine(poll.ID)
-	if w.lost() {
+	engine := env.engine(poll.ID)
+	if env.messageLost() {
 		return
 	}
-	w.after(w.delay(), func() {
+	env.schedule(env.messageDelay(), func() {
 		if engine.down {
 			l.core.EngineFailed(l.clock(), poll.ID)
 			return
 		}
 		state := engine.report()
-		w.after(w.delay(), func() { l.core.EngineAnswered(sentAt, l.clock(), poll.ID, &state) })
+		env.schedule(env.messageDelay(), func() { l.core.EngineAnswered(sentAt, l.clock(), poll.ID, &state) })
 	})
 }
 
 func (l *modelLeader) send(call OrderCall) {
-	w := l.group.world
+	env := l.group.env
 	sentAt := l.clock()
-	engine := w.engine(call.Order.EngineID)
-	if w.lost() {
+	engine := env.engine(call.Order.EngineID)
+	if env.messageLost() {
 		return
 	}
-	w.after(w.delay(), func() {
+	env.schedule(env.messageDelay(), func() {
 		if engine.down {
 			return
 		}
-		reply := engine.obey(&call.Order)
-		w.after(w.delay(), func() { l.core.OrderAnswered(sentAt, l.clock(), &call.Order, &reply) })
+		reply := engine.executeOrder(&call.Order)
+		env.schedule(env.messageDelay(), func() { l.core.OrderAnswered(sentAt, l.clock(), &call.Order, &reply) })
 	})
 }
 
-// open handles a gateway's open call.
+// open handles a gateway's request to open a session.
 func (l *modelLeader) open(request *wire.OpenSessionRequest) *wire.OpenSessionReply {
 	if !l.leads() || !l.group.state.Founded() {
 		return nil
@@ -228,41 +229,40 @@
 		return nil
 	}
 	if hadSession && earlier.ID != result.SessionID {
-		l.group.world.tally.sessionsSuperseded++
+		l.group.env.counts.sessionsSuperseded++
 	}
 	l.core.Opened(receivedAt, result.SessionID)
 	session, _ := l.group.state.Sessions().Get(result.SessionID)
 	view := l.group.state.ViewFor(&wire.WatchRequest{SessionID: result.SessionID})
-	l.plantConfig(&view)
+	l.exposeUncommittedConfig(&view)
 	return &wire.OpenSessionReply{SessionID: result.SessionID, View: view, Terms: wire.Terms(session.Terms)}
 }
 
-// heartbeat handles a heartbeat. The read barrier takes a while, in which the
-// leader may be deposed.
+// heartbeat handles a heartbeat. The leader may be deposed during the read barrier.
 func (l *modelLeader) heartbeat(request *wire.HeartbeatRequest, answer func(*wire.HeartbeatReply)) {
-	w := l.group.world
-	l.core.Heard(l.clock(), request, l.view())
-	w.after(w.delay(), func() {
-		if !l.leads() && !w.plants.skipReadBarrier {
+	env := l.group.env
+	l.core.Heard(l.clock(), request, l.visibleState())
+	env.schedule(env.messageDelay(), func() {
+		if !l.leads() && !env.plantedFaults.skipReadBarrier {
 			answer(nil)
 			return
 		}
-		reply := l.core.AnswerHeartbeat(request, l.view())
-		if w.plants.renewWithoutView {
+		reply := l.core.AnswerHeartbeat(request, l.visibleState())
+		if env.plantedFaults.renewWithoutView {
 			reply.View, reply.Revision = nil, 0
 		}
 		if reply.View != nil {
-			l.plantConfig(reply.View)
+			l.exposeUncommittedConfig(reply.View)
 		}
 		answer(&reply)
 	})
 }
 
-// plantConfig is the planted fault of a configuration that is served before it
-// is committed.
-func (l *modelLeader) plantConfig(view *wire.View) {
-	offered := l.core.offered
-	if l.group.world.plants.uncommittedConfig && offered != nil {
+// exposeUncommittedConfig implements the planted fault uncommittedConfig: the offered
+// configuration is served before it is committed.
+func (l *modelLeader) exposeUncommittedConfig(view *wire.View) {
+	offered := l.core.offeredConfig
+	if l.group.env.plantedFaults.uncommittedConfig && offered != nil {
 		view.Config = offered
 		view.ConfigRevision = offered.Revision
 	}
--- a/internal/reconcile/world_test.go
+++ b/internal/reconcile/world_test.go
@@ -11,21 +11,22 @@
 	"github.com/pierhaven/pierhaven/internal/zonestate"
 )
 
-// plants are faults that a test switches on to see that they are caught.
-type plants struct {
+// plantedFaults selects faults in the code or the model that the checks must detect.
+type plantedFaults struct {
 	// skipDrainWait issues orders without waiting for gateways.
 	skipDrainWait bool
-	// ignoreFence makes engines obey any order.
+	// ignoreFence makes engines execute orders regardless of their fencing token.
 	ignoreFence bool
 	// skipReadBarrier lets a deposed leader answer heartbeats.
 	skipReadBarrier bool
-	// renewWithoutView renews leases of gateways that have an old view.
+	// renewWithoutView renews the leases of gateways with an old view without
+	// sending them the new one.
 	renewWithoutView bool
 	// uncommittedConfig serves configurations before they are committed.
 	uncommittedConfig bool
 }
 
-// event is something that happens at a moment of virtual time.
+// event is a function to run at a point in virtual time.
 type event struct {
 	at       time.Duration
 	sequence int
@@ -50,43 +51,43 @@
 	return last
 }
 
-// world is a zone in virtual time: a replicated log, its leaders, engines and
-// gateways, and faults.
-type world struct {
-	random     *rand.Rand
-	plants     plants
-	now        time.Duration
-	queue      eventQueue
-	sequence   int
-	violations []string
+// testEnvironment simulates a zone in virtual time: a replicated log, its leaders,
+// engines and gateways, and random faults.
+type testEnvironment struct {
+	random        *rand.Rand
+	plantedFaults plantedFaults
+	now           time.Duration
+	queue         eventQueue
+	sequence      int
+	violations    []string
 
-	group    *group
-	engines  []*modelEngine
-	gateways []*modelGateway
-	calm     bool
-	tally    tally
+	group       *group
+	engines     []*modelEngine
+	gateways    []*modelGateway
+	faultsEnded bool
+	counts      eventCounts
 }
 
-// tally counts what happened, to show that the interesting cases do.
-type tally struct {
-	ordersDone              int
-	ordersFailed            int
-	staleOrdersRefused      int
-	dispatches              int
-	isolatedDispatches      int
-	sessionsSuperseded      int
-	requestsRefusedByEngine int
-	enginesReplaced         int
+// eventCounts counts events, to check that the cases of interest occur.
+type eventCounts struct {
+	ordersDone               int
+	ordersFailed             int
+	staleOrdersRejected      int
+	dispatches               int
+	isolatedDispatches       int
+	sessionsSuperseded       int
+	requestsRejectedByEngine int
+	enginesReplaced          int
 }
 
-func (t *tally) add(other tally) {
+func (t *eventCounts) add(other eventCounts) {
 	t.ordersDone += other.ordersDone
 	t.ordersFailed += other.ordersFailed
-	t.staleOrdersRefused += other.staleOrdersRefused
+	t.staleOrdersRejected += other.staleOrdersRejected
 	t.dispatches += other.dispatches
 	t.isolatedDispatches += other.isolatedDispatches
 	t.sessionsSuperseded += other.sessionsSuperseded
-	t.requestsRefusedByEngine += other.requestsRefusedByEngine
+	t.requestsRejectedByEngine += other.requestsRejectedByEngine
 	t.enginesReplaced += other.enginesReplaced
 }
 
@@ -94,169 +95,173 @@
 	modelEngines  = 5
 	modelGateways = 3
 	faultTime     = 4 * time.Minute
-	// calmTime is longer than the isolation time with its margin.
-	calmTime = 3 * time.Minute
+	// recoveryTime is longer than the isolation time with its margin.
+	recoveryTime = 3 * time.Minute
 )
 
 func modelTerms() membership.Terms {
 	return membership.Terms{HeartbeatMillis: 1000, LeaseMillis: 4000, IsolationMillis: 60_000}
 }
 
-func newWorld(seed uint64, planted plants) *world {
-	w := &world{random: rand.New(rand.NewPCG(seed, 1)), plants: planted}
-	w.group = newGroup(w)
+func newTestEnvironment(seed uint64, faults plantedFaults) *testEnvironment {
+	env := &testEnvironment{random: rand.New(rand.NewPCG(seed, 1)), plantedFaults: faults}
+	env.group = newGroup(env)
 	for i := range modelEngines {
-		w.engines = append(w.engines, newModelEngine(w, i))
+		env.engines = append(env.engines, newModelEngine(env, i))
 	}
 	for i := range modelGateways {
-		w.gateways = append(w.gateways, newModelGateway(w, i))
+		env.gateways = append(env.gateways, newModelGateway(env, i))
 	}
-	return w
+	return env
 }
 
-// run lets faults happen for a time, then heals everything and lets the zone
-// settle.
-func (w *world) run() []string {
-	w.group.elect()
-	w.every(0, 2*time.Second, w.injectFault)
-	w.every(3*time.Second, 4*time.Second, w.wishSomething)
-	w.runUntil(faultTime)
-	w.heal()
-	w.runUntil(faultTime + calmTime)
-	w.checkSettled()
-	return w.violations
+// run injects faults for faultTime, then ends all faults and checks after
+// recoveryTime that the zone has settled. It returns the violations.
+func (env *testEnvironment) run() []string {
+	env.group.elect()
+	env.every(0, 2*time.Second, env.injectFault)
+	env.every(3*time.Second, 4*time.Second, env.setRandomDesired)
+	env.runUntil(faultTime)
+	env.endFaults()
+	env.runUntil(faultTime + recoveryTime)
+	env.checkSettled()
+	return env.violations
 }
 
-func (w *world) runUntil(end time.Duration) {
-	for len(w.queue) > 0 && w.queue[0].at <= end && len(w.violations) == 0 {
-		next := heap.Pop(&w.queue).(event)
-		w.now = next.at
+func (env *testEnvironment) runUntil(end time.Duration) {
+	for len(env.queue) > 0 && env.queue[0].at <= end && len(env.violations) == 0 {
+		next := heap.Pop(&env.queue).(event)
+		env.now = next.at
 		next.run()
 	}
-	w.now = end
+	env.now = end
 }
 
-func (w *world) after(delay time.Duration, run func()) {
-	w.sequence++
-	heap.Push(&w.queue, event{at: w.now + delay, sequence: w.sequence, run: run})
+func (env *testEnvironment) schedule(delay time.Duration, run func()) {
+	env.sequence++
+	heap.Push(&env.queue, event{at: env.now + delay, sequence: env.sequence, run: run})
 }
 
-// every runs something at random intervals around period.
-func (w *world) every(first, period time.Duration, run func()) {
+// every calls run at random intervals of up to twice the period.
+func (env *testEnvironment) every(first, period time.Duration, run func()) {
 	var again func()
 	again = func() {
 		run()
-		w.after(w.upTo(2*period), again)
+		env.schedule(env.randomDuration(2*period), again)
 	}
-	w.after(first, again)
+	env.schedule(first, again)
 }
 
-func (w *world) upTo(limit time.Duration) time.Duration {
-	return time.Duration(w.random.Int64N(int64(limit))) + time.Microsecond
+func (env *testEnvironment) randomDuration(limit time.Duration) time.Duration {
+	return time.Duration(env.random.Int64N(int64(limit))) + time.Microsecond
 }
 
-func (w *world) chance(probability float64) bool { return w.random.Float64() < probability }
+func (env *testEnvironment) chance(probability float64) bool {
+	return env.random.Float64() < probability
+}
 
-// delay is a message's: mostly milliseconds, now and then seconds.
-func (w *world) delay() time.Duration {
-	if !w.calm && w.chance(0.03) {
-		return w.upTo(8 * time.Second)
+// messageDelay returns a random message delay: up to 5 ms, or up to 8 s for 3% of the
+// messages while faults last.
+func (env *testEnvironment) messageDelay() time.Duration {
+	if !env.faultsEnded && env.chance(0.03) {
+		return env.randomDuration(8 * time.Second)
 	}
-	return w.upTo(5 * time.Millisecond)
+	return env.randomDuration(5 * time.Millisecond)
 }
 
-// lost reports whether a message gets lost.
-func (w *world) lost() bool { return !w.calm && w.chance(0.03) }
+// messageLost reports whether a message is lost, at random.
+func (env *testEnvironment) messageLost() bool { return !env.faultsEnded && env.chance(0.03) }
 
-func (w *world) violate(format string, values ...any) {
-	w.violations = append(w.violations, fmt.Sprintf("%v: ", w.now)+fmt.Sprintf(format, values...))
+func (env *testEnvironment) addViolation(format string, values ...any) {
+	env.violations = append(env.violations, fmt.Sprintf("%v: ", env.now)+fmt.Sprintf(format, values...))
 }
 
-func (w *world) injectFault() {
-	if w.calm {
+func (env *testEnvironment) injectFault() {
+	if env.faultsEnded {
 		return
 	}
-	switch w.random.IntN(9) {
+	switch env.random.IntN(9) {
 	case 0:
-		w.group.elect()
+		env.group.elect()
 	case 1, 2:
-		w.engines[w.random.IntN(len(w.engines))].crash()
+		env.engines[env.random.IntN(len(env.engines))].crash()
 	case 3:
-		w.gateways[w.random.IntN(len(w.gateways))].kill()
+		env.gateways[env.random.IntN(len(env.gateways))].kill()
 	case 4:
-		w.gateways[w.random.IntN(len(w.gateways))].pause(w.upTo(20 * time.Second))
+		env.gateways[env.random.IntN(len(env.gateways))].pause(env.randomDuration(20 * time.Second))
 	case 5:
-		w.gateways[w.random.IntN(len(w.gateways))].cutOff(w.upTo(90 * time.Second))
+		env.gateways[env.random.IntN(len(env.gateways))].disconnect(env.randomDuration(90 * time.Second))
 	case 6:
-		w.group.publishConfig()
+		env.group.publishConfig()
 	case 7:
-		w.operate()
+		env.drainOrUndrain()
 	case 8:
-		w.engines[w.random.IntN(len(w.engines))].replace()
+		env.engines[env.random.IntN(len(env.engines))].replace()
 	}
 }
 
-// operate drains or undrains an engine as an operator.
-func (w *world) operate() {
+// drainOrUndrain drains or undrains a random engine, as an operator does.
+func (env *testEnvironment) drainOrUndrain() {
 	kind := zonestate.KindDrainEngine
-	if w.chance(0.6) {
+	if env.chance(0.6) {
 		kind = zonestate.KindUndrainEngine
 	}
-	w.group.append(zonestate.Command{
+	env.group.append(zonestate.Command{
 		Kind:      kind,
-		RequestID: fmt.Sprintf("request-%d", w.random.Uint64()),
-		Engine:    &zonestate.EngineCommand{ID: w.engines[w.random.IntN(len(w.engines))].id},
+		RequestID: fmt.Sprintf("request-%d", env.random.Uint64()),
+		Engine:    &zonestate.EngineCommand{ID: env.engines[env.random.IntN(len(env.engines))].id},
 	})
 }
 
-// wishSomething is the planner.
-func (w *world) wishSomething() {
-	if w.calm {
+// setRandomDesired sets a random desired configuration, in place of the planner.
+func (env *testEnvironment) setRandomDesired() {
+	if env.faultsEnded {
 		return
 	}
 	roles := []engineapi.Role{engineapi.RolePrefill, engineapi.RoleDecode, engineapi.RoleMixed}
-	w.group.append(zonestate.Command{
+	env.group.append(zonestate.Command{
 		Kind: zonestate.KindSetDesired,
 		Desired: []zonestate.DesiredEntry{{
-			EngineID: w.engines[w.random.IntN(len(w.engines))].id,
+			EngineID: env.engines[env.random.IntN(len(env.engines))].id,
 			Target: engineapi.Configuration{
-				Role:    roles[w.random.IntN(len(roles))],
+				Role:    roles[env.random.IntN(len(roles))],
 				Model:   "model",
-				Version: fmt.Sprint(w.random.IntN(3)),
+				Version: fmt.Sprint(env.random.IntN(3)),
 			},
 		}},
 	})
 }
 
-func (w *world) heal() {
-	w.calm = true
-	for _, gateway := range w.gateways {
-		gateway.heal()
+func (env *testEnvironment) endFaults() {
+	env.faultsEnded = true
+	for _, gateway := range env.gateways {
+		gateway.restore()
 	}
-	for _, engine := range w.engines {
+	for _, engine := range env.engines {
 		if engine.down {
 			engine.restart()
 		}
-		w.group.append(zonestate.Command{
+		env.group.append(zonestate.Command{
 			Kind:   zonestate.KindUndrainEngine,
 			Engine: &zonestate.EngineCommand{ID: engine.id},
 		})
 	}
 }
 
-// checkSettled holds the zone to having reached all wishes once faults ended.
-func (w *world) checkSettled() {
-	if len(w.violations) > 0 {
+// checkSettled checks that every engine has reached its desired configuration and is
+// in service, and that gateways have the newest configuration, after faults ended.
+func (env *testEnvironment) checkSettled() {
+	if len(env.violations) > 0 {
 		return
 	}
-	for _, engine := range w.group.state.Engines() {
+	for _, engine := range env.group.state.Engines() {
 		if engine.Order != nil || engine.NeedsChange() || !engine.Dispatchable() {
-			w.violate("%s has not settled: %+v, reason %q", engine.ID, *engine, w.group.reasonOf(engine.ID))
+			env.addViolation("%s has not settled: %+v, reason %q", engine.ID, *engine, env.group.reasonOf(engine.ID))
 		}
 	}
-	for _, gateway := range w.gateways {
-		if revision := gateway.session.Picture().ConfigRevision(); revision != w.group.published {
-			w.violate("%s has configuration %d, want %d", gateway.id, revision, w.group.published)
+	for _, gateway := range env.gateways {
+		if revision := gateway.session.Picture().ConfigRevision(); revision != env.group.publishedConfig {
+			env.addViolation("%s has configuration %d, want %d", gateway.id, revision, env.group.publishedConfig)
 		}
 	}
 }
