--- a/bench/experiment/capacity.go
+++ b/bench/experiment/capacity.go
@@ -20,8 +20,8 @@
 	}
 }
 
-func (d Deployment) goals() planner.Goals {
-	return planner.Goals{
+func (d Deployment) goals() planner.Objectives {
+	return planner.Objectives{
 		FirstToken:    (d.Objectives.FirstToken - 2*d.ClientLatency).Seconds(),
 		BetweenTokens: d.Objectives.BetweenTokens.Seconds(),
 	}
--- a/bench/experiment/chooser.go
+++ b/bench/experiment/chooser.go
@@ -9,7 +9,7 @@
 
 // chooser picks engines for a request.
 type chooser interface {
-	choose(now time.Duration, request routing.Request) (routing.Choice, routing.Miss)
+	choose(now time.Duration, request routing.Request) (routing.Choice, routing.NoEngineReason)
 }
 
 func newChooser(kind ChooserKind, router *routing.Router) chooser {
@@ -24,7 +24,7 @@
 	router *routing.Router
 }
 
-func (c productChooser) choose(now time.Duration, request routing.Request) (routing.Choice, routing.Miss) {
+func (c productChooser) choose(now time.Duration, request routing.Request) (routing.Choice, routing.NoEngineReason) {
 	return c.router.Select(now, request)
 }
 
@@ -35,7 +35,7 @@
 	reads, writes int
 }
 
-func (c *roundRobin) choose(_ time.Duration, request routing.Request) (routing.Choice, routing.Miss) {
+func (c *roundRobin) choose(_ time.Duration, request routing.Request) (routing.Choice, routing.NoEngineReason) {
 	var readers, writers []routing.Engine
 	for _, engine := range c.router.Engines() {
 		if !engine.Dispatchable {
@@ -49,21 +49,21 @@
 		}
 	}
 	if len(writers) == 0 || (len(readers) == 0 && !request.Prefilled) {
-		return routing.Choice{}, routing.MissNotDispatchable
+		return routing.Choice{}, routing.NoEngineDispatchable
 	}
 	if request.Prefilled {
 		c.writes++
-		return routing.Choice{Serving: writers[c.writes%len(writers)]}, routing.MissNone
+		return routing.Choice{Serving: writers[c.writes%len(writers)]}, routing.EngineFound
 	}
 	c.reads++
 	reader := readers[c.reads%len(readers)]
 	if reader.Role == engineapi.RoleMixed {
-		return routing.Choice{Serving: reader, NewTokens: request.PromptTokens}, routing.MissNone
+		return routing.Choice{Serving: reader, NewTokens: request.PromptTokens}, routing.EngineFound
 	}
 	c.writes++
 	return routing.Choice{
 		Serving:   writers[c.writes%len(writers)],
 		Prefill:   &reader,
 		NewTokens: request.PromptTokens,
-	}, routing.MissNone
+	}, routing.EngineFound
 }
--- a/bench/experiment/gateway.go
+++ b/bench/experiment/gateway.go
@@ -24,7 +24,7 @@
 	// reviewAt is the time of the review that is scheduled, 0 for none.
 	reviewAt time.Duration
 	demand   demandCounter
-	lengths  *admission.AnswerLengths
+	lengths  *admission.AnswerLengthEstimator
 	pumping  bool
 }
 
@@ -49,7 +49,7 @@
 		router:  router,
 		chooser: newChooser(w.setup.Chooser, router),
 		queue:   admission.NewQueue(w.setup.Admission),
-		lengths: admission.NewAnswerLengths(),
+		lengths: admission.NewAnswerLengthEstimator(),
 		retrier: retry.New(w.setup.Retry, w.random),
 	}
 }
@@ -84,14 +84,14 @@
 	tenant := g.world.deployment.Tenants[arrived.request.Tenant]
 	deadline := arrived.arrivedAt + g.world.deployment.Objectives.FirstToken - 2*g.world.deployment.ClientLatency
 	item := &admission.Item{
-		ID:       strconv.Itoa(arrived.request.ID),
-		Tenant:   tenant.Name,
-		Weight:   tenant.Weight,
-		Priority: g.world.setup.priority(tenant),
-		Rank:     -deadline.Seconds(),
-		Cost:     float64(arrived.request.PromptTokens + arrived.request.OutputTokens),
-		Since:    arrived.arrivedAt,
-		Value:    arrived,
+		ID:              strconv.Itoa(arrived.request.ID),
+		Tenant:          tenant.Name,
+		Weight:          tenant.Weight,
+		Priority:        g.world.setup.priority(tenant),
+		Rank:            -deadline.Seconds(),
+		Cost:            float64(arrived.request.PromptTokens + arrived.request.OutputTokens),
+		FirstReceivedAt: arrived.arrivedAt,
+		Value:           arrived,
 	}
 	if g.world.setup.EarlyRefusal {
 		item.Deadline = deadline
@@ -149,7 +149,7 @@
 // tryDispatch dispatches unless the engines have no room.
 func (g *gateway) tryDispatch(waiting *call) bool {
 	choice, miss := g.chooser.choose(g.world.now, g.route(waiting))
-	if miss != routing.MissNone || choice.Saturated {
+	if miss != routing.EngineFound || choice.Saturated {
 		return false
 	}
 	g.dispatch(waiting, choice)
@@ -159,7 +159,7 @@
 // dispatchNow dispatches however full the engines are.
 func (g *gateway) dispatchNow(waiting *call) bool {
 	choice, miss := g.chooser.choose(g.world.now, g.route(waiting))
-	if miss != routing.MissNone {
+	if miss != routing.EngineFound {
 		return false
 	}
 	g.dispatch(waiting, choice)
@@ -176,7 +176,7 @@
 		sent.prefillID = sent.attemptID + "p"
 		sent.prefillAt = g.world.engine(choice.Prefill.ID)
 	}
-	g.router.Started(now, choice, g.route(sent), sent.attemptID, sent.prefillID)
+	g.router.ChoiceDispatched(now, choice, g.route(sent), sent.attemptID, sent.prefillID)
 	if sent.prefillAt != nil {
 		sent.prefillAt.submit(core.ModePrefill, g.generateRequest(sent, sent.prefillID, nil), sent.prompt(), &stream{gateway: g, call: sent})
 		return
--- a/bench/experiment/migrate.go
+++ b/bench/experiment/migrate.go
@@ -14,7 +14,7 @@
 	request.Prefilled = true
 	request.Exclude = append(request.Exclude, from.id)
 	choice, miss := g.chooser.choose(g.world.now, request)
-	if miss != routing.MissNone {
+	if miss != routing.EngineFound {
 		return
 	}
 	kv := from.exportStream(attemptID)
@@ -22,10 +22,10 @@
 		return
 	}
 	now := g.world.now
-	g.router.Ended(now, from.id, attemptID, routing.OutcomeCancelled)
+	g.router.AttemptEnded(now, from.id, attemptID, routing.OutcomeCancelled)
 	sent.attemptID, sent.prefillID = sent.nextMove(), ""
 	sent.servingAt, sent.prefillAt = g.world.engine(choice.Serving.ID), nil
-	g.router.StartedAt(now, choice.Serving.ID, sent.attemptID, 0, request.PromptTokens+request.OutputTokens)
+	g.router.AttemptStarted(now, choice.Serving.ID, sent.attemptID, 0, request.PromptTokens+request.OutputTokens)
 	sent.servingAt.submit(core.ModeGenerate, g.generateRequest(sent, sent.attemptID, kv), sent.prompt(), s)
 	g.world.result.Migrations++
 }
--- a/bench/experiment/setup.go
+++ b/bench/experiment/setup.go
@@ -95,7 +95,7 @@
 
 func leastLoadedSetup(splits []planner.Split) Setup {
 	setup := balancer("least-loaded", splits)
-	setup.Routing.Choices = 0
+	setup.Routing.SampleSize = 0
 	setup.Routing.Weights = routing.Weights{Queue: 1}
 	return setup
 }
--- a/bench/experiment/stream.go
+++ b/bench/experiment/stream.go
@@ -22,8 +22,8 @@
 func (s *stream) prefilled(attemptID string, kv engineapi.KVSource) {
 	g, sent := s.gateway, s.call
 	now := g.world.now
-	g.router.FirstToken(now, sent.prefillAt.id, attemptID)
-	g.router.Ended(now, sent.prefillAt.id, attemptID, routing.OutcomeAnswered)
+	g.router.AttemptFirstToken(now, sent.prefillAt.id, attemptID)
+	g.router.AttemptEnded(now, sent.prefillAt.id, attemptID, routing.OutcomeSucceeded)
 	if !s.current(attemptID) {
 		return
 	}
@@ -37,13 +37,13 @@
 	request := g.route(sent)
 	request.Prefilled = true
 	choice, miss := g.chooser.choose(g.world.now, request)
-	if miss != routing.MissNone || choice.Serving.ID == sent.servingAt.id {
+	if miss != routing.EngineFound || choice.Serving.ID == sent.servingAt.id {
 		return
 	}
 	now := g.world.now
-	g.router.Ended(now, sent.servingAt.id, sent.attemptID, routing.OutcomeCancelled)
+	g.router.AttemptEnded(now, sent.servingAt.id, sent.attemptID, routing.OutcomeCancelled)
 	sent.servingAt = g.world.engine(choice.Serving.ID)
-	g.router.StartedAt(now, choice.Serving.ID, sent.attemptID, 0, request.PromptTokens+request.OutputTokens)
+	g.router.AttemptStarted(now, choice.Serving.ID, sent.attemptID, 0, request.PromptTokens+request.OutputTokens)
 }
 
 // pieces relays tokens to the caller.
@@ -55,7 +55,7 @@
 	now := s.gateway.world.now
 	if sent.offset == 0 {
 		sent.outcome.FirstToken = now + s.gateway.world.deployment.ClientLatency - sent.request.At
-		s.gateway.retrier.FirstTokenTook(now - sent.startedAt)
+		s.gateway.retrier.ObserveFirstToken(now - sent.startedAt)
 	} else {
 		sent.outcome.Gaps += count
 		sent.outcome.GapSum += now - sent.lastTokenAt
@@ -63,7 +63,7 @@
 			sent.outcome.LateGaps += count
 		}
 	}
-	s.gateway.router.FirstToken(now, sent.servingAt.id, attemptID)
+	s.gateway.router.AttemptFirstToken(now, sent.servingAt.id, attemptID)
 	sent.lastTokenAt = now
 	sent.offset = offset + count
 	sent.outcome.Output = sent.offset
@@ -72,11 +72,11 @@
 // ended delivers the whole answer.
 func (s *stream) ended(attemptID string) {
 	sent, g := s.call, s.gateway
-	g.router.Ended(g.world.now, sent.servingAt.id, attemptID, routing.OutcomeAnswered)
+	g.router.AttemptEnded(g.world.now, sent.servingAt.id, attemptID, routing.OutcomeSucceeded)
 	if s.current(attemptID) {
 		sent.done = true
 		sent.outcome.Ended = true
-		g.lengths.Answered(sent.request.OutputTokens, sent.offset)
+		g.lengths.Observe(sent.request.OutputTokens, sent.offset)
 		if !sent.outcome.Good(g.world.deployment.Objectives) {
 			g.demand.missed++
 		}
@@ -102,9 +102,9 @@
 	at := sent.servingAt
 	if attemptID == sent.prefillID {
 		at = sent.prefillAt
-		g.router.Ended(g.world.now, sent.servingAt.id, sent.attemptID, routing.OutcomeCancelled)
+		g.router.AttemptEnded(g.world.now, sent.servingAt.id, sent.attemptID, routing.OutcomeCancelled)
 	}
-	g.router.Ended(g.world.now, at.id, attemptID, outcome)
+	g.router.AttemptEnded(g.world.now, at.id, attemptID, outcome)
 	if !notRun {
 		sent.outcome.Wasted += sent.request.PromptTokens
 	}
@@ -115,7 +115,7 @@
 
 // retryLater asks the retrier and starts the next attempt.
 func (g *gateway) retryLater(sent *call, notRun bool) {
-	verdict, wait := g.retrier.Failed(g.world.now, retry.Failure{
+	verdict, wait := g.retrier.Decide(g.world.now, retry.Failure{
 		Attempts:   sent.attempts,
 		NotRun:     notRun,
 		Repeatable: true,
--- a/bench/simulation/modelattempt.go
+++ b/bench/simulation/modelattempt.go
@@ -24,7 +24,7 @@
 	call.prefilled = func(reply engineapi.PrefillReply) {
 		r.noteFirstToken(current)
 		call.closed = true
-		g.scheduler.AttemptEnded(current.engine.ID, current.id, routing.OutcomeAnswered)
+		g.scheduler.AttemptEnded(current.engine.ID, current.id, routing.OutcomeSucceeded)
 		r.input(func() []request.Output {
 			return r.machine.PrefillDone(g.now(), reply.AttemptID, reply.Version, reply.KV)
 		})
@@ -70,7 +70,7 @@
 	case engineapi.EventEnd:
 		if event.AttemptID == current.id {
 			current.call.closed = true
-			g.scheduler.AttemptEnded(current.engine.ID, current.id, routing.OutcomeAnswered)
+			g.scheduler.AttemptEnded(current.engine.ID, current.id, routing.OutcomeSucceeded)
 		}
 		r.input(func() []request.Output {
 			return r.machine.End(g.now(), event.AttemptID, event.TotalTokens, event.Finish, event.PromptTokens, event.CachedTokens)
--- a/bench/simulation/oncerun.go
+++ b/bench/simulation/oncerun.go
@@ -73,7 +73,7 @@
 		case request.SendClaim:
 			o.claim()
 		case request.DispatchOnce:
-			o.dispatch(asked.By)
+			o.dispatch(asked.Deadline)
 		case request.AnswerOnce:
 			o.answer(onceAnswer{body: asked.Body})
 		case request.RefuseOnce:
--- a/internal/activeset/planner.go
+++ b/internal/activeset/planner.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// DefaultLeast is the minimum number of active replicas of a service and region, whatever the load is. A
+// DefaultMinimumActive is the minimum number of active replicas of a service and region, whatever the load is. A
 // process can query, score and be connected to that many at any time: a list of them takes 30 KB.
-const DefaultLeast = 256
+const DefaultMinimumActive = 256
 
 const (
 	// readingTarget is the target utilisation of prefill replicas, and occupancyTarget the target share of
@@ -47,16 +47,16 @@
 
 // Change lists the ids of the replicas to activate and of those to send to standby.
 type Change struct {
-	Activate, Rest []string
+	Activate, Deactivate []string
 }
 
 // Empty reports whether the change contains no replicas.
-func (c *Change) Empty() bool { return len(c.Activate)+len(c.Rest) == 0 }
+func (c *Change) Empty() bool { return len(c.Activate)+len(c.Deactivate) == 0 }
 
-// Planner plans the active replicas of all services. Least is the minimum number of active replicas of a
-// service and region: DefaultLeast or the configured value.
+// Planner plans the active replicas of all services. MinimumActive is the minimum number of active replicas of a
+// service and region: DefaultMinimumActive or the configured value.
 type Planner struct {
-	Least int
+	MinimumActive int
 
 	lastStep time.Duration
 	// peaks are the decaying peaks of recent demand; firstReportedAt is when a group's demand was first
@@ -120,24 +120,24 @@
 	}
 	members.sort()
 	for range int(math.Ceil(deactivationShare * float64(members.activeCount-wanted))) {
-		change.Rest = append(change.Rest, members.deactivateLast())
+		change.Deactivate = append(change.Deactivate, members.deactivateLast())
 	}
 }
 
 // wanted returns the number of replicas of a pool that should be active.
 func (p *Planner) wanted(key poolKey, total int, members *poolMembers) int {
-	if total <= p.Least {
+	if total <= p.MinimumActive {
 		return total
 	}
 	demand := p.peaks[key.group]
 	slots := float64(max(members.maximumSlots, 1))
 	switch key.role {
-	case Reader:
-		return max(p.Least/2, int(math.Ceil(demand.Reading/readingTarget)))
-	case Generator:
-		return max(p.Least/2, int(math.Ceil(demand.Generating/(slots*occupancyTarget))))
+	case Prefill:
+		return max(p.MinimumActive/2, int(math.Ceil(demand.Reading/readingTarget)))
+	case Decode:
+		return max(p.MinimumActive/2, int(math.Ceil(demand.Generating/(slots*occupancyTarget))))
 	default:
-		return max(p.Least, int(math.Ceil(demand.Running/(slots*occupancyTarget))))
+		return max(p.MinimumActive, int(math.Ceil(demand.Running/(slots*occupancyTarget))))
 	}
 }
 
--- a/internal/activeset/planner_test.go
+++ b/internal/activeset/planner_test.go
@@ -16,13 +16,13 @@
 func fleetOf(count, zones int) []Replica {
 	replicas := make([]Replica, count)
 	for index := range replicas {
-		role := Generator
+		role := Decode
 		if index%5 < 2 {
-			role = Reader
+			role = Prefill
 		}
 		replicas[index] = Replica{
 			ID: fmt.Sprintf("i-%05d", index), Group: model, Zone: fmt.Sprintf("z%d", index/5%zones),
-			Role: role, Slots: 64, Sound: true,
+			Role: role, Slots: 64, Eligible: true,
 		}
 	}
 	return replicas
@@ -35,14 +35,14 @@
 		active[id] = true
 	}
 	resting := map[string]bool{}
-	for _, id := range change.Rest {
+	for _, id := range change.Deactivate {
 		resting[id] = true
 	}
 	roles, zones = map[Role]int{}, map[string]int{}
 	for index := range replicas {
 		replica := &replicas[index]
 		replica.Active = (replica.Active || active[replica.ID]) && !resting[replica.ID]
-		if replica.Active && replica.Sound {
+		if replica.Active && replica.Eligible {
 			roles[replica.Role]++
 			zones[replica.Zone]++
 		}
@@ -57,11 +57,11 @@
 	demand := map[Group]Demand{model: {Reading: 20, Generating: 60}}
 	for _, size := range []int{1_000, 3_000, 10_000} {
 		replicas := fleetOf(size, 5)
-		planner := &Planner{Least: DefaultLeast}
+		planner := &Planner{MinimumActive: DefaultMinimumActive}
 		roles, zones := apply(replicas, planner.Step(0, Input{Replicas: replicas, Demand: demand}))
-		assert.Equal(t, map[Role]int{Reader: 128, Generator: 128}, roles, size)
+		assert.Equal(t, map[Role]int{Prefill: 128, Decode: 128}, roles, size)
 		for zone, active := range zones {
-			assert.InDelta(t, DefaultLeast/5, active, 2, zone)
+			assert.InDelta(t, DefaultMinimumActive/5, active, 2, zone)
 		}
 		again := planner.Step(time.Second, Input{Replicas: replicas, Demand: demand})
 		assert.True(t, again.Empty(), size)
@@ -69,51 +69,51 @@
 }
 
 func TestSmallFleetIsFullyActive(t *testing.T) {
-	replicas := fleetOf(DefaultLeast, 3)
-	planner := &Planner{Least: DefaultLeast}
+	replicas := fleetOf(DefaultMinimumActive, 3)
+	planner := &Planner{MinimumActive: DefaultMinimumActive}
 	roles, _ := apply(replicas, planner.Step(0, Input{Replicas: replicas}))
-	assert.Equal(t, DefaultLeast, roles[Reader]+roles[Generator])
+	assert.Equal(t, DefaultMinimumActive, roles[Prefill]+roles[Decode])
 }
 
 // TestBurstIsActivatedInOneStep: when the demand of ten times as many callers is reported at once, the
 // replicas that it needs are activated in the same step, and no more.
 func TestBurstIsActivatedInOneStep(t *testing.T) {
 	replicas := fleetOf(10_000, 5)
-	planner := &Planner{Least: DefaultLeast}
+	planner := &Planner{MinimumActive: DefaultMinimumActive}
 	apply(replicas, planner.Step(0, Input{Replicas: replicas, Demand: map[Group]Demand{model: {Reading: 20}}}))
 	roles, _ := apply(replicas, planner.Step(time.Second, Input{Replicas: replicas, Demand: map[Group]Demand{model: {Reading: 200}}}))
-	assert.Equal(t, map[Role]int{Reader: 800, Generator: 128}, roles)
+	assert.Equal(t, map[Role]int{Prefill: 800, Decode: 128}, roles)
 }
 
 // TestLostReplicasAreReplaced: all replicas of one zone stop responding, and half of the active ones
 // elsewhere leave.
 func TestLostReplicasAreReplaced(t *testing.T) {
 	replicas := fleetOf(10_000, 5)
-	planner := &Planner{Least: DefaultLeast}
+	planner := &Planner{MinimumActive: DefaultMinimumActive}
 	apply(replicas, planner.Step(0, Input{Replicas: replicas}))
 	for index := range replicas {
 		if replicas[index].Zone == "z2" || replicas[index].Active && index%2 == 0 {
-			replicas[index].Sound = false
+			replicas[index].Eligible = false
 		}
 	}
 	roles, zones := apply(replicas, planner.Step(time.Second, Input{Replicas: replicas}))
-	assert.Equal(t, map[Role]int{Reader: 128, Generator: 128}, roles)
+	assert.Equal(t, map[Role]int{Prefill: 128, Decode: 128}, roles)
 	assert.Zero(t, zones["z2"])
 }
 
 // TestFleetInOneZoneIsActivated: a zone without replicas must not reduce the number of active ones.
 func TestFleetInOneZoneIsActivated(t *testing.T) {
 	replicas := fleetOf(2_000, 1)
-	planner := &Planner{Least: DefaultLeast}
+	planner := &Planner{MinimumActive: DefaultMinimumActive}
 	roles, _ := apply(replicas, planner.Step(0, Input{Replicas: replicas}))
-	assert.Equal(t, map[Role]int{Reader: 128, Generator: 128}, roles)
+	assert.Equal(t, map[Role]int{Prefill: 128, Decode: 128}, roles)
 }
 
 // TestReplicasAreDeactivatedOnlyAfterDemandDecays: replicas sent to standby between two waves of load would
 // lose their cached prefixes.
 func TestReplicasAreDeactivatedOnlyAfterDemandDecays(t *testing.T) {
 	replicas := fleetOf(10_000, 5)
-	planner := &Planner{Least: DefaultLeast}
+	planner := &Planner{MinimumActive: DefaultMinimumActive}
 	apply(replicas, planner.Step(0, Input{Replicas: replicas, Demand: map[Group]Demand{model: {Reading: 200}}}))
 	quiet := map[Group]Demand{model: {Reading: 1}}
 	active := 800
@@ -121,11 +121,11 @@
 		now := time.Duration(second) * time.Second
 		roles, _ := apply(replicas, planner.Step(now, Input{Replicas: replicas, Demand: quiet}))
 		if second <= 20 {
-			require.Equal(t, 800, roles[Reader], second)
+			require.Equal(t, 800, roles[Prefill], second)
 		}
-		require.LessOrEqual(t, roles[Reader], active)
-		require.GreaterOrEqual(t, roles[Reader], 128)
-		active = roles[Reader]
+		require.LessOrEqual(t, roles[Prefill], active)
+		require.GreaterOrEqual(t, roles[Prefill], 128)
+		active = roles[Prefill]
 	}
 	assert.LessOrEqual(t, active, 2*128)
 }
@@ -136,17 +136,17 @@
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		replicas := fleetOf(2_000, 4)
-		planner := &Planner{Least: DefaultLeast}
+		planner := &Planner{MinimumActive: DefaultMinimumActive}
 		for step := range 100 {
 			for range 90 {
-				replicas[random.IntN(len(replicas))].Sound = random.Float64() < 0.9
+				replicas[random.IntN(len(replicas))].Eligible = random.Float64() < 0.9
 			}
 			before, _ := apply(replicas, Change{})
 			change := planner.Step(time.Duration(step)*time.Second, Input{Replicas: replicas})
-			require.Len(t, change.Activate, max(0, 128-before[Reader])+max(0, 128-before[Generator]), "seed %d step %d", seed, step)
+			require.Len(t, change.Activate, max(0, 128-before[Prefill])+max(0, 128-before[Decode]), "seed %d step %d", seed, step)
 			roles, _ := apply(replicas, change)
-			require.GreaterOrEqual(t, roles[Reader], 128, "seed %d step %d", seed, step)
-			require.GreaterOrEqual(t, roles[Generator], 128, "seed %d step %d", seed, step)
+			require.GreaterOrEqual(t, roles[Prefill], 128, "seed %d step %d", seed, step)
+			require.GreaterOrEqual(t, roles[Decode], 128, "seed %d step %d", seed, step)
 		}
 	}
 }
@@ -157,7 +157,7 @@
 	for _, size := range []int{1_000, 3_000, 10_000, 20_000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			replicas := fleetOf(size, 5)
-			planner := &Planner{Least: DefaultLeast}
+			planner := &Planner{MinimumActive: DefaultMinimumActive}
 			apply(replicas, planner.Step(0, Input{Replicas: replicas}))
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/activeset/pool.go
+++ b/internal/activeset/pool.go
@@ -13,12 +13,12 @@
 // Role is the kind of work that a replica does.
 type Role int
 
-// Roles. Readers are prefill replicas, Generators are decode replicas; Plain replicas are not model
+// Roles. Prefill and Decode replicas serve one stage each; NonModel replicas are not model
 // engines.
 const (
-	Plain Role = iota
-	Reader
-	Generator
+	NonModel Role = iota
+	Prefill
+	Decode
 )
 
 // Replica is the planner's view of a replica.
@@ -32,9 +32,9 @@
 	Preemptible bool
 	// Active replicas take work.
 	Active bool
-	// Sound is false for replicas that are leaving, are changing their stage, don't respond or accept only
+	// Eligible is false for replicas that are leaving, are changing their stage, don't respond or accept only
 	// a limited number of requests.
-	Sound bool
+	Eligible bool
 }
 
 // poolKey identifies the replicas of a group with one role.
@@ -61,7 +61,7 @@
 func (m *poolMembers) add(replica *Replica) {
 	m.maximumSlots = max(m.maximumSlots, replica.Slots)
 	switch {
-	case !replica.Sound:
+	case !replica.Eligible:
 	case replica.Active:
 		m.activeByZone[replica.Zone] = append(m.activeByZone[replica.Zone], replica)
 		m.activeCount++
--- a/internal/admission/bucket.go
+++ b/internal/admission/bucket.go
@@ -122,9 +122,9 @@
 	return requestRate, true
 }
 
-// UsedShare returns the fraction of the burst that is currently used up, from 0
+// BurstUtilization returns the fraction of the burst that is currently used up, from 0
 // to 1; it is 0 for a tenant without a budget.
-func (t *TenantLimit) UsedShare(now time.Duration) float64 {
+func (t *TenantLimit) BurstUtilization(now time.Duration) float64 {
 	if t.unlimited {
 		return 0
 	}
--- a/internal/admission/item.go
+++ b/internal/admission/item.go
@@ -23,10 +23,10 @@
 	// Deadline is the time by which what Service predicts must be complete, 0 for
 	// none.
 	Deadline time.Duration
-	// Since is when the first gateway received the request; 0 means the time of
+	// FirstReceivedAt is when the first gateway received the request; 0 means the time of
 	// the offer. A request that another zone's gateway has forwarded has spent
 	// part of its time there.
-	Since time.Duration
+	FirstReceivedAt time.Duration
 	// Service is the predicted time from dispatch to the event that the deadline
 	// applies to: the first token or the end of the answer.
 	Service time.Duration
--- a/internal/admission/length.go
+++ b/internal/admission/length.go
@@ -1,17 +1,17 @@
 package admission
 
-// AnswerLengths predicts the length of an answer before it begins. It learns the
+// AnswerLengthEstimator predicts the length of an answer before it begins. It learns the
 // ratio of answer lengths to their limits rather than the mean length: when the
 // workload shifts from short answers to long ones, the short ones end first, and
 // their mean would underestimate the long ones.
-type AnswerLengths struct {
+type AnswerLengthEstimator struct {
 	limit, answered float64
 }
 
-// NewAnswerLengths returns an estimator that initially expects answers to reach
+// NewAnswerLengthEstimator returns an estimator that initially expects answers to reach
 // their limits.
-func NewAnswerLengths() *AnswerLengths {
-	return &AnswerLengths{limit: priorLimitTokens, answered: priorLimitTokens}
+func NewAnswerLengthEstimator() *AnswerLengthEstimator {
+	return &AnswerLengthEstimator{limit: priorLimitTokens, answered: priorLimitTokens}
 }
 
 const (
@@ -21,8 +21,8 @@
 	lengthDecay = 0.98
 )
 
-// Answered records the length of an answer that ended by itself, and its limit.
-func (a *AnswerLengths) Answered(limit, tokens int) {
+// Observe records the length of an answer that ended by itself, and its limit.
+func (a *AnswerLengthEstimator) Observe(limit, tokens int) {
 	if limit <= 0 {
 		return
 	}
@@ -31,6 +31,6 @@
 }
 
 // Expected returns the expected length of an answer with a limit, in tokens.
-func (a *AnswerLengths) Expected(limit int) int {
+func (a *AnswerLengthEstimator) Expected(limit int) int {
 	return min(max(int(float64(limit)*a.answered/a.limit), 1), max(limit, 1))
 }
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -62,8 +62,8 @@
 	q.sequence++
 	item.sequence = q.sequence
 	item.offeredAt = now
-	if item.Since <= 0 || item.Since > now {
-		item.Since = now
+	if item.FirstReceivedAt <= 0 || item.FirstReceivedAt > now {
+		item.FirstReceivedAt = now
 	}
 	refusal := q.checkBounds(item)
 	if refusal == nil {
@@ -148,8 +148,8 @@
 // last time at which it could be served by its deadline.
 func (q *Queue) reviewTime(item *Item) time.Duration {
 	if !item.reviewed {
-		timeLimit := float64(item.Deadline - item.Since)
-		return max(item.offeredAt, item.Since+time.Duration(q.options.ReviewFraction*timeLimit))
+		timeLimit := float64(item.Deadline - item.FirstReceivedAt)
+		return max(item.offeredAt, item.FirstReceivedAt+time.Duration(q.options.ReviewFraction*timeLimit))
 	}
 	return item.Deadline - item.Service
 }
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -164,7 +164,7 @@
 func TestForwardedItemCountsTimeAtPreviousGateway(t *testing.T) {
 	queue, now := newOverloadedQueue(t)
 	forwarded := newItemWithDeadline("spilled", now, time.Second)
-	forwarded.Since = now - 200*time.Millisecond
+	forwarded.FirstReceivedAt = now - 200*time.Millisecond
 	require.Nil(t, queue.Offer(now, forwarded))
 	at, _ := queue.NextReview()
 	assert.Equal(t, now, at)
--- a/internal/admission/shares.go
+++ b/internal/admission/shares.go
@@ -78,16 +78,16 @@
 	return shares
 }
 
-// Usage records the rate that a gateway's callers requested, in tokens a second.
-func (c *ShareCalculator) Usage(gatewayID, tenant string, tokensPerSecond float64) {
+// RecordUsage records the rate that a gateway's callers requested, in tokens a second.
+func (c *ShareCalculator) RecordUsage(gatewayID, tenant string, tokensPerSecond float64) {
 	shares := c.tenant(tenant)
 	smoothed := shares.demand[gatewayID]
 	shares.demand[gatewayID] = smoothed + c.options.Smoothing*(tokensPerSecond-smoothed)
 }
 
-// Forget deletes a gateway's demand and leases. It must be called only after
+// RemoveGateway deletes a gateway's demand and leases. It must be called only after
 // the gateway's session has ended for good.
-func (c *ShareCalculator) Forget(gatewayID string) {
+func (c *ShareCalculator) RemoveGateway(gatewayID string) {
 	for _, shares := range c.tenants {
 		delete(shares.demand, gatewayID)
 		delete(shares.leases, gatewayID)
--- a/internal/admission/shares_test.go
+++ b/internal/admission/shares_test.go
@@ -35,7 +35,7 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 20_000).Draw(t, "wait")) * time.Millisecond
 			id := rapid.SampledFrom(gateways).Draw(t, "gateway")
-			calculator.Usage(id, "tenant", rapid.Float64Range(0, 30_000).Draw(t, "wanted"))
+			calculator.RecordUsage(id, "tenant", rapid.Float64Range(0, 30_000).Draw(t, "wanted"))
 			share := calculator.Renew(now, id, "tenant", budget, budget, gateways)
 			if !rapid.Bool().Draw(t, "the answer is lost") || held[id].at+share.Valid < now {
 				held[id] = heldShare{share: share, at: now}
@@ -57,7 +57,7 @@
 	gateways := []string{"busy", "idle"}
 	var busy Share
 	for now := time.Duration(0); now < 5*options.Valid; now += options.Valid / 5 {
-		calculator.Usage("busy", "tenant", 900)
+		calculator.RecordUsage("busy", "tenant", 900)
 		calculator.Renew(now, "idle", "tenant", 1000, 1000, gateways)
 		busy = calculator.Renew(now, "busy", "tenant", 1000, 1000, gateways)
 	}
@@ -70,8 +70,8 @@
 	var busy, idle Share
 	for step := range 20 {
 		now := time.Duration(step) * 2 * DefaultShareOptions().Valid
-		calculator.Usage("busy", "tenant", 900)
-		calculator.Usage("idle", "tenant", 0)
+		calculator.RecordUsage("busy", "tenant", 900)
+		calculator.RecordUsage("idle", "tenant", 0)
 		idle = calculator.Renew(now, "idle", "tenant", 1000, 1000, gateways)
 		busy = calculator.Renew(now, "busy", "tenant", 1000, 1000, gateways)
 	}
@@ -111,7 +111,7 @@
 	for index := range 2 {
 		calculator.Renew(0, fmt.Sprint("g", index), "tenant", 1000, 1000, []string{"g0", "g1"})
 	}
-	calculator.Forget("g0")
+	calculator.RemoveGateway("g0")
 	share := calculator.Renew(time.Second, "g1", "tenant", 1000, 1000, []string{"g1"})
 	assert.InDelta(t, 1000, share.TokensPerSecond, 1e-9)
 }
--- a/internal/admission/usage_test.go
+++ b/internal/admission/usage_test.go
@@ -58,7 +58,7 @@
 	options := DefaultShareOptions()
 	calculator := NewShareCalculator(time.Minute, options)
 	gateways := []string{"a", "b", "c", "d"}
-	calculator.Usage("a", "tenant", 900)
+	calculator.RecordUsage("a", "tenant", 900)
 	sum := 0.0
 	for _, gateway := range gateways {
 		sum += calculator.Renew(time.Minute, gateway, "tenant", 1000, 1000, gateways).TokensPerSecond
@@ -80,7 +80,7 @@
 		now := time.Duration(second) * time.Second
 		gateway := gateways[second%len(gateways)]
 		// The demand moves from one gateway to the next.
-		calculator.Usage(gateway, "tenant", float64((second*37+len(gateway))%500))
+		calculator.RecordUsage(gateway, "tenant", float64((second*37+len(gateway))%500))
 		shares[gateway] = calculator.Renew(now, gateway, "tenant", 1000, 1000, gateways)
 		grantedAt[gateway] = now
 		sum := 0.0
--- a/internal/config/regional/settings.go
+++ b/internal/config/regional/settings.go
@@ -59,7 +59,7 @@
 	// them, DefaultPlacesAbove if it is not given; below 0 for never.
 	PlacesAbove *int `yaml:"places_above"`
 	// ActiveReplicas is the number of replicas of a service and region that take work whatever the load
-	// is; the others stand by until they are needed. 0 is activeset.DefaultLeast.
+	// is; the others stand by until they are needed. 0 is activeset.DefaultMinimumActive.
 	ActiveReplicas int `yaml:"active_replicas"`
 	// DrainMillis is how long after the platform's list shows it, or it has said so itself, a leaving replica
 	// may get requests, 0 if there is no bound.
--- a/internal/controller/plannerinput.go
+++ b/internal/controller/plannerinput.go
@@ -37,7 +37,7 @@
 		if status.Engine.Desired != nil {
 			engine.Desired = *status.Engine.Desired
 		}
-		engine.GivenUp = status.Engine.Abandoned
+		engine.AbandonedTarget = status.Engine.Abandoned
 		if reported := status.Reported; reported != nil {
 			engine.Reachable = status.SilentFor < engineSilence
 			engine.Observed = reported.Observed
--- a/internal/controller/rollouts.go
+++ b/internal/controller/rollouts.go
@@ -112,7 +112,7 @@
 		Changeable:  status.Reachable && !status.Pinned && !status.Isolated,
 		InFlight:    status.InFlight,
 	}
-	row.Version, row.Adapters = places.Of(engine.ID, engine.Desired.Adapters)
+	row.Version, row.Adapters = places.ConfigurationFor(engine.ID, engine.Desired.Adapters)
 	if engine.Abandoned != nil {
 		row.GivenUp, row.GivenUpAt = engine.Abandoned.Version, engine.DesiredAt
 	}
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -109,7 +109,7 @@
 	}
 	t.gateways[heartbeat.SessionID] = report
 	for _, usage := range heartbeat.Usage {
-		t.shares.Usage(heartbeat.GatewayID, usage.Tenant, float64(usage.Wanted))
+		t.shares.RecordUsage(heartbeat.GatewayID, usage.Tenant, float64(usage.Wanted))
 	}
 }
 
@@ -235,7 +235,7 @@
 		}
 		delete(t.gateways, sessionID)
 		if _, reopened := sessions.ByMember(report.heartbeat.GatewayID); !reopened {
-			t.shares.Forget(report.heartbeat.GatewayID)
+			t.shares.RemoveGateway(report.heartbeat.GatewayID)
 		}
 	}
 }
--- a/internal/coordinator/activity.go
+++ b/internal/coordinator/activity.go
@@ -53,11 +53,11 @@
 		c.activity.term = term
 		c.activity.planner = &activeset.Planner{}
 	}
-	c.activity.planner.Least = c.settings.ActiveReplicas
+	c.activity.planner.MinimumActive = c.settings.ActiveReplicas
 	if c.zones.anyEarlier(c.sortedMembers()) {
 		// Such a coordinator sends gateways all replicas, so the others have to send them the change when
 		// any of these begins to leave.
-		c.activity.planner.Least = math.MaxInt
+		c.activity.planner.MinimumActive = math.MaxInt
 	}
 	now := c.now()
 	demands := c.demandByGroup(now)
@@ -65,8 +65,8 @@
 	if change.Empty() {
 		return nil
 	}
-	c.logger.Info(event.ReplicaActivity, "activated", len(change.Activate), "standing_by", len(change.Rest), "replicas", len(state.Replicas))
-	return &region.ActivityCommand{Activate: change.Activate, Rest: change.Rest}
+	c.logger.Info(event.ReplicaActivity, "activated", len(change.Activate), "standing_by", len(change.Deactivate), "replicas", len(state.Replicas))
+	return &region.ActivityCommand{Activate: change.Activate, Rest: change.Deactivate}
 }
 
 // demandByGroup sums up the demand that gateways report of each service in each region.
@@ -115,7 +115,7 @@
 			Slots:       replica.Slots,
 			Preemptible: replica.Preemptible,
 			Active:      !listed.Standby,
-			Sound:       eligible,
+			Eligible:    eligible,
 		})
 	}
 	return input
@@ -124,11 +124,11 @@
 func activityRole(stage string) activeset.Role {
 	switch stage {
 	case "":
-		return activeset.Plain
+		return activeset.NonModel
 	case region.StagePrefill:
-		return activeset.Reader
+		return activeset.Prefill
 	default:
-		return activeset.Generator
+		return activeset.Decode
 	}
 }
 
--- a/internal/coordinator/activity_test.go
+++ b/internal/coordinator/activity_test.go
@@ -125,7 +125,7 @@
 		m := newTestMachine()
 		state, _ := m.read()
 		changeList(&state, 0, listCommandWithStandby(bigList(size)...))
-		planner := &activeset.Planner{Least: activeset.DefaultLeast}
+		planner := &activeset.Planner{MinimumActive: activeset.DefaultMinimumActive}
 		change := planner.Step(0, activityInput(state, nil, nil, func(string) string { return "" }))
 		apply(t, m, 1, region.Command{
 			List:     listCommandWithStandby(bigList(size)...),
@@ -134,7 +134,7 @@
 		state, _ = m.read()
 		view := &region.View{}
 		shownSince(state, 0, view)
-		assert.Len(t, view.Replicas, activeset.DefaultLeast, size)
+		assert.Len(t, view.Replicas, activeset.DefaultMinimumActive, size)
 		assert.Less(t, view.Msgsize(), 100_000, size)
 	}
 }
@@ -200,8 +200,8 @@
 	}
 	input := activityInput(state, demands, nil, func(string) string { return "" })
 	assert.Equal(t, activeset.Demand{Reading: 100, Generating: 5}, input.Demand[activeset.Group{Service: "model"}])
-	assert.False(t, input.Replicas[0].Sound)
-	change := (&activeset.Planner{Least: activeset.DefaultLeast}).Step(0, input)
+	assert.False(t, input.Replicas[0].Eligible)
+	change := (&activeset.Planner{MinimumActive: activeset.DefaultMinimumActive}).Step(0, input)
 	assert.Len(t, change.Activate, 400+128)
 	assert.NotContains(t, change.Activate, state.Replicas[0].Replica.ID)
 }
@@ -210,20 +210,20 @@
 func TestReplicasThatNameLimitsAreRelieved(t *testing.T) {
 	m := newTestMachine()
 	apply(t, m, 1, region.Command{List: listCommandWithStandby(bigList(1000)...)})
-	planner := &activeset.Planner{Least: activeset.DefaultLeast}
+	planner := &activeset.Planner{MinimumActive: activeset.DefaultMinimumActive}
 	index := uint64(1)
 	step := func(limited map[string]bool) activeset.Change {
 		state, _ := m.read()
 		change := planner.Step(time.Duration(index)*time.Second, activityInput(state, nil, limited, func(string) string { return "" }))
 		index++
-		apply(t, m, index, region.Command{Activity: &region.ActivityCommand{Activate: change.Activate, Rest: change.Rest}})
+		apply(t, m, index, region.Command{Activity: &region.ActivityCommand{Activate: change.Activate, Rest: change.Deactivate}})
 		return change
 	}
 	first := step(nil)
 	limited := map[string]bool{first.Activate[0]: true, first.Activate[1]: true, first.Activate[2]: true}
 	relieved := step(limited)
 	assert.Len(t, relieved.Activate, 3)
-	assert.Empty(t, relieved.Rest, "limited replicas stay active")
+	assert.Empty(t, relieved.Deactivate, "limited replicas stay active")
 	unlimited := step(nil)
 	assert.True(t, unlimited.Empty(), "a small surplus is kept")
 }
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -71,7 +71,7 @@
 		return nil, failure.Wrap(err, failure.Internal)
 	}
 	if settings.ActiveReplicas == 0 {
-		settings.ActiveReplicas = activeset.DefaultLeast
+		settings.ActiveReplicas = activeset.DefaultMinimumActive
 	}
 	if settings.Now == nil {
 		settings.Now = uptime.Now
--- a/internal/crossing/crossing.go
+++ b/internal/crossing/crossing.go
@@ -13,18 +13,18 @@
 	InTime Outcome = iota
 	// Late means that the request is expected to be served after its objective.
 	Late
-	// Full means that there is no capacity for the request.
-	Full
-	// Nowhere means that there is no replica for the request.
-	Nowhere
+	// AtCapacity means that there is no capacity for the request.
+	AtCapacity
+	// NoReplica means that there is no replica for the request.
+	NoReplica
 )
 
 // Offer is the best that the replicas on one side of a region's border offer for a request.
 type Offer struct {
 	Outcome Outcome
-	// Takes is the time until the request is served there, including the network paths. It only
+	// ServiceTime is the time until the request is served there, including the network paths. It only
 	// matters for offers that are InTime.
-	Takes time.Duration
+	ServiceTime time.Duration
 }
 
 // Reason is why a request leaves its region.
@@ -32,15 +32,15 @@
 
 // Reasons.
 const (
-	// Stays means that the request doesn't leave its region.
-	Stays Reason = ""
-	// NoPlace means that its region has no replica for such a request.
-	NoPlace Reason = "no_place"
-	// NoStage means that its region lacks the replicas of a stage, so that all regions were
+	// Local means that the request doesn't leave its region.
+	Local Reason = ""
+	// NoReplicaInRegion means that its region has no replica for such a request.
+	NoReplicaInRegion Reason = "no_place"
+	// NoReplicaForStage means that its region lacks the replicas of a stage, so that all regions were
 	// compared.
-	NoStage Reason = "no_stage"
-	// NoRoom means that all replicas of its region are full.
-	NoRoom Reason = "no_room"
+	NoReplicaForStage Reason = "no_stage"
+	// NoCapacity means that all replicas of its region are full.
+	NoCapacity Reason = "no_room"
 	// MissesObjective means that its region would serve it late.
 	MissesObjective Reason = "misses_objective"
 	// Faster means that its region would serve it in time, but another one far sooner.
@@ -53,28 +53,28 @@
 // estimates.
 const minimumSavingShare = 0.25
 
-// Stay reports whether an offer of the request's own region is good enough that the other side
+// StaysLocal reports whether an offer of the request's own region is good enough that the other side
 // needn't be considered.
-func Stay(inside Offer, objective time.Duration) bool {
-	return inside.Outcome == InTime && inside.Takes <= minimumSaving(objective)
+func StaysLocal(inside Offer, objective time.Duration) bool {
+	return inside.Outcome == InTime && inside.ServiceTime <= minimumSaving(objective)
 }
 
-// Leave returns why a request with an objective leaves its region, Stays if it doesn't. It leaves
+// LeaveReason returns why a request with an objective leaves its region, Local if it doesn't. It leaves
 // for a better outcome, or to be served far sooner. Apart from the latter, only requests that the
 // region can't serve in time leave, and they stay again once it can.
-func Leave(inside, outside Offer, objective time.Duration) Reason {
+func LeaveReason(inside, outside Offer, objective time.Duration) Reason {
 	switch {
 	case inside.Outcome == InTime && outside.Outcome == InTime:
-		if inside.Takes-outside.Takes > minimumSaving(objective) {
+		if inside.ServiceTime-outside.ServiceTime > minimumSaving(objective) {
 			return Faster
 		}
-		return Stays
+		return Local
 	case outside.Outcome >= inside.Outcome:
-		return Stays
-	case inside.Outcome == Nowhere:
-		return NoPlace
-	case inside.Outcome == Full:
-		return NoRoom
+		return Local
+	case inside.Outcome == NoReplica:
+		return NoReplicaInRegion
+	case inside.Outcome == AtCapacity:
+		return NoCapacity
 	default:
 		return MissesObjective
 	}
@@ -91,7 +91,7 @@
 		return "in_time"
 	case Late:
 		return "late"
-	case Full:
+	case AtCapacity:
 		return "full"
 	default:
 		return "nowhere"
--- a/internal/gateway/application/once.go
+++ b/internal/gateway/application/once.go
@@ -113,7 +113,7 @@
 			o.act(o.machine.Tick(clock()))
 		case <-gone:
 			gone = nil
-			o.act(o.machine.CallerGone(clock()))
+			o.act(o.machine.CallerDisconnected(clock()))
 			o.tell(refused(failure.CallerGone, failure.RanUnknown, ""))
 		}
 	}
@@ -127,7 +127,7 @@
 		case request.SendClaim:
 			o.later(o.claim)
 		case request.DispatchOnce:
-			o.later(func() func() []request.OnceOutput { return o.dispatch(asked.By) })
+			o.later(func() func() []request.OnceOutput { return o.dispatch(asked.Deadline) })
 		case request.AnswerOnce:
 			o.tell(Answer{Status: asked.Status, Body: asked.Body, Stored: asked.Stored})
 		case request.RefuseOnce:
--- a/internal/gateway/completion/run.go
+++ b/internal/gateway/completion/run.go
@@ -83,7 +83,7 @@
 		case <-timer.C:
 			r.tick(due)
 		case <-ctx.Done():
-			r.act(r.machine.CallerGone(now()))
+			r.act(r.machine.CallerDisconnected(now()))
 		case <-r.runner.cut.Done():
 			r.act(r.machine.Cut(now()))
 		}
@@ -172,7 +172,7 @@
 		r.firstTokenAt = r.runner.clock()
 	}
 	if err := r.answer.Tokens(asked.Tokens); err != nil {
-		r.then(func() []request.Output { return r.machine.CallerGone(r.runner.clock()) })
+		r.then(func() []request.Output { return r.machine.CallerDisconnected(r.runner.clock()) })
 	}
 }
 
@@ -257,7 +257,7 @@
 func routingOutcome(outcome engineclient.Outcome, cancelled bool) routing.Outcome {
 	switch {
 	case outcome.Whole:
-		return routing.OutcomeAnswered
+		return routing.OutcomeSucceeded
 	case outcome.Refused:
 		return routing.OutcomeRefused
 	case cancelled:
--- a/internal/gateway/scheduler/attempt.go
+++ b/internal/gateway/scheduler/attempt.go
@@ -25,7 +25,7 @@
 	if !dispatch.Prefill {
 		kvTokens += placed.OutputTokens
 	}
-	s.router.StartedAt(now, dispatch.Engine.ID, dispatch.AttemptID, newTokens, kvTokens)
+	s.router.AttemptStarted(now, dispatch.Engine.ID, dispatch.AttemptID, newTokens, kvTokens)
 	firstTokenIn := time.Duration(placed.Model.FirstTokenMillis * float64(time.Millisecond))
 	s.versions.started(now, dispatch.Engine.ID, dispatch.AttemptID, placed.Model.Name, firstTokenIn)
 }
@@ -33,7 +33,7 @@
 func (s *Scheduler) releaseOne(placement *Placement, engineID string) {
 	for index, held := range placement.reservations {
 		if held.engineID == engineID {
-			s.router.Ended(s.clock(), held.engineID, held.id, routing.OutcomeCancelled)
+			s.router.AttemptEnded(s.clock(), held.engineID, held.id, routing.OutcomeCancelled)
 			placement.reservations = append(placement.reservations[:index], placement.reservations[index+1:]...)
 			return
 		}
@@ -44,9 +44,9 @@
 func (s *Scheduler) FirstToken(engineID, attemptID string, took time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.router.FirstToken(s.clock(), engineID, attemptID)
+	s.router.AttemptFirstToken(s.clock(), engineID, attemptID)
 	s.versions.firstToken(attemptID, took)
-	s.retrier.FirstTokenTook(took)
+	s.retrier.ObserveFirstToken(took)
 	s.pump()
 }
 
@@ -54,7 +54,7 @@
 func (s *Scheduler) AttemptEnded(engineID, attemptID string, outcome routing.Outcome) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.router.Ended(s.clock(), engineID, attemptID, outcome)
+	s.router.AttemptEnded(s.clock(), engineID, attemptID, outcome)
 	s.versions.ended(attemptID, outcome)
 	s.pump()
 }
@@ -81,7 +81,7 @@
 func (s *Scheduler) MayRetry(now time.Duration, attempt request.RetryAttempt) request.RetryDecision {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	verdict, wait := s.retrier.Failed(now, retry.Failure{
+	verdict, wait := s.retrier.Decide(now, retry.Failure{
 		Attempts:   attempt.Number,
 		NotRun:     attempt.LastKind == failure.BackEndRefused,
 		Repeatable: true,
--- a/internal/gateway/scheduler/demand.go
+++ b/internal/gateway/scheduler/demand.go
@@ -20,13 +20,13 @@
 	missed       int
 	since        time.Duration
 
-	lengths *admission.AnswerLengths
+	lengths *admission.AnswerLengthEstimator
 	// service is the running mean of the time to a whole answer.
 	service time.Duration
 }
 
 func newDemand(now time.Duration) *demand {
-	return &demand{since: now, lengths: admission.NewAnswerLengths()}
+	return &demand{since: now, lengths: admission.NewAnswerLengthEstimator()}
 }
 
 // arrived counts a request with the answer that it is expected to get, served or
@@ -38,7 +38,7 @@
 }
 
 func (d *demand) answered(outputLimit, outputTokens int, took time.Duration) {
-	d.lengths.Answered(outputLimit, outputTokens)
+	d.lengths.Observe(outputLimit, outputTokens)
 	d.service += time.Duration(smoothing * float64(took-d.service))
 }
 
--- a/internal/gateway/scheduler/ranking.go
+++ b/internal/gateway/scheduler/ranking.go
@@ -63,7 +63,7 @@
 		Request: s.requestVariables(now, entering),
 		Tenant: policy.Tenant{
 			Weight:      effectiveWeight(entering.Tenant.Weight),
-			BudgetShare: s.limit(now, entering.Tenant).UsedShare(now),
+			BudgetShare: s.limit(now, entering.Tenant).BurstUtilization(now),
 			Queued:      queue.TenantLen(entering.Tenant.Name),
 		},
 		Queue: policy.Queue{
--- a/internal/gateway/scheduler/scheduler.go
+++ b/internal/gateway/scheduler/scheduler.go
@@ -116,10 +116,10 @@
 const strandedWait = time.Second
 
 // miss returns why no engine could take a request even if all were idle.
-func (s *Scheduler) miss(now time.Duration, entering *Request) routing.Miss {
+func (s *Scheduler) miss(now time.Duration, entering *Request) routing.NoEngineReason {
 	wanted := entering.routing(0)
 	wanted.OnlyEngines = s.isolationSet(now)
-	return s.router.Miss(now, wanted)
+	return s.router.NoEngineReason(now, wanted)
 }
 
 // Enter puts a request into the queue, or refuses it at once. The decision
@@ -132,7 +132,7 @@
 	seen.arrived(entering.PromptTokens, entering.OutputTokens)
 	s.retrier.Request(now)
 	miss := s.miss(now, entering)
-	if miss == routing.MissUnknownModel {
+	if miss == routing.NoEngineWithModel {
 		seen.missed++
 		return nil, &Refusal{Kind: failure.NoBackEnd, Detail: "no engine of this zone has the model"}
 	}
@@ -147,7 +147,7 @@
 	}
 	item := s.item(now, entering, cost, seen)
 	item.Rank = s.rank(now, entering)
-	stranded := miss != routing.MissNone
+	stranded := miss != routing.EngineFound
 	if stranded && s.options.OtherZones {
 		item.Deadline = min(item.Deadline, now+strandedWait)
 	}
@@ -197,7 +197,7 @@
 
 func (s *Scheduler) release(placement *Placement) {
 	for _, held := range placement.reservations {
-		s.router.Ended(s.clock(), held.engineID, held.id, routing.OutcomeCancelled)
+		s.router.AttemptEnded(s.clock(), held.engineID, held.id, routing.OutcomeCancelled)
 	}
 	placement.reservations = nil
 }
@@ -214,7 +214,7 @@
 	wanted.Prefilled = pick.DecodeOnly
 	wanted.OnlyEngines = s.isolationSet(now)
 	choice, miss := s.router.Select(now, wanted)
-	if miss != routing.MissNone {
+	if miss != routing.EngineFound {
 		return nil
 	}
 	return s.reserve(now, placed, choice)
@@ -274,7 +274,7 @@
 	wanted.OnlyEngines = s.isolationSet(now)
 	wanted.Waited = now - queued.enteredAt
 	choice, miss := s.router.Select(now, wanted)
-	return choice, miss == routing.MissNone && !choice.Saturated
+	return choice, miss == routing.EngineFound && !choice.Saturated
 }
 
 // reserve counts a choice's load until the attempts start.
@@ -289,11 +289,11 @@
 	if choice.Prefill != nil {
 		placement.Prefill = &request.Engine{ID: choice.Prefill.ID, Address: choice.Prefill.Address}
 		prefill := reservation{engineID: choice.Prefill.ID, id: serving.id + "-prefill"}
-		s.router.StartedAt(now, prefill.engineID, prefill.id, newTokens, placed.PromptTokens)
+		s.router.AttemptStarted(now, prefill.engineID, prefill.id, newTokens, placed.PromptTokens)
 		placement.reservations = append(placement.reservations, prefill)
 		newTokens = 0
 	}
-	s.router.StartedAt(now, serving.engineID, serving.id, newTokens, kvTokens)
+	s.router.AttemptStarted(now, serving.engineID, serving.id, newTokens, kvTokens)
 	placement.reservations = append(placement.reservations, serving)
 	return placement
 }
--- a/internal/gateway/scheduler/versions.go
+++ b/internal/gateway/scheduler/versions.go
@@ -78,7 +78,7 @@
 	delete(v.attempts, attemptID)
 	count := v.counts[attempt.key]
 	switch outcome {
-	case routing.OutcomeAnswered:
+	case routing.OutcomeSucceeded:
 		count.outcome.Ended++
 	case routing.OutcomeFailed:
 		count.outcome.Ended++
--- a/internal/gateway/scheduler/versions_test.go
+++ b/internal/gateway/scheduler/versions_test.go
@@ -15,7 +15,7 @@
 	v.setEngines([]routing.Engine{{ID: "old", Version: "1"}, {ID: "new", Version: "2"}})
 	v.started(0, "old", "a", "model", time.Second)
 	v.firstToken("a", 2*time.Second)
-	v.ended("a", routing.OutcomeAnswered)
+	v.ended("a", routing.OutcomeSucceeded)
 	require.Empty(t, v.report(0), "there is but one version")
 
 	v.started(0, "new", "b", "model", time.Second)
--- a/internal/planner/decide.go
+++ b/internal/planner/decide.go
@@ -182,6 +182,6 @@
 	output.Hold, output.Best = hold, proposal
 }
 
-func objectivesOf(model Model) Goals {
-	return Goals{FirstToken: model.FirstToken.Seconds(), BetweenTokens: model.BetweenTokens.Seconds()}
+func objectivesOf(model Model) Objectives {
+	return Objectives{FirstToken: model.FirstToken.Seconds(), BetweenTokens: model.BetweenTokens.Seconds()}
 }
--- a/internal/planner/estimator_test.go
+++ b/internal/planner/estimator_test.go
@@ -96,7 +96,7 @@
 	load := Workload{Requests: 133, PromptTokens: 16, OutputTokens: 64}
 	twoMixed := Split{Mixed: 2}
 	for _, objective := range []float64{0.05, 0.1, 1, 10} {
-		objectives := Goals{FirstToken: 10 * objective, BetweenTokens: objective}
+		objectives := Objectives{FirstToken: 10 * objective, BetweenTokens: objective}
 		colocated := Goodput(speed, twoMixed, load, objectives)
 		disaggregated := Goodput(speed, Split{Prefill: 1, Decode: 1}, load, objectives)
 		assert.Greater(t, colocated, 1.5*disaggregated, "objective between tokens %v s", objective)
--- a/internal/planner/goodput.go
+++ b/internal/planner/goodput.go
@@ -6,7 +6,7 @@
 // within their objectives, if requests that can't be served in time are refused.
 // Routing decides whether a mixed engine only prefills, only decodes, or does both
 // for the same requests; the best of these assignments counts.
-func Goodput(speed Speed, split Split, load Workload, objectives Goals) float64 {
+func Goodput(speed Speed, split Split, load Workload, objectives Objectives) float64 {
 	if load.Requests <= 0 {
 		return 0
 	}
@@ -21,7 +21,7 @@
 
 // disaggregatedGoodput returns the goodput when prefill engines, and mixed engines
 // that only prefill, process the prompts, and other engines decode.
-func disaggregatedGoodput(speed Speed, prefill, mixedPrefillers, decoders int, load Workload, objectives Goals) float64 {
+func disaggregatedGoodput(speed Speed, prefill, mixedPrefillers, decoders int, load Workload, objectives Objectives) float64 {
 	prefillers := float64(prefill + mixedPrefillers)
 	if prefillers == 0 || decoders == 0 {
 		return 0
@@ -52,7 +52,7 @@
 // colocatedGoodput returns the goodput when mixed engines both prefill and decode
 // their requests. Prefill and decode engines, if any, serve requests in pairs, and
 // the mixed engines serve the remainder.
-func colocatedGoodput(speed Speed, split Split, load Workload, objectives Goals) float64 {
+func colocatedGoodput(speed Speed, split Split, load Workload, objectives Objectives) float64 {
 	if split.Mixed == 0 {
 		return 0
 	}
@@ -74,7 +74,7 @@
 // mixedCapacity returns the rate at which mixed engines can serve requests, prefill
 // and decode, with the mean step within the objective and the batch within its
 // bounds.
-func mixedCapacity(speed Speed, mixed int, load Workload, objectives Goals) float64 {
+func mixedCapacity(speed Speed, mixed int, load Workload, objectives Objectives) float64 {
 	variableTime := float64(mixed) * max(0, 1-speed.StepBase/objectives.BetweenTokens)
 	seconds := speed.PerSequence*load.OutputTokens + speed.PerPromptToken*load.PromptTokens
 	byTime := variableTime / max(seconds, 1e-9)
@@ -85,7 +85,7 @@
 // mixedAttainment returns the share of first tokens on time, and of answers within
 // the objective between tokens, on mixed engines that prefill and decode requests
 // at a rate.
-func mixedAttainment(speed Speed, mixed int, load Workload, objectives Goals, rate float64) (onTime, withinGaps float64) {
+func mixedAttainment(speed Speed, mixed int, load Workload, objectives Objectives, rate float64) (onTime, withinGaps float64) {
 	servers := float64(mixed)
 	batch := min(rate*load.OutputTokens*objectives.BetweenTokens/servers, speed.MaximumSequences)
 	service := speed.mixedPrefillSeconds(load, batch)
@@ -132,7 +132,7 @@
 
 // utilisation returns the utilisation of a split's prefill and decode stages, 1
 // being full. Mixed engines count half in each stage.
-func utilisation(speed Speed, split Split, load Workload, objectives Goals) (prefill, decode float64) {
+func utilisation(speed Speed, split Split, load Workload, objectives Objectives) (prefill, decode float64) {
 	half := float64(split.Mixed) / 2
 	prefill = load.Requests * speed.prefillSeconds(load) / max(float64(split.Prefill)+half, 0.5)
 	decode = load.Requests / max((float64(split.Decode)+half)*speed.decodeRate(load, objectives), 1e-9)
--- a/internal/planner/input.go
+++ b/internal/planner/input.go
@@ -23,9 +23,9 @@
 	Pinned bool
 	// Isolated is set while an unresponsive gateway may still dispatch to the engine.
 	Isolated bool
-	// GivenUp is the target of the last change, if that change was abandoned and
+	// AbandonedTarget is the target of the last change, if that change was abandoned and
 	// no other target has been set since; nil otherwise.
-	GivenUp *engineapi.Configuration
+	AbandonedTarget *engineapi.Configuration
 	// InFlight is the number of requests in the engine at its last report.
 	InFlight int
 	// Load is the newest load report and LoadAge its age.
--- a/internal/planner/judge.go
+++ b/internal/planner/judge.go
@@ -10,7 +10,7 @@
 	// load is the present demand, longTermLoad the long-term demand.
 	load         Workload
 	longTermLoad Workload
-	objectives   Goals
+	objectives   Objectives
 	price        float64
 	// horizon is the time, in seconds, over which a change must be worthwhile, and
 	// longTermShare the part of it for which the long-term demand is expected.
--- a/internal/planner/placement.go
+++ b/internal/planner/placement.go
@@ -13,10 +13,10 @@
 	// HasRules reports whether the model has placement rules. Without rules it may
 	// run on any engine, and no engine is moved because of it.
 	HasRules() bool
-	// Of returns the version and the adapters that an engine should have; present
+	// ConfigurationFor returns the version and the adapters that an engine should have; present
 	// are the adapters of this model that it has now. The version is empty if the
 	// rules don't allow the model on the engine.
-	Of(engineID string, present []string) (version string, adapters []string)
+	ConfigurationFor(engineID string, present []string) (version string, adapters []string)
 }
 
 // Unplaced is a model whose placement does not yet satisfy its rules.
@@ -169,7 +169,7 @@
 	case m.model.Placement == nil:
 		return m.model.Version, present
 	default:
-		return m.model.Placement.Of(engine.ID, present)
+		return m.model.Placement.ConfigurationFor(engine.ID, present)
 	}
 }
 
--- a/internal/planner/placement_test.go
+++ b/internal/planner/placement_test.go
@@ -22,7 +22,7 @@
 
 func (r testRules) HasRules() bool { return true }
 
-func (r testRules) Of(engineID string, _ []string) (string, []string) {
+func (r testRules) ConfigurationFor(engineID string, _ []string) (string, []string) {
 	if r.allows != nil && !slices.Contains(r.allows, engineID) {
 		return "", nil
 	}
@@ -249,7 +249,7 @@
 			func(z *placementZone) { z.input.Engines[2].Draining = true; z.returnAt["e2"] = time.Hour }, HoldAway},
 		"engines with an abandoned target": {map[string]int{"a": 1, "b": 1}, []string{"a", "a"},
 			everyEngine(func(status *EngineStatus) {
-				status.GivenUp = &engineapi.Configuration{Role: engineapi.RoleDecode, Model: "b", Version: "1"}
+				status.AbandonedTarget = &engineapi.Configuration{Role: engineapi.RoleDecode, Model: "b", Version: "1"}
 			}), HoldAbandoned},
 	}
 	for name, test := range cases {
--- a/internal/planner/placementmove.go
+++ b/internal/planner/placementmove.go
@@ -105,7 +105,7 @@
 		return HoldNoEngine
 	case p.withinDwell(engine, from.rules) || p.withinDwell(engine, to.rules):
 		return HoldDwell
-	case engine.GivenUp != nil && p.recentlyAbandoned(engine, p.target(engine, to)):
+	case engine.AbandonedTarget != nil && p.recentlyAbandoned(engine, p.target(engine, to)):
 		return HoldAbandoned
 	case from.atAwayBound() || to.atAwayBound():
 		return HoldAway
--- a/internal/planner/placementorder.go
+++ b/internal/planner/placementorder.go
@@ -60,10 +60,10 @@
 // recentlyAbandoned reports whether the engine's last change was abandoned less than
 // abandonedRetryDelay ago and had the same target, whatever the role.
 func (p *placer) recentlyAbandoned(engine *EngineStatus, target engineapi.Configuration) bool {
-	if engine.GivenUp == nil {
+	if engine.AbandonedTarget == nil {
 		return false
 	}
-	failed := *engine.GivenUp
+	failed := *engine.AbandonedTarget
 	failed.Role = target.Role
 	return failed.Equal(target) && p.now-p.planner.fleet.engines[engine.ID].configuredAt < abandonedRetryDelay
 }
--- a/internal/planner/placementrules_test.go
+++ b/internal/planner/placementrules_test.go
@@ -51,7 +51,7 @@
 func (c *moveChecker) checkMove(before Input, status EngineStatus, change Change) error {
 	for _, model := range before.Models {
 		if model.Name == change.Target.Model {
-			if version, _ := model.Placement.Of(status.ID, nil); version == "" {
+			if version, _ := model.Placement.ConfigurationFor(status.ID, nil); version == "" {
 				return fmt.Errorf("%s is not allowed by the rules of %s", status.ID, model.Name)
 			}
 		}
@@ -161,7 +161,7 @@
 		return total == 0
 	}
 	for _, model := range z.input.Models {
-		version, _ := model.Placement.Of(z.input.Engines[from].ID, nil)
+		version, _ := model.Placement.ConfigurationFor(z.input.Engines[from].ID, nil)
 		if version == "" || missing[model.Name] <= 0 {
 			continue
 		}
@@ -188,7 +188,7 @@
 	counts := map[string]int{}
 	for _, status := range z.input.Engines {
 		model := z.model(status.Desired.Model)
-		if version, _ := model.Placement.Of(status.ID, nil); version == "" {
+		if version, _ := model.Placement.ConfigurationFor(status.ID, nil); version == "" {
 			return false
 		}
 		counts[status.Desired.Model]++
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -298,7 +298,7 @@
 			PromptTokens: rapid.Float64Range(1, 3000).Draw(t, "prompt"),
 			OutputTokens: rapid.Float64Range(1, 800).Draw(t, "output"),
 		}
-		objectives := Goals{FirstToken: 0.32, BetweenTokens: 0.029}
+		objectives := Objectives{FirstToken: 0.32, BetweenTokens: 0.029}
 		goodput := Goodput(trueSpeed, split, load, objectives)
 		require.GreaterOrEqual(t, goodput, 0.0)
 		require.LessOrEqual(t, goodput, load.Requests+1e-9)
@@ -312,7 +312,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		split := Split{Prefill: rapid.IntRange(1, 5).Draw(t, "prefill"), Decode: rapid.IntRange(1, 5).Draw(t, "decode")}
 		load := Workload{Requests: rapid.Float64Range(1, 100).Draw(t, "requests"), PromptTokens: 500, OutputTokens: 80}
-		objectives := Goals{FirstToken: 0.32, BetweenTokens: 0.029}
+		objectives := Objectives{FirstToken: 0.32, BetweenTokens: 0.029}
 		less := Goodput(trueSpeed, split, load, objectives)
 		require.GreaterOrEqual(t, Goodput(trueSpeed, split.with(engineapi.RoleDecode, 1), load, objectives), less-1e-9)
 		require.GreaterOrEqual(t, Goodput(trueSpeed, split.with(engineapi.RolePrefill, 1), load, objectives), 0.98*less)
--- a/internal/planner/policyinput/policyinput_test.go
+++ b/internal/planner/policyinput/policyinput_test.go
@@ -56,11 +56,11 @@
 	}
 	for name, test := range cases {
 		placement := place(test.rules...)
-		version, _ := placement.Of(test.engine, nil)
+		version, _ := placement.ConfigurationFor(test.engine, nil)
 		assert.Equal(t, test.version, version, name)
 	}
 	builtin := policyinput.NewPlacement(model, nil, engines(), policy.Zone{}, evening)
-	version, adapters := builtin.Of("a", []string{"kept"})
+	version, adapters := builtin.ConfigurationFor("a", []string{"kept"})
 	assert.Equal(t, "1", version)
 	assert.Equal(t, []string{"kept"}, adapters)
 }
--- a/internal/planner/speed.go
+++ b/internal/planner/speed.go
@@ -34,10 +34,10 @@
 	OutputTokens float64
 }
 
-// Goals are a model's latency objectives, in seconds. A request meets them if its
+// Objectives are a model's latency objectives, in seconds. A request meets them if its
 // first token arrives within FirstToken, and at most maximumLateTokenShare of its
 // later tokens arrive more than BetweenTokens after the previous one.
-type Goals struct {
+type Objectives struct {
 	FirstToken    float64
 	BetweenTokens float64
 }
@@ -85,7 +85,7 @@
 // maximumBatch returns the largest number of sequences with which a decode step
 // meets the objective between tokens and the batch fits in the KV cache and in
 // MaximumSequences.
-func (s Speed) maximumBatch(load Workload, objectives Goals) float64 {
+func (s Speed) maximumBatch(load Workload, objectives Objectives) float64 {
 	byTime := (objectives.BetweenTokens*decodeMargin - s.StepBase) / max(s.PerSequence, 1e-9)
 	context := load.PromptTokens + load.OutputTokens/2
 	byMemory := s.KVCapacity * memoryMargin / max(context, 1)
@@ -93,7 +93,7 @@
 }
 
 // decodeRate returns the number of requests a second that a decode engine sustains.
-func (s Speed) decodeRate(load Workload, objectives Goals) float64 {
+func (s Speed) decodeRate(load Workload, objectives Objectives) float64 {
 	batch := s.maximumBatch(load, objectives)
 	step := s.StepBase + s.PerSequence*batch
 	return batch / step / max(load.OutputTokens, 1)
@@ -116,7 +116,7 @@
 // on a mixed engine, where chunkShare of the steps carry prompt chunks. If such
 // steps exceed the objective, it is the binomial probability that at most
 // maximumLateTokenShare of an answer's steps carry one.
-func (s Speed) tokenGapShare(load Workload, objectives Goals, sequences, chunkShare float64) float64 {
+func (s Speed) tokenGapShare(load Workload, objectives Objectives, sequences, chunkShare float64) float64 {
 	if s.chunkStepSeconds(load, sequences) <= objectives.BetweenTokens || chunkShare <= 0 {
 		return 1
 	}
--- a/internal/policycheck/placement.go
+++ b/internal/policycheck/placement.go
@@ -52,7 +52,7 @@
 }
 
 func placementOf(rules *policyinput.Placement, engine planner.EngineStatus) Placement {
-	version, adapters := rules.Of(engine.ID, engine.Desired.Adapters)
+	version, adapters := rules.ConfigurationFor(engine.ID, engine.Desired.Adapters)
 	if version == "" {
 		return Placement{Version: engine.Desired.Version, Adapters: engine.Desired.Adapters}
 	}
--- a/internal/policycheck/rolechanges.go
+++ b/internal/policycheck/rolechanges.go
@@ -124,11 +124,11 @@
 	for _, model := range r.setting.Models {
 		load := workloadOf(calls, model.Name)
 		r.batches[model.Name] += batchItems(calls, model.Name)
-		goals := planner.Goals{FirstToken: model.FirstTokenMillis / 1000, BetweenTokens: model.BetweenTokensMillis / 1000}
+		objectives := planner.Objectives{FirstToken: model.FirstTokenMillis / 1000, BetweenTokens: model.BetweenTokensMillis / 1000}
 		offered := load.Requests * replayStep.Seconds()
 		waiting := r.backlog[model.Name] + offered
 		load.Requests = (waiting + r.batches[model.Name]) / replayStep.Seconds()
-		rate := planner.Goodput(planner.DefaultOptions().Prior, r.serving(model.Name), load, goals)
+		rate := planner.Goodput(planner.DefaultOptions().Prior, r.serving(model.Name), load, objectives)
 		capacity := rate * replayStep.Seconds()
 		served := min(waiting, capacity)
 		batched := min(r.batches[model.Name], capacity-served)
@@ -136,7 +136,7 @@
 		r.offered += offered
 		r.served += served
 		// What is not served within its first-token objective is lost.
-		r.backlog[model.Name] = min(waiting-served, rate*goals.FirstToken)
+		r.backlog[model.Name] = min(waiting-served, rate*objectives.FirstToken)
 		demand = append(demand, r.demand(model.Name, load, offered+batched, rate))
 	}
 	return demand
--- a/internal/relay/border.go
+++ b/internal/relay/border.go
@@ -191,16 +191,16 @@
 // logCrossRegion logs a choice if its replica is in another region. The caller must hold d.mutex.
 func (d *Directory) logCrossRegion(decision crossRegionChoice, now time.Duration) {
 	replica := decision.lease.Replica
-	if decision.reason == crossing.Stays && d.regions.Between(decision.from, replica.Zone) == topology.OtherRegion {
-		decision.reason, decision.outside = crossing.NoStage, decision.inside
-		decision.inside = crossing.Offer{Outcome: crossing.Nowhere}
+	if decision.reason == crossing.Local && d.regions.Between(decision.from, replica.Zone) == topology.OtherRegion {
+		decision.reason, decision.outside = crossing.NoReplicaForStage, decision.inside
+		decision.inside = crossing.Offer{Outcome: crossing.NoReplica}
 	}
-	if decision.reason == crossing.Stays || !d.crossRegionLog.allows(now) {
+	if decision.reason == crossing.Local || !d.crossRegionLog.allows(now) {
 		return
 	}
 	d.logger.Info(event.RegionLeft, "service", decision.service, "stage", replica.Stage, "replica", replica.ID,
 		"from", d.regions.RegionOf(decision.from), "to", d.regions.RegionOf(replica.Zone), "reason", string(decision.reason),
-		"replicas_inside", decision.localReplicas, "inside", decision.inside.Outcome.String(), "inside_ms", decision.inside.Takes.Milliseconds(),
-		"outside", decision.outside.Outcome.String(), "outside_ms", decision.outside.Takes.Milliseconds(), "omitted", d.crossRegionLog.omitted)
+		"replicas_inside", decision.localReplicas, "inside", decision.inside.Outcome.String(), "inside_ms", decision.inside.ServiceTime.Milliseconds(),
+		"outside", decision.outside.Outcome.String(), "outside_ms", decision.outside.ServiceTime.Milliseconds(), "omitted", d.crossRegionLog.omitted)
 	d.crossRegionLog.omitted = 0
 }
--- a/internal/relay/budgets.go
+++ b/internal/relay/budgets.go
@@ -88,6 +88,6 @@
 		MinimumPerSecond: (1 - burstShare) * share / b.terms.Window.Seconds(),
 		Maximum:          max(burstShare*share, 1),
 		Initial:          initialShare * burstShare * share,
-		Memory:           b.terms.Window,
+		DecayTime:        b.terms.Window,
 	}
 }
--- a/internal/relay/picker.go
+++ b/internal/relay/picker.go
@@ -52,10 +52,10 @@
 	}
 	best, offer := bestOffer(inside, rating, now)
 	decision := crossRegionChoice{service: service, from: rating.zone, inside: offer, localReplicas: len(inside)}
-	if !crossing.Stay(offer, 0) {
+	if !crossing.StaysLocal(offer, 0) {
 		remote, offered := bestOffer(outside, rating, now)
 		decision.outside = offered
-		if decision.reason = crossing.Leave(offer, offered, 0); decision.reason != crossing.Stays {
+		if decision.reason = crossing.LeaveReason(offer, offered, 0); decision.reason != crossing.Local {
 			best = remote
 		}
 	}
@@ -76,11 +76,11 @@
 // with a free slot can start at once.
 func bestOffer(candidates []*Replica, rating loadScore, now time.Duration) (*Replica, crossing.Offer) {
 	if len(candidates) == 0 {
-		return nil, crossing.Offer{Outcome: crossing.Nowhere}
+		return nil, crossing.Offer{Outcome: crossing.NoReplica}
 	}
 	free := slices.DeleteFunc(slices.Clone(candidates), func(r *Replica) bool { return r.occupancy(now) >= 1 })
 	if len(free) == 0 {
-		return lowest(candidates, rating, now), crossing.Offer{Outcome: crossing.Full}
+		return lowest(candidates, rating, now), crossing.Offer{Outcome: crossing.AtCapacity}
 	}
 	return lowest(free, rating, now), crossing.Offer{Outcome: crossing.InTime}
 }
--- a/internal/relay/placement.go
+++ b/internal/relay/placement.go
@@ -36,14 +36,14 @@
 	inside, outside := d.partitionStages(all, request.Zone)
 	best := d.offerPrefill(inside, request, sources, now)
 	decision := crossRegionChoice{service: service, from: request.Zone, inside: best.Offer, localReplicas: inside.count()}
-	if len(outside.decode) > 0 && !crossing.Stay(best.Offer, request.Objective) {
+	if len(outside.decode) > 0 && !crossing.StaysLocal(best.Offer, request.Objective) {
 		remote := d.offerPrefill(outside, request, sources, now)
 		decision.outside = remote.Offer
-		if decision.reason = crossing.Leave(best.Offer, remote.Offer, request.Objective); decision.reason != crossing.Stays {
+		if decision.reason = crossing.LeaveReason(best.Offer, remote.Offer, request.Objective); decision.reason != crossing.Local {
 			best = remote
 		}
 	}
-	if best.Outcome == crossing.Full {
+	if best.Outcome == crossing.AtCapacity {
 		// A refused prompt counts as demand, too.
 		d.noteRead(service, best.times(request, 0))
 		return nil, newNoCapacityError(request, &best.readEstimate)
@@ -72,19 +72,19 @@
 func (d *Directory) offerPrefill(among stageReplicas, request ReadRequest, sources []prefixSource, now time.Duration) prefillOffer {
 	best := d.bestEstimate(among.prefill, among.decode, request, InTime, sources, now)
 	service := among.decode[0].Service
-	inTime := prefillOffer{crossing.Offer{Outcome: crossing.InTime, Takes: best.total()}, best}
+	inTime := prefillOffer{crossing.Offer{Outcome: crossing.InTime, ServiceTime: best.total()}, best}
 	if d.inTime(service, request, &best) {
 		return inTime
 	}
 	best = d.bestEstimate(among.prefill, among.decode, request, Late, sources, now)
-	offered := prefillOffer{crossing.Offer{Outcome: crossing.Late, Takes: best.total()}, best}
+	offered := prefillOffer{crossing.Offer{Outcome: crossing.Late, ServiceTime: best.total()}, best}
 	if d.acceptsLate(&best, request, now) || d.off[mechanism.EarlyRefusal] {
 		return offered
 	}
 	if d.promotesLate(service, request, &inTime.readEstimate) {
 		return inTime
 	}
-	offered.Outcome = crossing.Full
+	offered.Outcome = crossing.AtCapacity
 	return offered
 }
 
@@ -197,10 +197,10 @@
 	inside, outside := d.partitionByRegion(decodeReplicas, request.Zone)
 	best := d.offerDecode(inside, request, sources, now)
 	decision := crossRegionChoice{service: service, from: request.Zone, inside: best.Offer, localReplicas: len(inside)}
-	if len(outside) > 0 && !crossing.Stay(best.Offer, request.Objective) {
+	if len(outside) > 0 && !crossing.StaysLocal(best.Offer, request.Objective) {
 		remote := d.offerDecode(outside, request, sources, now)
 		decision.outside = remote.Offer
-		if decision.reason = crossing.Leave(best.Offer, remote.Offer, request.Objective); decision.reason != crossing.Stays {
+		if decision.reason = crossing.LeaveReason(best.Offer, remote.Offer, request.Objective); decision.reason != crossing.Local {
 			best = remote
 		}
 	}
@@ -213,10 +213,10 @@
 // hold d.mutex.
 func (d *Directory) offerDecode(decodeReplicas []*Replica, request ReadRequest, sources []prefixSource, now time.Duration) prefillOffer {
 	if len(decodeReplicas) == 0 {
-		return prefillOffer{Offer: crossing.Offer{Outcome: crossing.Nowhere}}
+		return prefillOffer{Offer: crossing.Offer{Outcome: crossing.NoReplica}}
 	}
 	best, _ := d.bestDecodeReplica(decodeReplicas, request, InTime, sources, now)
-	offered := prefillOffer{crossing.Offer{Outcome: crossing.InTime, Takes: best.total()}, best}
+	offered := prefillOffer{crossing.Offer{Outcome: crossing.InTime, ServiceTime: best.total()}, best}
 	if !d.inTime(decodeReplicas[0].Service, request, &best) {
 		offered.Outcome = crossing.Late
 	}
--- a/internal/request/machine.go
+++ b/internal/request/machine.go
@@ -210,8 +210,8 @@
 	return m.attemptFailed(now, failure.AnswerBroken, detail)
 }
 
-// CallerGone ends the request because its caller has disconnected.
-func (m *Machine) CallerGone(time.Duration) []Output {
+// CallerDisconnected ends the request because its caller has disconnected.
+func (m *Machine) CallerDisconnected(time.Duration) []Output {
 	m.resetOutputs()
 	if m.phase == phaseDone {
 		return m.outputs
--- a/internal/request/machine_test.go
+++ b/internal/request/machine_test.go
@@ -155,13 +155,13 @@
 			running := startRunning(t, m)
 			m.HandedOver(running.AttemptID)
 			m.AttemptBroken(0, running.AttemptID, false, "")
-			return m.CallerGone(0)
+			return m.CallerDisconnected(0)
 		}, failure.CallerGone, failure.RanUnknown},
 		{"a refusal after acceptance proves nothing", func(t *testing.T, m *Machine) []Output {
 			running := startRunning(t, m)
 			m.AttemptAccepted(0, running.AttemptID, "1")
 			m.AttemptRefused(0, running.AttemptID, engineapi.RefusalOverloaded)
-			return m.CallerGone(0)
+			return m.CallerDisconnected(0)
 		}, failure.CallerGone, failure.RanUnknown},
 	}
 	for _, each := range cases {
--- a/internal/request/move_test.go
+++ b/internal/request/move_test.go
@@ -73,7 +73,7 @@
 func TestCallerDisconnectDuringMoveEndsRequest(t *testing.T) {
 	machine, current := startProducing(t)
 	machine.Move(0, testEngine("e2"), nil)
-	outputs := machine.CallerGone(0)
+	outputs := machine.CallerDisconnected(0)
 	require.Contains(t, outputs, Cancel{AttemptID: current.AttemptID, Engine: current.Engine})
 	require.True(t, machine.Done())
 }
--- a/internal/request/onceonly.go
+++ b/internal/request/onceonly.go
@@ -57,7 +57,7 @@
 // after By. The result goes to Answered, Refused, NotSent or Broken.
 type DispatchOnce struct {
 	AttemptID string
-	By        time.Duration
+	Deadline  time.Duration
 }
 
 // StoreAnswer asks to complete the claim with the answer of its execution.
@@ -184,7 +184,7 @@
 		return
 	}
 	o.phase = onceDispatched
-	o.emit(DispatchOnce{AttemptID: o.parameters.AttemptID, By: deadline})
+	o.emit(DispatchOnce{AttemptID: o.parameters.AttemptID, Deadline: deadline})
 }
 
 // ClaimFailed handles a claim without a usable reply. delivered is false if the
@@ -275,9 +275,9 @@
 	return o.outputs
 }
 
-// CallerGone records that the caller has disconnected. A request that has been
+// CallerDisconnected records that the caller has disconnected. A request that has been
 // dispatched continues, so that its answer is stored.
-func (o *OnceOnly) CallerGone(time.Duration) []OnceOutput {
+func (o *OnceOnly) CallerDisconnected(time.Duration) []OnceOutput {
 	o.resetOutputs()
 	o.callerAnswered = true
 	return o.outputs
--- a/internal/request/onceonly_test.go
+++ b/internal/request/onceonly_test.go
@@ -74,7 +74,7 @@
 			RefuseOnce{Kind: failure.DeadlineExceeded, Ran: failure.RanNo, Detail: "the time to dispatch had passed"}}},
 		{"granted after the caller disconnected", func(o *OnceOnly) []OnceOutput {
 			o.Start(0)
-			o.CallerGone(1)
+			o.CallerDisconnected(1)
 			return o.Claimed(2, grantedReply())
 		}, []OnceOutput{EndClaim{onceAttempt, true}}},
 		{"the claim is lost twice", func(o *OnceOnly) []OnceOutput {
@@ -119,7 +119,7 @@
 				case DispatchOnce:
 					dispatches++
 					require.True(t, granted, "dispatched without a grant")
-					require.Less(t, now, output.By)
+					require.Less(t, now, output.Deadline)
 				case AnswerOnce:
 					callerAnswers++
 				case RefuseOnce:
@@ -164,7 +164,7 @@
 			case 7:
 				check(once.Broken(now, ""))
 			case 8:
-				check(once.CallerGone(now))
+				check(once.CallerDisconnected(now))
 			}
 			check(once.Tick(now))
 		}
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -16,10 +16,10 @@
 	Maximum float64
 	// Initial is the balance of a new budget, bounded by Maximum.
 	Initial float64
-	// Memory is the time constant with which the balance decays; 0 disables the
+	// DecayTime is the time constant with which the balance decays; 0 disables the
 	// decay. Without it, many gateways would accumulate retries in quiet times
 	// and spend them at the same time.
-	Memory time.Duration
+	DecayTime time.Duration
 }
 
 // DefaultBudgetOptions returns the default settings, which the experiments use.
@@ -77,8 +77,8 @@
 		return
 	}
 	elapsed := now - b.lastAdvance
-	if b.options.Memory > 0 {
-		b.balance *= math.Exp(-elapsed.Seconds() / b.options.Memory.Seconds())
+	if b.options.DecayTime > 0 {
+		b.balance *= math.Exp(-elapsed.Seconds() / b.options.DecayTime.Seconds())
 	}
 	b.add(elapsed.Seconds() * b.options.MinimumPerSecond)
 	b.lastAdvance = now
--- a/internal/retry/retrier.go
+++ b/internal/retry/retrier.go
@@ -90,10 +90,10 @@
 // Budget returns the budget, for status reports.
 func (r *Retrier) Budget() *Budget { return r.budget }
 
-// Failed decides what to do after a failed attempt, and returns the delay
+// Decide decides what to do after a failed attempt, and returns the delay
 // before a retry. If the verdict is Retry, it has been withdrawn from the
 // budget.
-func (r *Retrier) Failed(now time.Duration, failed Failure) (Verdict, time.Duration) {
+func (r *Retrier) Decide(now time.Duration, failed Failure) (Verdict, time.Duration) {
 	if !failed.NotRun && !failed.Repeatable {
 		return GiveUpNotRepeatable, 0
 	}
@@ -125,8 +125,8 @@
 	return time.Duration(r.random.Int64N(int64(limit)))
 }
 
-// FirstTokenTook records a first-token time for hedging.
-func (r *Retrier) FirstTokenTook(took time.Duration) { r.hedger.Observe(took) }
+// ObserveFirstToken records a first-token time for hedging.
+func (r *Retrier) ObserveFirstToken(took time.Duration) { r.hedger.Observe(took) }
 
 // HedgeAfter returns how long to wait for the first token before a second
 // attempt is worth starting; ok is false if hedging isn't worthwhile at
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -36,13 +36,13 @@
 		"time for another attempt":        {Failure{Attempts: 1, Repeatable: true, Deadline: time.Minute, Expected: time.Second}, Retry},
 	}
 	for name, test := range cases {
-		verdict, _ := retrierWithBudget().Failed(0, test.failed)
+		verdict, _ := retrierWithBudget().Decide(0, test.failed)
 		assert.Equal(t, test.want, verdict, name)
 	}
 }
 
 func TestEmptyBudgetGivesUp(t *testing.T) {
-	verdict, _ := newRetrier(DefaultOptions()).Failed(0, Failure{Attempts: 1, Repeatable: true})
+	verdict, _ := newRetrier(DefaultOptions()).Decide(0, Failure{Attempts: 1, Repeatable: true})
 	assert.Equal(t, GiveUpBudget, verdict)
 }
 
@@ -60,7 +60,7 @@
 			requests++
 			failures := rapid.IntRange(0, 6).Draw(t, "failures")
 			for attempt := 1; attempt <= failures; attempt++ {
-				verdict, wait := retrier.Failed(now, Failure{Attempts: attempt, Repeatable: true, Resumes: rapid.Bool().Draw(t, "resumes")})
+				verdict, wait := retrier.Decide(now, Failure{Attempts: attempt, Repeatable: true, Resumes: rapid.Bool().Draw(t, "resumes")})
 				if verdict != Retry {
 					break
 				}
@@ -87,7 +87,7 @@
 }
 
 func TestResumingStreamHasNoBackoff(t *testing.T) {
-	_, wait := retrierWithBudget().Failed(0, Failure{Attempts: 3, Repeatable: true, Resumes: true})
+	_, wait := retrierWithBudget().Decide(0, Failure{Attempts: 3, Repeatable: true, Resumes: true})
 	assert.Zero(t, wait)
 }
 
--- a/internal/routing/attempts.go
+++ b/internal/routing/attempts.go
@@ -8,8 +8,8 @@
 
 // Outcomes of an attempt.
 const (
-	// OutcomeAnswered means that the engine completed its part of the request.
-	OutcomeAnswered Outcome = iota
+	// OutcomeSucceeded means that the engine completed its part of the request.
+	OutcomeSucceeded Outcome = iota
 	// OutcomeRefused means that the engine rejected the attempt before running
 	// it: it is alive, but its load or configuration differs from what the
 	// gateway assumed.
@@ -20,21 +20,21 @@
 	OutcomeCancelled
 )
 
-// Started records that an attempt was dispatched to the engines of a choice. If
+// ChoiceDispatched records that an attempt was dispatched to the engines of a choice. If
 // the choice has a prefill engine, prefillID is the attempt's id there.
-func (r *Router) Started(now time.Duration, choice Choice, request Request, attemptID, prefillID string) {
+func (r *Router) ChoiceDispatched(now time.Duration, choice Choice, request Request, attemptID, prefillID string) {
 	if choice.Prefill == nil {
-		r.StartedAt(now, choice.Serving.ID, attemptID, choice.NewTokens, request.PromptTokens+request.OutputTokens)
+		r.AttemptStarted(now, choice.Serving.ID, attemptID, choice.NewTokens, request.PromptTokens+request.OutputTokens)
 		return
 	}
-	r.StartedAt(now, choice.Prefill.ID, prefillID, choice.NewTokens, request.PromptTokens)
-	r.StartedAt(now, choice.Serving.ID, attemptID, 0, request.PromptTokens+request.OutputTokens)
+	r.AttemptStarted(now, choice.Prefill.ID, prefillID, choice.NewTokens, request.PromptTokens)
+	r.AttemptStarted(now, choice.Serving.ID, attemptID, 0, request.PromptTokens+request.OutputTokens)
 }
 
-// StartedAt records the start of an attempt at one engine. newTokens is the
+// AttemptStarted records the start of an attempt at one engine. newTokens is the
 // number of prompt tokens to prefill there, kvTokens the KV cache memory that
 // the attempt will need, in tokens.
-func (r *Router) StartedAt(now time.Duration, engineID, attemptID string, newTokens, kvTokens int) {
+func (r *Router) AttemptStarted(now time.Duration, engineID, attemptID string, newTokens, kvTokens int) {
 	state, found := r.engines[engineID]
 	if !found {
 		return
@@ -55,9 +55,9 @@
 	state.ownLoad = state.ownLoad.plus(started.loadAt(now))
 }
 
-// FirstToken records that an attempt produced its first token, or that a
+// AttemptFirstToken records that an attempt produced its first token, or that a
 // prefill ended.
-func (r *Router) FirstToken(now time.Duration, engineID, attemptID string) {
+func (r *Router) AttemptFirstToken(now time.Duration, engineID, attemptID string) {
 	state, started := r.attempt(engineID, attemptID)
 	if started == nil || started.firstTokenAt >= 0 {
 		return
@@ -78,8 +78,8 @@
 	state.health.observeSlowness(now, float64(took)/float64(max(predicted, time.Millisecond)), r.options.Ejection)
 }
 
-// Ended records how an attempt ended.
-func (r *Router) Ended(now time.Duration, engineID, attemptID string, outcome Outcome) {
+// AttemptEnded records how an attempt ended.
+func (r *Router) AttemptEnded(now time.Duration, engineID, attemptID string, outcome Outcome) {
 	state, ended := r.attempt(engineID, attemptID)
 	if ended == nil || ended.endedAt >= 0 {
 		return
@@ -90,7 +90,7 @@
 		delete(state.attempts, attemptID)
 	}
 	switch outcome {
-	case OutcomeAnswered:
+	case OutcomeSucceeded:
 		state.health.succeeded(now, r.options.Ejection)
 	case OutcomeFailed:
 		state.health.failed(now, r.options.Ejection)
--- a/internal/routing/batchlimit_test.go
+++ b/internal/routing/batchlimit_test.go
@@ -37,7 +37,7 @@
 func (e *reportedEngine) saturated() bool {
 	e.t.Helper()
 	choice, miss := e.router.Select(e.now, Request{Model: "m", PromptTokens: 100, OutputTokens: 100})
-	require.Equal(e.t, MissNone, miss)
+	require.Equal(e.t, EngineFound, miss)
 	return choice.Saturated
 }
 
--- a/internal/routing/benchmark_test.go
+++ b/internal/routing/benchmark_test.go
@@ -61,7 +61,7 @@
 			request := Request{Model: "model-3", PromptTokens: 900, OutputTokens: 220}
 			b.ReportAllocs()
 			for b.Loop() {
-				router.Miss(2*time.Second, request)
+				router.NoEngineReason(2*time.Second, request)
 			}
 		})
 	}
--- a/internal/routing/choice.go
+++ b/internal/routing/choice.go
@@ -25,23 +25,23 @@
 	Saturated bool
 }
 
-// Miss is the reason why Select found no engine.
-type Miss int
+// NoEngineReason is the reason why Select found no engine.
+type NoEngineReason int
 
 // Reasons for finding no engine.
 const (
-	// MissNone means that an engine was found.
-	MissNone Miss = iota
-	// MissUnknownModel means that no engine of this zone has the model, in the
+	// EngineFound means that an engine was found.
+	EngineFound NoEngineReason = iota
+	// NoEngineWithModel means that no engine of this zone has the model, in the
 	// requested version and with the requested adapter.
-	MissUnknownModel
-	// MissNotDispatchable means that engines have the model, but none accepts
+	NoEngineWithModel
+	// NoEngineDispatchable means that engines have the model, but none accepts
 	// new work, or those that do were already tried or are outside the
 	// isolation set.
-	MissNotDispatchable
-	// MissNoDecode means that no available engine can decode, whether or not
+	NoEngineDispatchable
+	// NoDecodeEngine means that no available engine can decode, whether or not
 	// one can prefill.
-	MissNoDecode
-	// MissNoPrefill means that engines can decode, but none can prefill.
-	MissNoPrefill
+	NoDecodeEngine
+	// NoPrefillEngine means that engines can decode, but none can prefill.
+	NoPrefillEngine
 )
--- a/internal/routing/miss_test.go
+++ b/internal/routing/miss_test.go
@@ -10,10 +10,10 @@
 	"github.com/pierhaven/pierhaven/internal/api/engineapi"
 )
 
-// TestMissAgreesWithSelect: Miss must return the same reason as Select, which
+// TestNoEngineReasonAgreesWithSelect: NoEngineReason must return the same reason as Select, which
 // it abbreviates.
-func TestMissAgreesWithSelect(t *testing.T) {
-	seen := map[Miss]bool{}
+func TestNoEngineReasonAgreesWithSelect(t *testing.T) {
+	seen := map[NoEngineReason]bool{}
 	rapid.Check(t, func(t *rapid.T) {
 		var engines []Engine
 		for number := range rapid.IntRange(0, 4).Draw(t, "engines") {
@@ -29,8 +29,8 @@
 			if rapid.IntRange(0, 3).Draw(t, "fails") == 0 {
 				for attempt := range 10 {
 					id := fmt.Sprint(engine.ID, "-", attempt)
-					f.router.StartedAt(f.now, engine.ID, id, 100, 200)
-					f.router.Ended(f.now, engine.ID, id, OutcomeFailed)
+					f.router.AttemptStarted(f.now, engine.ID, id, 100, 200)
+					f.router.AttemptEnded(f.now, engine.ID, id, OutcomeFailed)
 				}
 			}
 		}
@@ -41,8 +41,8 @@
 			wanted.OnlyEngines = []string{"0", "2"}
 		}
 		_, miss := f.router.Select(f.now, wanted)
-		require.Equal(t, miss, f.router.Miss(f.now, wanted))
+		require.Equal(t, miss, f.router.NoEngineReason(f.now, wanted))
 		seen[miss] = true
 	})
-	require.Len(t, seen, int(MissNoPrefill)+1, "every reason was drawn")
+	require.Len(t, seen, int(NoPrefillEngine)+1, "every reason was drawn")
 }
--- a/internal/routing/options.go
+++ b/internal/routing/options.go
@@ -4,10 +4,10 @@
 
 // Options are the settings of a Router.
 type Options struct {
-	// Choices is the number of engines that are sampled at random and compared;
+	// SampleSize is the number of engines that are sampled at random and compared;
 	// 2 is the power of two choices (Mitzenmacher, IEEE TPDS 2001). 0 compares
 	// all, which suits a zone with one gateway.
-	Choices int
+	SampleSize int
 	// SubsetSize bounds the number of engines of a model that this gateway
 	// uses; 0 uses all.
 	SubsetSize int
@@ -55,7 +55,7 @@
 // DefaultOptions returns the default settings, which the experiments use.
 func DefaultOptions() Options {
 	return Options{
-		Choices:               2,
+		SampleSize:            2,
 		PrefixBlocksPerEngine: 1 << 13,
 		LoadHalfLife:          3 * time.Second,
 		KVTransferPerToken:    10 * time.Microsecond,
--- a/internal/routing/select.go
+++ b/internal/routing/select.go
@@ -19,10 +19,10 @@
 
 // Select chooses the engines for a request: one mixed engine, or a prefill and
 // a decode engine together, whichever is predicted to be better.
-func (r *Router) Select(now time.Duration, request Request) (Choice, Miss) {
+func (r *Router) Select(now time.Duration, request Request) (Choice, NoEngineReason) {
 	request.Objectives = request.Objectives.withDefaults()
 	usable, miss := r.usable(now, &request)
-	if miss != MissNone {
+	if miss != EngineFound {
 		return Choice{}, miss
 	}
 	if request.Prefilled {
@@ -31,42 +31,42 @@
 	return r.selectPrefillAndDecode(now, &request, usable)
 }
 
-// Miss returns the reason why Select would find no engine. It only checks
+// NoEngineReason returns the reason why Select would find no engine. It only checks
 // eligibility and roles, and rates no engine.
-func (r *Router) Miss(now time.Duration, request Request) Miss {
+func (r *Router) NoEngineReason(now time.Duration, request Request) NoEngineReason {
 	usable, miss := r.usable(now, &request)
-	if miss != MissNone {
+	if miss != EngineFound {
 		return miss
 	}
 	if request.Prefilled {
 		return missingRole(true, hasRole(usable, engineapi.RoleDecode, engineapi.RoleMixed))
 	}
-	miss = MissNoDecode
+	miss = NoDecodeEngine
 	for _, sameVersion := range byVersion(usable) {
 		if hasRole(sameVersion, engineapi.RoleMixed) {
-			return MissNone
+			return EngineFound
 		}
 		prefills := hasRole(sameVersion, engineapi.RolePrefill)
 		decodes := hasRole(sameVersion, engineapi.RoleDecode)
 		switch missingRole(prefills, decodes) {
-		case MissNone:
-			return MissNone
-		case MissNoPrefill:
-			miss = MissNoPrefill
+		case EngineFound:
+			return EngineFound
+		case NoPrefillEngine:
+			miss = NoPrefillEngine
 		}
 	}
 	return miss
 }
 
 // missingRole returns which role the engines of one version lack.
-func missingRole(prefills, decodes bool) Miss {
+func missingRole(prefills, decodes bool) NoEngineReason {
 	switch {
 	case !decodes:
-		return MissNoDecode
+		return NoDecodeEngine
 	case !prefills:
-		return MissNoPrefill
+		return NoPrefillEngine
 	default:
-		return MissNone
+		return EngineFound
 	}
 }
 
@@ -77,37 +77,37 @@
 }
 
 // usable returns the engines that may take a request, regardless of their role.
-func (r *Router) usable(now time.Duration, request *Request) ([]*engineState, Miss) {
+func (r *Router) usable(now time.Duration, request *Request) ([]*engineState, NoEngineReason) {
 	withModel := filterStates(now, request, r.byModel[request.Model], modelFilter{})
 	if len(withModel) == 0 {
-		return nil, MissUnknownModel
+		return nil, NoEngineWithModel
 	}
 	usable := filterStates(now, request, withModel, serviceFilter{})
 	usable = withoutEjected(now, usable, r.options.Ejection)
 	if len(usable) == 0 {
-		return nil, MissNotDispatchable
+		return nil, NoEngineDispatchable
 	}
-	return usable, MissNone
+	return usable, EngineFound
 }
 
 // selectPrefillAndDecode compares the best mixed engine with the best pairs of
 // a prefill and a decode engine. While several versions are being served, both
 // engines of a pair have the same one, because a KV cache can't be used by
 // another version.
-func (r *Router) selectPrefillAndDecode(now time.Duration, request *Request, usable []*engineState) (Choice, Miss) {
+func (r *Router) selectPrefillAndDecode(now time.Duration, request *Request, usable []*engineState) (Choice, NoEngineReason) {
 	var best *placement
-	miss := MissNoDecode
+	miss := NoDecodeEngine
 	for _, sameVersion := range byVersion(usable) {
 		rated, decodes := r.bestPlacement(now, request, sameVersion)
 		best = highestScoring([]*placement{best, rated})
 		if decodes {
-			miss = MissNoPrefill
+			miss = NoPrefillEngine
 		}
 	}
 	if best == nil {
 		return Choice{}, miss
 	}
-	return r.newChoice(request, best), MissNone
+	return r.newChoice(request, best), EngineFound
 }
 
 // bestPlacement returns the best placement within one version, nil if there is
@@ -172,15 +172,15 @@
 }
 
 // selectDecode selects the engine that imports an exported KV cache.
-func (r *Router) selectDecode(now time.Duration, request *Request, usable []*engineState) (Choice, Miss) {
+func (r *Router) selectDecode(now time.Duration, request *Request, usable []*engineState) (Choice, NoEngineReason) {
 	best := highestScoring([]*placement{
 		decodeOnly(r.bestDecode(now, request, usable, decodeRoles)),
 		decodeOnly(r.bestDecode(now, request, usable, mixedRoles)),
 	})
 	if best == nil {
-		return Choice{}, MissNoDecode
+		return Choice{}, NoDecodeEngine
 	}
-	return r.newChoice(request, best), MissNone
+	return r.newChoice(request, best), EngineFound
 }
 
 // bestPrefill returns the best candidate that prefills the prompt, nil if there
@@ -204,7 +204,7 @@
 	}
 	states = subset(r.options.GatewayID, states, r.options.SubsetSize)
 	mean := r.meanOtherLoad(now, states)
-	pick := picker{sampleSize: r.options.Choices, random: r.random}
+	pick := picker{sampleSize: r.options.SampleSize, random: r.random}
 	var candidates []*candidate
 	for _, state := range pick.sample(now, states, r.longestPrefixMatch(request, states), r.options.Ejection) {
 		c := &candidate{state: state, load: state.estimate(now, r.options.LoadHalfLife, mean)}
--- a/internal/routing/select_test.go
+++ b/internal/routing/select_test.go
@@ -16,17 +16,17 @@
 	cases := map[string]struct {
 		engines []Engine
 		change  func(*Request)
-		want    Miss
+		want    NoEngineReason
 	}{
-		"a mixed engine fits":       {[]Engine{engineOf("a", engineapi.RoleMixed)}, func(*Request) {}, MissNone},
-		"another model":             {[]Engine{engineOf("a", engineapi.RoleMixed)}, func(r *Request) { r.Model = "other" }, MissUnknownModel},
-		"another version":           {[]Engine{engineOf("a", engineapi.RoleMixed)}, func(r *Request) { r.Version = "2" }, MissUnknownModel},
-		"a missing adapter":         {[]Engine{engineOf("a", engineapi.RoleMixed)}, func(r *Request) { r.Adapter = "welsh" }, MissUnknownModel},
-		"tried already":             {[]Engine{engineOf("a", engineapi.RoleMixed)}, func(r *Request) { r.Exclude = []string{"a"} }, MissNotDispatchable},
-		"outside the isolation set": {[]Engine{engineOf("a", engineapi.RoleMixed)}, func(r *Request) { r.OnlyEngines = []string{} }, MissNotDispatchable},
-		"no engine decodes":         {[]Engine{engineOf("a", engineapi.RolePrefill)}, func(*Request) {}, MissNoDecode},
-		"no engine prefills":        {[]Engine{engineOf("a", engineapi.RoleDecode)}, func(*Request) {}, MissNoPrefill},
-		"a pair":                    {[]Engine{engineOf("a", engineapi.RolePrefill), engineOf("b", engineapi.RoleDecode)}, func(*Request) {}, MissNone},
+		"a mixed engine fits":       {[]Engine{engineOf("a", engineapi.RoleMixed)}, func(*Request) {}, EngineFound},
+		"another model":             {[]Engine{engineOf("a", engineapi.RoleMixed)}, func(r *Request) { r.Model = "other" }, NoEngineWithModel},
+		"another version":           {[]Engine{engineOf("a", engineapi.RoleMixed)}, func(r *Request) { r.Version = "2" }, NoEngineWithModel},
+		"a missing adapter":         {[]Engine{engineOf("a", engineapi.RoleMixed)}, func(r *Request) { r.Adapter = "welsh" }, NoEngineWithModel},
+		"tried already":             {[]Engine{engineOf("a", engineapi.RoleMixed)}, func(r *Request) { r.Exclude = []string{"a"} }, NoEngineDispatchable},
+		"outside the isolation set": {[]Engine{engineOf("a", engineapi.RoleMixed)}, func(r *Request) { r.OnlyEngines = []string{} }, NoEngineDispatchable},
+		"no engine decodes":         {[]Engine{engineOf("a", engineapi.RolePrefill)}, func(*Request) {}, NoDecodeEngine},
+		"no engine prefills":        {[]Engine{engineOf("a", engineapi.RoleDecode)}, func(*Request) {}, NoPrefillEngine},
+		"a pair":                    {[]Engine{engineOf("a", engineapi.RolePrefill), engineOf("b", engineapi.RoleDecode)}, func(*Request) {}, EngineFound},
 	}
 	for name, test := range cases {
 		wanted := request(200)
@@ -43,7 +43,7 @@
 	f := newFixture(drained, leaving, engineOf("good", engineapi.RoleMixed))
 	for range 50 {
 		choice, miss := f.router.Select(f.now, request(200))
-		require.Equal(t, MissNone, miss)
+		require.Equal(t, EngineFound, miss)
 		require.Equal(t, "good", choice.Serving.ID)
 	}
 }
@@ -51,7 +51,7 @@
 func TestPairUsesPrefillAndDecodeEngines(t *testing.T) {
 	f := newFixture(engineOf("p", engineapi.RolePrefill), engineOf("d", engineapi.RoleDecode))
 	choice, miss := f.router.Select(f.now, request(200))
-	require.Equal(t, MissNone, miss)
+	require.Equal(t, EngineFound, miss)
 	require.NotNil(t, choice.Prefill)
 	assert.Equal(t, "p", choice.Prefill.ID)
 	assert.Equal(t, "d", choice.Serving.ID)
@@ -60,7 +60,7 @@
 	prefilled := request(200)
 	prefilled.Prefilled = true
 	choice, miss = f.router.Select(f.now, prefilled)
-	require.Equal(t, MissNone, miss)
+	require.Equal(t, EngineFound, miss)
 	assert.Nil(t, choice.Prefill)
 	assert.Equal(t, "d", choice.Serving.ID)
 }
@@ -74,7 +74,7 @@
 		f.report("reader", 1, 0, 14*time.Millisecond)
 	}
 	choice, miss := f.router.Select(f.now, request(16))
-	require.Equal(t, MissNone, miss)
+	require.Equal(t, EngineFound, miss)
 	assert.Equal(t, "reader", choice.Serving.ID)
 	assert.False(t, choice.Saturated)
 }
@@ -99,7 +99,7 @@
 	f := newFixture(engineOf("a", engineapi.RoleMixed))
 	choice, _ := f.router.Select(f.now, request(5000))
 	assert.False(t, choice.Saturated, "an idle engine takes any prompt")
-	f.router.StartedAt(f.now, "a", "first", 800, 900)
+	f.router.AttemptStarted(f.now, "a", "first", 800, 900)
 	choice, _ = f.router.Select(f.now, request(300))
 	assert.False(t, choice.Saturated)
 	late := request(300)
@@ -113,14 +113,14 @@
 // deadline.
 func TestRequestPastItsObjectiveIsNotHeld(t *testing.T) {
 	f := newFixture(engineOf("a", engineapi.RoleMixed))
-	f.router.StartedAt(f.now, "a", "first", 100, 200)
+	f.router.AttemptStarted(f.now, "a", "first", 100, 200)
 	for _, waited := range []time.Duration{time.Second, time.Minute} {
 		late := request(300)
 		late.Waited = waited
 		choice, _ := f.router.Select(f.now, late)
 		assert.False(t, choice.Saturated, "after %v", waited)
 	}
-	f.router.StartedAt(f.now, "a", "second", 8000, 9000)
+	f.router.AttemptStarted(f.now, "a", "second", 8000, 9000)
 	late := request(300)
 	late.Waited = time.Minute
 	choice, _ := f.router.Select(f.now, late)
@@ -129,7 +129,7 @@
 
 func TestOwnDispatchesCountBeforeTheNextReport(t *testing.T) {
 	f := newFixture(engineOf("a", engineapi.RoleMixed), engineOf("b", engineapi.RoleMixed))
-	f.router.StartedAt(f.now, "a", "one", 2000, 2100)
+	f.router.AttemptStarted(f.now, "a", "one", 2000, 2100)
 	for range 20 {
 		choice, _ := f.router.Select(f.now, request(200))
 		reader := choice.Serving.ID
@@ -149,26 +149,26 @@
 			switch rapid.IntRange(0, 3).Draw(t, "kind") {
 			case 0:
 				id, engineID := fmt.Sprint(step), rapid.SampledFrom([]string{"a", "b"}).Draw(t, "engine")
-				f.router.StartedAt(f.now, engineID, id, rapid.IntRange(0, 500).Draw(t, "tokens"), 600)
+				f.router.AttemptStarted(f.now, engineID, id, rapid.IntRange(0, 500).Draw(t, "tokens"), 600)
 				open[id] = engineID
 			case 1:
 				for id, engineID := range open {
-					f.router.FirstToken(f.now, engineID, id)
+					f.router.AttemptFirstToken(f.now, engineID, id)
 					break
 				}
 			case 2:
 				f.report(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "reported"), rapid.IntRange(0, 9).Draw(t, "running"), 0, 15*time.Millisecond)
 			case 3:
 				for id, engineID := range open {
-					f.router.Ended(f.now, engineID, id, OutcomeAnswered)
-					f.router.Ended(f.now, engineID, id, OutcomeAnswered)
+					f.router.AttemptEnded(f.now, engineID, id, OutcomeSucceeded)
+					f.router.AttemptEnded(f.now, engineID, id, OutcomeSucceeded)
 					delete(open, id)
 					break
 				}
 			}
 		}
 		for id, engineID := range open {
-			f.router.Ended(f.now, engineID, id, OutcomeCancelled)
+			f.router.AttemptEnded(f.now, engineID, id, OutcomeCancelled)
 		}
 		for _, state := range f.router.engines {
 			require.Equal(t, load{}, state.ownLoad, "load of %s", state.engine.ID)
--- a/internal/routing/versions_test.go
+++ b/internal/routing/versions_test.go
@@ -20,23 +20,23 @@
 	cases := []struct {
 		name    string
 		engines []Engine
-		miss    Miss
+		miss    NoEngineReason
 	}{
 		{"a prefill engine of each version", []Engine{
 			versionEngine("p1", engineapi.RolePrefill, "1"), versionEngine("p2", engineapi.RolePrefill, "2"),
 			versionEngine("d1", engineapi.RoleDecode, "1"), versionEngine("d2", engineapi.RoleDecode, "2"),
-		}, MissNone},
+		}, EngineFound},
 		{"the new decode engine has no prefill engine yet", []Engine{
 			versionEngine("p1", engineapi.RolePrefill, "1"),
 			versionEngine("d1", engineapi.RoleDecode, "1"), versionEngine("d2", engineapi.RoleDecode, "2"),
-		}, MissNone},
+		}, EngineFound},
 		{"mixed engines of the old version", []Engine{
 			versionEngine("m1", engineapi.RoleMixed, "1"), versionEngine("m3", engineapi.RoleMixed, "1"),
 			versionEngine("d2", engineapi.RoleDecode, "2"),
-		}, MissNone},
+		}, EngineFound},
 		{"no version has both roles", []Engine{
 			versionEngine("p1", engineapi.RolePrefill, "1"), versionEngine("d2", engineapi.RoleDecode, "2"),
-		}, MissNoPrefill},
+		}, NoPrefillEngine},
 	}
 	for _, each := range cases {
 		t.Run(each.name, func(t *testing.T) {
