--- a/internal/backpressure/gate.go
+++ b/internal/backpressure/gate.go
@@ -20,10 +20,10 @@
 	Clock func() time.Duration
 	// Leaving reports whether a response says that its sender is leaving; nil if no response can.
 	Leaving func(header http.Header) bool
-	// LeaveTime is how long a peer may be sent new work after it has first said that it is leaving; 0 for
+	// LeavingGrace is how long a peer may be sent new work after it has first said that it is leaving; 0 for
 	// no limit.
-	LeaveTime time.Duration
-	Logger    logr.Logger
+	LeavingGrace time.Duration
+	Logger       logr.Logger
 }
 
 // Gate tracks what peers ask of this process. It is safe for concurrent use.
@@ -34,10 +34,10 @@
 	// stateCount is len(states), kept separately so that calls take no lock while it is 0.
 	stateCount atomic.Int64
 	// onChange is set by OnChange.
-	onChange func(peer Peer, state *Standing)
+	onChange func(peer Peer, state *PeerState)
 
 	mutex  sync.Mutex
-	states map[Peer]*Standing
+	states map[Peer]*PeerState
 	// sweepThreshold is the number of states from which the next sweep removes the expired ones.
 	sweepThreshold int
 }
@@ -55,19 +55,19 @@
 		options:        options,
 		honorBackoff:   true,
 		honorLeaving:   true,
-		onChange:       func(Peer, *Standing) {},
-		states:         map[Peer]*Standing{},
+		onChange:       func(Peer, *PeerState) {},
+		states:         map[Peer]*PeerState{},
 		sweepThreshold: minSweepThreshold,
 	}
 }
 
-// Disregard makes the gate ignore requested backoffs, or leaving peers, to measure the benefit of each. It
+// Disable makes the gate ignore requested backoffs, or leaving peers, to measure the benefit of each. It
 // must be called before first use.
-func (g *Gate) Disregard(backoff, leaving bool) { g.honorBackoff, g.honorLeaving = !backoff, !leaving }
+func (g *Gate) Disable(backoff, leaving bool) { g.honorBackoff, g.honorLeaving = !backoff, !leaving }
 
 // OnChange sets a function that is called for each peer that asks for something for the first time, and again
 // when it says that it is leaving. It must be called before first use.
-func (g *Gate) OnChange(notify func(peer Peer, state *Standing)) { g.onChange = notify }
+func (g *Gate) OnChange(notify func(peer Peer, state *PeerState)) { g.onChange = notify }
 
 // Now is the current time by the gate's clock.
 func (g *Gate) Now() time.Duration { return g.options.Clock() }
@@ -75,9 +75,9 @@
 // Empty reports whether the gate holds no peer state.
 func (g *Gate) Empty() bool { return g.stateCount.Load() == 0 }
 
-// Hear records what the status and header of a peer's response ask for. A misdirected request was answered by
+// Observe records what the status and header of a peer's response ask for. A misdirected request was answered by
 // another incarnation, whose response says nothing about the expected one.
-func (g *Gate) Hear(peer Peer, status int, header http.Header) {
+func (g *Gate) Observe(peer Peer, status int, header http.Header) {
 	if status == http.StatusMisdirectedRequest {
 		return
 	}
@@ -106,18 +106,18 @@
 	}
 }
 
-// HeldError says that a request must not be sent to a peer now.
-type HeldError struct{ reason string }
+// BlockedError says that a request must not be sent to a peer now.
+type BlockedError struct{ reason string }
 
 // Error implements error.
-func (e *HeldError) Error() string { return e.reason }
+func (e *BlockedError) Error() string { return e.reason }
 
 var (
-	errBackoff = &HeldError{reason: "it has asked for rest"}
-	errLeaving = &HeldError{reason: "it has said that it leaves"}
+	errBackoff = &BlockedError{reason: "it has asked for rest"}
+	errLeaving = &BlockedError{reason: "it has said that it leaves"}
 )
 
-// Permits returns a HeldError if a request must not be sent to a peer now, else nil. work is set for new work:
+// Permits returns a BlockedError if a request must not be sent to a peer now, else nil. work is set for new work:
 // a request that only concerns work the peer already has may go to a leaving peer, but not to one in backoff.
 func (g *Gate) Permits(peer Peer, work bool) error {
 	state := g.lookup(peer)
@@ -125,7 +125,7 @@
 		return nil
 	}
 	now := g.Now()
-	if state.RestLeft(now) > 0 {
+	if state.BackoffLeft(now) > 0 {
 		return errBackoff
 	}
 	if work && !g.AcceptsWork(state, now) {
@@ -135,18 +135,18 @@
 }
 
 // AcceptsWork reports whether a peer may still be sent new work, considering only whether it is leaving.
-func (g *Gate) AcceptsWork(state *Standing, now time.Duration) bool {
+func (g *Gate) AcceptsWork(state *PeerState, now time.Duration) bool {
 	since := time.Duration(state.leavingSince.Load())
-	return since == 0 || g.WithinLeaveTime(since, now)
+	return since == 0 || g.WithinLeavingGrace(since, now)
 }
 
-// WithinLeaveTime reports whether a peer that has been leaving since a given time may still be sent new work.
-func (g *Gate) WithinLeaveTime(since, now time.Duration) bool {
-	return g.options.LeaveTime == 0 || now < since+g.options.LeaveTime
+// WithinLeavingGrace reports whether a peer that has been leaving since a given time may still be sent new work.
+func (g *Gate) WithinLeavingGrace(since, now time.Duration) bool {
+	return g.options.LeavingGrace == 0 || now < since+g.options.LeavingGrace
 }
 
 // getOrCreate returns the state of a peer, and whether it was created.
-func (g *Gate) getOrCreate(peer Peer) (state *Standing, first bool) {
+func (g *Gate) getOrCreate(peer Peer) (state *PeerState, first bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if existing, found := g.states[peer]; found {
@@ -154,13 +154,13 @@
 	}
 	g.sweep()
 	g.stateCount.Add(1)
-	created := &Standing{}
+	created := &PeerState{}
 	g.states[peer] = created
 	return created, true
 }
 
 // logBackoff logs what a peer asks for, at most one line per logInterval.
-func (g *Gate) logBackoff(peer Peer, state *Standing, what event.Event, backoff time.Duration) {
+func (g *Gate) logBackoff(peer Peer, state *PeerState, what event.Event, backoff time.Duration) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := g.Now()
@@ -169,7 +169,7 @@
 		return
 	}
 	g.options.Logger.Info(what, "life", peer.Instance, "address", peer.Address, "rest_ms", backoff.Milliseconds(),
-		"left_ms", state.RestLeft(now).Milliseconds(), "omitted", state.omitted)
+		"left_ms", state.BackoffLeft(now).Milliseconds(), "omitted", state.omitted)
 	state.nextLogAt, state.omitted = now+logInterval, 0
 }
 
@@ -179,7 +179,7 @@
 	defer g.mutex.Unlock()
 	now := g.Now()
 	for _, each := range g.states {
-		if each.RestLeft(now) > 0 {
+		if each.BackoffLeft(now) > 0 {
 			backingOff++
 		}
 		if each.Leaving() {
@@ -191,7 +191,7 @@
 
 // MarkListed notes that a peer is listed (again), so that its state does not expire, and returns the state; nil
 // if the peer has asked for nothing.
-func (g *Gate) MarkListed(peer Peer) *Standing {
+func (g *Gate) MarkListed(peer Peer) *PeerState {
 	state := g.lookup(peer)
 	if state != nil {
 		g.mutex.Lock()
@@ -202,7 +202,7 @@
 }
 
 // lookup returns the state of a peer, nil if it has asked for nothing.
-func (g *Gate) lookup(peer Peer) *Standing {
+func (g *Gate) lookup(peer Peer) *PeerState {
 	if g.Empty() {
 		return nil
 	}
@@ -211,8 +211,8 @@
 	return g.states[peer]
 }
 
-// Drop notes that a peer is no longer listed: its state expires after a retention time.
-func (g *Gate) Drop(peer Peer) {
+// MarkUnlisted notes that a peer is no longer listed: its state expires after a retention time.
+func (g *Gate) MarkUnlisted(peer Peer) {
 	if g.Empty() {
 		return
 	}
@@ -220,7 +220,7 @@
 	defer g.mutex.Unlock()
 	if dropped, found := g.states[peer]; found {
 		now := g.Now()
-		dropped.expireAt = now + max(retention, dropped.RestLeft(now))
+		dropped.expireAt = now + max(retention, dropped.BackoffLeft(now))
 	}
 }
 
--- a/internal/backpressure/gate_test.go
+++ b/internal/backpressure/gate_test.go
@@ -33,7 +33,7 @@
 
 // reject makes a peer reject a call with a Retry-After in seconds.
 func (t *testGate) reject(peer Peer, seconds float64) {
-	t.Hear(peer, http.StatusServiceUnavailable, http.Header{"Retry-After": {strconv.FormatFloat(seconds, 'f', -1, 64)}})
+	t.Observe(peer, http.StatusServiceUnavailable, http.Header{"Retry-After": {strconv.FormatFloat(seconds, 'f', -1, 64)}})
 }
 
 var (
@@ -49,35 +49,35 @@
 	g.reject(peerA, 3)
 	g.now += time.Second
 	g.reject(peerA, 1)
-	assert.Equal(t, 2*time.Second, g.MarkListed(peerA).RestLeft(g.now), "a shorter backoff")
-	g.Hear(peerA, http.StatusOK, http.Header{})
+	assert.Equal(t, 2*time.Second, g.MarkListed(peerA).BackoffLeft(g.now), "a shorter backoff")
+	g.Observe(peerA, http.StatusOK, http.Header{})
 	g.reject(peerA, 0)
-	assert.Equal(t, 2*time.Second, g.MarkListed(peerA).RestLeft(g.now), "no other response ends it")
+	assert.Equal(t, 2*time.Second, g.MarkListed(peerA).BackoffLeft(g.now), "no other response ends it")
 	g.reject(peerA, 5)
-	assert.Equal(t, 5*time.Second, g.MarkListed(peerA).RestLeft(g.now), "a longer backoff")
+	assert.Equal(t, 5*time.Second, g.MarkListed(peerA).BackoffLeft(g.now), "a longer backoff")
 	g.now += 5 * time.Second
-	assert.Zero(t, g.MarkListed(peerA).RestLeft(g.now))
+	assert.Zero(t, g.MarkListed(peerA).BackoffLeft(g.now))
 	assert.Nil(t, g.MarkListed(peerB), "another peer")
 	assert.Nil(t, g.MarkListed(Peer{Address: peerA.Address, Instance: "a@2"}), "another incarnation at its address")
 }
 
 func TestMisdirectedResponseIsIgnored(t *testing.T) {
 	g := newTestGate(logr.Discard())
-	g.Hear(peerA, http.StatusMisdirectedRequest, leaving)
+	g.Observe(peerA, http.StatusMisdirectedRequest, leaving)
 	assert.True(t, g.Empty())
 }
 
 func TestLeavingHoldsUntilTheProcessEnds(t *testing.T) {
 	g := newTestGate(logr.Discard())
 	notified := 0
-	g.OnChange(func(peer Peer, state *Standing) {
+	g.OnChange(func(peer Peer, state *PeerState) {
 		assert.Equal(t, peerA, peer)
 		assert.True(t, state.Leaving())
 		notified++
 	})
-	g.Hear(peerA, http.StatusOK, leaving)
-	g.Hear(peerA, http.StatusOK, leaving)
-	g.Hear(peerA, http.StatusOK, http.Header{})
+	g.Observe(peerA, http.StatusOK, leaving)
+	g.Observe(peerA, http.StatusOK, leaving)
+	g.Observe(peerA, http.StatusOK, http.Header{})
 	assert.Equal(t, 1, notified)
 	assert.True(t, g.MarkListed(peerA).Leaving(), "a response without the header does not revoke it")
 	backingOff, leaving := g.Counts()
@@ -88,7 +88,7 @@
 func TestForgetDeletesThePeerState(t *testing.T) {
 	g := newTestGate(logr.Discard())
 	g.reject(peerA, 600)
-	g.Hear(peerA, http.StatusOK, leaving)
+	g.Observe(peerA, http.StatusOK, leaving)
 	g.Forget(peerA)
 	g.Forget(peerB)
 	assert.True(t, g.Empty())
@@ -99,9 +99,9 @@
 func TestStateOutlivesAbsenceFromTheList(t *testing.T) {
 	g := newTestGate(logr.Discard())
 	g.reject(peerA, 600)
-	g.Hear(peerB, http.StatusOK, leaving)
-	g.Drop(peerA)
-	g.Drop(peerB)
+	g.Observe(peerB, http.StatusOK, leaving)
+	g.MarkUnlisted(peerA)
+	g.MarkUnlisted(peerB)
 	for number := range 1000 {
 		g.reject(Peer{Address: "c:1", Instance: strconv.Itoa(number)}, 1)
 	}
@@ -114,7 +114,7 @@
 	for number := range 100_000 {
 		peer := Peer{Address: "c:1", Instance: strconv.Itoa(number)}
 		g.reject(peer, 1)
-		g.Drop(peer)
+		g.MarkUnlisted(peer)
 		g.now += retention / 100
 	}
 	assert.Less(t, len(g.states), 500)
@@ -132,8 +132,8 @@
 	}, funcr.Options{}))
 	for range 1000 {
 		g.reject(peerA, 2)
-		g.Hear(peerA, http.StatusServiceUnavailable, http.Header{"Retry-After": {"soon"}})
-		g.Hear(peerA, http.StatusOK, leaving)
+		g.Observe(peerA, http.StatusServiceUnavailable, http.Header{"Retry-After": {"soon"}})
+		g.Observe(peerA, http.StatusOK, leaving)
 		g.now += 10 * time.Millisecond
 	}
 	assert.Equal(t, 1, lines[event.LeavingSaid])
--- a/internal/backpressure/standing.go
+++ b/internal/backpressure/standing.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Standing is what one peer asks of this process. It is safe for concurrent use; times are by the Gate's
+// PeerState is what one peer asks of this process. It is safe for concurrent use; times are by the Gate's
 // clock.
-type Standing struct {
+type PeerState struct {
 	// backoffEnd is when the requested backoff ends, and leavingSince when the peer first said that it is
 	// leaving; 0 for never.
 	backoffEnd, leavingSince atomic.Int64
@@ -19,20 +19,20 @@
 	expireAt time.Duration
 }
 
-// RestLeft returns the remaining backoff that the peer has requested, 0 if there is none.
-func (s *Standing) RestLeft(now time.Duration) time.Duration {
+// BackoffLeft returns the remaining backoff that the peer has requested, 0 if there is none.
+func (s *PeerState) BackoffLeft(now time.Duration) time.Duration {
 	return max(time.Duration(s.backoffEnd.Load())-now, 0)
 }
 
 // Leaving reports whether the peer has said that it is leaving.
-func (s *Standing) Leaving() bool { return s.leavingSince.Load() != 0 }
+func (s *PeerState) Leaving() bool { return s.leavingSince.Load() != 0 }
 
 // retention is how long a state is kept after its backoff has ended, or after its peer was unlisted: an older or
 // doubted list may show the peer again.
 const retention = time.Minute
 
 // expired reports whether the state may be deleted. The caller must hold the Gate's mutex.
-func (s *Standing) expired(now time.Duration) bool {
+func (s *PeerState) expired(now time.Duration) bool {
 	if s.expireAt > 0 && now >= s.expireAt {
 		return true
 	}
@@ -41,7 +41,7 @@
 
 // extendBackoff records a requested backoff, and reports whether it ends later than before. The latest end
 // counts, and no response shortens a backoff.
-func (s *Standing) extendBackoff(now, backoff time.Duration) (longer bool) {
+func (s *PeerState) extendBackoff(now, backoff time.Duration) (longer bool) {
 	end := int64(now + backoff)
 	if backoff <= 0 || end <= s.backoffEnd.Load() {
 		return false
@@ -51,6 +51,6 @@
 }
 
 // markLeaving records that the peer is leaving, and reports whether that is new. It holds until the process ends.
-func (s *Standing) markLeaving(now time.Duration) (first bool) {
+func (s *PeerState) markLeaving(now time.Duration) (first bool) {
 	return s.leavingSince.CompareAndSwap(0, int64(max(now, 1)))
 }
--- a/internal/coordinator/leaving.go
+++ b/internal/coordinator/leaving.go
@@ -126,7 +126,7 @@
 }
 
 // NoteStanding handles a change of the peer state of a replica. It does not block.
-func (c *Coordinator) NoteStanding(replica backpressure.Peer, state *backpressure.Standing) {
+func (c *Coordinator) NoteStanding(replica backpressure.Peer, state *backpressure.PeerState) {
 	if !state.Leaving() {
 		return
 	}
--- a/internal/coordinator/replicalimits.go
+++ b/internal/coordinator/replicalimits.go
@@ -80,7 +80,7 @@
 	}
 	l.expireAt = now + l.settings.Contact
 	isListed := func(replica string) bool { return l.listed[replica] }
-	for _, replica := range l.table.Keep(isListed, now-unlistedRetention*l.settings.Contact) {
+	for _, replica := range l.table.Expire(isListed, now-unlistedRetention*l.settings.Contact) {
 		l.pool.RemoveLimit(replica)
 	}
 }
@@ -90,14 +90,14 @@
 func (l *limitService) updateDirectoryLimits() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.placement.directory.TakeLimits(l.table.Words(l.now()))
+	l.placement.directory.TakeLimits(l.table.Reports(l.now()))
 }
 
 // applyReports sets the pool's limits from limit reports and merges them into the directory. The caller must
 // hold l.mutex.
-func (l *limitService) applyReports(now time.Duration, reports []ratelimit.Word) {
+func (l *limitService) applyReports(now time.Duration, reports []ratelimit.Report) {
 	for _, report := range reports {
-		if report.Named {
+		if report.Declared {
 			l.pool.SetLimit(now, report.Replica, ratelimit.PoolLimit(report.Rate, l.settings.Contact))
 		} else {
 			l.pool.SetLimit(now, report.Replica, ratelimit.Unlimited())
@@ -125,9 +125,9 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	now := l.now()
-	var changed []ratelimit.Word
-	for _, report := range message.Words {
-		if l.table.Take(now, report) {
+	var changed []ratelimit.Report
+	for _, report := range message.Reports {
+		if l.table.Merge(now, report) {
 			changed = append(changed, report)
 		}
 	}
@@ -139,15 +139,15 @@
 		l.forwardReports(changed)
 		return nil
 	}
-	if message.Hash != l.table.Hash() && now >= l.sentAllAt[from]+limitCompareInterval {
+	if message.Hash != l.table.LimitsHash() && now >= l.sentAllAt[from]+limitCompareInterval {
 		l.sentAllAt[from] = now
-		l.sendReports(from, l.table.Words(now))
+		l.sendReports(from, l.table.Reports(now))
 	}
 	return nil
 }
 
 // forwardReports sends a gateway's limit reports to the other coordinators. The caller must hold l.mutex.
-func (l *limitService) forwardReports(reports []ratelimit.Word) {
+func (l *limitService) forwardReports(reports []ratelimit.Report) {
 	if len(reports) == 0 {
 		return
 	}
@@ -168,9 +168,9 @@
 }
 
 // sendReports sends limit reports in batches. The caller must hold l.mutex.
-func (l *limitService) sendReports(to netip.AddrPort, reports []ratelimit.Word) {
+func (l *limitService) sendReports(to netip.AddrPort, reports []ratelimit.Report) {
 	for _, batch := range ratelimit.Batches(reports) {
-		l.socket.Send(datagram.KindLimitWord, &ratelimit.Message{From: l.settings.Address, Hash: l.table.Hash(), Words: batch}, to)
+		l.socket.Send(datagram.KindLimitWord, &ratelimit.Message{From: l.settings.Address, Hash: l.table.LimitsHash(), Reports: batch}, to)
 	}
 }
 
@@ -180,7 +180,7 @@
 	var compareAt time.Duration
 	for lifecycle.Sleep(ctx, limitViewInterval) {
 		l.mutex.Lock()
-		if hash := l.table.Names(); hash != l.viewHash {
+		if hash := l.table.ReplicasHash(); hash != l.viewHash {
 			l.viewHash = hash
 			close(l.viewChanged)
 			l.viewChanged = make(chan struct{})
@@ -196,21 +196,21 @@
 // sendHash sends the hash of the limits known here to the other coordinators, if there are any limits. The
 // caller must hold l.mutex.
 func (l *limitService) sendHash() {
-	if l.table.Hash() == 0 {
+	if l.table.LimitsHash() == 0 {
 		return
 	}
-	message := &ratelimit.Message{From: l.settings.Address, Hash: l.table.Hash()}
+	message := &ratelimit.Message{From: l.settings.Address, Hash: l.table.LimitsHash()}
 	l.socket.Send(datagram.KindLimitWord, message, l.otherCoordinators()...)
 }
 
 // view returns the hash of the replicas that declare limits and, unless it equals the gateway's known hash,
 // the limit reports.
-func (l *limitService) view(knownHash uint64) (hash uint64, reports []ratelimit.Word) {
+func (l *limitService) view(knownHash uint64) (hash uint64, reports []ratelimit.Report) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	hash = l.table.Names()
+	hash = l.table.ReplicasHash()
 	if hash != knownHash {
-		reports = l.table.Words(l.now())
+		reports = l.table.Reports(l.now())
 	}
 	return hash, reports
 }
--- a/internal/coordinator/replicalimits_test.go
+++ b/internal/coordinator/replicalimits_test.go
@@ -47,8 +47,8 @@
 }
 
 // report sends a limit report of a replica to a coordinator.
-func (a *limitClient) report(coordinator string, report ratelimit.Word) {
-	a.socket.Send(datagram.KindLimitWord, &ratelimit.Message{From: a.address, Words: []ratelimit.Word{report}}, netip.MustParseAddrPort(coordinator))
+func (a *limitClient) report(coordinator string, report ratelimit.Report) {
+	a.socket.Send(datagram.KindLimitWord, &ratelimit.Message{From: a.address, Reports: []ratelimit.Report{report}}, netip.MustParseAddrPort(coordinator))
 }
 
 // requestPermit requests a permit from a coordinator, repeatedly until it answers.
@@ -81,7 +81,7 @@
 	g.replace(g.addresses[0], 1)
 	a := newLimitClient(t)
 	for _, address := range g.addresses {
-		a.report(address, ratelimit.Word{Replica: "i-new@5", Named: true, Rate: 0.5})
+		a.report(address, ratelimit.Report{Replica: "i-new@5", Declared: true, Rate: 0.5})
 	}
 	// After this time each pool counts its part of the limit.
 	time.Sleep(time.Second)
--- a/internal/ratelimit/doc.go
+++ b/internal/ratelimit/doc.go
@@ -1,7 +1,7 @@
 // Package ratelimit makes all gateways together send a replica no more than the rate limit it declares. An
 // overloaded replica declares in its responses how many requests a second it accepts from all of them.
 //
-// A Table holds the declared limits; processes exchange them as Words (limit reports), and the newest
+// A Table holds the declared limits; processes exchange them as Reports (limit reports), and the newest
 // response counts. Quota pools count how much of a limit is used, under the Terms and the Limit of this
 // package. Lone limits what a gateway sends on its own while it reaches no pool.
 //
--- a/internal/ratelimit/limit_test.go
+++ b/internal/ratelimit/limit_test.go
@@ -18,7 +18,7 @@
 
 // At any declared rate, the pools and the gateways without a pool together send at most 1.5 times the limit
 // and 5 requests in a window, even if each request was permitted up to PermitTime earlier.
-func TestAllPartsOfALimitFitIntoTheWindow(t *testing.T) {
+func TestAllSharesOfALimitFitIntoTheWindow(t *testing.T) {
 	terms := ratelimit.Terms()
 	for _, rate := range []float64{0, 1e-9, 0.1, 1.0 / 3, 0.5, 1, 2, 5.9, 20, 400, 1e9} {
 		limit := ratelimit.PoolLimit(rate, contact)
@@ -62,11 +62,11 @@
 
 // The newest response of a replica counts, in whatever order reports arrive.
 func TestNewestResponseCounts(t *testing.T) {
-	reports := []ratelimit.Word{
-		{Replica: "a", Named: true, Rate: 5, AgeMicros: 3e6},
-		{Replica: "a", Named: true, Rate: 2, AgeMicros: 2e6},
+	reports := []ratelimit.Report{
+		{Replica: "a", Declared: true, Rate: 5, AgeMicros: 3e6},
+		{Replica: "a", Declared: true, Rate: 2, AgeMicros: 2e6},
 		{Replica: "a", AgeMicros: 1e6},
-		{Replica: "b", Named: true, Rate: 7, AgeMicros: 5e5},
+		{Replica: "b", Declared: true, Rate: 7, AgeMicros: 5e5},
 	}
 	random := rand.New(rand.NewPCG(7, 7))
 	for range 50 {
@@ -76,7 +76,7 @@
 			sent := reports[index]
 			late := time.Duration(random.IntN(1000)) * time.Millisecond
 			sent.AgeMicros += late.Microseconds()
-			table.Take(now+late, sent)
+			table.Merge(now+late, sent)
 		}
 		limits := table.Limits()
 		if len(limits) == 2 {
@@ -92,33 +92,33 @@
 
 func TestTablesWithTheSameLimitsHaveTheSameHash(t *testing.T) {
 	first, second := ratelimit.NewTable(), ratelimit.NewTable()
-	assert.Zero(t, first.Hash())
-	first.Take(0, ratelimit.Word{Replica: "a", Named: true, Rate: 1})
-	first.Take(0, ratelimit.Word{Replica: "b", Named: true, Rate: 2})
-	second.Take(0, ratelimit.Word{Replica: "b", Named: true, Rate: 3})
-	second.Take(0, ratelimit.Word{Replica: "a", Named: true, Rate: 1})
-	assert.NotEqual(t, first.Hash(), second.Hash())
-	assert.Equal(t, first.Names(), second.Names(), "the same replicas")
-	for _, report := range first.Words(time.Second) {
-		second.Take(time.Second, report)
+	assert.Zero(t, first.LimitsHash())
+	first.Merge(0, ratelimit.Report{Replica: "a", Declared: true, Rate: 1})
+	first.Merge(0, ratelimit.Report{Replica: "b", Declared: true, Rate: 2})
+	second.Merge(0, ratelimit.Report{Replica: "b", Declared: true, Rate: 3})
+	second.Merge(0, ratelimit.Report{Replica: "a", Declared: true, Rate: 1})
+	assert.NotEqual(t, first.LimitsHash(), second.LimitsHash())
+	assert.Equal(t, first.ReplicasHash(), second.ReplicasHash(), "the same replicas")
+	for _, report := range first.Reports(time.Second) {
+		second.Merge(time.Second, report)
 	}
-	second.Take(2*time.Second, ratelimit.Word{Replica: "b", Named: true, Rate: 2})
-	assert.Equal(t, first.Hash(), second.Hash())
+	second.Merge(2*time.Second, ratelimit.Report{Replica: "b", Declared: true, Rate: 2})
+	assert.Equal(t, first.LimitsHash(), second.LimitsHash())
 	listed := func(replica string) bool { return replica == "a" }
-	assert.Empty(t, first.Keep(listed, 0), "it was reported since")
-	assert.Equal(t, []string{"b"}, first.Keep(listed, time.Second))
-	first.Take(3*time.Second, ratelimit.Word{Replica: "a"})
-	assert.Zero(t, first.Hash())
-	assert.Zero(t, first.Names())
+	assert.Empty(t, first.Expire(listed, 0), "it was reported since")
+	assert.Equal(t, []string{"b"}, first.Expire(listed, time.Second))
+	first.Merge(3*time.Second, ratelimit.Report{Replica: "a"})
+	assert.Zero(t, first.LimitsHash())
+	assert.Zero(t, first.ReplicasHash())
 }
 
 // The size of a table depends on the number of replicas, not on how often their limits change.
-func TestATableIsBounded(t *testing.T) {
+func TestTableSizeIsBoundedByReplicas(t *testing.T) {
 	table := ratelimit.NewTable()
 	for number := range 40_000 {
-		table.Take(time.Duration(number), ratelimit.Word{Replica: string(rune('a'+number%1000)) + "x", Named: true, Rate: float64(number)})
+		table.Merge(time.Duration(number), ratelimit.Report{Replica: string(rune('a'+number%1000)) + "x", Declared: true, Rate: float64(number)})
 	}
-	assert.Len(t, table.Words(time.Second), 1000)
+	assert.Len(t, table.Reports(time.Second), 1000)
 	assert.Zero(t, table.Dropped)
 	for _, rate := range []float64{math.MaxFloat64, math.SmallestNonzeroFloat64} {
 		limit := ratelimit.PoolLimit(rate, contact)
--- a/internal/ratelimit/table.go
+++ b/internal/ratelimit/table.go
@@ -35,22 +35,22 @@
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{entries: map[string]entry{}} }
 
-// Take merges a report unless a newer one is known, and reports whether the limit changed. A report that there is
+// Merge merges a report unless a newer one is known, and reports whether the limit changed. A report that there is
 // no limit is ignored for an unknown replica, as is any report of an unknown replica while the table is full.
-func (t *Table) Take(now time.Duration, report Word) (changed bool) {
+func (t *Table) Merge(now time.Duration, report Report) (changed bool) {
 	observedAt := now - report.Age()
 	previous, found := t.entries[report.Replica]
 	if found && observedAt < previous.observedAt {
 		return false
 	}
-	if !found && (!report.Named || len(t.entries) >= maximumEntries) {
-		if report.Named {
+	if !found && (!report.Declared || len(t.entries) >= maximumEntries) {
+		if report.Declared {
 			t.Dropped++
 		}
 		return false
 	}
-	changed = previous.named != report.Named || previous.rate != report.Rate
-	updated := entry{named: report.Named, rate: report.Rate, observedAt: observedAt, since: previous.since}
+	changed = previous.named != report.Declared || previous.rate != report.Rate
+	updated := entry{named: report.Declared, rate: report.Rate, observedAt: observedAt, since: previous.since}
 	if !previous.named {
 		updated.since = observedAt
 	}
@@ -59,9 +59,9 @@
 	return changed
 }
 
-// Keep deletes the replicas that have not been reported since a time, if they are not listed (the sender of a
+// Expire deletes the replicas that have not been reported since a time, if they are not listed (the sender of a
 // report may have a newer list) or declare no limit any more. It returns those that it deletes.
-func (t *Table) Keep(listed func(replica string) bool, heardSince time.Duration) (forgotten []string) {
+func (t *Table) Expire(listed func(replica string) bool, heardSince time.Duration) (forgotten []string) {
 	for replica, each := range t.entries {
 		if (!listed(replica) || !each.named) && each.observedAt < heardSince {
 			t.Forget(replica)
@@ -84,7 +84,7 @@
 	t.hash ^= before.limitHash(replica) ^ after.limitHash(replica)
 }
 
-// nameHash is the replica's part of Table.Names, 0 if it declares no limit.
+// nameHash is the replica's part of Table.ReplicasHash, 0 if it declares no limit.
 func (e entry) nameHash(replica string) uint64 {
 	if !e.named {
 		return 0
@@ -92,7 +92,7 @@
 	return xxhash.Sum64String(replica)
 }
 
-// limitHash is the replica's part of Table.Hash, 0 if it declares no limit.
+// limitHash is the replica's part of Table.LimitsHash, 0 if it declares no limit.
 func (e entry) limitHash(replica string) uint64 {
 	if !e.named {
 		return 0
@@ -100,18 +100,18 @@
 	return xxhash.Sum64(binary.LittleEndian.AppendUint64([]byte(replica), math.Float64bits(e.rate)))
 }
 
-// Hash identifies the declared limits; 0 if there are none.
-func (t *Table) Hash() uint64 { return t.hash }
+// LimitsHash identifies the declared limits; 0 if there are none.
+func (t *Table) LimitsHash() uint64 { return t.hash }
 
-// Names identifies the replicas that declare a limit; 0 if there are none.
-func (t *Table) Names() uint64 { return t.names }
+// ReplicasHash identifies the replicas that declare a limit; 0 if there are none.
+func (t *Table) ReplicasHash() uint64 { return t.names }
 
-// Words returns reports of all entries, including those of replicas that no longer declare a limit.
-func (t *Table) Words(now time.Duration) []Word {
-	reports := make([]Word, 0, len(t.entries))
+// Reports returns reports of all entries, including those of replicas that no longer declare a limit.
+func (t *Table) Reports(now time.Duration) []Report {
+	reports := make([]Report, 0, len(t.entries))
 	for _, replica := range slices.Sorted(maps.Keys(t.entries)) {
 		each := t.entries[replica]
-		reports = append(reports, Word{Replica: replica, Named: each.named, Rate: each.rate, AgeMicros: (now - each.observedAt).Microseconds()})
+		reports = append(reports, Report{Replica: replica, Declared: each.named, Rate: each.rate, AgeMicros: (now - each.observedAt).Microseconds()})
 	}
 	return reports
 }
--- a/internal/ratelimit/word.go
+++ b/internal/ratelimit/word.go
@@ -4,31 +4,31 @@
 
 //go:generate go tool msgp -file word.go -tests=false -io=false
 //msgp:limit arrays:4096
-//msgp:tuple Word Message
+//msgp:tuple Report Message
 
-// Word is a limit report: what one response of a replica said of its rate limit.
-type Word struct {
+// Report is a limit report: what one response of a replica said of its rate limit.
+type Report struct {
 	// Replica is a region.Life.Name.
 	Replica string `msg:"replica"`
-	// Named is set if the response declared a limit, and Rate is that limit in requests a second.
-	Named bool    `msg:"named"`
-	Rate  float64 `msg:"rate"`
+	// Declared is set if the response declared a limit, and Rate is that limit in requests a second.
+	Declared bool    `msg:"named"`
+	Rate     float64 `msg:"rate"`
 	// AgeMicros is the time from the receipt of the response to the sending of this report, in
 	// microseconds. It is an age rather than a time because the clocks of two machines may differ.
 	AgeMicros int64 `msg:"age_us"`
 }
 
 // Age is how old the report was when it was sent; never negative.
-func (w Word) Age() time.Duration { return time.Duration(max(w.AgeMicros, 0)) * time.Microsecond }
+func (r Report) Age() time.Duration { return time.Duration(max(r.AgeMicros, 0)) * time.Microsecond }
 
 // Message carries limit reports between processes.
 type Message struct {
 	// From is the sender's address.
 	From string `msg:"from"`
-	// Hash is the sender's Table.Hash, 0 from a gateway. A receiver with a different hash replies with what
+	// Hash is the sender's Table.LimitsHash, 0 from a gateway. A receiver with a different hash replies with what
 	// it knows.
-	Hash  uint64 `msg:"hash"`
-	Words []Word `msg:"words"`
+	Hash    uint64   `msg:"hash"`
+	Reports []Report `msg:"words"`
 }
 
 // MaxReportsPerMessage bounds the reports in a message, so that it stays below datagram.MaximumBytes with names of
@@ -36,8 +36,8 @@
 const MaxReportsPerMessage = 100
 
 // Batches splits reports into batches that fit into one message each.
-func Batches(reports []Word) [][]Word {
-	var batches [][]Word
+func Batches(reports []Report) [][]Report {
+	var batches [][]Report
 	for len(reports) > 0 {
 		count := min(len(reports), MaxReportsPerMessage)
 		batches = append(batches, reports[:count:count])
--- a/internal/ratelimit/word_gen.go
+++ b/internal/ratelimit/word_gen.go
@@ -18,11 +18,11 @@
 	o = append(o, 0x93)
 	o = msgp.AppendString(o, z.From)
 	o = msgp.AppendUint64(o, z.Hash)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Words)))
-	for za0001 := range z.Words {
-		o, err = z.Words[za0001].MarshalMsg(o)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Reports)))
+	for za0001 := range z.Reports {
+		o, err = z.Reports[za0001].MarshalMsg(o)
 		if err != nil {
-			err = msgp.WrapError(err, "Words", za0001)
+			err = msgp.WrapError(err, "Reports", za0001)
 			return
 		}
 	}
@@ -54,22 +54,22 @@
 	var zb0002 uint32
 	zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Words")
+		err = msgp.WrapError(err, "Reports")
 		return
 	}
 	if zb0002 > z99a3d881limitArrays {
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	if cap(z.Words) >= int(zb0002) {
-		z.Words = (z.Words)[:zb0002]
+	if cap(z.Reports) >= int(zb0002) {
+		z.Reports = (z.Reports)[:zb0002]
 	} else {
-		z.Words = make([]Word, zb0002)
+		z.Reports = make([]Report, zb0002)
 	}
-	for za0001 := range z.Words {
-		bts, err = z.Words[za0001].UnmarshalMsg(bts)
+	for za0001 := range z.Reports {
+		bts, err = z.Reports[za0001].UnmarshalMsg(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "Words", za0001)
+			err = msgp.WrapError(err, "Reports", za0001)
 			return
 		}
 	}
@@ -80,26 +80,26 @@
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Message) Msgsize() (s int) {
 	s = 1 + msgp.StringPrefixSize + len(z.From) + msgp.Uint64Size + msgp.ArrayHeaderSize
-	for za0001 := range z.Words {
-		s += z.Words[za0001].Msgsize()
+	for za0001 := range z.Reports {
+		s += z.Reports[za0001].Msgsize()
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Word) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *Report) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 4
 	o = append(o, 0x94)
 	o = msgp.AppendString(o, z.Replica)
-	o = msgp.AppendBool(o, z.Named)
+	o = msgp.AppendBool(o, z.Declared)
 	o = msgp.AppendFloat64(o, z.Rate)
 	o = msgp.AppendInt64(o, z.AgeMicros)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Word) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *Report) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var zb0001 uint32
 	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
@@ -115,9 +115,9 @@
 		err = msgp.WrapError(err, "Replica")
 		return
 	}
-	z.Named, bts, err = msgp.ReadBoolBytes(bts)
+	z.Declared, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Named")
+		err = msgp.WrapError(err, "Declared")
 		return
 	}
 	z.Rate, bts, err = msgp.ReadFloat64Bytes(bts)
@@ -135,7 +135,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Word) Msgsize() (s int) {
+func (z *Report) Msgsize() (s int) {
 	s = 1 + msgp.StringPrefixSize + len(z.Replica) + msgp.BoolSize + msgp.Float64Size + msgp.Int64Size
 	return
 }
--- a/internal/region/messages.go
+++ b/internal/region/messages.go
@@ -214,7 +214,7 @@
 	Usage *GatewayUsage `msg:"usage"`
 	// PoisonRevision is what the gateway knows of requests that end replicas.
 	PoisonRevision uint64 `msg:"poison_revision"`
-	// LimitNames is ratelimit.Table.Names of the gateway.
+	// LimitNames is ratelimit.Table.ReplicasHash of the gateway.
 	LimitNames uint64 `msg:"limit_names,omitempty"`
 	// Protocol and Revision are the gateway's, see Build.
 	Protocol int    `msg:"protocol,omitempty"`
@@ -297,10 +297,10 @@
 	NextWindow uint64 `msg:"next_window"`
 	// Poison is what is new on requests that end replicas, nil if nothing is.
 	Poison *poison.News `msg:"poison"`
-	// LimitNames is ratelimit.Table.Names of the coordinator, and Limits what it knows of the limits
+	// LimitNames is ratelimit.Table.ReplicasHash of the coordinator, and Limits what it knows of the limits
 	// that replicas name, set only if the names are not the request's.
-	LimitNames uint64           `msg:"limit_names,omitempty"`
-	Limits     []ratelimit.Word `msg:"limits,omitempty"`
+	LimitNames uint64             `msg:"limit_names,omitempty"`
+	Limits     []ratelimit.Report `msg:"limits,omitempty"`
 }
 
 // ReadIndexRequest asks the leader to confirm its leadership.
--- a/internal/region/messages_gen.go
+++ b/internal/region/messages_gen.go
@@ -5445,7 +5445,7 @@
 			if cap(z.Limits) >= int(zb0008) {
 				z.Limits = (z.Limits)[:zb0008]
 			} else {
-				z.Limits = make([]ratelimit.Word, zb0008)
+				z.Limits = make([]ratelimit.Report, zb0008)
 			}
 			for za0006 := range z.Limits {
 				bts, err = z.Limits[za0006].UnmarshalMsg(bts)
--- a/internal/relay/backpressure.go
+++ b/internal/relay/backpressure.go
@@ -22,7 +22,7 @@
 
 // updatePeerState attaches the gate's peer state to a replica that has asked for a backoff, or has said that it
 // is leaving.
-func (d *Directory) updatePeerState(peer backpressure.Peer, state *backpressure.Standing) {
+func (d *Directory) updatePeerState(peer backpressure.Peer, state *backpressure.PeerState) {
 	d.mutex.Lock()
 	replica, listed := d.replicas[peer.Instance]
 	if listed = listed && replica.Address == peer.Address; listed {
@@ -92,7 +92,7 @@
 	if replica.asks != nil && !d.gate.AcceptsWork(replica.asks, now) {
 		return false
 	}
-	return !replica.Leaving || d.gate.WithinLeaveTime(replica.leavingSince, now)
+	return !replica.Leaving || d.gate.WithinLeavingGrace(replica.leavingSince, now)
 }
 
 // noteLeaving marks a replica that has told other processes that it is leaving. The caller must hold d.mutex.
@@ -107,7 +107,7 @@
 }
 
 // asksOf returns the gate's state of a replica that was added to the list, nil if it has asked for nothing.
-func (d *Directory) asksOf(peer backpressure.Peer) *backpressure.Standing {
+func (d *Directory) asksOf(peer backpressure.Peer) *backpressure.PeerState {
 	if d.gate == nil {
 		return nil
 	}
@@ -126,7 +126,7 @@
 // rests reports whether the replica is in a backoff that it has requested of this process, at a time from
 // Directory.askingNow. The caller must hold the Directory's mutex.
 func (r *Replica) rests(now time.Duration) bool {
-	return now > 0 && r.asks != nil && r.asks.RestLeft(now) > 0
+	return now > 0 && r.asks != nil && r.asks.BackoffLeft(now) > 0
 }
 
 // maxExcluded bounds the replicas in backoff that a placement query excludes: the size of a message is limited,
@@ -149,7 +149,7 @@
 		}
 	}
 	slices.SortFunc(backingOff, func(a, b *Replica) int {
-		return cmp.Or(cmp.Compare(b.asks.RestLeft(now), a.asks.RestLeft(now)), strings.Compare(a.name, b.name))
+		return cmp.Or(cmp.Compare(b.asks.BackoffLeft(now), a.asks.BackoffLeft(now)), strings.Compare(a.name, b.name))
 	})
 	names := make([]string, min(len(backingOff), maxExcluded))
 	for index := range names {
@@ -165,7 +165,7 @@
 	if asks == nil {
 		return 0
 	}
-	return asks.RestLeft(l.directory.gate.Now())
+	return asks.BackoffLeft(l.directory.gate.Now())
 }
 
 // saysLeaving reports whether the lease's replica has said that it is leaving.
@@ -175,7 +175,7 @@
 }
 
 // asks returns the gate's state of the lease's replica, nil if it has asked for nothing.
-func (l *Lease) asks() *backpressure.Standing {
+func (l *Lease) asks() *backpressure.PeerState {
 	if l.directory.gate == nil || l.directory.gate.Empty() {
 		return nil
 	}
--- a/internal/relay/comeback.go
+++ b/internal/relay/comeback.go
@@ -43,7 +43,7 @@
 		}
 		left := time.Duration(0)
 		if replica.rests(asking) {
-			left = replica.asks.RestLeft(asking)
+			left = replica.asks.BackoffLeft(asking)
 		} else {
 			awake = append(awake, replica)
 		}
--- a/internal/relay/daemon/daemon.go
+++ b/internal/relay/daemon/daemon.go
@@ -67,14 +67,14 @@
 	clock := func() time.Duration { return time.Since(started) }
 	if settings.Gate == nil {
 		settings.Gate = backpressure.NewGate(backpressure.Options{
-			Clock: uptime.Since(settings.Now), Leaving: settings.Dialect.Leaving, LeaveTime: settings.LeaveTime, Logger: settings.Logger,
+			Clock: uptime.Since(settings.Now), Leaving: settings.Dialect.Leaving, LeavingGrace: settings.LeaveTime, Logger: settings.Logger,
 		})
 	}
-	settings.Gate.Disregard(settings.Without[mechanism.ReplicaRests], settings.Without[mechanism.ReplicaLeaving])
+	settings.Gate.Disable(settings.Without[mechanism.ReplicaRests], settings.Without[mechanism.ReplicaLeaving])
 	upstreams := upstream.NewClient(upstream.Options{DialTimeout: dialTimeout, MaximumBodyBytes: maximumBodyBytes, Gate: settings.Gate})
 	directory := relay.NewDirectory(clock, settings.Zone, func(address, incarnation string) {
 		upstreams.Forget(address, incarnation)
-		settings.Gate.Drop(backpressure.Peer{Address: address, Instance: incarnation})
+		settings.Gate.MarkUnlisted(backpressure.Peer{Address: address, Instance: incarnation})
 	}, settings.Logger)
 	directory.Heed(settings.Gate)
 	directory.SwitchOff(settings.Without)
--- a/internal/relay/daemon/replicalimits.go
+++ b/internal/relay/daemon/replicalimits.go
@@ -63,12 +63,12 @@
 
 // report sends a coordinator the limit that a response has declared, unless it was reported too
 // recently.
-func (l *limitClient) report(limit ratelimit.Word) {
+func (l *limitClient) report(limit ratelimit.Report) {
 	now := l.clock()
 	l.stateMutex.Lock()
 	last, known := l.reported[limit.Replica]
 	interval := limitResendInterval
-	if last.declared != limit.Named || last.rate != limit.Rate {
+	if last.declared != limit.Declared || last.rate != limit.Rate {
 		interval = limitReportInterval
 	}
 	if known && now < last.at+interval {
@@ -80,19 +80,19 @@
 		// Limits that are reported once more as a result do no harm.
 		clear(l.reported)
 	}
-	l.reported[limit.Replica] = reportedLimit{declared: limit.Named, rate: limit.Rate, at: now}
+	l.reported[limit.Replica] = reportedLimit{declared: limit.Declared, rate: limit.Rate, at: now}
 	l.stateMutex.Unlock()
-	l.sendReports([]ratelimit.Word{limit})
+	l.sendReports([]ratelimit.Report{limit})
 }
 
 // sendReports sends limits to the first coordinator that may be asked.
-func (l *limitClient) sendReports(limits []ratelimit.Word) {
+func (l *limitClient) sendReports(limits []ratelimit.Report) {
 	candidates := l.candidates()
 	if len(candidates) == 0 {
 		return
 	}
 	for _, batch := range ratelimit.Batches(limits) {
-		l.socket.Send(datagram.KindLimitWord, &ratelimit.Message{From: l.settings.PeerListen, Words: batch}, candidates[0])
+		l.socket.Send(datagram.KindLimitWord, &ratelimit.Message{From: l.settings.PeerListen, Reports: batch}, candidates[0])
 	}
 }
 
--- a/internal/relay/directory.go
+++ b/internal/relay/directory.go
@@ -57,7 +57,7 @@
 	// none.
 	limited atomic.Int64
 	limits  *ratelimit.Table
-	onLimit func(word ratelimit.Word)
+	onLimit func(report ratelimit.Report)
 	// gate tracks what replicas ask of this process (backoff, leaving); nil if they can't ask for anything.
 	gate *backpressure.Gate
 	// onLeaving is called for each replica that announces to this process that it is leaving.
@@ -208,7 +208,7 @@
 		replica.prefixes = newPrefixCache()
 		replica.load, replica.loadAt = Load{}, 0
 		// The limit that the process declared ended with it.
-		d.takeLimit(ratelimit.Word{Replica: life}, d.clock())
+		d.takeLimit(ratelimit.Report{Replica: life}, d.clock())
 		d.forgetAsked(replica)
 	}
 }
--- a/internal/relay/life_test.go
+++ b/internal/relay/life_test.go
@@ -217,7 +217,7 @@
 // requestBackoffAndLeave has an incarnation ask for a backoff and announce that it is leaving.
 func requestBackoffAndLeave(gate *backpressure.Gate, life string) {
 	peer := backpressure.Peer{Address: replica("a", "").Address, Instance: life}
-	gate.Hear(peer, http.StatusServiceUnavailable, http.Header{"Retry-After": {"600"}, "Leaving": {"1"}})
+	gate.Observe(peer, http.StatusServiceUnavailable, http.Header{"Retry-After": {"600"}, "Leaving": {"1"}})
 }
 
 // A report on an incarnation that has ended may arrive after the next one is listed.
--- a/internal/relay/limited_load_test.go
+++ b/internal/relay/limited_load_test.go
@@ -38,7 +38,7 @@
 // limit makes a prefill replica declare a limit.
 func (r *limitedReplay) limit(id string, rate float64) {
 	r.rates[id] = rate
-	r.TakeLimits([]ratelimit.Word{{Replica: id, Named: true, Rate: rate}})
+	r.TakeLimits([]ratelimit.Report{{Replica: id, Declared: true, Rate: rate}})
 	r.pool.SetLimit(r.now, id, ratelimit.PoolLimit(rate, 3*time.Second))
 }
 
--- a/internal/relay/limited_test.go
+++ b/internal/relay/limited_test.go
@@ -67,7 +67,7 @@
 // limit makes replicas have a declared limit, as reported by another process.
 func (w *world) limit(rate float64, ids ...string) {
 	for _, id := range ids {
-		w.directory.TakeLimits([]ratelimit.Word{{Replica: id, Named: true, Rate: rate}})
+		w.directory.TakeLimits([]ratelimit.Report{{Replica: id, Declared: true, Rate: rate}})
 	}
 }
 
@@ -260,7 +260,7 @@
 			}
 			d := newDirectory(list...)
 			for _, each := range list[:limited] {
-				d.TakeLimits([]ratelimit.Word{{Replica: each.ID, Named: true, Rate: 5}})
+				d.TakeLimits([]ratelimit.Report{{Replica: each.ID, Declared: true, Rate: 5}})
 			}
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/relay/ratelimit.go
+++ b/internal/relay/ratelimit.go
@@ -84,7 +84,7 @@
 
 // OnLimit sets a function that is called with what replicas' responses report of their limits. It must be called
 // before first use.
-func (d *Directory) OnLimit(notify func(report ratelimit.Word)) { d.onLimit = notify }
+func (d *Directory) OnLimit(notify func(report ratelimit.Report)) { d.onLimit = notify }
 
 // NoteLimit records what the replica's response says of a limit. A response without a limit to a request that
 // was not run is ignored: a rejection may come from a component that does not declare limits.
@@ -100,7 +100,7 @@
 }
 
 // noteLimit records what a response says, and returns a limit report for other processes, if there is one.
-func (d *Directory) noteLimit(replica *Replica, limit RateLimit) (report ratelimit.Word, says bool) {
+func (d *Directory) noteLimit(replica *Replica, limit RateLimit) (report ratelimit.Report, says bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if limit.Unreadable {
@@ -110,13 +110,13 @@
 	if !limit.Named && !replica.limit.named {
 		return report, false
 	}
-	report = ratelimit.Word{Replica: replica.name, Named: limit.Named, Rate: limit.Rate}
+	report = ratelimit.Report{Replica: replica.name, Declared: limit.Named, Rate: limit.Rate}
 	d.takeLimit(report, d.clock())
 	return report, true
 }
 
 // TakeLimits merges the limit reports of another process.
-func (d *Directory) TakeLimits(reports []ratelimit.Word) {
+func (d *Directory) TakeLimits(reports []ratelimit.Report) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := d.clock()
@@ -126,16 +126,16 @@
 }
 
 // takeLimit merges a limit report. A changed limit lifts all denials. The caller must hold d.mutex.
-func (d *Directory) takeLimit(report ratelimit.Word, now time.Duration) {
+func (d *Directory) takeLimit(report ratelimit.Report, now time.Duration) {
 	replica, listed := d.replicas[report.Replica]
-	if !listed || !d.limits.Take(now, report) {
+	if !listed || !d.limits.Merge(now, report) {
 		return
 	}
 	known := &replica.limit
-	if known.named != report.Named {
-		d.countLimited(report.Named)
+	if known.named != report.Declared {
+		d.countLimited(report.Declared)
 	}
-	known.named, known.rate = report.Named, report.Rate
+	known.named, known.rate = report.Declared, report.Rate
 	known.deniedUntil = [LastRank]time.Duration{}
 	d.logLimit(replica, event.LimitNamed)
 }
@@ -163,14 +163,14 @@
 // LimitedCount is the number of replicas that declare a limit, as this process knows it.
 func (d *Directory) LimitedCount() int { return int(d.limited.Load()) }
 
-// LimitNames is ratelimit.Table.Names of what this process knows, 0 if no replica declares a limit.
+// LimitNames is ratelimit.Table.ReplicasHash of what this process knows, 0 if no replica declares a limit.
 func (d *Directory) LimitNames() uint64 {
 	if d.limited.Load() == 0 {
 		return 0
 	}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.limits.Names()
+	return d.limits.ReplicasHash()
 }
 
 // LimitsDropped counts the limit reports that were discarded because the table was full.
@@ -181,10 +181,10 @@
 }
 
 // LimitWords returns limit reports of all that this process knows.
-func (d *Directory) LimitWords() []ratelimit.Word {
+func (d *Directory) LimitWords() []ratelimit.Report {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.limits.Words(d.clock())
+	return d.limits.Reports(d.clock())
 }
 
 // Denied records that a replica has no capacity for requests of a rank for a time.
--- a/internal/relay/replica.go
+++ b/internal/relay/replica.go
@@ -49,7 +49,7 @@
 	// be about that one.
 	endSeen bool
 	// asks is what the replica asks of this process, nil if nothing.
-	asks      *backpressure.Standing
+	asks      *backpressure.PeerState
 	latency   float64
 	errorRate float64
 	gone      bool
--- a/internal/relay/rest_load_test.go
+++ b/internal/relay/rest_load_test.go
@@ -154,7 +154,7 @@
 			lease.Release()
 			continue
 		}
-		gate.Hear(backpressure.Peer{Address: lease.Replica.Address, Instance: lease.Replica.ID}, http.StatusServiceUnavailable,
+		gate.Observe(backpressure.Peer{Address: lease.Replica.Address, Instance: lease.Replica.ID}, http.StatusServiceUnavailable,
 			http.Header{"Retry-After": {strconv.FormatFloat(r.replicas[lease.Replica.ID].backoff.Seconds(), 'f', -1, 64)}})
 		lease.Refused(lease.RestLeft())
 		lease.Release()
@@ -447,7 +447,7 @@
 		r.totalBackoff += r.now + r.backoff - max(r.backoffEnds[id], r.now)
 		r.backoffEnds[id] = r.now + r.backoff
 		header := http.Header{"Retry-After": {strconv.FormatFloat(r.backoff.Seconds(), 'f', -1, 64)}}
-		r.gate.Hear(backpressure.Peer{Address: lease.Replica.Address, Instance: id}, http.StatusServiceUnavailable, header)
+		r.gate.Observe(backpressure.Peer{Address: lease.Replica.Address, Instance: id}, http.StatusServiceUnavailable, header)
 		lease.Refused(lease.RestLeft())
 		lease.Release()
 		request.Excluded = append(request.Excluded, lease.Replica)
--- a/internal/relay/runner_test.go
+++ b/internal/relay/runner_test.go
@@ -130,7 +130,7 @@
 	began := time.Now()
 	w := &world{t: t, requestCounts: map[string]int{}}
 	clock := func() time.Duration { return time.Since(began) + time.Duration(w.clockOffset.Load()) }
-	gate := backpressure.NewGate(backpressure.Options{Clock: clock, Leaving: testDialect{}.Leaving, LeaveTime: leaveTime, Logger: logger})
+	gate := backpressure.NewGate(backpressure.Options{Clock: clock, Leaving: testDialect{}.Leaving, LeavingGrace: leaveTime, Logger: logger})
 	client := upstream.NewClient(upstream.Options{DialTimeout: time.Second, MaximumBodyBytes: 1 << 20, Gate: gate})
 	w.directory = relay.NewDirectory(clock, "zone", client.Forget, logger)
 	w.directory.Heed(gate)
--- a/internal/upstream/error.go
+++ b/internal/upstream/error.go
@@ -38,7 +38,7 @@
 
 // Held reports whether a request was not sent since its peer has asked for rest, or leaves.
 func Held(err error) bool {
-	var held *backpressure.HeldError
+	var held *backpressure.BlockedError
 	return errors.As(err, &held)
 }
 
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -67,7 +67,7 @@
 		}
 		if response.StatusCode >= http.StatusOK {
 			if gate := e.client.options.Gate; gate != nil {
-				gate.Hear(e.request.peer(), response.StatusCode, response.Header)
+				gate.Observe(e.request.peer(), response.StatusCode, response.Header)
 			}
 			return response, nil
 		}
