--- a/bench/manygateways/world.go
+++ b/bench/manygateways/world.go
@@ -154,7 +154,7 @@
 func (w *world) newDirectory() *relay.Directory {
 	created := relay.NewDirectory(func() time.Duration { return w.now }, "zone", func(string, string) {}, logr.Discard())
 	w.processes++
-	created.DrawFrom(rand.New(rand.NewPCG(w.options.Seed, firstProcessStream+w.processes)).Float64)
+	created.SetRandom(rand.New(rand.NewPCG(w.options.Seed, firstProcessStream+w.processes)).Float64)
 	created.SetEngine(service, traffic.Engine{CacheTokens: cacheTokens})
 	created.Replace(w.replicas)
 	return created
--- a/internal/cli/regional.go
+++ b/internal/cli/regional.go
@@ -161,7 +161,7 @@
 		ReadyPath:   platform.ReadyPath,
 		PeerListen:  settings.InternalAddress(),
 		Seeds:       process.seeds.Addresses,
-		Budget: relay.BudgetTerms{
+		Budget: relay.RetryBudgetOptions{
 			Ratio:  settings.RetryRatio,
 			Window: settings.RetryWindow(),
 			Slack:  settings.RetrySlack,
--- a/internal/coordinator/kept.go
+++ b/internal/coordinator/kept.go
@@ -74,7 +74,7 @@
 func (c *Coordinator) handleCached(_ context.Context, _ *region.KeptRequest) (*region.KeptReply, error) {
 	members := c.group.MemberAddresses()
 	reply := &region.KeptReply{}
-	reply.Kept, reply.Whole = c.placement.directory.Kept(func(replica region.Replica) bool {
+	reply.Kept, reply.Whole = c.placement.directory.Cached(func(replica region.Replica) bool {
 		return len(members) > 0 && cacheOwnerOf(members, replica.ID) == c.settings.Address
 	})
 	return reply, nil
@@ -110,6 +110,6 @@
 		c.cacheOwners.recordFailure(member)
 		return false
 	}
-	c.placement.directory.TakeKept(reply.Kept)
+	c.placement.directory.TakeCached(reply.Kept)
 	return reply.Whole
 }
--- a/internal/coordinator/leaving.go
+++ b/internal/coordinator/leaving.go
@@ -65,7 +65,7 @@
 
 // handleLeaving handles a process's report of leaving replicas, and forwards it to the leader.
 func (c *Coordinator) handleLeaving(ctx context.Context, report *region.LeavingReport) (*peer.Empty, error) {
-	c.placement.directory.TakeLeaving(report.Replicas)
+	c.placement.directory.MarkLeaving(report.Replicas)
 	state, _ := c.machine.read()
 	unreported := c.leaving.due(c.now(), notYetListedAsLeaving(state.Replicas, report.Replicas))
 	if len(unreported) == 0 {
--- a/internal/coordinator/place.go
+++ b/internal/coordinator/place.go
@@ -29,8 +29,8 @@
 	startedAt := time.Now().UnixNano()
 	socket := &datagram.Socket{Logger: settings.Logger}
 	directory := relay.NewDirectory(clock, settings.Zone, func(string, string) {}, settings.Logger)
-	directory.SwitchOff(settings.Without)
-	directory.KnowPlaces(settings.Topology)
+	directory.Disable(settings.Without)
+	directory.SetRegions(settings.Topology)
 	server := placement.NewServer(directory, clock, startedAt, settings.Logger)
 	server.Serve(socket)
 	return &placementService{
--- a/internal/coordinator/regionload.go
+++ b/internal/coordinator/regionload.go
@@ -84,7 +84,7 @@
 		own := group.region == regions.RegionOf(c.settings.Zone)
 		load = &RegionLoad{Region: group.region, Service: group.service, Own: own}
 		if !own {
-			load.WordAgeMillis = reportAgeMillis(c.placement.directory.RegionWordAge(group.region))
+			load.WordAgeMillis = reportAgeMillis(c.placement.directory.RegionReportAge(group.region))
 		}
 		loads[group] = load
 	}
@@ -108,7 +108,7 @@
 func (c *Coordinator) silentRegions() int {
 	count := 0
 	for _, name := range c.otherRegions() {
-		if c.placement.directory.RegionWordAge(name) < 0 {
+		if c.placement.directory.RegionReportAge(name) < 0 {
 			count++
 		}
 	}
@@ -123,7 +123,7 @@
 	reporting := map[string]bool{}
 	for lifecycle.Sleep(ctx, regionReportCheckInterval) {
 		for _, name := range c.otherRegions() {
-			age := c.placement.directory.RegionWordAge(name)
+			age := c.placement.directory.RegionReportAge(name)
 			if now := age >= 0; now != reporting[name] {
 				reporting[name] = now
 				c.logger.Info(event.RegionWord, "region", name, "heard", now, "age_ms", reportAgeMillis(age))
--- a/internal/coordinator/regionload_test.go
+++ b/internal/coordinator/regionload_test.go
@@ -23,9 +23,9 @@
 	apply(t, c.machine, 1, listed(near, prefill, far))
 	apply(t, c.machine, 2, region.Command{Change: &region.ChangeCommand{Replica: "reader", Stage: region.StageDecode}})
 	c.placement.directory.Replace([]region.Replica{near, prefill, far})
-	c.placement.directory.PickGenerator("s", relay.Wanted{}, "north-b")
+	c.placement.directory.PickDecode("s", relay.Wanted{}, "north-b")
 	assert.Equal(t, 1, c.silentRegions())
-	c.placement.directory.TakeSums("south", "other", []region.OutstandingWork{{Replica: "far", Requests: 3}}, true, 400*time.Millisecond)
+	c.placement.directory.TakeRegionWork("south", "other", []region.OutstandingWork{{Replica: "far", Requests: 3}}, true, 400*time.Millisecond)
 	assert.Zero(t, c.silentRegions())
 
 	loads := c.RegionLoads()
--- a/internal/coordinator/replicalimits.go
+++ b/internal/coordinator/replicalimits.go
@@ -90,7 +90,7 @@
 func (l *limitService) updateDirectoryLimits() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.placement.directory.TakeLimits(l.table.Reports(l.now()))
+	l.placement.directory.MergeLimits(l.table.Reports(l.now()))
 }
 
 // applyReports sets the pool's limits from limit reports and merges them into the directory. The caller must
@@ -103,14 +103,14 @@
 			l.pool.SetLimit(now, report.Replica, ratelimit.Unlimited())
 		}
 	}
-	l.placement.directory.TakeLimits(reports)
+	l.placement.directory.MergeLimits(reports)
 }
 
 // noteDecision keeps this coordinator from placing requests at a replica whose limit has denied one, until it is
 // expected to have capacity again. The caller must hold l.mutex.
 func (l *limitService) noteDecision(decision quota.Decision) {
 	if !decision.Answer.Admitted && !decision.Again {
-		l.placement.directory.Denied(decision.Question.Account, decision.Question.Rank, time.Duration(decision.Answer.WaitMicros)*time.Microsecond)
+		l.placement.directory.NoteDenial(decision.Question.Account, decision.Question.Rank, time.Duration(decision.Answer.WaitMicros)*time.Microsecond)
 	}
 }
 
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -201,7 +201,7 @@
 	p.directory.TakePlaced(p.newPrompts(&message))
 	p.directory.TakeCosts(message.Costs)
 	if p.spans && p.topology.Between(p.zone, message.Zone) == topology.OtherRegion {
-		p.directory.TakeSums(p.topology.RegionOf(message.Zone), message.Gateway, message.Replicas, message.Whole, age)
+		p.directory.TakeRegionWork(p.topology.RegionOf(message.Zone), message.Gateway, message.Replicas, message.Whole, age)
 		return nil
 	}
 	p.directory.TakeOutstanding(message.Gateway, message.Replicas, message.Whole)
--- a/internal/peers/regions_test.go
+++ b/internal/peers/regions_test.go
@@ -123,8 +123,8 @@
 		told++
 	}
 	assert.LessOrEqual(t, told, int(seconds/sumsInterval.Seconds())+1)
-	assert.GreaterOrEqual(t, far.directory.RegionWordAge("north"), time.Duration(0))
-	assert.Negative(t, near.directory.RegionWordAge("north"), "a near process is told changes")
+	assert.GreaterOrEqual(t, far.directory.RegionReportAge("north"), time.Duration(0))
+	assert.Negative(t, near.directory.RegionReportAge("north"), "a near process is told changes")
 }
 
 // Symptom: a region that has no work looks as if it were cut off.
@@ -133,7 +133,7 @@
 	know(north, far)
 	north.told.step(time.Now())
 	assert.Empty(t, far.await(t, "north-a").Replicas)
-	assert.Eventually(t, func() bool { return far.directory.RegionWordAge("north") >= 0 }, patience, time.Millisecond)
+	assert.Eventually(t, func() bool { return far.directory.RegionReportAge("north") >= 0 }, patience, time.Millisecond)
 }
 
 // Symptom: word of before a cut overrides what is known after it. Sequence: a process begins
@@ -174,7 +174,7 @@
 	var told []region.PlacedPrompt
 	for range 4 {
 		now = now.Add(unsharedInterval)
-		lease, err := north.directory.PlaceReading("s", request)
+		lease, err := north.directory.PlacePrefill("s", request)
 		require.NoError(t, err)
 		north.told.step(now)
 		told = append(told, far.await(t, "north-a").Prompts...)
--- a/internal/peers/rests.go
+++ b/internal/peers/rests.go
@@ -18,7 +18,7 @@
 }
 
 func (r *restTeller) step(t *teller, now time.Time, near []netip.AddrPort) {
-	revision := t.peers.directory.RestRevision()
+	revision := t.peers.directory.BackoffRevision()
 	if revision == r.revision && (r.againAt.IsZero() || now.Before(r.againAt)) {
 		return
 	}
@@ -40,6 +40,6 @@
 	if _, err := message.UnmarshalMsg(payload); err != nil {
 		return err
 	}
-	p.directory.TakeResting(message.Replicas)
+	p.directory.ApplyBackoffs(message.Replicas)
 	return nil
 }
--- a/internal/relay/backpressure.go
+++ b/internal/relay/backpressure.go
@@ -9,9 +9,9 @@
 	"github.com/pierhaven/pierhaven/internal/backpressure"
 )
 
-// Heed connects the directory to the gate that tracks what replicas ask of this process. It must be called
+// UseGate connects the directory to the gate that tracks what replicas ask of this process. It must be called
 // before first use.
-func (d *Directory) Heed(gate *backpressure.Gate) {
+func (d *Directory) UseGate(gate *backpressure.Gate) {
 	d.gate = gate
 	gate.OnChange(d.updatePeerState)
 }
@@ -26,9 +26,9 @@
 	d.mutex.Lock()
 	replica, listed := d.replicas[peer.Instance]
 	if listed = listed && replica.Address == peer.Address; listed {
-		replica.asks = state
-		if replica.leaves() {
-			replica.tellStreams()
+		replica.peerState = state
+		if replica.isLeaving() {
+			replica.notifyStreams()
 		}
 	}
 	d.mutex.Unlock()
@@ -37,9 +37,9 @@
 	}
 }
 
-// LeavingUntold returns the incarnation names of the replicas that have told this process that they are leaving,
+// UnreportedLeaving returns the incarnation names of the replicas that have told this process that they are leaving,
 // and are not listed as leaving.
-func (d *Directory) LeavingUntold() []string {
+func (d *Directory) UnreportedLeaving() []string {
 	if d.gate == nil || d.gate.Empty() {
 		return nil
 	}
@@ -55,41 +55,41 @@
 	return names
 }
 
-// TakeLeaving marks replicas as leaving, given the incarnation names of those that have told other processes so.
-func (d *Directory) TakeLeaving(names []string) {
+// MarkLeaving marks replicas as leaving, given the incarnation names of those that have told other processes so.
+func (d *Directory) MarkLeaving(names []string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for _, name := range names {
 		if replica, known := d.replicas[name]; known {
 			d.noteLeaving(replica)
-			replica.tellStreams()
+			replica.notifyStreams()
 		}
 	}
 }
 
-// forgetAsked clears what a replica whose process has ended had asked for, unless its next incarnation has a
+// clearPeerState clears what a replica whose process has ended had asked for, unless its next incarnation has a
 // name of its own: then only its listener may have ended. The caller must hold d.mutex.
-func (d *Directory) forgetAsked(replica *Replica) {
+func (d *Directory) clearPeerState(replica *Replica) {
 	if d.gate == nil || replica.Born != 0 {
 		return
 	}
 	d.gate.Forget(backpressure.Peer{Address: replica.Address, Instance: replica.name})
-	replica.asks = nil
-	replica.Leaving, replica.endSeen = false, true
+	replica.peerState = nil
+	replica.Leaving, replica.processEnded = false, true
 }
 
 // saysLeaving reports whether the replica has told this process that it is leaving. The caller must hold the
 // Directory's mutex.
-func (r *Replica) saysLeaving() bool { return r.asks != nil && r.asks.Leaving() }
+func (r *Replica) saysLeaving() bool { return r.peerState != nil && r.peerState.Leaving() }
 
-// takesLast reports whether a replica that has itself said that it is leaving may still be sent work if no other
+// acceptsAsLast reports whether a replica that has itself said that it is leaving may still be sent work if no other
 // replica is left, which is until the gate's leave time is over. The caller must hold d.mutex.
-func (d *Directory) takesLast(replica *Replica) bool {
+func (d *Directory) acceptsAsLast(replica *Replica) bool {
 	if d.gate == nil {
 		return true
 	}
 	now := d.gate.Now()
-	if replica.asks != nil && !d.gate.AcceptsWork(replica.asks, now) {
+	if replica.peerState != nil && !d.gate.AcceptsWork(replica.peerState, now) {
 		return false
 	}
 	return !replica.Leaving || d.gate.WithinLeavingGrace(replica.leavingSince, now)
@@ -97,7 +97,7 @@
 
 // noteLeaving marks a replica that has told other processes that it is leaving. The caller must hold d.mutex.
 func (d *Directory) noteLeaving(replica *Replica) {
-	if replica.Leaving || replica.endSeen {
+	if replica.Leaving || replica.processEnded {
 		return
 	}
 	replica.Leaving = true
@@ -106,37 +106,37 @@
 	}
 }
 
-// asksOf returns the gate's state of a replica that was added to the list, nil if it has asked for nothing.
-func (d *Directory) asksOf(peer backpressure.Peer) *backpressure.PeerState {
+// peerStateOf returns the gate's state of a replica that was added to the list, nil if it has asked for nothing.
+func (d *Directory) peerStateOf(peer backpressure.Peer) *backpressure.PeerState {
 	if d.gate == nil {
 		return nil
 	}
 	return d.gate.MarkListed(peer)
 }
 
-// askingNow returns the time by the gate's clock, to compare with the ends of backoffs; 0 while no replica has
+// gateNow returns the time by the gate's clock, to compare with the ends of backoffs; 0 while no replica has
 // asked for anything.
-func (d *Directory) askingNow() time.Duration {
+func (d *Directory) gateNow() time.Duration {
 	if d.gate == nil || d.gate.Empty() {
 		return 0
 	}
 	return d.gate.Now()
 }
 
-// rests reports whether the replica is in a backoff that it has requested of this process, at a time from
-// Directory.askingNow. The caller must hold the Directory's mutex.
-func (r *Replica) rests(now time.Duration) bool {
-	return now > 0 && r.asks != nil && r.asks.BackoffLeft(now) > 0
+// inBackoff reports whether the replica is in a backoff that it has requested of this process, at a time from
+// Directory.gateNow. The caller must hold the Directory's mutex.
+func (r *Replica) inBackoff(now time.Duration) bool {
+	return now > 0 && r.peerState != nil && r.peerState.BackoffLeft(now) > 0
 }
 
 // maxExcluded bounds the replicas in backoff that a placement query excludes: the size of a message is limited,
 // and if the coordinator chooses a replica in backoff nevertheless, the gateway chooses again itself.
 const maxExcluded = 24
 
-// restingHere returns the incarnation names of the replicas in a backoff requested of this process, those with
+// inBackoffHere returns the incarnation names of the replicas in a backoff requested of this process, those with
 // the longest remaining backoff first, at most maxExcluded.
-func (d *Directory) restingHere() []string {
-	now := d.askingNow()
+func (d *Directory) inBackoffHere() []string {
+	now := d.gateNow()
 	if now == 0 {
 		return nil
 	}
@@ -144,12 +144,12 @@
 	defer d.mutex.Unlock()
 	var backingOff []*Replica
 	for _, replica := range d.replicas {
-		if replica.rests(now) {
+		if replica.inBackoff(now) {
 			backingOff = append(backingOff, replica)
 		}
 	}
 	slices.SortFunc(backingOff, func(a, b *Replica) int {
-		return cmp.Or(cmp.Compare(b.asks.BackoffLeft(now), a.asks.BackoffLeft(now)), strings.Compare(a.name, b.name))
+		return cmp.Or(cmp.Compare(b.peerState.BackoffLeft(now), a.peerState.BackoffLeft(now)), strings.Compare(a.name, b.name))
 	})
 	names := make([]string, min(len(backingOff), maxExcluded))
 	for index := range names {
@@ -158,10 +158,10 @@
 	return names
 }
 
-// RestLeft returns the remaining backoff that the lease's replica has requested of this process, 0 if there is
+// BackoffLeft returns the remaining backoff that the lease's replica has requested of this process, 0 if there is
 // none.
-func (l *Lease) RestLeft() time.Duration {
-	asks := l.asks()
+func (l *Lease) BackoffLeft() time.Duration {
+	asks := l.peerState()
 	if asks == nil {
 		return 0
 	}
@@ -170,16 +170,16 @@
 
 // saysLeaving reports whether the lease's replica has said that it is leaving.
 func (l *Lease) saysLeaving() bool {
-	asks := l.asks()
+	asks := l.peerState()
 	return asks != nil && asks.Leaving()
 }
 
-// asks returns the gate's state of the lease's replica, nil if it has asked for nothing.
-func (l *Lease) asks() *backpressure.PeerState {
+// peerState returns the gate's state of the lease's replica, nil if it has asked for nothing.
+func (l *Lease) peerState() *backpressure.PeerState {
 	if l.directory.gate == nil || l.directory.gate.Empty() {
 		return nil
 	}
 	l.directory.mutex.Lock()
 	defer l.directory.mutex.Unlock()
-	return l.Replica.asks
+	return l.Replica.peerState
 }
--- a/internal/relay/border.go
+++ b/internal/relay/border.go
@@ -10,9 +10,9 @@
 	"github.com/pierhaven/pierhaven/internal/topology"
 )
 
-// KnowPlaces sets the map from zones to regions. It must be called before any other use; without it all
+// SetRegions sets the map from zones to regions. It must be called before any other use; without it all
 // zones count as one region.
-func (d *Directory) KnowPlaces(places topology.Map) { d.regions = places }
+func (d *Directory) SetRegions(regions topology.Map) { d.regions = regions }
 
 // distance returns how far apart two replicas are.
 func (d *Directory) distance(from, to *Replica) topology.Distance {
@@ -78,7 +78,7 @@
 type regionPath struct{ from, to string }
 
 type pathDelay struct {
-	timeMeter
+	averageTime
 	at time.Duration
 }
 
@@ -95,13 +95,13 @@
 	}
 	// Store the decayed value before adding the sample. Otherwise the next request would restore the delay
 	// that has decayed, and a path that was slow once would look slow again.
-	known.smoothed = w.typical(path, now)
-	known.timeMeter.observe(took)
+	known.smoothed = w.average(path, now)
+	known.averageTime.observe(took)
 	known.at = now
 }
 
-// typical returns the decayed delay of a path, 0 if it is unknown.
-func (w pathDelays) typical(path regionPath, now time.Duration) time.Duration {
+// average returns the decayed delay of a path, 0 if it is unknown.
+func (w pathDelays) average(path regionPath, now time.Duration) time.Duration {
 	known, found := w[path]
 	if !found {
 		return 0
@@ -126,7 +126,7 @@
 	if !crosses {
 		return 0
 	}
-	once := d.pathDelays.typical(path, now)
+	once := d.pathDelays.average(path, now)
 	if replica.Stage == region.StagePrefill {
 		return 2 * once
 	}
--- a/internal/relay/border_test.go
+++ b/internal/relay/border_test.go
@@ -36,8 +36,8 @@
 		}
 		replicas = append(replicas, replicaIn(zone, "generator", region.StageDecode))
 	}
-	d := newTaught(replicas...)
-	d.KnowPlaces(threeRegions)
+	d := newDirectoryWithKnownCosts(replicas...)
+	d.SetRegions(threeRegions)
 	d.SetEngine("s", traffic.Engine{LinkBitsPerSecond: 2e10, TokenBytes: 1000})
 	return &regionalDirectory{directory: d, t: t}
 }
@@ -57,7 +57,7 @@
 func (d *regionalDirectory) prefillPromptFor(zone string, read *relay.Prompt) *relay.Lease {
 	request := readRequest(read)
 	request.Zone = zone
-	lease, err := d.PlaceReading("s", request)
+	lease, err := d.PlacePrefill("s", request)
 	require.NoError(d.t, err)
 	return lease
 }
@@ -183,7 +183,7 @@
 			replicaIn("north-a", "reader-0", region.StagePrefill), replicaIn("south-a", "generator", region.StageDecode),
 		})
 		d.prefillFor("north-a")
-		lease := d.PickGenerator("s", relay.Wanted{}, "north-a")
+		lease := d.PickDecode("s", relay.Wanted{}, "north-a")
 		require.NotNil(t, lease)
 		assert.Equal(t, "south", regionOf(lease))
 	})
@@ -194,13 +194,13 @@
 	d := newRegional(t, map[string]int{"north-a": 1})
 	var leases []*relay.Lease
 	for range 128 {
-		lease := d.PickGenerator("s", relay.Wanted{}, "north-a")
+		lease := d.PickDecode("s", relay.Wanted{}, "north-a")
 		assert.Equal(t, "north", regionOf(lease))
 		leases = append(leases, lease)
 	}
-	assert.NotEqual(t, "north", regionOf(d.PickGenerator("s", relay.Wanted{}, "north-a")), "all slots are taken")
+	assert.NotEqual(t, "north", regionOf(d.PickDecode("s", relay.Wanted{}, "north-a")), "all slots are taken")
 	leases[0].Release()
-	assert.Equal(t, "north", regionOf(d.PickGenerator("s", relay.Wanted{}, "north-a")))
+	assert.Equal(t, "north", regionOf(d.PickDecode("s", relay.Wanted{}, "north-a")))
 }
 
 // Guards against fetches from other regions: more than half of the fetches in normal load crossed regions
@@ -242,7 +242,7 @@
 
 func TestCallStaysInRegionWhileSlotIsFree(t *testing.T) {
 	d := newDirectory()
-	d.KnowPlaces(topology.Map{Regions: map[string]string{"z": "north", "y": "north", "x": "south"}})
+	d.SetRegions(topology.Map{Regions: map[string]string{"z": "north", "y": "north", "x": "south"}})
 	var replicas []region.Replica
 	for _, zone := range []string{"z", "y", "x"} {
 		each := replica(zone, "")
--- a/internal/relay/budgets.go
+++ b/internal/relay/budgets.go
@@ -7,8 +7,8 @@
 	"github.com/pierhaven/pierhaven/internal/retry"
 )
 
-// BudgetTerms bound the retries of all gateways together.
-type BudgetTerms struct {
+// RetryBudgetOptions bound the retries of all gateways together.
+type RetryBudgetOptions struct {
 	// Ratio is the number of retries per request, over Window.
 	Ratio  float64
 	Window time.Duration
@@ -17,12 +17,12 @@
 	Slack float64
 }
 
-// Budgets bound this gateway's retries to each service without communication between gateways: each
+// RetryBudgets bound this gateway's retries to each service without communication between gateways: each
 // gateway gets an equal share of the slack. They are safe for concurrent use.
-type Budgets struct {
+type RetryBudgets struct {
 	mutex    sync.Mutex
 	clock    func() time.Duration
-	terms    BudgetTerms
+	terms    RetryBudgetOptions
 	gateways int
 	services map[string]*retry.Budget
 }
@@ -39,13 +39,13 @@
 	initialShare = 0.5
 )
 
-// NewBudgets returns budgets for a given number of gateways.
-func NewBudgets(clock func() time.Duration, terms BudgetTerms, gateways int) *Budgets {
-	return &Budgets{clock: clock, terms: terms, gateways: max(gateways, 1), services: map[string]*retry.Budget{}}
+// NewRetryBudgets returns budgets for a given number of gateways.
+func NewRetryBudgets(clock func() time.Duration, terms RetryBudgetOptions, gateways int) *RetryBudgets {
+	return &RetryBudgets{clock: clock, terms: terms, gateways: max(gateways, 1), services: map[string]*retry.Budget{}}
 }
 
 // SetGateways sets the number of gateways that share the slack; 0 leaves it unchanged.
-func (b *Budgets) SetGateways(gateways int) {
+func (b *RetryBudgets) SetGateways(gateways int) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if gateways == 0 || gateways == b.gateways {
@@ -58,20 +58,20 @@
 }
 
 // Request counts a request for a service, which adds to its retry budget.
-func (b *Budgets) Request(service string) {
+func (b *RetryBudgets) Request(service string) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.serviceBudget(service).Request(b.clock())
 }
 
 // Withdraw takes one retry out of a service's budget. It reports false if none is left.
-func (b *Budgets) Withdraw(service string) bool {
+func (b *RetryBudgets) Withdraw(service string) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.serviceBudget(service).Withdraw(b.clock())
 }
 
-func (b *Budgets) serviceBudget(service string) *retry.Budget {
+func (b *RetryBudgets) serviceBudget(service string) *retry.Budget {
 	budget, found := b.services[service]
 	if !found {
 		budget = retry.NewBudget(b.budgetOptions())
@@ -81,7 +81,7 @@
 }
 
 // budgetOptions returns the options of each service's budget.
-func (b *Budgets) budgetOptions() retry.BudgetOptions {
+func (b *RetryBudgets) budgetOptions() retry.BudgetOptions {
 	share := allowanceMargin * b.terms.Slack / float64(b.gateways)
 	return retry.BudgetOptions{
 		Ratio:            allowanceMargin * b.terms.Ratio,
--- a/internal/relay/budgets_test.go
+++ b/internal/relay/budgets_test.go
@@ -11,16 +11,16 @@
 
 // withdrawnPerSecond returns the number of retries that all gateways together withdraw in each second
 // if they ask for as many as they get.
-func withdrawnPerSecond(gateways, seconds, requests int, terms relay.BudgetTerms, restartEvery int) []int {
+func withdrawnPerSecond(gateways, seconds, requests int, terms relay.RetryBudgetOptions, restartEvery int) []int {
 	now := time.Duration(0)
 	clock := func() time.Duration { return now }
-	budgets := make([]*relay.Budgets, gateways)
+	budgets := make([]*relay.RetryBudgets, gateways)
 	var each []int
 	for second := range seconds {
 		count := 0
 		for index := range budgets {
 			if budgets[index] == nil || restartEvery > 0 && second%restartEvery == index%restartEvery {
-				budgets[index] = relay.NewBudgets(clock, terms, gateways)
+				budgets[index] = relay.NewRetryBudgets(clock, terms, gateways)
 			}
 			for range requests {
 				budgets[index].Request("s")
@@ -36,7 +36,7 @@
 }
 
 func TestRetriesOfAllGatewaysStayWithinLimitInEveryWindow(t *testing.T) {
-	terms := relay.BudgetTerms{Ratio: 0.2, Window: 10 * time.Second, Slack: 54}
+	terms := relay.RetryBudgetOptions{Ratio: 0.2, Window: 10 * time.Second, Slack: 54}
 	for name, test := range map[string]struct{ gateways, requests, restartEvery int }{
 		"few":       {7, 5, 0},
 		"quiet":     {9, 0, 0},
@@ -60,13 +60,13 @@
 // Guards against a burst of retries: quiet gateways each save up a retry, and many spend theirs at once
 // when a service begins to reject requests. 985 retries were made where 152 are allowed.
 func TestSavedRetriesOfQuietGatewaysStayWithinLimit(t *testing.T) {
-	terms := relay.BudgetTerms{Ratio: 0.2, Window: 10 * time.Second, Slack: 54}
+	terms := relay.RetryBudgetOptions{Ratio: 0.2, Window: 10 * time.Second, Slack: 54}
 	for _, gateways := range []int{9, 65, 295, 985} {
 		for _, pause := range []int{2, 5, 20} {
 			now := time.Duration(0)
-			budgets := make([]*relay.Budgets, gateways)
+			budgets := make([]*relay.RetryBudgets, gateways)
 			for index := range budgets {
-				budgets[index] = relay.NewBudgets(func() time.Duration { return now }, terms, gateways)
+				budgets[index] = relay.NewRetryBudgets(func() time.Duration { return now }, terms, gateways)
 			}
 			for second := range 600 {
 				for index, each := range budgets {
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -12,7 +12,7 @@
 
 // Call is one request of a caller, together with its route.
 type Call struct {
-	Terms
+	RequestMetadata
 	Method string
 	// Target is the path with the query, as the caller sent it.
 	Target string
--- a/internal/relay/comeback.go
+++ b/internal/relay/comeback.go
@@ -6,14 +6,14 @@
 	"github.com/pierhaven/pierhaven/internal/region"
 )
 
-// callBack schedules the retry of the next caller that is refused for a service: one interval (pace) after
+// scheduleRetry schedules the retry of the next caller that is refused for a service: one interval (pace) after
 // the previous caller, and between earliest and latest. The caller must hold d.mutex.
-func (d *Directory) callBack(service string, earliest, pace, latest time.Duration) time.Duration {
+func (d *Directory) scheduleRetry(service string, earliest, pace, latest time.Duration) time.Duration {
 	at := d.retryAt[service] + pace
 	if at < earliest {
 		// Add jitter, so that processes that refuse their first callers together do not have them retry
 		// together.
-		at = earliest + time.Duration(d.draw()*float64(pace))
+		at = earliest + time.Duration(d.random()*float64(pace))
 	}
 	at = min(at, latest)
 	d.retryAt[service] = at
@@ -23,11 +23,11 @@
 // minimumLatency bounds the typical latency from below, and stands for it where none is known.
 const minimumLatency = 50 * time.Millisecond
 
-// restsReturn returns the time after which a caller should retry, if every replica of a service is in
+// backoffRetryAfter returns the time after which a caller should retry, if every replica of a service is in
 // backoff or at its learned limit for requests of a rank; 0 if one is not. Refused callers retry one after
 // the other, at this process's share of the rate at which the replicas serve requests when full.
-func (d *Directory) restsReturn(service string, rank int) time.Duration {
-	asking := d.askingNow()
+func (d *Directory) backoffRetryAfter(service string, rank int) time.Duration {
+	asking := d.gateNow()
 	if asking == 0 {
 		return 0
 	}
@@ -38,12 +38,12 @@
 	slots, earliest := 0, time.Duration(0)
 	var awake []*Replica
 	for _, replica := range d.services[service] {
-		if replica.leaves() || replica.gone || replica.Stage == region.StagePrefill {
+		if replica.isLeaving() || replica.removed || replica.Stage == region.StagePrefill {
 			continue
 		}
 		left := time.Duration(0)
-		if replica.rests(asking) {
-			left = replica.asks.BackoffLeft(asking)
+		if replica.inBackoff(asking) {
+			left = replica.peerState.BackoffLeft(asking)
 		} else {
 			awake = append(awake, replica)
 		}
@@ -55,6 +55,6 @@
 	if slots == 0 || len(d.belowLearnedLimit(awake, rank, now)) > 0 {
 		return 0
 	}
-	pace := time.Duration(latency / float64(slots) * float64(d.choosers()) * float64(time.Second))
-	return d.callBack(service, now+earliest, pace, now+earliest+longestReturn) - now
+	pace := time.Duration(latency / float64(slots) * float64(d.placerCount()) * float64(time.Second))
+	return d.scheduleRetry(service, now+earliest, pace, now+earliest+maximumRetryAfter) - now
 }
--- a/internal/relay/connected_test.go
+++ b/internal/relay/connected_test.go
@@ -21,7 +21,7 @@
 		}
 		d := newDirectory(list...)
 		connections := map[string]bool{}
-		d.KnowConnections(func(_, life string) bool { return connections[life] })
+		d.SetConnected(func(_, life string) bool { return connections[life] })
 		for range 40 {
 			lease := d.PickAny("s", relay.Wanted{})
 			connections[lease.Replica.Life().Name()] = true
--- a/internal/relay/costs.go
+++ b/internal/relay/costs.go
@@ -35,7 +35,7 @@
 // hold d.mutex.
 func (d *Directory) prefillTime(replica *Replica, request ReadRequest, missing int) time.Duration {
 	work := costmodel.Work{Tokens: request.Prompt.Tokens, Missing: min(missing, request.Prompt.Tokens)}
-	return d.costModel(replica.Service).ReadTime(work) * slowness(replica)
+	return d.costModel(replica.Service).ReadTime(work) * prefillSlowdown(replica)
 }
 
 // Costs returns the engine costs that this process has measured, for all services.
@@ -59,7 +59,7 @@
 func (d *Directory) TakeCosts(costs []region.EngineCost) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if d.off[mechanism.LearnedCosts] {
+	if d.disabled[mechanism.LearnedCosts] {
 		return
 	}
 	for _, each := range costs {
@@ -71,8 +71,8 @@
 	}
 }
 
-// slowness returns how many times longer a prefill takes on a replica than on a prefill replica.
-func slowness(replica *Replica) time.Duration {
+// prefillSlowdown returns how many times longer a prefill takes on a replica than on a prefill replica.
+func prefillSlowdown(replica *Replica) time.Duration {
 	if replica.Stage == region.StageDecode {
 		return decodePrefillSlowdown
 	}
@@ -100,14 +100,14 @@
 // typicalOverrun returns by how much longer than estimated a prompt typically takes at a stage's replicas.
 // The caller must hold d.mutex.
 func (d *Directory) typicalOverrun(service, stage string) time.Duration {
-	if d.off[mechanism.Excess] {
+	if d.disabled[mechanism.Excess] {
 		return 0
 	}
-	return max(d.overruns[service+"/"+stage].typical(), 0)
+	return max(d.overruns[service+"/"+stage].average(), 0)
 }
 
-// pace returns the prefill rate of a service's replicas in tokens per second, 0 if it is unknown.
-func (d *Directory) pace(service string) float64 {
+// prefillRate returns the prefill rate of a service's replicas in tokens per second, 0 if it is unknown.
+func (d *Directory) prefillRate(service string) float64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.costModel(service).TokensPerSecond()
--- a/internal/relay/daemon/daemon.go
+++ b/internal/relay/daemon/daemon.go
@@ -76,11 +76,11 @@
 		upstreams.Forget(address, incarnation)
 		settings.Gate.MarkUnlisted(backpressure.Peer{Address: address, Instance: incarnation})
 	}, settings.Logger)
-	directory.Heed(settings.Gate)
-	directory.SwitchOff(settings.Without)
-	directory.KnowPlaces(settings.Topology)
-	directory.KnowConnections(upstreams.Connected)
-	budgets := relay.NewBudgets(clock, settings.Budget, initialGateways)
+	directory.UseGate(settings.Gate)
+	directory.Disable(settings.Without)
+	directory.SetRegions(settings.Topology)
+	directory.SetConnected(upstreams.Connected)
+	budgets := relay.NewRetryBudgets(clock, settings.Budget, initialGateways)
 	socket := &datagram.Socket{Logger: settings.Logger}
 	incarnation := started.UnixNano()
 	peers := peers.New(peers.Options{
@@ -104,13 +104,13 @@
 	limits := newLimitClient(settings, socket, views, directory)
 	views.limits = limits
 	runner := relay.NewRunner(directory, upstreams, settings.Dialect, budgets, relay.NewMetrics(settings.Metrics), settings.Logger)
-	runner.AskPlacements(placements.Remote())
-	runner.CountBegun(usageReports.recordStart)
-	runner.GuardWith(evidence.Guard)
-	runner.AskPermits(evidence.requestPermit)
-	runner.CountSuspensions(suspended)
-	runner.KeepLimits(limits.replicaLimits())
-	directory.CountChoosers(views.gatewayCount)
+	runner.SetRemotePlacement(placements.Remote())
+	runner.OnRequestStart(usageReports.recordStart)
+	runner.SetGuard(evidence.Guard)
+	runner.SetProbationPermits(evidence.requestPermit)
+	runner.SetSuspendedTime(suspended)
+	runner.EnforceLimits(limits.replicaLimits())
+	directory.SetPlacerCount(views.gatewayCount)
 	created := &Daemon{
 		settings:  settings,
 		views:     views,
--- a/internal/relay/daemon/daemon_test.go
+++ b/internal/relay/daemon/daemon_test.go
@@ -37,10 +37,10 @@
 
 type testDialect struct{}
 
-func (testDialect) ReadTerms(get func(string) string) relay.Terms {
-	return relay.Terms{ID: get("Request"), Wait: 20 * time.Second, Key: tenant.BearerKey(get("Authorization"))}
+func (testDialect) ReadRequestMetadata(get func(string) string) relay.RequestMetadata {
+	return relay.RequestMetadata{ID: get("Request"), Wait: 20 * time.Second, Key: tenant.BearerKey(get("Authorization"))}
 }
-func (testDialect) Sets(name string) bool                              { return name == "Instance" || name == "Tenant" }
+func (testDialect) SetsField(name string) bool                         { return name == "Instance" || name == "Tenant" }
 func (testDialect) IsKey(name string) bool                             { return name == "Authorization" }
 func (testDialect) Leaving(header http.Header) bool                    { return header.Get("Leaving") != "" }
 func (testDialect) ReadHandle([]byte) (string, error)                  { return "", nil }
@@ -57,10 +57,10 @@
 	}
 	return fields
 }
-func (testDialect) ReadMarks(header http.Header) relay.Marks {
-	marks := relay.Marks{Sealed: header.Get("Sealed") != ""}
+func (testDialect) ReadResponseMetadata(header http.Header) relay.ResponseMetadata {
+	marks := relay.ResponseMetadata{Sealed: header.Get("Sealed") != ""}
 	if rate, err := strconv.ParseFloat(header.Get("Limit"), 64); err == nil {
-		marks.Limit = relay.RateLimit{Named: true, Rate: rate}
+		marks.Limit = relay.RateLimit{Declared: true, Rate: rate}
 	}
 	return marks
 }
@@ -162,7 +162,7 @@
 	created, err := daemon.New(daemon.Settings{
 		Name: "gateway", Zone: "zone", Listen: g.front, ReadyListen: g.ready, ReadyPath: "/ready",
 		PeerListen: testnet.Address(t), Seeds: func() []string { return seeds },
-		Budget:   relay.BudgetTerms{Ratio: 1, Window: time.Second, Slack: 10},
+		Budget:   relay.RetryBudgetOptions{Ratio: 1, Window: time.Second, Slack: 10},
 		StopTime: 10 * time.Second, CallerStall: time.Second, MemoryBytes: gatewayMemory, Lister: unreachableList{}, Codec: jsonCodec{}, Dialect: testDialect{},
 		Metrics: g.metrics, Logger: logr.Discard(),
 	})
--- a/internal/relay/daemon/endingrequests_test.go
+++ b/internal/relay/daemon/endingrequests_test.go
@@ -267,7 +267,7 @@
 	created, err := daemon.New(daemon.Settings{
 		Name: fmt.Sprint("gateway-", number), Zone: "zone", Listen: g.front, ReadyListen: g.ready, ReadyPath: "/ready",
 		PeerListen: testnet.Address(r.t), Seeds: func() []string { return []string{r.coordinator} },
-		Budget:   relay.BudgetTerms{Ratio: 1, Window: time.Second, Slack: 100},
+		Budget:   relay.RetryBudgetOptions{Ratio: 1, Window: time.Second, Slack: 100},
 		StopTime: 2 * time.Second, Lister: unreachableList{}, Codec: jsonCodec{}, Dialect: testDialect{},
 		Contact: r.contact(), LeaveTime: leaveTime, Metrics: telemetry.NewMetrics("test"), Logger: logr.Discard(),
 	})
--- a/internal/relay/daemon/front.go
+++ b/internal/relay/daemon/front.go
@@ -107,7 +107,7 @@
 // newCall validates and authenticates a request and returns the call for its route.
 func (f *frontend) newCall(ctx context.Context, request *app.RequestContext) (*authorizedCall, error) {
 	arrived := time.Now()
-	terms := f.settings.Dialect.ReadTerms(func(name string) string {
+	terms := f.settings.Dialect.ReadRequestMetadata(func(name string) string {
 		return string(request.Request.Header.Peek(name))
 	})
 	if err := framing.Check(request.Request.Header.RawHeaders()); err != nil {
@@ -139,15 +139,15 @@
 	}
 	service := route.Splitter.Next()
 	call := &relay.Call{
-		Terms:   terms,
-		Method:  string(request.Method()),
-		Target:  target,
-		Host:    string(request.Request.Host()),
-		Header:  f.forwardedFields(request, len(table.Configuration.Tenants) > 0),
-		Body:    request.Request.Body(),
-		Arrived: arrived,
-		Route:   withTenantPriority(owner, route.Route),
-		Service: table.Service(service),
+		RequestMetadata: terms,
+		Method:          string(request.Method()),
+		Target:          target,
+		Host:            string(request.Request.Host()),
+		Header:          f.forwardedFields(request, len(table.Configuration.Tenants) > 0),
+		Body:            request.Request.Body(),
+		Arrived:         arrived,
+		Route:           withTenantPriority(owner, route.Route),
+		Service:         table.Service(service),
 	}
 	call.Key = ""
 	if owner != nil {
@@ -172,7 +172,7 @@
 
 // authenticate returns the tenant of a request, or nil if its route requires no key and the request
 // has no known key.
-func (f *frontend) authenticate(table *traffic.Table, route *traffic.Route, terms relay.Terms) (*traffic.Tenant, error) {
+func (f *frontend) authenticate(table *traffic.Table, route *traffic.Route, terms relay.RequestMetadata) (*traffic.Tenant, error) {
 	var owner *traffic.Tenant
 	if terms.Key != "" {
 		owner = table.TenantOf(terms.Key)
@@ -241,7 +241,7 @@
 	fields := make([]upstream.Field, 0, 16)
 	request.Request.Header.VisitAll(func(key, value []byte) {
 		name := string(key)
-		if http.CanonicalHeaderKey(name) == "Host" || relay.IsHopByHop(name) || f.settings.Dialect.Sets(name) ||
+		if http.CanonicalHeaderKey(name) == "Host" || relay.IsHopByHop(name) || f.settings.Dialect.SetsField(name) ||
 			keyed && f.settings.Dialect.IsKey(name) {
 			return
 		}
--- a/internal/relay/daemon/leaving.go
+++ b/internal/relay/daemon/leaving.go
@@ -57,7 +57,7 @@
 
 // report sends the unlisted leaving replicas to the polled coordinator.
 func (l *leavingReporter) report(ctx context.Context) {
-	names := l.directory.LeavingUntold()
+	names := l.directory.UnreportedLeaving()
 	coordinator := l.views.polled.Load()
 	if len(names) == 0 || coordinator == nil {
 		return
--- a/internal/relay/daemon/replicalimits.go
+++ b/internal/relay/daemon/replicalimits.go
@@ -100,8 +100,8 @@
 // it may have restarted or missed a report, so all known limits are sent to it, at most once per
 // limitResendInterval.
 func (l *limitClient) applyView(view *region.View) {
-	l.directory.TakeLimits(view.Limits)
-	if l.directory.LimitNames() == view.LimitNames {
+	l.directory.MergeLimits(view.Limits)
+	if l.directory.LimitedReplicasHash() == view.LimitNames {
 		return
 	}
 	now := l.clock()
@@ -112,12 +112,12 @@
 	}
 	l.stateMutex.Unlock()
 	if due {
-		l.sendReports(l.directory.LimitWords())
+		l.sendReports(l.directory.LimitReports())
 	}
 }
 
 // requestPermit asks whether a request may be sent to a replica that declares a limit.
-func (l *limitClient) requestPermit(ctx context.Context, limitQuestion relay.LimitQuestion) relay.Permit {
+func (l *limitClient) requestPermit(ctx context.Context, limitQuestion relay.PermitRequest) relay.Permit {
 	question := quota.Question{Account: limitQuestion.Life, Units: 1, Rank: limitQuestion.Rank}
 	decision, decided, err := l.decide(ctx, limitQuestion.Request, question)
 	if err != nil {
@@ -130,20 +130,20 @@
 	l.fallback.Forget()
 	l.stateMutex.Unlock()
 	return relay.Permit{
-		Granted:  decision.Admitted,
-		Wait:     time.Duration(decision.WaitMicros) * time.Microsecond,
-		By:       decision.coordinator.String(),
-		GiveBack: func() { l.newCharge(question, decision.coordinator).settle(0) },
+		Granted: decision.Admitted,
+		Wait:    time.Duration(decision.WaitMicros) * time.Microsecond,
+		By:      decision.coordinator.String(),
+		Return:  func() { l.newCharge(question, decision.coordinator).settle(0) },
 	}
 }
 
 // decideLocally decides while no coordinator answers.
-func (l *limitClient) decideLocally(limitQuestion relay.LimitQuestion) relay.Permit {
+func (l *limitClient) decideLocally(limitQuestion relay.PermitRequest) relay.Permit {
 	l.stateMutex.Lock()
 	granted, wait := l.fallback.Ask(l.clock(), limitQuestion.Life, limitQuestion.Rate, l.views.gatewayCount())
 	l.stateMutex.Unlock()
 	l.countDecision(granted, true)
-	return relay.Permit{Granted: granted, Wait: wait, By: "self", GiveBack: func() {}}
+	return relay.Permit{Granted: granted, Wait: wait, By: "self", Return: func() {}}
 }
 
 // recordSend charges a request that was sent to a replica without asking.
--- a/internal/relay/daemon/settings.go
+++ b/internal/relay/daemon/settings.go
@@ -33,7 +33,7 @@
 	PeerListen string
 	// Seeds returns the internal addresses of the coordinators to contact first.
 	Seeds  func() []string
-	Budget relay.BudgetTerms
+	Budget relay.RetryBudgetOptions
 	// Without lists the disabled mechanisms.
 	Without mechanism.Set
 	// LinkBitsPerSecond is the speed of the machine's network link, 0 if unknown.
--- a/internal/relay/daemon/viewkeeper.go
+++ b/internal/relay/daemon/viewkeeper.go
@@ -29,7 +29,7 @@
 	logger        logr.Logger
 	client        *rpc.Client
 	directory     *relay.Directory
-	budgets       *relay.Budgets
+	budgets       *relay.RetryBudgets
 	placementMode *placementMode
 	usage         *usageReporter
 	evidence      *evidenceReporter
@@ -68,7 +68,7 @@
 	failedAt    map[string]time.Duration
 }
 
-func newViewClient(settings Settings, client *rpc.Client, directory *relay.Directory, budgets *relay.Budgets, mode *placementMode, usage *usageReporter) *viewClient {
+func newViewClient(settings Settings, client *rpc.Client, directory *relay.Directory, budgets *relay.RetryBudgets, mode *placementMode, usage *usageReporter) *viewClient {
 	return &viewClient{
 		settings:      settings,
 		logger:        settings.Logger,
@@ -181,7 +181,7 @@
 		request.WallNanos = time.Now().UnixNano()
 	}
 	v.polled.Store(&coordinator)
-	request.LimitNames = v.directory.LimitNames()
+	request.LimitNames = v.directory.LimitedReplicasHash()
 	if v.evidence != nil {
 		request.PoisonRevision = v.evidence.Guard.Revision()
 	}
--- a/internal/relay/daemon/viewkeeper_test.go
+++ b/internal/relay/daemon/viewkeeper_test.go
@@ -52,7 +52,7 @@
 func TestAViewAgesWhileTheMachineIsSuspended(t *testing.T) {
 	var suspended time.Duration
 	directory := relay.NewDirectory(func() time.Duration { return 0 }, "z", func(string, string) {}, logr.Discard())
-	budgets := relay.NewBudgets(func() time.Duration { return 0 }, relay.BudgetTerms{Window: time.Second}, 1)
+	budgets := relay.NewRetryBudgets(func() time.Duration { return 0 }, relay.RetryBudgetOptions{Window: time.Second}, 1)
 	asked := &placementMode{peers: newPlacementMode().peers, client: newPlacementMode().client}
 	settings := Settings{Codec: fixedCodec{}, Logger: logr.Discard(), Now: func() time.Duration { return uptime.Now() + suspended }}
 	views := newViewClient(settings, nil, directory, budgets, asked, nil)
--- a/internal/relay/demand.go
+++ b/internal/relay/demand.go
@@ -27,10 +27,10 @@
 			staged = true
 			where := places.Group(replica.Zone)
 			generating[where] += float64(replica.generating)
-			if where == own.Region && (replica.unconnected && now < replica.avoidUntil || d.refusesAll(replica, now)) {
+			if where == own.Region && (replica.unconnected && now < replica.avoidUntil || d.rejectsAll(replica, now)) {
 				own.Unreachable = append(own.Unreachable, replica.name)
 			}
-			if where == own.Region && replica.refusals.inRow > 1 && replica.refuses(now) {
+			if where == own.Region && replica.rejections.consecutive > 1 && replica.refuses(now) {
 				own.Refusing = append(own.Refusing, replica.name)
 			}
 		}
@@ -66,8 +66,8 @@
 	return demand
 }
 
-// readTimes are the times of a prompt that a replica is to read, or would have to read.
-type readTimes struct {
+// prefillTimes are the times of a prompt that a replica is to read, or would have to read.
+type prefillTimes struct {
 	// busy is the time to read it, and whole that time if the replica had cached nothing of it; whole is
 	// less than busy if it is not known.
 	busy, whole time.Duration
@@ -78,23 +78,23 @@
 }
 
 // times returns the times of a prompt; whole is the time to read it if the replica had cached nothing of it.
-func (e *readEstimate) times(request ReadRequest, whole time.Duration) readTimes {
+func (e *prefillEstimate) times(request ReadRequest, whole time.Duration) prefillTimes {
 	aim := time.Duration(inTimeShare * float64(request.AimLeft))
-	return readTimes{
-		busy:    e.busy / slowness(e.replica),
-		whole:   whole / slowness(e.replica),
+	return prefillTimes{
+		busy:    e.busy / prefillSlowdown(e.replica),
+		whole:   whole / prefillSlowdown(e.replica),
 		slack:   request.Objective - e.busy,
 		delayed: e.total() > aim && e.total()-e.wait <= aim,
 	}
 }
 
-// refusedTimes returns the times of a prompt that was rejected because no replica could begin it soon enough.
-func refusedTimes(request ReadRequest, busy time.Duration) readTimes {
-	return readTimes{busy: busy, slack: request.Objective - busy, delayed: busy <= request.AimLeft}
+// rejectedTimes returns the times of a prompt that was rejected because no replica could begin it soon enough.
+func rejectedTimes(request ReadRequest, busy time.Duration) prefillTimes {
+	return prefillTimes{busy: busy, slack: request.Objective - busy, delayed: busy <= request.AimLeft}
 }
 
-// readMeter smooths the demand for reading prompts.
-type readMeter struct {
+// prefillMeter smooths the demand for reading prompts.
+type prefillMeter struct {
 	// Decaying sums over prompts: their number, and times in seconds.
 	prompts, busy, kept, slack float64
 	// squares is the sum of the squares of the busy times, delayed the number of delayed prompts.
@@ -102,11 +102,11 @@
 	at               time.Duration
 }
 
-// readTimeConstant is the time constant with which a readMeter decays.
+// readTimeConstant is the time constant with which a prefillMeter decays.
 const readTimeConstant = 2 * time.Second
 
-func (m *readMeter) add(now time.Duration, read readTimes) {
-	m.fade(now)
+func (m *prefillMeter) add(now time.Duration, read prefillTimes) {
+	m.decay(now)
 	busy := read.busy.Seconds()
 	m.prompts++
 	m.busy += busy
@@ -118,7 +118,7 @@
 	}
 }
 
-func (m *readMeter) fade(now time.Duration) {
+func (m *prefillMeter) decay(now time.Duration) {
 	kept := max(0, 1-(now-m.at).Seconds()/readTimeConstant.Seconds())
 	for _, sum := range []*float64{&m.prompts, &m.busy, &m.kept, &m.slack, &m.squares, &m.delayed} {
 		*sum *= kept
@@ -128,11 +128,11 @@
 
 // addReadDemand fills in the demand of the prompts to be read. The caller must hold d.mutex.
 func (d *Directory) addReadDemand(demand *region.ServiceDemand, now time.Duration) {
-	meter, found := d.reads[demand.Service]
+	meter, found := d.prefillDemand[demand.Service]
 	if !found {
 		return
 	}
-	meter.fade(now)
+	meter.decay(now)
 	perSecond := 1 / readTimeConstant.Seconds()
 	demand.Prompts = meter.prompts * perSecond
 	demand.Reading = meter.busy * perSecond
@@ -142,12 +142,12 @@
 	demand.Delayed = meter.delayed * perSecond
 }
 
-// noteRead adds a prompt to the service's demand for reading. The caller must hold d.mutex.
-func (d *Directory) noteRead(service string, read readTimes) {
-	meter, found := d.reads[service]
+// notePrefill adds a prompt to the service's demand for reading. The caller must hold d.mutex.
+func (d *Directory) notePrefill(service string, read prefillTimes) {
+	meter, found := d.prefillDemand[service]
 	if !found {
-		meter = &readMeter{}
-		d.reads[service] = meter
+		meter = &prefillMeter{}
+		d.prefillDemand[service] = meter
 	}
 	meter.add(d.clock(), read)
 }
--- a/internal/relay/demand_test.go
+++ b/internal/relay/demand_test.go
@@ -17,24 +17,24 @@
 		"waits too long":   {500 * time.Millisecond, 500 * time.Millisecond, true},
 		"too long to read": {500 * time.Millisecond, 2 * time.Second, false},
 	} {
-		estimated := &readEstimate{replica: &Replica{}, wait: test.wait, busy: test.busy}
+		estimated := &prefillEstimate{replica: &Replica{}, wait: test.wait, busy: test.busy}
 		times := estimated.times(request, 3*time.Second)
 		assert.Equal(t, test.delayed, times.delayed, name)
 		assert.Equal(t, time.Second-test.busy, times.slack, name)
 		assert.Equal(t, 3*time.Second, times.whole, name)
 	}
-	assert.True(t, refusedTimes(request, 500*time.Millisecond).delayed)
-	assert.False(t, refusedTimes(request, 2*time.Second).delayed)
+	assert.True(t, rejectedTimes(request, 500*time.Millisecond).delayed)
+	assert.False(t, rejectedTimes(request, 2*time.Second).delayed)
 }
 
 // TestReadDemandIsSmoothed adds 20 prompts a second that take 100 ms each to read, and would take 300 ms without
 // cached prefixes: they keep 2 replicas busy, and would keep 6 busy.
 func TestReadDemandIsSmoothed(t *testing.T) {
-	meter := &readMeter{}
+	meter := &prefillMeter{}
 	now := time.Duration(0)
 	for range 400 {
 		now += 50 * time.Millisecond
-		meter.add(now, readTimes{busy: 100 * time.Millisecond, whole: 300 * time.Millisecond, slack: 900 * time.Millisecond, delayed: true})
+		meter.add(now, prefillTimes{busy: 100 * time.Millisecond, whole: 300 * time.Millisecond, slack: 900 * time.Millisecond, delayed: true})
 	}
 	memory := readTimeConstant.Seconds()
 	assert.InDelta(t, 20, meter.prompts/memory, 0.5)
@@ -43,7 +43,7 @@
 	assert.InDelta(t, 4, meter.kept/memory, 0.1)
 	assert.InDelta(t, 18, meter.slack/memory, 0.5)
 	assert.InDelta(t, 0.2, meter.squares/memory, 0.005)
-	meter.fade(now + 10*readTimeConstant)
+	meter.decay(now + 10*readTimeConstant)
 	assert.Zero(t, meter.prompts)
 	assert.Zero(t, meter.busy)
 }
--- a/internal/relay/dialect.go
+++ b/internal/relay/dialect.go
@@ -10,16 +10,16 @@
 // Dialect reads and writes the header fields and bodies by which callers, gateways and replicas
 // exchange metadata of a request. It makes no decisions.
 type Dialect interface {
-	// ReadTerms reads the metadata of a caller's request. get returns the value of a header field,
+	// ReadRequestMetadata reads the metadata of a caller's request. get returns the value of a header field,
 	// empty if there is none.
-	ReadTerms(get func(name string) string) Terms
-	// Sets reports whether the gateway sets a request's field itself, so that the caller's value is
+	ReadRequestMetadata(get func(name string) string) RequestMetadata
+	// SetsField reports whether the gateway sets a request's field itself, so that the caller's value is
 	// not forwarded.
-	Sets(name string) bool
+	SetsField(name string) bool
 	// Fields returns the fields to send with one send.
 	Fields(send Send) []upstream.Field
-	// ReadMarks reads the metadata of a replica's response.
-	ReadMarks(header http.Header) Marks
+	// ReadResponseMetadata reads the metadata of a replica's response.
+	ReadResponseMetadata(header http.Header) ResponseMetadata
 	// Leaving reports whether a response says that its replica takes no new work until its process
 	// ends.
 	Leaving(header http.Header) bool
@@ -34,8 +34,8 @@
 	FreeHandle(id string) (method, path string)
 }
 
-// Terms is the metadata of a caller's request.
-type Terms struct {
+// RequestMetadata is the metadata of a caller's request.
+type RequestMetadata struct {
 	// ID is the request ID.
 	ID string
 	// Wait is how long the caller waits, 0 if it does not say.
@@ -72,19 +72,19 @@
 	Instance string
 	// Tenant is the name of the caller's tenant, empty if it has none.
 	Tenant string
-	// Left is the time that the replica has.
-	Left time.Duration
-	// ReadOnly asks the replica to prefill the prompt without running the request.
-	ReadOnly bool
-	// Source is the address of the replica that has prefilled the prompt, with the handle; empty if
+	// TimeLeft is the time that the replica has.
+	TimeLeft time.Duration
+	// PrefillOnly asks the replica to prefill the prompt without running the request.
+	PrefillOnly bool
+	// PrefillSource is the address of the replica that has prefilled the prompt, with the handle; empty if
 	// there is none.
-	Source string
+	PrefillSource string
 	// Fetch is the address of a replica that has the beginning of the prompt cached; empty if all of
 	// it is to be prefilled.
 	Fetch string
 	// LastEvent is the ID of the event after which a stream continues.
 	LastEvent string
-	// Moved is set if the stream continues from the memory that Source names, as the same run.
+	// Moved is set if the stream continues from the memory that PrefillSource names, as the same run.
 	Moved bool
 	// Rank orders the prompts and streams of a model replica, from 0 (first) to LastRank (last). It
 	// counts only if Ranked is set.
@@ -95,8 +95,8 @@
 // LastRank is the rank of work that waits for all other work.
 const LastRank = 9
 
-// Marks is the metadata of a replica's response.
-type Marks struct {
+// ResponseMetadata is the metadata of a replica's response.
+type ResponseMetadata struct {
 	// RequestID is the ID of the request that was answered, empty if not given.
 	RequestID string
 	// NotRun is set if the replica has not run the request and will not run it later.
--- a/internal/relay/directory.go
+++ b/internal/relay/directory.go
@@ -37,20 +37,20 @@
 	costModels map[string]*costmodel.Model
 	engines    map[string]traffic.Engine
 	// handoverTimes are the times from the end of a prefill to the first event of the answer.
-	handoverTimes timeMeters
+	handoverTimes averageTimes
 	// overruns are by how much longer than estimated prefills have taken, by service and stage. They
 	// account for work that other gateways have placed there and not yet reported.
-	overruns timeMeters
-	reads    map[string]*readMeter
-	ranked   map[string]*rankedMeter
-	streams  map[string]streamMeters
-	placed   placements
+	overruns      averageTimes
+	prefillDemand map[string]*prefillMeter
+	ranked        map[string]*rankMeter
+	streams       map[string]streamMeters
+	placed        placements
 	// regionReportedAt is when each other region last reported its work.
 	regionReportedAt map[string]time.Duration
-	// grants is the generation of the coordinator's leases: it grows when the coordinator changes or
+	// grantGeneration is the generation of the coordinator's leases: it grows when the coordinator changes or
 	// forgets its leases, and only grants of the current generation count.
-	grants    uint64
-	onDropped func(address, life string)
+	grantGeneration uint64
+	onDropped       func(address, life string)
 	// connected reports whether this process has a connection to an incarnation; nil if that is unknown.
 	connected func(address, life string) bool
 	// limited counts the replicas that declare a rate limit, so that calls skip the check while there are
@@ -62,41 +62,41 @@
 	gate *backpressure.Gate
 	// onLeaving is called for each replica that announces to this process that it is leaving.
 	onLeaving func(life string)
-	// restRevision grows with each backoff that is requested of this process, or of one that it places for.
-	restRevision uint64
+	// backoffRevision grows with each backoff that is requested of this process, or of one that it places for.
+	backoffRevision uint64
 	// retryAt is, by service, when the caller that was last refused because of rate limits or backoffs
 	// should retry.
 	retryAt map[string]time.Duration
 	// learnedLimits are the concurrency limits learned from refusals, by service and stage.
-	learnedLimits map[string]*room
-	// choosers returns the number of processes that choose replicas, including this one.
-	choosers func() int
-	// off are the disabled mechanisms.
-	off mechanism.Set
-	// draw returns a random number in [0, 1). It breaks ties between replicas with about the same score.
-	draw   func() float64
+	learnedLimits map[string]*learnedLimit
+	// placerCount returns the number of processes that choose replicas, including this one.
+	placerCount func() int
+	// disabled are the disabled mechanisms.
+	disabled mechanism.Set
+	// random returns a random number in [0, 1). It breaks ties between replicas with about the same score.
+	random func() float64
 	logger logr.Logger
 }
 
-// SwitchOff disables mechanisms. It must be called before any other use.
-func (d *Directory) SwitchOff(off mechanism.Set) { d.off = off }
+// Disable disables mechanisms. It must be called before any other use.
+func (d *Directory) Disable(mechanisms mechanism.Set) { d.disabled = mechanisms }
 
-// KnowConnections makes the directory prefer replicas to which this process has a connection. It must be
+// SetConnected makes the directory prefer replicas to which this process has a connection. It must be
 // called before any other use.
-func (d *Directory) KnowConnections(connected func(address, life string) bool) {
+func (d *Directory) SetConnected(connected func(address, life string) bool) {
 	d.connected = connected
 }
 
-// CountChoosers sets the function that counts the processes that choose replicas, including this one. It
+// SetPlacerCount sets the function that counts the processes that choose replicas, including this one. It
 // must be called before any other use.
-func (d *Directory) CountChoosers(choosers func() int) {
-	d.choosers = func() int { return max(choosers(), 1) }
+func (d *Directory) SetPlacerCount(count func() int) {
+	d.placerCount = func() int { return max(count(), 1) }
 }
 
-// DrawFrom replaces the process's random source, so that runs in virtual time are reproducible: with the
+// SetRandom replaces the process's random source, so that runs in virtual time are reproducible: with the
 // process's own, one seed served between 0.825 and 0.862 of the same load. It must be called before any
 // other use.
-func (d *Directory) DrawFrom(draw func() float64) { d.draw = draw }
+func (d *Directory) SetRandom(random func() float64) { d.random = random }
 
 // NewDirectory returns an empty directory. onDropped is called with the address and the name of each
 // incarnation that is removed from the list.
@@ -108,19 +108,19 @@
 		services:      map[string][]*Replica{},
 		costModels:    map[string]*costmodel.Model{},
 		engines:       map[string]traffic.Engine{},
-		handoverTimes: timeMeters{},
-		overruns:      timeMeters{},
-		reads:         map[string]*readMeter{},
-		ranked:        map[string]*rankedMeter{},
+		handoverTimes: averageTimes{},
+		overruns:      averageTimes{},
+		prefillDemand: map[string]*prefillMeter{},
+		ranked:        map[string]*rankMeter{},
 		streams:       map[string]streamMeters{},
 		pathDelays:    pathDelays{},
 		limits:        ratelimit.NewTable(),
 		retryAt:       map[string]time.Duration{},
 		onDropped:     onDropped,
 		onLeaving:     func(string) {},
-		choosers:      func() int { return 1 },
-		learnedLimits: map[string]*room{},
-		draw:          rand.Float64,
+		placerCount:   func() int { return 1 },
+		learnedLimits: map[string]*learnedLimit{},
+		random:        rand.Float64,
 		logger:        logger,
 	}
 }
@@ -139,7 +139,7 @@
 		if !found || known.Address != listed.Address {
 			// Except in the first list, a new replica has just started and has nothing cached.
 			known = &Replica{name: name, prefixes: newPrefixCache(), cacheKnown: len(d.replicas) > 0}
-			known.asks = d.asksOf(backpressure.Peer{Address: listed.Address, Instance: name})
+			known.peerState = d.peerStateOf(backpressure.Peer{Address: listed.Address, Instance: name})
 		}
 		draining, leaving := known.Draining || listed.Draining, known.Leaving
 		known.Replica = listed
@@ -147,18 +147,18 @@
 		if listed.Leaving {
 			d.noteLeaving(known)
 		}
-		known.room = d.learnedLimitOf(listed.Service, listed.Stage)
+		known.learnedLimit = d.learnedLimitOf(listed.Service, listed.Stage)
 		known.Draining = draining
-		if known.leaves() {
-			known.tellStreams()
+		if known.isLeaving() {
+			known.notifyStreams()
 		}
 		replicas[name] = known
 		services[listed.Service] = append(services[listed.Service], known)
 	}
 	for name, before := range d.replicas {
 		if replicas[name] != before {
-			before.gone = true
-			if before.limit.named {
+			before.removed = true
+			if before.limit.declared {
 				d.countLimited(false)
 			}
 			d.limits.Forget(name)
@@ -195,21 +195,21 @@
 func (d *Directory) Misdirected(replica *Replica) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	replica.gone = true
+	replica.removed = true
 	d.onDropped(replica.Address, replica.name)
 }
 
-// Ended records that the process of an incarnation has ended, and with it its cache. Until the list shows
+// ProcessEnded records that the process of an incarnation has ended, and with it its cache. Until the list shows
 // the replacement, requests are sent to it under the old incarnation's name.
-func (d *Directory) Ended(life string) {
+func (d *Directory) ProcessEnded(life string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if replica, known := d.replicas[life]; known {
 		replica.prefixes = newPrefixCache()
 		replica.load, replica.loadAt = Load{}, 0
 		// The limit that the process declared ended with it.
-		d.takeLimit(ratelimit.Report{Replica: life}, d.clock())
-		d.forgetAsked(replica)
+		d.mergeLimit(ratelimit.Report{Replica: life}, d.clock())
+		d.clearPeerState(replica)
 	}
 }
 
--- a/internal/relay/directory_test.go
+++ b/internal/relay/directory_test.go
@@ -40,9 +40,9 @@
 	return relay.ReadRequest{Prompt: prompt, Objective: time.Second, AimLeft: time.Second, Left: 10 * time.Second}
 }
 
-// read leases the replica that is to prefill a prompt. A decode replica must exist.
-func (d *directory) read(prompt *relay.Prompt) *relay.Lease {
-	lease, err := d.PlaceReading("s", readRequest(prompt))
+// placePrefill leases the replica that is to prefill a prompt. A decode replica must exist.
+func (d *directory) placePrefill(prompt *relay.Prompt) *relay.Lease {
+	lease, err := d.PlacePrefill("s", readRequest(prompt))
 	if err != nil {
 		panic(err)
 	}
@@ -52,7 +52,7 @@
 // learnPrefillRate completes prefills at a rate, so that the engines' costs are known.
 func (d *directory) learnPrefillRate(tokensPerSecond int) {
 	for index, tokens := range []int{1000, 4000, 16_000, 2000, 8000} {
-		lease := d.read(prompt(relay.PromptPart{ID: fmt.Sprintf("taught-%d", index), Tokens: tokens}))
+		lease := d.placePrefill(prompt(relay.PromptPart{ID: fmt.Sprintf("taught-%d", index), Tokens: tokens}))
 		d.now += time.Duration(tokens) * time.Second / time.Duration(tokensPerSecond)
 		lease.PromptRead()
 		lease.Release()
@@ -90,14 +90,14 @@
 	d := newDirectory(replica("g", region.StageDecode), replica("a", region.StagePrefill), replica("b", region.StagePrefill))
 	d.TakeOutstanding("peer", []region.OutstandingWork{{Replica: "a", Requests: 1, InTimeMicros: 400_000}}, true)
 	for range 10 {
-		lease := d.read(prompt(relay.PromptPart{ID: "own", Tokens: 100}))
+		lease := d.placePrefill(prompt(relay.PromptPart{ID: "own", Tokens: 100}))
 		assert.Equal(t, "b", lease.Replica.ID)
 		lease.Release()
 	}
 	d.now += time.Minute
 	picked := map[string]bool{}
 	for range 50 {
-		lease := d.read(prompt(relay.PromptPart{ID: "other", Tokens: 100}))
+		lease := d.placePrefill(prompt(relay.PromptPart{ID: "other", Tokens: 100}))
 		picked[lease.Replica.ID] = true
 		lease.Release()
 	}
@@ -137,11 +137,11 @@
 func TestPromptGoesToReplicaWithCachedPrefix(t *testing.T) {
 	d := newDirectory(replica("g", region.StageDecode), replica("a", region.StagePrefill), replica("b", region.StagePrefill), replica("c", region.StagePrefill))
 	shared := relay.PromptPart{ID: "shared", Tokens: 10_000}
-	first := d.read(prompt(shared, relay.PromptPart{ID: "1", Tokens: 500}))
+	first := d.placePrefill(prompt(shared, relay.PromptPart{ID: "1", Tokens: 500}))
 	first.PromptRead()
 	first.Release()
 	for _, own := range []string{"2", "3", "4"} {
-		next := d.read(prompt(shared, relay.PromptPart{ID: own, Tokens: 500}))
+		next := d.placePrefill(prompt(shared, relay.PromptPart{ID: own, Tokens: 500}))
 		assert.Equal(t, first.Replica.ID, next.Replica.ID)
 		next.Release()
 	}
@@ -153,7 +153,7 @@
 	d.LearnKept(region.Life{ID: "a"}, []relay.PromptPart{shared})
 	d.TakeOutstanding("peer", []region.OutstandingWork{{Replica: "a", Requests: 3, InTimeMicros: 600_000}}, true)
 	whole := prompt(shared, relay.PromptPart{ID: "1", Tokens: 500})
-	lease := d.read(whole)
+	lease := d.placePrefill(whole)
 	require.Equal(t, "b", lease.Replica.ID)
 	assert.Equal(t, "a:1", lease.FetchFrom())
 }
@@ -166,7 +166,7 @@
 	}})
 	d.TakeOutstanding("peer", []region.OutstandingWork{{Replica: "a", Requests: 3, InTimeMicros: 1_800_000}}, true)
 	whole := prompt(shared, relay.PromptPart{ID: "1", Tokens: 500})
-	early := d.read(whole)
+	early := d.placePrefill(whole)
 	require.Equal(t, "b", early.Replica.ID)
 	early.Release()
 
@@ -174,7 +174,7 @@
 	placer := newDirectory(replica("g", region.StageDecode), replica("a", region.StagePrefill))
 	placer.learnPrefillRate(40_000)
 	learned := placer.Placed(0)
-	lease := placer.read(prompt(shared, relay.PromptPart{ID: "2", Tokens: 20_000}))
+	lease := placer.placePrefill(prompt(shared, relay.PromptPart{ID: "2", Tokens: 20_000}))
 	require.Equal(t, "a", lease.Replica.ID)
 	require.Empty(t, learned, "prompts without a shared prefix are not reported")
 	placed := placer.Placed(0)
@@ -184,7 +184,7 @@
 	assert.Zero(t, placer.Placed(0)[0].ReadyMillis, "its prefill is complete by now")
 	receiver.TakePlaced(placer.Placed(0))
 	receiver.TakeOutstanding("peer", []region.OutstandingWork{{Replica: "a", Requests: 3, InTimeMicros: 1_800_000}}, true)
-	next := receiver.read(whole)
+	next := receiver.placePrefill(whole)
 	require.Equal(t, "b", next.Replica.ID)
 	assert.Equal(t, "a:1", next.FetchFrom())
 }
@@ -192,10 +192,10 @@
 func TestUnlocatedPrefixIsFetchedFromPreferredReplica(t *testing.T) {
 	shared := relay.PromptPart{ID: "shared", Tokens: 10_000}
 	idle := newDirectory(replica("g", region.StageDecode), replica("a", region.StagePrefill), replica("b", region.StagePrefill))
-	home := idle.read(prompt(shared, relay.PromptPart{ID: "1", Tokens: 500})).Replica
+	home := idle.placePrefill(prompt(shared, relay.PromptPart{ID: "1", Tokens: 500})).Replica
 	busy := newDirectory(replica("g", region.StageDecode), replica("a", region.StagePrefill), replica("b", region.StagePrefill))
 	busy.TakeOutstanding("peer", []region.OutstandingWork{{Replica: home.ID, Requests: 3, InTimeMicros: 1_800_000}}, true)
-	lease := busy.read(prompt(shared, relay.PromptPart{ID: "2", Tokens: 500}))
+	lease := busy.placePrefill(prompt(shared, relay.PromptPart{ID: "2", Tokens: 500}))
 	require.NotEqual(t, home.ID, lease.Replica.ID)
 	assert.Equal(t, home.Address, lease.FetchFrom())
 }
@@ -205,10 +205,10 @@
 	d.SetEngine("s", traffic.Engine{CacheTokens: 15_000})
 	d.LearnKept(region.Life{ID: "a"}, []relay.PromptPart{{ID: "old", Tokens: 10_000}})
 	d.LearnKept(region.Life{ID: "a"}, []relay.PromptPart{{ID: "new", Tokens: 10_000}})
-	lease := d.read(prompt(relay.PromptPart{ID: "x", Tokens: 10}))
+	lease := d.placePrefill(prompt(relay.PromptPart{ID: "x", Tokens: 10}))
 	lease.Release()
 	old := prompt(relay.PromptPart{ID: "old", Tokens: 10_000}, relay.PromptPart{ID: "own", Tokens: 10})
-	picked := d.read(old)
+	picked := d.placePrefill(old)
 	assert.Empty(t, picked.FetchFrom(), "no replica has it cached any more")
 }
 
@@ -227,7 +227,7 @@
 
 func TestDemandCountsRunningStreamsAndPendingPrefills(t *testing.T) {
 	d := newDirectory(replica("g", region.StageDecode), replica("r", region.StagePrefill), replica("g", region.StageDecode), replica("x", ""))
-	lease := d.PickGenerator("s", relay.Wanted{}, "z")
+	lease := d.PickDecode("s", relay.Wanted{}, "z")
 	demand := d.Demand(topology.Map{})
 	require.Len(t, demand, 1)
 	assert.Zero(t, demand[0].Generating)
@@ -236,7 +236,7 @@
 	lease.Release()
 	lease.Release()
 	assert.Zero(t, d.Demand(topology.Map{})[0].Generating)
-	d.read(prompt(relay.PromptPart{ID: "p", Tokens: 60_000}))
+	d.placePrefill(prompt(relay.PromptPart{ID: "p", Tokens: 60_000}))
 	assert.Positive(t, d.Demand(topology.Map{})[0].Reading)
 }
 
@@ -246,9 +246,9 @@
 	places := topology.Map{Regions: map[string]string{"z": "own", "far-zone": "other"}}
 	d := newDirectory(replica("g", region.StageDecode), far, replica("r", region.StagePrefill))
 	for range 6 {
-		d.PickGenerator("s", relay.Wanted{}, "z").StreamBegun("route", false)
+		d.PickDecode("s", relay.Wanted{}, "z").StreamBegun("route", false)
 	}
-	d.read(prompt(relay.PromptPart{ID: "p", Tokens: 60_000}))
+	d.placePrefill(prompt(relay.PromptPart{ID: "p", Tokens: 60_000}))
 	demand := d.Demand(places)
 	require.Len(t, demand, 2)
 	assert.Equal(t, "own", demand[0].Region)
@@ -265,14 +265,14 @@
 // replicas would look idle, and all other regions would send there when they lack capacity.
 func TestRegionReportExpires(t *testing.T) {
 	d := newDirectory(replica("a", region.StageDecode))
-	assert.Negative(t, d.RegionWordAge("other"))
+	assert.Negative(t, d.RegionReportAge("other"))
 	d.now = time.Minute
-	d.TakeSums("other", "peer", []region.OutstandingWork{{Replica: "a", Requests: 3}}, true, time.Second)
-	assert.Equal(t, time.Second, d.RegionWordAge("other"))
+	d.TakeRegionWork("other", "peer", []region.OutstandingWork{{Replica: "a", Requests: 3}}, true, time.Second)
+	assert.Equal(t, time.Second, d.RegionReportAge("other"))
 	d.now += 1900 * time.Millisecond
-	assert.Equal(t, 2900*time.Millisecond, d.RegionWordAge("other"))
+	assert.Equal(t, 2900*time.Millisecond, d.RegionReportAge("other"))
 	d.now += 100 * time.Millisecond
-	assert.Negative(t, d.RegionWordAge("other"))
-	d.TakeSums("other", "peer", nil, true, 4*time.Second)
-	assert.Negative(t, d.RegionWordAge("other"), "a report that arrives too late is ignored")
+	assert.Negative(t, d.RegionReportAge("other"))
+	d.TakeRegionWork("other", "peer", nil, true, 4*time.Second)
+	assert.Negative(t, d.RegionReportAge("other"), "a report that arrives too late is ignored")
 }
--- a/internal/relay/ending.go
+++ b/internal/relay/ending.go
@@ -11,7 +11,7 @@
 
 // recordConnectionLoss records that the connection to a replica broke under the request, unless this
 // gateway closed it, the replica stopped responding or was known to be leaving.
-func (r *run) recordConnectionLoss(ctx context.Context, lease *Lease, cause error) {
+func (r *callState) recordConnectionLoss(ctx context.Context, lease *Lease, cause error) {
 	if ctx.Err() != nil || upstream.Silent(cause) || errors.Is(cause, context.DeadlineExceeded) || lease.expectedToLeave() {
 		return
 	}
@@ -28,8 +28,8 @@
 func (l *Lease) expectedToLeave() bool {
 	l.directory.mutex.Lock()
 	defer l.directory.mutex.Unlock()
-	return l.Replica.ends()
+	return l.Replica.isLeavingForGood()
 }
 
 // age returns how long ago the lease began.
-func (l *Lease) age() time.Duration { return l.directory.clock() - l.begun }
+func (l *Lease) age() time.Duration { return l.directory.clock() - l.startedAt }
--- a/internal/relay/ending_test.go
+++ b/internal/relay/ending_test.go
@@ -15,19 +15,19 @@
 	"github.com/pierhaven/pierhaven/internal/traffic"
 )
 
-// guarded sets a guard for a world's calls.
-func (w *world) guarded() *poison.Guard {
+// addGuard sets a guard for the environment's calls.
+func (w *testEnvironment) addGuard() *poison.Guard {
 	guard := poison.NewGuard(poison.Options{
 		Now: func() time.Duration { return time.Hour }, InTouch: func() bool { return true },
 		Contact: time.Second, Memory: time.Hour,
 	})
-	w.runner.GuardWith(guard)
+	w.runner.SetGuard(guard)
 	return guard
 }
 
-// addMortal adds a replica whose process ends with its first request, after the given handler has
+// addCrashingReplica adds a replica whose process ends with its first request, after the given handler has
 // run.
-func (w *world) addMortal(id, stage string, before http.HandlerFunc) {
+func (w *testEnvironment) addCrashingReplica(id, stage string, before http.HandlerFunc) {
 	w.t.Helper()
 	var server *httptest.Server
 	server = httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
@@ -36,11 +36,11 @@
 		panic(http.ErrAbortHandler)
 	}))
 	w.t.Cleanup(server.CloseClientConnections)
-	w.list(id, stage, server.Listener.Addr().String())
+	w.listReplica(id, stage, server.Listener.Addr().String())
 }
 
-// endsTold waits for the evidence that the guard reports, and returns the replicas that have ended.
-func endsTold(t *testing.T, guard *poison.Guard, digest poison.Digest, count int) []string {
+// awaitReportedCrashes waits for the evidence that the guard reports, and returns the replicas that have ended.
+func awaitReportedCrashes(t *testing.T, guard *poison.Guard, digest poison.Digest, count int) []string {
 	t.Helper()
 	var ended []string
 	require.Eventually(t, func() bool {
@@ -55,58 +55,58 @@
 	return ended
 }
 
-func nothing(http.ResponseWriter, *http.Request) {}
+func noResponse(http.ResponseWriter, *http.Request) {}
 
-func TestTheEndOfAReplicaCountsForEachKindOfRequest(t *testing.T) {
+func TestReplicaCrashCountsForEachKindOfRequest(t *testing.T) {
 	for _, kind := range []traffic.Kind{traffic.KindOnce, traffic.KindRepeatable, traffic.KindStream} {
-		w := newWorld(t)
-		guard := w.guarded()
-		w.addMortal("a", "", nothing)
-		call := callOf(kind, 1)
-		w.run(call)
-		assert.Equal(t, []string{"a"}, endsTold(t, guard, call.Digest(), 1), kind)
+		w := newTestEnvironment(t)
+		guard := w.addGuard()
+		w.addCrashingReplica("a", "", noResponse)
+		call := newCall(kind, 1)
+		w.runCall(call)
+		assert.Equal(t, []string{"a"}, awaitReportedCrashes(t, guard, call.Digest(), 1), kind)
 	}
 }
 
 func TestEachReplicaCrashOfResumedStreamCounts(t *testing.T) {
-	w := newWorld(t)
-	guard := w.guarded()
+	w := newTestEnvironment(t)
+	guard := w.addGuard()
 	for _, id := range []string{"a", "b"} {
-		w.addMortal(id, "", func(writer http.ResponseWriter, _ *http.Request) {
+		w.addCrashingReplica(id, "", func(writer http.ResponseWriter, _ *http.Request) {
 			writer.Header().Set("Sealed", "yes")
 			writeEvents(writer, 1, 2)
 		})
 	}
-	call := callOf(traffic.KindStream, 2)
+	call := newCall(traffic.KindStream, 2)
 	call.Route.Resumable = true
-	assert.True(t, w.run(call).aborted)
-	assert.ElementsMatch(t, []string{"a", "b"}, endsTold(t, guard, call.Digest(), 2))
+	assert.True(t, w.runCall(call).aborted)
+	assert.ElementsMatch(t, []string{"a", "b"}, awaitReportedCrashes(t, guard, call.Digest(), 2))
 }
 
 func TestPrefillReplicaCrashCounts(t *testing.T) {
-	w := newWorld(t)
-	guard := w.guarded()
-	w.addMortal("reader", region.StagePrefill, nothing)
-	w.add("generator", region.StageDecode, events(1, 2, false))
-	call := modelCall(4000, "own")
-	assert.True(t, w.run(call).ended, "the decode replica prefills the prompt itself")
-	assert.Equal(t, []string{"reader"}, endsTold(t, guard, call.Digest(), 1))
+	w := newTestEnvironment(t)
+	guard := w.addGuard()
+	w.addCrashingReplica("reader", region.StagePrefill, noResponse)
+	w.addReplica("generator", region.StageDecode, streamEvents(1, 2, false))
+	call := newModelCall(4000, "own")
+	assert.True(t, w.runCall(call).ended, "the decode replica prefills the prompt itself")
+	assert.Equal(t, []string{"reader"}, awaitReportedCrashes(t, guard, call.Digest(), 1))
 }
 
-func TestOtherLossesThanEndsDoNotCount(t *testing.T) {
-	for name, arrange := range map[string]func(*world){
-		"a connection that breaks": func(w *world) { w.add("a", "", dropping) },
-		"a replica that leaves": func(w *world) {
-			w.addMortal("a", "", func(http.ResponseWriter, *http.Request) {
-				w.replicas[0].Draining = true
-				w.directory.Replace(w.replicas)
+func TestConnectionLossWithoutCrashDoesNotCount(t *testing.T) {
+	for name, arrange := range map[string]func(*testEnvironment){
+		"a connection that breaks": func(w *testEnvironment) { w.addReplica("a", "", dropConnection) },
+		"a replica that leaves": func(w *testEnvironment) {
+			w.addCrashingReplica("a", "", func(http.ResponseWriter, *http.Request) {
+				w.replicaList[0].Draining = true
+				w.directory.Replace(w.replicaList)
 			})
 		},
 	} {
-		w := newWorld(t)
-		guard := w.guarded()
+		w := newTestEnvironment(t)
+		guard := w.addGuard()
 		arrange(w)
-		w.run(callOf(traffic.KindRepeatable, 1))
+		w.runCall(newCall(traffic.KindRepeatable, 1))
 		time.Sleep(300 * time.Millisecond)
 		assert.Nil(t, guard.Report("gateway"), name)
 	}
@@ -117,65 +117,65 @@
 	guard.Take(&poison.News{Revision: revision, Whole: true, Entries: []poison.NewsEntry{{Digest: digest, Held: true}}})
 }
 
-func TestAHeldRequestIsSentToNoReplica(t *testing.T) {
-	w := newWorld(t)
-	guard := w.guarded()
-	w.add("a", "", sealed(http.StatusOK, "answer"))
-	call := callOf(traffic.KindRepeatable, 2)
+func TestHeldRequestIsSentToNoReplica(t *testing.T) {
+	w := newTestEnvironment(t)
+	guard := w.addGuard()
+	w.addReplica("a", "", respondSealed(http.StatusOK, "answer"))
+	call := newCall(traffic.KindRepeatable, 2)
 	holdRequest(guard, call.Digest(), 1)
-	answer := w.run(call)
+	answer := w.runCall(call)
 	assert.Equal(t, failure.RequestHeld, failure.KindOf(answer.err))
 	response := failure.AnswerFor(answer.err)
 	assert.Equal(t, failure.RanNo, response.Ran)
 	assert.Zero(t, response.RetryAfter)
-	assert.Zero(t, w.visits("a"))
-	other := callOf(traffic.KindRepeatable, 2)
+	assert.Zero(t, w.requestCount("a"))
+	other := newCall(traffic.KindRepeatable, 2)
 	other.Body = []byte("bodz")
-	assert.Equal(t, http.StatusOK, w.run(other).status)
-	otherTenant := callOf(traffic.KindRepeatable, 2)
+	assert.Equal(t, http.StatusOK, w.runCall(other).status)
+	otherTenant := newCall(traffic.KindRepeatable, 2)
 	otherTenant.Tenant = "another"
-	assert.Equal(t, http.StatusOK, w.run(otherTenant).status)
+	assert.Equal(t, http.StatusOK, w.runCall(otherTenant).status)
 	guard.Take(&poison.News{Revision: 2, Freed: []poison.Digest{call.Digest()}})
-	assert.Equal(t, http.StatusOK, w.run(callOf(traffic.KindRepeatable, 2)).status)
+	assert.Equal(t, http.StatusOK, w.runCall(newCall(traffic.KindRepeatable, 2)).status)
 }
 
-func TestARequestThatIsHeldWhileItIsUnderWayGoesToNoOtherReplica(t *testing.T) {
-	w := newWorld(t)
-	guard := w.guarded()
-	call := callOf(traffic.KindRepeatable, 3)
-	w.add("a", "", func(writer http.ResponseWriter, request *http.Request) {
+func TestRequestHeldInFlightIsNotRetried(t *testing.T) {
+	w := newTestEnvironment(t)
+	guard := w.addGuard()
+	call := newCall(traffic.KindRepeatable, 3)
+	w.addReplica("a", "", func(writer http.ResponseWriter, request *http.Request) {
 		holdRequest(guard, call.Digest(), 1)
-		dropping(writer, request)
+		dropConnection(writer, request)
 	})
-	w.add("b", "", func(writer http.ResponseWriter, request *http.Request) {
+	w.addReplica("b", "", func(writer http.ResponseWriter, request *http.Request) {
 		holdRequest(guard, call.Digest(), 1)
-		dropping(writer, request)
+		dropConnection(writer, request)
 	})
-	answer := w.run(call)
+	answer := w.runCall(call)
 	assert.Equal(t, failure.RequestHeld, failure.KindOf(answer.err))
 	assert.Equal(t, failure.RanUnknown, failure.AnswerFor(answer.err).Ran)
-	assert.Equal(t, 1, w.visits("a")+w.visits("b"))
+	assert.Equal(t, 1, w.requestCount("a")+w.requestCount("b"))
 }
 
 func TestHeldStreamIsNotMoved(t *testing.T) {
-	w := newWorld(t)
-	guard := w.guarded()
+	w := newTestEnvironment(t)
+	guard := w.addGuard()
 	leaving := newPausedStream()
-	w.add("a", region.StageDecode, leaving.serveHTTP)
-	call := modelCall(10, "own")
-	answered := make(chan *recorder, 1)
-	go func() { answered <- w.run(call) }()
+	w.addReplica("a", region.StageDecode, leaving.serveHTTP)
+	call := newModelCall(10, "own")
+	answered := make(chan *recordingResponder, 1)
+	go func() { answered <- w.runCall(call) }()
 	<-leaving.firstEventsSent
-	w.add("b", region.StageDecode, events(4, 6, false))
+	w.addReplica("b", region.StageDecode, streamEvents(4, 6, false))
 	holdRequest(guard, call.Digest(), 1)
-	w.replicas[0].Draining = true
-	w.directory.Replace(w.replicas)
+	w.replicaList[0].Draining = true
+	w.directory.Replace(w.replicaList)
 	time.Sleep(300 * time.Millisecond)
 	close(leaving.resume)
 	answer := <-answered
 	assert.True(t, answer.ended)
-	assert.Equal(t, text(1, 6), answer.body.String())
-	assert.Zero(t, w.visits("b"))
+	assert.Equal(t, eventText(1, 6), answer.body.String())
+	assert.Zero(t, w.requestCount("b"))
 	assert.Equal(t, []poison.Digest{call.Digest()}, guard.Report("gateway").RanWell, "the request has run to its end and is reported as harmless")
 }
 
@@ -198,7 +198,7 @@
 			guard.Take(&poison.News{Revision: 1, Whole: true, Entries: entries})
 			b.ReportAllocs()
 			for b.Loop() {
-				call := callOf(traffic.KindRepeatable, 2)
+				call := newCall(traffic.KindRepeatable, 2)
 				call.Body = body
 				if guard.Holds(call) {
 					b.Fatal("a request is held that should not be")
@@ -209,7 +209,7 @@
 	b.Run("no guard", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			call := callOf(traffic.KindRepeatable, 2)
+			call := newCall(traffic.KindRepeatable, 2)
 			call.Body = body
 		}
 	})
--- a/internal/relay/export_test.go
+++ b/internal/relay/export_test.go
@@ -14,10 +14,10 @@
 	return prompt.Tokens
 }
 
-// RestsReturn returns the time after which a caller should retry that finds all replicas of a service in
+// BackoffRetryAfter returns the time after which a caller should retry that finds all replicas of a service in
 // backoff.
-func (d *Directory) RestsReturn(service string, rank int) time.Duration {
-	return d.restsReturn(service, rank)
+func (d *Directory) BackoffRetryAfter(service string, rank int) time.Duration {
+	return d.backoffRetryAfter(service, rank)
 }
 
 // IdleConnectionLimit returns how many idle connections each of several processes may keep to a replica.
--- a/internal/relay/fetch.go
+++ b/internal/relay/fetch.go
@@ -9,7 +9,7 @@
 // canServeFetches reports whether other replicas may fetch prefixes from this one: they may if its answers
 // were lost, but not if it accepts no connections.
 func (r *Replica) canServeFetches(now time.Duration) bool {
-	return !r.gone && !(r.unconnected && now < r.avoidUntil)
+	return !r.removed && !(r.unconnected && now < r.avoidUntil)
 }
 
 // likelyPrefixSource returns a preferred replica of the prompt's shared prefix in the target's region, nil
--- a/internal/relay/grant.go
+++ b/internal/relay/grant.go
@@ -26,7 +26,7 @@
 // grantedWork is the work at a replica that was granted by a coordinator, which counts it itself.
 type grantedWork struct {
 	requests int
-	reading  readingWork
+	reading  prefillWork
 }
 
 const (
@@ -35,7 +35,7 @@
 	reportablePauseShare = 0.1
 	// pauseReportInterval is the minimum time between two reports on one stream's pauses, well below
 	// the time constant with which a peak decays.
-	pauseReportInterval = peakFade / 4
+	pauseReportInterval = peakTimeConstant / 4
 )
 
 // ForgetGrants is called when the granting coordinator has been replaced, or has lost its leases: from now on the
@@ -43,7 +43,7 @@
 func (d *Directory) ForgetGrants() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.grants++
+	d.grantGeneration++
 	for _, replica := range d.replicas {
 		replica.granted = grantedWork{}
 	}
@@ -55,7 +55,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	replica, known := d.replicas[answer.Replica]
-	if !known || replica.ends() || replica.gone || !slices.Contains(stages, replica.Stage) || slices.Contains(request.Excluded, replica) || replica.rests(d.askingNow()) {
+	if !known || replica.isLeavingForGood() || replica.removed || !slices.Contains(stages, replica.Stage) || slices.Contains(request.Excluded, replica) || replica.inBackoff(d.gateNow()) {
 		return nil
 	}
 	lease := d.lease(replica)
@@ -66,7 +66,7 @@
 		PeersAge:   time.Duration(answer.PeersAgeMillis) * time.Millisecond,
 		LoadAge:    -time.Millisecond,
 	}
-	given.number = d.grants
+	given.number = d.grantGeneration
 	given.reportablePause = time.Duration(reportablePauseShare * float64(request.TargetGap))
 	lease.grant = given
 	replica.granted.requests++
@@ -81,27 +81,29 @@
 // noteGrantedRead records that the replica is to read a prompt, with the coordinator's estimate of the times. The
 // caller must hold the Directory's mutex.
 func (l *Lease) noteGrantedRead(answer *region.PlacementAnswer, request ReadRequest) {
-	estimated := readEstimate{
-		replica: l.Replica,
-		wait:    time.Duration(answer.WaitMicros) * time.Microsecond,
-		move:    time.Duration(answer.MoveMicros) * time.Microsecond,
-		busy:    time.Duration(answer.BusyMicros) * time.Microsecond,
-		from:    l.directory.replicas[answer.Fetch],
-		missing: answer.Missing,
+	estimated := prefillEstimate{
+		replica:  l.Replica,
+		wait:     time.Duration(answer.WaitMicros) * time.Microsecond,
+		transfer: time.Duration(answer.MoveMicros) * time.Microsecond,
+		busy:     time.Duration(answer.BusyMicros) * time.Microsecond,
+		from:     l.directory.replicas[answer.Fetch],
+		missing:  answer.Missing,
 	}
 	urgency := InTime
 	if answer.Late {
 		urgency = Late
 	}
-	l.noteReading(request, estimated, urgency, micros(answer.WholeMicros))
+	l.recordPrefill(request, estimated, urgency, micros(answer.WholeMicros))
 	// The replica's other prompts are not known here, so its read time must not be used to learn costs.
-	l.reading.alone = false
+	l.prefill.alone = false
 	l.fetchFrom = estimated.from
 	l.Replica.granted.reading[urgency] += estimated.busy
 }
 
 // grantCounts reports whether the coordinator that granted the lease still counts it.
-func (l *Lease) grantCounts() bool { return l.grant != nil && l.grant.number == l.directory.grants }
+func (l *Lease) grantCounts() bool {
+	return l.grant != nil && l.grant.number == l.directory.grantGeneration
+}
 
 // grantEnds reports to the coordinator that the lease was released. The caller must hold the Directory's mutex.
 func (l *Lease) grantEnds() {
@@ -111,12 +113,12 @@
 	if l.grantCounts() {
 		l.Replica.granted.requests--
 	}
-	l.tell(region.LeaseEvent{Kind: region.LeaseReleased, Micros: l.grant.longestPause.Microseconds()})
+	l.report(region.LeaseEvent{Kind: region.LeaseReleased, Micros: l.grant.longestPause.Microseconds()})
 }
 
-// tell reports an event to the coordinator that granted the lease, if one did. The caller must hold the
+// report reports an event to the coordinator that granted the lease, if one did. The caller must hold the
 // Directory's mutex.
-func (l *Lease) tell(event region.LeaseEvent) {
+func (l *Lease) report(event region.LeaseEvent) {
 	if l.grant == nil {
 		return
 	}
@@ -124,9 +126,9 @@
 	l.grant.tell(event)
 }
 
-// tellPause records a pause of the stream, and reports it to the coordinator if it is long enough. The caller must
+// reportPause records a pause of the stream, and reports it to the coordinator if it is long enough. The caller must
 // hold the Directory's mutex.
-func (l *Lease) tellPause(now, took time.Duration) {
+func (l *Lease) reportPause(now, took time.Duration) {
 	if l.grant == nil {
 		return
 	}
@@ -135,7 +137,7 @@
 		return
 	}
 	l.grant.nextPauseReportAt = now + pauseReportInterval
-	l.tell(region.LeaseEvent{Kind: region.LeasePaused, Micros: took.Microseconds()})
+	l.report(region.LeaseEvent{Kind: region.LeasePaused, Micros: took.Microseconds()})
 }
 
 // answeredEvent returns the event that reports a replica's response to a coordinator.
@@ -147,8 +149,8 @@
 	return told
 }
 
-// placedBy names the process that chose the replica: the address of a coordinator, or "self" for this gateway.
-func (l *Lease) placedBy() string {
+// chosenBy names the process that chose the replica: the address of a coordinator, or "self" for this gateway.
+func (l *Lease) chosenBy() string {
 	if l.grant == nil {
 		return "self"
 	}
@@ -170,11 +172,11 @@
 	if l.fetchFrom != nil {
 		answer.Fetch = l.fetchFrom.name
 	}
-	if placed := l.reading; placed != nil {
+	if placed := l.prefill; placed != nil {
 		answer.Late = placed.urgency == Late
 		answer.Missing = placed.missing
 		answer.WaitMicros = placed.wait.Microseconds()
-		answer.MoveMicros = placed.move.Microseconds()
+		answer.MoveMicros = placed.transfer.Microseconds()
 		answer.BusyMicros = max(placed.busy.Microseconds(), 1)
 		answer.WholeMicros = placed.whole.Microseconds()
 	}
--- a/internal/relay/held.go
+++ b/internal/relay/held.go
@@ -10,8 +10,8 @@
 // isHeld reports whether the request must not be sent to any replica, since it crashes those that run
 // it. It is called before each send: other gateways may have found this out while the call was in
 // progress.
-func (r *run) isHeld() bool {
-	return r.guard != nil && !r.directory.off[mechanism.RequestHolds] && r.guard.Holds(r.call)
+func (r *callState) isHeld() bool {
+	return r.guard != nil && !r.directory.disabled[mechanism.RequestHolds] && r.guard.Holds(r.call)
 }
 
 // probationError means that a request that may crash replicas is being tried by another gateway. wait is
@@ -25,8 +25,8 @@
 
 // checkProbation returns an error if the request is on probation and another gateway is trying it now. A
 // stream that is being moved is not a new try.
-func (r *run) checkProbation(ctx context.Context) error {
-	if r.probationPermit == nil || r.guard == nil || r.moved != nil || r.directory.off[mechanism.RequestHolds] || !r.guard.OnProbation(r.call) {
+func (r *callState) checkProbation(ctx context.Context) error {
+	if r.probationPermit == nil || r.guard == nil || r.moved != nil || r.directory.disabled[mechanism.RequestHolds] || !r.guard.OnProbation(r.call) {
 		return nil
 	}
 	if wait := r.probationPermit(ctx, r.call.Digest()); wait > 0 {
@@ -36,7 +36,7 @@
 }
 
 // heldDigestForLog returns the digest of a held request, empty for others.
-func (r *run) heldDigestForLog() string {
+func (r *callState) heldDigestForLog() string {
 	if !r.isHeld() {
 		return ""
 	}
@@ -45,14 +45,14 @@
 
 // reportSuccess reports to the guard a request that a replica has run to its end: it does not crash
 // replicas.
-func (r *run) reportSuccess() {
+func (r *callState) reportSuccess() {
 	if r.guard != nil && r.succeeded {
 		r.guard.RanWell(r.call, r.connectionLost)
 	}
 }
 
 // releaseMoved releases the place that a stream was to move to.
-func (r *run) releaseMoved() {
+func (r *callState) releaseMoved() {
 	if r.moved == nil {
 		return
 	}
--- a/internal/relay/lease.go
+++ b/internal/relay/lease.go
@@ -16,11 +16,11 @@
 	// Choice is what was known when the replica was chosen.
 	Choice    Choice
 	directory *Directory
-	begun     time.Duration
-	// beside is the number of other requests that the replica had when it was chosen.
-	beside int
-	// reading is the prompt that the replica has yet to prefill, nil if there is none.
-	reading *placedReading
+	startedAt time.Duration
+	// concurrent is the number of other requests that the replica had when it was chosen.
+	concurrent int
+	// prefill is the prompt that the replica has yet to prefill, nil if there is none.
+	prefill *placedPrefill
 	// fetchFrom is the replica from which this one should fetch the prompt's prefix, nil if it should
 	// prefill the whole prompt.
 	fetchFrom *Replica
@@ -43,12 +43,12 @@
 func (d *Directory) lease(replica *Replica) *Lease {
 	replica.inFlight++
 	now := d.clock()
-	return &Lease{Replica: replica, directory: d, begun: now, beside: d.concurrentRequests(replica, now), leaving: make(chan struct{})}
+	return &Lease{Replica: replica, directory: d, startedAt: now, concurrent: d.concurrentRequests(replica, now), leaving: make(chan struct{})}
 }
 
-// placedReading is a prompt that was assigned to a replica for prefill.
-type placedReading struct {
-	readEstimate
+// placedPrefill is a prompt that was assigned to a replica for prefill.
+type placedPrefill struct {
+	prefillEstimate
 	urgency Urgency
 	rank    int
 	work    costmodel.Work
@@ -64,43 +64,43 @@
 	whole time.Duration
 }
 
-// readPrompt records that the replica is to prefill a prompt, and chooses the replica to fetch its prefix
+// startPrefill records that the replica is to prefill a prompt, and chooses the replica to fetch its prefix
 // from. The caller must hold Directory.mutex.
-func (l *Lease) readPrompt(request ReadRequest, estimated readEstimate, urgency Urgency) {
+func (l *Lease) startPrefill(request ReadRequest, estimated prefillEstimate, urgency Urgency) {
 	d, replica, prompt := l.directory, l.Replica, request.Prompt
-	l.noteReading(request, estimated, urgency, d.prefillTime(replica, request, prompt.Tokens))
+	l.recordPrefill(request, estimated, urgency, d.prefillTime(replica, request, prompt.Tokens))
 	l.fetchFrom = estimated.from
-	if l.fetchFrom == nil && estimated.missing > prompt.unsharedTokens() && !d.off[mechanism.Fetching] {
-		l.fetchFrom = d.likelyPrefixSource(replica, prompt, l.begun)
+	if l.fetchFrom == nil && estimated.missing > prompt.unsharedTokens() && !d.disabled[mechanism.Fetching] {
+		l.fetchFrom = d.likelyPrefixSource(replica, prompt, l.startedAt)
 	}
 }
 
-// noteReading records that the replica is to prefill a prompt; whole is how long that would take with
+// recordPrefill records that the replica is to prefill a prompt; whole is how long that would take with
 // nothing cached. The caller must hold Directory.mutex.
-func (l *Lease) noteReading(request ReadRequest, estimated readEstimate, urgency Urgency, whole time.Duration) {
+func (l *Lease) recordPrefill(request ReadRequest, estimated prefillEstimate, urgency Urgency, whole time.Duration) {
 	d, replica, prompt := l.directory, l.Replica, request.Prompt
-	l.reading = &placedReading{
-		readEstimate: estimated,
-		urgency:      urgency,
-		rank:         request.Rank,
-		work:         costmodel.Work{Tokens: prompt.Tokens, Missing: estimated.missing},
-		alone:        replica.allReading(l.begun).before(Late) == 0,
-		cacheKnown:   d.knowsCached(replica) || estimated.missing <= prompt.unsharedTokens(),
-		zone:         request.Zone,
-		expectedAt:   l.begun + estimated.reading() + d.costModel(replica.Service).Overhead(),
-		whole:        whole,
+	l.prefill = &placedPrefill{
+		prefillEstimate: estimated,
+		urgency:         urgency,
+		rank:            request.Rank,
+		work:            costmodel.Work{Tokens: prompt.Tokens, Missing: estimated.missing},
+		alone:           replica.totalPrefillWork(l.startedAt).before(Late) == 0,
+		cacheKnown:      d.knowsCached(replica) || estimated.missing <= prompt.unsharedTokens(),
+		zone:            request.Zone,
+		expectedAt:      l.startedAt + estimated.prefillTime() + d.costModel(replica.Service).Overhead(),
+		whole:           whole,
 	}
-	d.noteRead(replica.Service, estimated.times(request, whole))
-	replica.reading[urgency] += estimated.busy
+	d.notePrefill(replica.Service, estimated.times(request, whole))
+	replica.prefillWork[urgency] += estimated.busy
 	if urgency == Late {
 		replica.latePrefills++
 	} else {
 		replica.ranked[request.Rank] += estimated.busy
-		d.rankedOf(replica.Service).place(request.Rank, estimated.busy)
+		d.rankMeterOf(replica.Service).place(request.Rank, estimated.busy)
 	}
-	d.rankedOf(replica.Service).tenants.place(request.Tenant, estimated.busy, l.begun)
-	replica.prefixes.add(prompt.Parts, d.engines[replica.Service].CacheTokens, l.reading.expectedAt)
-	d.placed.add(replica.name, prompt, l.reading.expectedAt)
+	d.rankMeterOf(replica.Service).tenants.place(request.Tenant, estimated.busy, l.startedAt)
+	replica.prefixes.add(prompt.Parts, d.engines[replica.Service].CacheTokens, l.prefill.expectedAt)
+	d.placed.add(replica.name, prompt, l.prefill.expectedAt)
 }
 
 // cacheLearningTime is how long after its first list a process may lack knowledge of what replicas have
@@ -144,9 +144,9 @@
 	stream := d.streams[service].of(route)
 	stream.begin(now)
 	l.addStream(stream)
-	l.tell(region.LeaseEvent{Kind: region.LeaseBegun, HandedOver: handedOver})
+	l.report(region.LeaseEvent{Kind: region.LeaseBegun, HandedOver: handedOver})
 	if handedOver {
-		d.handoverTimes.observe(service, now-l.begun)
+		d.handoverTimes.observe(service, now-l.startedAt)
 	}
 }
 
@@ -155,7 +155,7 @@
 	l.stream = stream
 	l.lastEventAt = l.directory.clock()
 	l.Replica.generating++
-	if l.Replica.leaves() {
+	if l.Replica.isLeaving() {
 		close(l.leaving)
 		return
 	}
@@ -172,8 +172,8 @@
 	delete(l.Replica.streams, l)
 }
 
-// handStreamTo moves the stream to another lease, on the replica where it continues.
-func (l *Lease) handStreamTo(target *Lease) {
+// moveStreamTo moves the stream to another lease, on the replica where it continues.
+func (l *Lease) moveStreamTo(target *Lease) {
 	l.directory.mutex.Lock()
 	defer l.directory.mutex.Unlock()
 	if l.stream == nil {
@@ -182,11 +182,11 @@
 	stream := l.stream
 	l.removeStream()
 	target.addStream(stream)
-	target.tell(region.LeaseEvent{Kind: region.LeaseBegun})
+	target.report(region.LeaseEvent{Kind: region.LeaseBegun})
 }
 
-// StreamWentOn records the arrival of a further event of the stream.
-func (l *Lease) StreamWentOn() {
+// StreamContinued records the arrival of a further event of the stream.
+func (l *Lease) StreamContinued() {
 	l.directory.mutex.Lock()
 	defer l.directory.mutex.Unlock()
 	now := l.directory.clock()
@@ -204,7 +204,7 @@
 // observePause records a time between two events. The caller must hold Directory.mutex.
 func (l *Lease) observePause(now, took time.Duration) {
 	l.Replica.tokenGap.observe(now, took)
-	l.tellPause(now, took)
+	l.reportPause(now, took)
 }
 
 // PromptRead records that the prefill is complete.
@@ -212,13 +212,13 @@
 	l.directory.mutex.Lock()
 	defer l.directory.mutex.Unlock()
 	l.Replica.progressAt = l.directory.clock()
-	l.tookWell(l.Replica.progressAt)
-	l.tell(region.LeaseEvent{Kind: region.LeaseRead})
+	l.recordSuccess(l.Replica.progressAt)
+	l.report(region.LeaseEvent{Kind: region.LeaseRead})
 	l.observeOverrun()
 	l.observeCost()
-	if l.reading != nil {
+	if l.prefill != nil {
 		d := l.directory
-		d.sizesOf(l.Replica.Service, l.reading.rank).prefilled[sizeClass(l.reading.work.Tokens)]++
+		d.sizesOf(l.Replica.Service, l.prefill.rank).prefilled[sizeClass(l.prefill.work.Tokens)]++
 	}
 	l.prefillDone()
 }
@@ -227,15 +227,15 @@
 // class: inside the region for the replica's stage, otherwise for the path to its region. The caller must
 // hold Directory.mutex.
 func (l *Lease) observeOverrun() {
-	if l.reading == nil || l.reading.urgency != InTime {
+	if l.prefill == nil || l.prefill.urgency != InTime {
 		return
 	}
 	d, now := l.directory, l.directory.clock()
-	if path, crosses := d.regionPathBetween(l.reading.zone, l.Replica.Zone); crosses {
-		d.pathDelays.observe(path, now, now-l.reading.expectedAt)
+	if path, crosses := d.regionPathBetween(l.prefill.zone, l.Replica.Zone); crosses {
+		d.pathDelays.observe(path, now, now-l.prefill.expectedAt)
 		return
 	}
-	d.overruns.observe(l.Replica.Service+"/"+l.Replica.Stage, now-l.reading.expectedAt)
+	d.overruns.observe(l.Replica.Service+"/"+l.Replica.Stage, now-l.prefill.expectedAt)
 }
 
 // observeCost updates the cost model from a prefill on a prefill replica that had nothing else to do. A
@@ -244,14 +244,14 @@
 // of all processes, cached prompts made the engines look eight times as fast as they are, and prompts were
 // late for six seconds. The caller must hold Directory.mutex.
 func (l *Lease) observeCost() {
-	if l.reading == nil || !l.reading.alone || !l.reading.cacheKnown || l.Replica.Stage != region.StagePrefill || l.directory.off[mechanism.LearnedCosts] {
+	if l.prefill == nil || !l.prefill.alone || !l.prefill.cacheKnown || l.Replica.Stage != region.StagePrefill || l.directory.disabled[mechanism.LearnedCosts] {
 		return
 	}
 	model := l.directory.costModel(l.Replica.Service)
 	if l.fetchFrom != nil && model.Known() {
 		return
 	}
-	model.Observe(l.reading.work, l.directory.clock()-l.begun)
+	model.Observe(l.prefill.work, l.directory.clock()-l.startedAt)
 }
 
 // PromptKept records that the replica now has a prompt cached. For a decode replica it is reported to peers
@@ -259,7 +259,7 @@
 func (l *Lease) PromptKept(prompt *Prompt) {
 	l.directory.mutex.Lock()
 	defer l.directory.mutex.Unlock()
-	l.tell(region.LeaseEvent{Kind: region.LeaseKept})
+	l.report(region.LeaseEvent{Kind: region.LeaseKept})
 	if l.Replica.Stage == region.StageDecode {
 		l.directory.placed.add(l.Replica.name, prompt, l.directory.clock())
 	}
@@ -267,19 +267,19 @@
 }
 
 func (l *Lease) prefillDone() {
-	if l.reading == nil {
+	if l.prefill == nil {
 		return
 	}
-	l.Replica.reading[l.reading.urgency] -= l.reading.busy
+	l.Replica.prefillWork[l.prefill.urgency] -= l.prefill.busy
 	if l.grantCounts() {
-		l.Replica.granted.reading[l.reading.urgency] -= l.reading.busy
+		l.Replica.granted.reading[l.prefill.urgency] -= l.prefill.busy
 	}
-	if l.reading.urgency == Late {
+	if l.prefill.urgency == Late {
 		l.Replica.latePrefills--
 	} else {
-		l.Replica.ranked[l.reading.rank] -= l.reading.busy
+		l.Replica.ranked[l.prefill.rank] -= l.prefill.busy
 	}
-	l.reading = nil
+	l.prefill = nil
 }
 
 // Unreachable records that the replica did not answer. handedOver says that the request had been handed
@@ -289,7 +289,7 @@
 	defer l.directory.mutex.Unlock()
 	now := l.directory.clock()
 	l.Replica.unreachable(now, !handedOver)
-	l.tell(region.LeaseEvent{Kind: region.LeaseUnreachable, HandedOver: handedOver})
+	l.report(region.LeaseEvent{Kind: region.LeaseUnreachable, HandedOver: handedOver})
 	l.directory.logger.Info(event.ReplicaAvoided, "replica", l.Replica.ID, "for_ms", (l.Replica.avoidUntil - now).Milliseconds(),
 		"failures", l.Replica.failures, "connected", handedOver)
 }
@@ -299,8 +299,8 @@
 func (l *Lease) Refused(backoff time.Duration) {
 	l.directory.mutex.Lock()
 	defer l.directory.mutex.Unlock()
-	l.directory.noteRefusal(l, backoff)
-	l.tell(region.LeaseEvent{Kind: region.LeaseFull, Micros: backoff.Microseconds()})
+	l.directory.recordRejection(l, backoff)
+	l.report(region.LeaseEvent{Kind: region.LeaseFull, Micros: backoff.Microseconds()})
 }
 
 // Misdirected records that another incarnation answers at the replica's address.
@@ -308,7 +308,7 @@
 	l.directory.Misdirected(l.Replica)
 	l.directory.mutex.Lock()
 	defer l.directory.mutex.Unlock()
-	l.tell(region.LeaseEvent{Kind: region.LeaseMisdirected})
+	l.report(region.LeaseEvent{Kind: region.LeaseMisdirected})
 }
 
 // Answered records the replica's answer.
@@ -319,12 +319,12 @@
 	if l.Replica.failures > 0 {
 		l.directory.logger.Info(event.ReplicaBack, "replica", l.Replica.ID, "failures", l.Replica.failures)
 	}
-	l.Replica.answered(now, now-l.begun, failed)
+	l.Replica.answered(now, now-l.startedAt, failed)
 	if !failed {
-		l.tookWell(now)
+		l.recordSuccess(now)
 	}
-	l.tell(answeredEvent(failed, load))
-	if load != nil && !l.directory.off[mechanism.ReportedLoad] {
+	l.report(answeredEvent(failed, load))
+	if load != nil && !l.directory.disabled[mechanism.ReportedLoad] {
 		l.Replica.load = *load
 		l.Replica.loadAt = now
 	}
@@ -332,24 +332,24 @@
 
 // missing returns the tokens of the prompt that the replica has to prefill.
 func (l *Lease) missing() int {
-	if l.reading == nil {
+	if l.prefill == nil {
 		return 0
 	}
-	return l.reading.missing
+	return l.prefill.missing
 }
 
 // expectedWait returns how long the prompt is expected to wait for the prefill of others.
 func (l *Lease) expectedWait() time.Duration {
-	if l.reading == nil {
+	if l.prefill == nil {
 		return 0
 	}
-	return l.reading.wait
+	return l.prefill.wait
 }
 
 // Rank returns the scheduling rank of the prompt, or the stream, at its replica: the route's priority, or
 // the last rank for a late prompt.
 func (l *Lease) Rank(route *traffic.Route) int {
-	if l.reading != nil && l.reading.urgency == Late && !l.directory.off[mechanism.Ranks] {
+	if l.prefill != nil && l.prefill.urgency == Late && !l.directory.disabled[mechanism.Ranks] {
 		return LastRank
 	}
 	return rankOf(route.Priority)
--- a/internal/relay/life_test.go
+++ b/internal/relay/life_test.go
@@ -45,7 +45,7 @@
 			draining.Draining = true
 			d.Replace([]region.Replica{draining, replica("busy", "")})
 		},
-		"an ended process":  func(d *directory) { d.Ended(incarnationName("a", 5)) },
+		"an ended process":  func(d *directory) { d.ProcessEnded(incarnationName("a", 5)) },
 		"streams and moves": func(d *directory) { d.PickAny("s", relay.Wanted{}).StreamBegun("route", false) },
 	} {
 		for _, born := range []int64{9, 4} {
@@ -90,7 +90,7 @@
 	d.TakeUnreachable([]string{before})
 	d.TakePlaced(placedAt(before, shared))
 	d.LearnKept(region.Life{ID: "a", Born: 5}, []relay.PromptPart{shared})
-	d.Ended(before)
+	d.ProcessEnded(before)
 	fresh := newDirectory(startedAt(9, replica("a", "")))
 	assert.Equal(t, fresh.PickAny("s", relay.Wanted{}).Choice, d.PickAny("s", relay.Wanted{}).Choice)
 	assert.Equal(t, fresh.Missing("a", prompt(shared)), d.Missing("a", prompt(shared)))
@@ -122,54 +122,54 @@
 
 // A connection that the former process never closed would stay silent.
 func TestConnectionsAreNotReusedAcrossIncarnations(t *testing.T) {
-	w := newWorld(t)
+	w := newTestEnvironment(t)
 	connections := map[string]bool{}
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		_, _ = io.Copy(io.Discard, request.Body)
 		connections[request.RemoteAddr] = true
-		sealed(http.StatusOK, "answer")(writer, request)
+		respondSealed(http.StatusOK, "answer")(writer, request)
 	}))
 	t.Cleanup(server.Close)
 	listed := replica("a", "")
 	listed.Service, listed.Address = "service", server.Listener.Addr().String()
 	for _, born := range []int64{5, 5, 9} {
 		w.directory.Replace([]region.Replica{startedAt(born, listed)})
-		require.NoError(t, w.run(callOf(traffic.KindOnce, 1)).err)
+		require.NoError(t, w.runCall(newCall(traffic.KindOnce, 1)).err)
 	}
 	assert.Len(t, connections, 2)
 }
 
 // The prefill replica restarts before the prompt's KV cache is fetched.
 func TestPromptIsPrefilledAgainIfItsHandleIsLost(t *testing.T) {
-	w := newWorld(t)
-	w.add("reader", region.StagePrefill, func(writer http.ResponseWriter, _ *http.Request) {
+	w := newTestEnvironment(t)
+	w.addReplica("reader", region.StagePrefill, func(writer http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(writer, "handle-1")
 	})
 	for _, id := range []string{"generator-1", "generator-2"} {
-		w.add(id, region.StageDecode, func(writer http.ResponseWriter, request *http.Request) {
+		w.addReplica(id, region.StageDecode, func(writer http.ResponseWriter, request *http.Request) {
 			if request.Header.Get("Source") != "" {
-				refusing(writer, request)
+				rejectRequest(writer, request)
 				return
 			}
-			events(1, 2, false)(writer, request)
+			streamEvents(1, 2, false)(writer, request)
 		})
 	}
-	assert.Equal(t, text(1, 2), w.run(modelCall(8000, "own")).body.String())
+	assert.Equal(t, eventText(1, 2), w.runCall(newModelCall(8000, "own")).body.String())
 }
 
 // A replica that restarted under its id and ended again was counted once, so that a request went on to
 // crash it again and again.
 func TestEachIncarnationLostUnderARequestCounts(t *testing.T) {
-	w := newWorld(t)
-	guard := w.guarded()
-	call := callOf(traffic.KindOnce, 1)
+	w := newTestEnvironment(t)
+	guard := w.addGuard()
+	call := newCall(traffic.KindOnce, 1)
 	ended := map[string]bool{}
 	for _, born := range []int64{5, 9, 12} {
-		w.replicas = nil
-		w.addMortal("a", "", nothing)
-		w.directory.Replace([]region.Replica{startedAt(born, w.replicas[0])})
-		w.run(call)
-		ended[endsTold(t, guard, call.Digest(), 1)[0]] = true
+		w.replicaList = nil
+		w.addCrashingReplica("a", "", noResponse)
+		w.directory.Replace([]region.Replica{startedAt(born, w.replicaList[0])})
+		w.runCall(call)
+		ended[awaitReportedCrashes(t, guard, call.Digest(), 1)[0]] = true
 	}
 	assert.Len(t, ended, 3)
 }
@@ -181,26 +181,26 @@
 	d := newDirectory(startedAt(5, replica("a", "")))
 	d.LearnKept(region.Life{ID: "a", Born: 5}, []relay.PromptPart{shared})
 	assert.Zero(t, d.Missing("a", prompt(shared)))
-	d.Ended(incarnationName("a", 5))
+	d.ProcessEnded(incarnationName("a", 5))
 	assert.Equal(t, 8000, d.Missing("a", prompt(shared)))
 }
 
 // The LRU order of the parts is preserved, and incarnations that are not listed are skipped.
 func TestCacheKnowledgeIsTransferredBetweenProcesses(t *testing.T) {
 	asked, other := newDirectory(replica("a", region.StageDecode)), newDirectory(replica("a", region.StageDecode))
-	kept, whole := asked.Kept(func(region.Replica) bool { return true })
+	kept, whole := asked.Cached(func(region.Replica) bool { return true })
 	assert.Empty(t, kept)
 	assert.False(t, whole, "the replica has not reported yet")
 	life := replica("a", region.StageDecode)
 	asked.LearnKept(life.Life(), []relay.PromptPart{{ID: "old", Tokens: 10}, {ID: "new", Tokens: 20}})
-	kept, whole = asked.Kept(func(region.Replica) bool { return true })
+	kept, whole = asked.Cached(func(region.Replica) bool { return true })
 	assert.True(t, whole)
 	assert.Equal(t, []region.KeptParts{{Replica: life.Life().Name(), Parts: []region.PlacedPart{{ID: "old", Tokens: 10}, {ID: "new", Tokens: 20}}}}, kept)
-	other.TakeKept(append(kept, region.KeptParts{Replica: "gone", Parts: []region.PlacedPart{{ID: "x", Tokens: 1}}}))
-	taken, whole := other.Kept(func(region.Replica) bool { return true })
+	other.TakeCached(append(kept, region.KeptParts{Replica: "gone", Parts: []region.PlacedPart{{ID: "x", Tokens: 1}}}))
+	taken, whole := other.Cached(func(region.Replica) bool { return true })
 	assert.True(t, whole)
 	assert.Equal(t, kept, taken)
-	_, whole = other.Kept(func(region.Replica) bool { return false })
+	_, whole = other.Cached(func(region.Replica) bool { return false })
 	assert.True(t, whole, "no replica was selected")
 }
 
@@ -210,7 +210,7 @@
 	gate := backpressure.NewGate(backpressure.Options{
 		Clock: func() time.Duration { return time.Hour }, Leaving: testDialect{}.Leaving, Logger: logr.Discard(),
 	})
-	d.Heed(gate)
+	d.UseGate(gate)
 	return d, gate
 }
 
@@ -225,8 +225,8 @@
 	before, next := incarnationName("a", 5), incarnationName("a", 9)
 	sendReports := func(d *directory, gate *backpressure.Gate) {
 		requestBackoffAndLeave(gate, before)
-		d.TakeResting([]region.RestingReplica{{Replica: before, LeftMillis: 5000}})
-		d.TakeLeaving([]string{before})
+		d.ApplyBackoffs([]region.RestingReplica{{Replica: before, LeftMillis: 5000}})
+		d.MarkLeaving([]string{before})
 	}
 	d, gate := newDirectoryWithGate(startedAt(5, replica("a", "")))
 	sendReports(d, gate)
@@ -237,7 +237,7 @@
 	lease, expected := d.PickAny("s", relay.Wanted{}), fresh.PickAny("s", relay.Wanted{})
 	assert.Equal(t, "a", lease.Replica.ID)
 	assert.Equal(t, expected.Choice, lease.Choice)
-	assert.Empty(t, d.LeavingUntold())
+	assert.Empty(t, d.UnreportedLeaving())
 	assert.NoError(t, gate.Permits(backpressure.Peer{Address: replica("a", "").Address, Instance: next}, true))
 }
 
@@ -247,10 +247,10 @@
 	d, gate := newDirectoryWithGate(replica("a", ""))
 	requestBackoffAndLeave(gate, "a")
 	assert.Equal(t, "busy", d.PickAny("s", relay.Wanted{}).Replica.ID)
-	d.Ended("a")
+	d.ProcessEnded("a")
 	listed := replica("a", "")
 	listed.Leaving = true
-	d.TakeLeaving([]string{"a"})
+	d.MarkLeaving([]string{"a"})
 	d.Replace([]region.Replica{listed, replica("busy", "")})
 	assert.Equal(t, "a", d.PickAny("s", relay.Wanted{}).Replica.ID)
 }
--- a/internal/relay/limited.go
+++ b/internal/relay/limited.go
@@ -11,9 +11,9 @@
 	"github.com/pierhaven/pierhaven/internal/ratelimit"
 )
 
-// KeepLimits enables the enforcement of the limits that replicas declare. It must be called before first use.
-func (r *Runner) KeepLimits(limits *ReplicaLimits) {
-	if !r.directory.off[mechanism.ReplicaLimits] {
+// EnforceLimits enables the enforcement of the limits that replicas declare. It must be called before first use.
+func (r *Runner) EnforceLimits(limits *ReplicaLimits) {
+	if !r.directory.disabled[mechanism.ReplicaLimits] {
 		r.limits = limits
 	}
 }
@@ -24,10 +24,10 @@
 
 // permitted calls choose until it leases a replica that may be sent the request: one that declares no limit, or
 // has capacity under it. The lease is nil if there is none.
-func (r *run) permitted(ctx context.Context, choose func() (*Lease, error)) (*Lease, error) {
+func (r *callState) permitted(ctx context.Context, choose func() (*Lease, error)) (*Lease, error) {
 	for {
 		lease, err := choose()
-		if lease == nil || err != nil || r.takes(ctx, lease) {
+		if lease == nil || err != nil || r.permits(ctx, lease) {
 			return lease, err
 		}
 		lease.Release()
@@ -38,14 +38,14 @@
 	}
 }
 
-// takes reports whether a lease's replica may be sent the request under the limit that it declares, if any.
-func (r *run) takes(ctx context.Context, lease *Lease) bool {
+// permits reports whether a lease's replica may be sent the request under the limit that it declares, if any.
+func (r *callState) permits(ctx context.Context, lease *Lease) bool {
 	rate := lease.Limit()
 	if r.limits == nil || rate < 0 {
 		return true
 	}
 	rank := rankOf(r.call.Route.Priority)
-	permit := r.limits.Ask(ctx, LimitQuestion{Request: r.call.ID, Life: lease.Replica.name, Rate: rate, Rank: rank})
+	permit := r.limits.Ask(ctx, PermitRequest{Request: r.call.ID, Life: lease.Replica.name, Rate: rate, Rank: rank})
 	if permit.Granted {
 		lease.permit = &permit
 		lease.permitEnds = time.Now().Add(ratelimit.PermitTime)
@@ -53,17 +53,17 @@
 		return true
 	}
 	if ctx.Err() == nil {
-		r.directory.Denied(lease.Replica.name, rank, permit.Wait)
+		r.directory.NoteDenial(lease.Replica.name, rank, permit.Wait)
 	}
 	r.logger.V(1).Info(event.LimitDenied, "request", r.call.ID, "replica", lease.Replica.ID, "rate", rate, "rank", rank,
 		"wait_ms", permit.Wait.Milliseconds(), "decided_by", permit.By)
 	return false
 }
 
-// reserveGenerator leases the decode replica before the prompt is read, if every candidate declares a limit: if
+// reserveDecodeReplica leases the decode replica before the prompt is read, if every candidate declares a limit: if
 // none had capacity, the work of the prefill replica would be wasted. The lease is nil if some candidate
 // declares no limit.
-func (r *run) reserveGenerator(ctx context.Context, reader *Lease) (*Lease, error) {
+func (r *callState) reserveDecodeReplica(ctx context.Context, reader *Lease) (*Lease, error) {
 	if r.limits == nil || !r.directory.decodeReplicasLimited(r.call.Service.Name) {
 		return nil, nil
 	}
@@ -75,14 +75,14 @@
 }
 
 // permittedDecodeReplica leases a decode replica near a zone, for a prompt that was read elsewhere.
-func (r *run) permittedDecodeReplica(ctx context.Context, zone string) (*Lease, error) {
+func (r *callState) permittedDecodeReplica(ctx context.Context, zone string) (*Lease, error) {
 	return r.permitted(ctx, func() (*Lease, error) {
 		return r.placer.Generator(ctx, r.call.Service.Name, r.readRequest(), zone), nil
 	})
 }
 
 // permittedDirect leases a decode replica that is to read the prompt itself.
-func (r *run) permittedDirect(ctx context.Context) (*Lease, error) {
+func (r *callState) permittedDirect(ctx context.Context) (*Lease, error) {
 	return r.permitted(ctx, func() (*Lease, error) {
 		return r.placer.Direct(ctx, r.call.Service.Name, r.readRequest()), nil
 	})
@@ -90,7 +90,7 @@
 
 // useReserved returns the lease that was reserved before the prompt was read, if there is one whose permit has not
 // expired, and otherwise a new one: after that time the request would arrive in a later window than it was counted in.
-func (r *run) useReserved(ctx context.Context, reserved *Lease, zone string) (*Lease, error) {
+func (r *callState) useReserved(ctx context.Context, reserved *Lease, zone string) (*Lease, error) {
 	if reserved != nil && time.Now().Before(reserved.permitEnds) {
 		return reserved, nil
 	}
@@ -98,18 +98,18 @@
 	return r.permittedDecodeReplica(ctx, zone)
 }
 
-// countUnasked counts a message to a replica that is not a request, if the replica declares a limit. Such messages
+// countWithoutPermit counts a message to a replica that is not a request, if the replica declares a limit. Such messages
 // need no permit, and are not delayed.
-func (r *Runner) countUnasked(replica *Replica) {
+func (r *Runner) countWithoutPermit(replica *Replica) {
 	if r.limits != nil && r.directory.declaresLimit(replica) {
 		r.limits.Count(replica.name)
 	}
 }
 
-// noReplica returns the error that says why no replica is available for the request.
-func (r *run) noReplica() error {
-	if wait := r.directory.restsReturn(r.call.Service.Name, rankOf(r.call.Route.Priority)); wait > 0 {
-		return &restingError{wait: wait}
+// noReplicaError returns the error that says why no replica is available for the request.
+func (r *callState) noReplicaError() error {
+	if wait := r.directory.backoffRetryAfter(r.call.Service.Name, rankOf(r.call.Route.Priority)); wait > 0 {
+		return &backoffError{wait: wait}
 	}
 	if r.limits == nil {
 		return errNoReplica
@@ -125,12 +125,12 @@
 	return limited
 }
 
-// restingError rejects a request because all replicas are in a requested backoff, or as full as one was when it
+// backoffError rejects a request because all replicas are in a requested backoff, or as full as one was when it
 // requested one; wait is the time until one accepts the request.
-type restingError struct{ wait time.Duration }
+type backoffError struct{ wait time.Duration }
 
 // Error implements error.
-func (*restingError) Error() string {
+func (*backoffError) Error() string {
 	return "all replicas have asked for rest, or are as full as one was that has"
 }
 
@@ -150,9 +150,9 @@
 }
 
 // limitedOrNone replaces errNoReplica by a more specific error, if backoffs or limits are the cause.
-func (r *run) limitedOrNone(err error) error {
+func (r *callState) limitedOrNone(err error) error {
 	if errors.Is(err, errNoReplica) {
-		return r.noReplica()
+		return r.noReplicaError()
 	}
 	return err
 }
@@ -161,7 +161,7 @@
 func (l *Lease) restartTiming() {
 	l.directory.mutex.Lock()
 	defer l.directory.mutex.Unlock()
-	l.begun = l.directory.clock()
+	l.startedAt = l.directory.clock()
 }
 
 // permitUsed notes that the request was sent, or may have been: the permit is not returned.
@@ -170,7 +170,7 @@
 // returnPermit returns the permit, unless the request was sent.
 func (l *Lease) returnPermit() {
 	if l.permit != nil {
-		l.permit.GiveBack()
+		l.permit.Return()
 		l.permit = nil
 	}
 }
--- a/internal/relay/limited_load_test.go
+++ b/internal/relay/limited_load_test.go
@@ -38,14 +38,14 @@
 // limit makes a prefill replica declare a limit.
 func (r *limitedReplay) limit(id string, rate float64) {
 	r.rates[id] = rate
-	r.TakeLimits([]ratelimit.Report{{Replica: id, Declared: true, Rate: rate}})
+	r.MergeLimits([]ratelimit.Report{{Replica: id, Declared: true, Rate: rate}})
 	r.pool.SetLimit(r.now, id, ratelimit.PoolLimit(rate, 3*time.Second))
 }
 
 // placeWithinLimits leases a prefill replica that has capacity under its limit.
 func (r *limitedReplay) placeWithinLimits(request relay.ReadRequest) (*relay.Lease, error) {
 	for {
-		lease, err := r.PlaceReading("s", request)
+		lease, err := r.PlacePrefill("s", request)
 		if err != nil {
 			return nil, err
 		}
@@ -65,7 +65,7 @@
 			r.sent[id] = append(r.sent[id], r.now)
 			return lease, nil
 		}
-		r.Denied(id, request.Rank, time.Duration(answer.WaitMicros)*time.Microsecond)
+		r.NoteDenial(id, request.Rank, time.Duration(answer.WaitMicros)*time.Microsecond)
 		lease.Release()
 		request.Excluded = append(request.Excluded, lease.Replica)
 	}
@@ -97,7 +97,7 @@
 
 // Some prefill replicas declare limits far below their capacity. Load within the capacity of the others is read
 // on time, and beyond it the limits are used up.
-func TestReadersWithLimitsLeaveTheirWorkToOthers(t *testing.T) {
+func TestLimitedPrefillReplicasLeaveWorkToOthers(t *testing.T) {
 	const (
 		readers = 12
 		limit   = 2.0
@@ -136,7 +136,7 @@
 
 // All prefill replicas declare limits whose sum is below the load. The number served on time stays level as the
 // load grows, urgent work goes first, and the largest prompts are not put behind others because of their size.
-func TestGoodputIsLevelAtTheSumOfAllLimits(t *testing.T) {
+func TestGoodputIsLevelAboveTheSumOfAllLimits(t *testing.T) {
 	const (
 		readers = 12
 		limit   = 2.0
--- a/internal/relay/limited_test.go
+++ b/internal/relay/limited_test.go
@@ -29,14 +29,14 @@
 	wait time.Duration
 }
 
-// countLimits makes a fakeCounter enforce a world's limits.
-func (w *world) countLimits(room map[string]int) *fakeCounter {
+// countLimits makes a fakeCounter enforce an environment's limits.
+func (w *testEnvironment) countLimits(room map[string]int) *fakeCounter {
 	c := &fakeCounter{room: room, asked: map[string]int{}, returned: map[string]int{}, withoutPermit: map[string]int{}, wait: time.Minute}
-	w.runner.KeepLimits(&relay.ReplicaLimits{
+	w.runner.EnforceLimits(&relay.ReplicaLimits{
 		Ask:   c.ask,
 		Count: func(life string) { c.add(c.withoutPermit, life) },
 	})
-	w.directory.CountChoosers(func() int { return 4 })
+	w.directory.SetPlacerCount(func() int { return 4 })
 	return c
 }
 
@@ -46,7 +46,7 @@
 	to[life]++
 }
 
-func (c *fakeCounter) ask(_ context.Context, asked relay.LimitQuestion) relay.Permit {
+func (c *fakeCounter) ask(_ context.Context, asked relay.PermitRequest) relay.Permit {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.asked[asked.Life]++
@@ -54,7 +54,7 @@
 		return relay.Permit{Wait: c.wait}
 	}
 	c.room[asked.Life]--
-	return relay.Permit{Granted: true, GiveBack: func() { c.add(c.returned, asked.Life) }}
+	return relay.Permit{Granted: true, Return: func() { c.add(c.returned, asked.Life) }}
 }
 
 // read returns the count of a replica.
@@ -65,9 +65,9 @@
 }
 
 // limit makes replicas have a declared limit, as reported by another process.
-func (w *world) limit(rate float64, ids ...string) {
+func (w *testEnvironment) limit(rate float64, ids ...string) {
 	for _, id := range ids {
-		w.directory.TakeLimits([]ratelimit.Report{{Replica: id, Declared: true, Rate: rate}})
+		w.directory.MergeLimits([]ratelimit.Report{{Replica: id, Declared: true, Rate: rate}})
 	}
 }
 
@@ -75,44 +75,44 @@
 func declaring(limit string) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		writer.Header().Set("Limit", limit)
-		sealed(http.StatusOK, "ok")(writer, request)
+		respondSealed(http.StatusOK, "ok")(writer, request)
 	}
 }
 
-func TestARequestGoesWhereThereIsRoom(t *testing.T) {
-	w := newWorld(t)
-	w.add("a", "", declaring("1"))
-	w.add("b", "", sealed(http.StatusOK, "ok"))
+func TestRequestGoesToAReplicaWithCapacity(t *testing.T) {
+	w := newTestEnvironment(t)
+	w.addReplica("a", "", declaring("1"))
+	w.addReplica("b", "", respondSealed(http.StatusOK, "ok"))
 	w.limit(1, "a")
 	c := w.countLimits(map[string]int{"a": 2})
 	for range 20 {
-		answer := w.run(callOf(traffic.KindOnce, 1))
+		answer := w.runCall(newCall(traffic.KindOnce, 1))
 		assert.Equal(t, http.StatusOK, answer.status)
 	}
-	assert.Equal(t, 2, w.visits("a"), "its limit is used up")
-	assert.Equal(t, 18, w.visits("b"))
+	assert.Equal(t, 2, w.requestCount("a"), "its limit is used up")
+	assert.Equal(t, 18, w.requestCount("b"))
 	assert.Equal(t, 3, c.read(c.asked, "a"), "after a denial no permit is requested until the wait is over")
 }
 
 // A request that no replica has capacity for is rejected at once as not run, and each later one gets a later
 // Retry-After.
-func TestARequestThatNoReplicaHasRoomForIsRefusedAtOnce(t *testing.T) {
-	w := newWorld(t)
-	w.add("a", "", declaring("2"))
-	w.add("b", "", declaring("2"))
+func TestRequestWithoutCapacityIsRejectedAtOnce(t *testing.T) {
+	w := newTestEnvironment(t)
+	w.addReplica("a", "", declaring("2"))
+	w.addReplica("b", "", declaring("2"))
 	w.limit(2, "a", "b")
 	c := w.countLimits(nil)
 	c.wait = time.Second
 	var waits []time.Duration
 	begun := time.Now()
 	for range 4 {
-		answer := w.run(callOf(traffic.KindOnce, 1))
+		answer := w.runCall(newCall(traffic.KindOnce, 1))
 		require.Error(t, answer.err)
 		assert.Equal(t, failure.RanNo, failure.AnswerFor(answer.err).Ran)
 		waits = append(waits, failure.AnswerFor(answer.err).RetryAfter)
 	}
 	assert.Less(t, time.Since(begun), 10*time.Second, "each caller has a deadline of 20 s")
-	assert.Zero(t, w.visits("a")+w.visits("b"))
+	assert.Zero(t, w.requestCount("a")+w.requestCount("b"))
 	assert.GreaterOrEqual(t, waits[0], 900*time.Millisecond)
 	for index := 1; index < len(waits); index++ {
 		// Four gateways share four requests a second: each schedules one retry a second, at most 4 s ahead.
@@ -121,42 +121,42 @@
 	assert.Equal(t, 1, c.read(c.asked, "a"))
 }
 
-func TestOnlyWhatWasNotSentComesBack(t *testing.T) {
-	w := newWorld(t)
-	w.add("doubtful", "", dropping)
-	w.list("closed", "", "127.0.0.1:1")
+func TestOnlyPermitsOfUnsentRequestsAreReturned(t *testing.T) {
+	w := newTestEnvironment(t)
+	w.addReplica("doubtful", "", dropConnection)
+	w.listReplica("closed", "", "127.0.0.1:1")
 	w.limit(5, "doubtful", "closed")
 	c := w.countLimits(map[string]int{"doubtful": 1, "closed": 1})
-	answer := w.run(callOf(traffic.KindOnce, 1))
+	answer := w.runCall(newCall(traffic.KindOnce, 1))
 	require.Error(t, answer.err)
 	assert.Zero(t, c.read(c.returned, "doubtful"), "it may have arrived")
 	assert.Equal(t, c.read(c.asked, "closed"), c.read(c.returned, "closed"), "it was never sent")
 }
 
 func TestRejectedRequestsCount(t *testing.T) {
-	w := newWorld(t)
-	w.add("a", "", refusing)
+	w := newTestEnvironment(t)
+	w.addReplica("a", "", rejectRequest)
 	w.limit(5, "a")
 	c := w.countLimits(map[string]int{"a": 9})
-	w.run(callOf(traffic.KindRepeatable, 2))
-	assert.Equal(t, w.visits("a"), c.read(c.asked, "a"))
+	w.runCall(newCall(traffic.KindRepeatable, 2))
+	assert.Equal(t, w.requestCount("a"), c.read(c.asked, "a"))
 	assert.Zero(t, c.read(c.returned, "a"))
 }
 
 // A limit applies from the response that declares it until one that declares none. A rejection without a limit,
 // or an unreadable limit, changes nothing.
-func TestALimitGoesByTheNewestAnswer(t *testing.T) {
-	w := newWorld(t)
+func TestNewestResponseSetsTheLimit(t *testing.T) {
+	w := newTestEnvironment(t)
 	says, notRun := "", false
-	w.add("a", "", func(writer http.ResponseWriter, request *http.Request) {
+	w.addReplica("a", "", func(writer http.ResponseWriter, request *http.Request) {
 		if says != "" {
 			writer.Header().Set("Limit", says)
 		}
 		if notRun {
-			refusing(writer, request)
+			rejectRequest(writer, request)
 			return
 		}
-		sealed(http.StatusOK, "ok")(writer, request)
+		respondSealed(http.StatusOK, "ok")(writer, request)
 	})
 	for _, each := range []struct {
 		says   string
@@ -166,36 +166,36 @@
 		{"", false, 0}, {"3", false, 1}, {"rubbish", false, 1}, {"", true, 1}, {"0", false, 1}, {"", false, 0}, {"2", true, 1},
 	} {
 		says, notRun = each.says, each.notRun
-		w.run(callOf(traffic.KindOnce, 1))
+		w.runCall(newCall(traffic.KindOnce, 1))
 		assert.Equal(t, each.named, w.directory.LimitedCount(), "%q", each.says)
 	}
-	w.directory.Ended("a")
+	w.directory.ProcessEnded("a")
 	assert.Zero(t, w.directory.LimitedCount(), "the process that declared it has ended")
 }
 
-func TestALimitEndsWithItsReplica(t *testing.T) {
-	w := newWorld(t)
-	w.list("a", "", "127.0.0.1:1")
+func TestLimitEndsWithItsReplica(t *testing.T) {
+	w := newTestEnvironment(t)
+	w.listReplica("a", "", "127.0.0.1:1")
 	w.limit(1, "a")
 	require.Equal(t, 1, w.directory.LimitedCount())
-	w.replicas[0].Address = "127.0.0.1:2"
-	w.directory.Replace(w.replicas)
+	w.replicaList[0].Address = "127.0.0.1:2"
+	w.directory.Replace(w.replicaList)
 	assert.Zero(t, w.directory.LimitedCount(), "another replica has the id")
 	w.limit(1, "a")
 	require.Equal(t, 1, w.directory.LimitedCount(), "reports on the new one count")
 	w.directory.Replace(nil)
 	assert.Zero(t, w.directory.LimitedCount())
-	assert.Zero(t, w.directory.LimitNames())
+	assert.Zero(t, w.directory.LimitedReplicasHash())
 }
 
 // A prompt read at one replica and answered at another counts as one request at each of them.
-func TestPromptsThatAreReadApartCount(t *testing.T) {
-	w := newWorld(t)
-	w.add("reader", region.StagePrefill, sealed(http.StatusOK, "handle"))
-	w.add("generator", region.StageDecode, events(1, 3, false))
+func TestPrefillAndDecodeCountSeparately(t *testing.T) {
+	w := newTestEnvironment(t)
+	w.addReplica("reader", region.StagePrefill, respondSealed(http.StatusOK, "handle"))
+	w.addReplica("generator", region.StageDecode, streamEvents(1, 3, false))
 	w.limit(5, "reader", "generator")
 	c := w.countLimits(map[string]int{"reader": 5, "generator": 5})
-	answer := w.run(modelCall(20_000, "own"))
+	answer := w.runCall(newModelCall(20_000, "own"))
 	require.True(t, answer.ended, "%v", answer.err)
 	assert.Equal(t, 1, c.read(c.asked, "reader"))
 	assert.Equal(t, 1, c.read(c.asked, "generator"))
@@ -203,44 +203,44 @@
 }
 
 // A prompt is not read if no decode replica has capacity: the work of the prefill replica would be wasted.
-func TestNoPromptIsReadForWhichNoReplicaHasRoom(t *testing.T) {
-	w := newWorld(t)
-	w.add("reader", region.StagePrefill, sealed(http.StatusOK, "handle"))
-	w.add("generator", region.StageDecode, events(1, 3, false))
+func TestPromptIsNotPrefilledWithoutDecodeCapacity(t *testing.T) {
+	w := newTestEnvironment(t)
+	w.addReplica("reader", region.StagePrefill, respondSealed(http.StatusOK, "handle"))
+	w.addReplica("generator", region.StageDecode, streamEvents(1, 3, false))
 	w.limit(5, "generator")
 	w.countLimits(nil)
-	answer := w.run(modelCall(20_000, "own"))
+	answer := w.runCall(newModelCall(20_000, "own"))
 	require.Error(t, answer.err)
-	assert.Zero(t, w.visits("reader"))
+	assert.Zero(t, w.requestCount("reader"))
 	assert.Positive(t, failure.AnswerFor(answer.err).RetryAfter)
 }
 
 // Prompts go to the other prefill replica if one has no capacity under its limit.
 func TestPromptsAvoidPrefillReplicaWithoutCapacity(t *testing.T) {
-	w := newWorld(t)
-	w.add("limited", region.StagePrefill, sealed(http.StatusOK, "handle"))
-	w.add("free", region.StagePrefill, sealed(http.StatusOK, "handle"))
-	w.add("generator", region.StageDecode, events(1, 3, false))
+	w := newTestEnvironment(t)
+	w.addReplica("limited", region.StagePrefill, respondSealed(http.StatusOK, "handle"))
+	w.addReplica("free", region.StagePrefill, respondSealed(http.StatusOK, "handle"))
+	w.addReplica("generator", region.StageDecode, streamEvents(1, 3, false))
 	w.limit(5, "limited")
 	w.countLimits(nil)
 	for number := range 6 {
-		answer := w.run(modelCall(20_000, string(rune('a'+number))))
+		answer := w.runCall(newModelCall(20_000, string(rune('a'+number))))
 		require.True(t, answer.ended, "%v", answer.err)
 	}
-	assert.Zero(t, w.visits("limited"))
-	assert.Equal(t, 6, w.visits("free"))
+	assert.Zero(t, w.requestCount("limited"))
+	assert.Equal(t, 6, w.requestCount("free"))
 }
 
 // A replica without a limit is found with few permit requests, however many replicas deny.
-func TestFewQuestionsFindAReplicaWithoutALimit(t *testing.T) {
-	w := newWorld(t)
+func TestReplicaWithoutLimitIsFoundWithFewPermitRequests(t *testing.T) {
+	w := newTestEnvironment(t)
 	for number := range 100 {
-		w.list(string(rune('A'+number)), "", "127.0.0.1:1")
+		w.listReplica(string(rune('A'+number)), "", "127.0.0.1:1")
 		w.limit(5, string(rune('A'+number)))
 	}
-	w.add("free", "", sealed(http.StatusOK, "ok"))
+	w.addReplica("free", "", respondSealed(http.StatusOK, "ok"))
 	c := w.countLimits(nil)
-	answer := w.run(callOf(traffic.KindOnce, 1))
+	answer := w.runCall(newCall(traffic.KindOnce, 1))
 	assert.Equal(t, http.StatusOK, answer.status)
 	questions := 0
 	for _, count := range c.asked {
@@ -260,13 +260,13 @@
 			}
 			d := newDirectory(list...)
 			for _, each := range list[:limited] {
-				d.TakeLimits([]ratelimit.Report{{Replica: each.ID, Declared: true, Rate: 5}})
+				d.MergeLimits([]ratelimit.Report{{Replica: each.ID, Declared: true, Rate: 5}})
 			}
 			b.ReportAllocs()
 			for b.Loop() {
 				lease := d.PickAny("s", relay.Wanted{})
 				if lease.Limit() >= 0 {
-					lease.NoteLimit(relay.RateLimit{Named: true, Rate: 5}, true)
+					lease.NoteLimit(relay.RateLimit{Declared: true, Rate: 5}, true)
 				} else {
 					lease.NoteLimit(relay.RateLimit{}, true)
 				}
@@ -276,43 +276,43 @@
 	}
 }
 
-var errGone = errors.New("the caller has disconnected")
+var errCallerDisconnected = errors.New("the caller has disconnected")
 
 // No further permit is requested after a caller disconnects while a permit request is pending.
 func TestNoPermitIsRequestedAfterTheCallerDisconnects(t *testing.T) {
-	w := newWorld(t)
+	w := newTestEnvironment(t)
 	for _, id := range []string{"a", "b", "c"} {
-		w.list(id, "", "127.0.0.1:1")
+		w.listReplica(id, "", "127.0.0.1:1")
 		w.limit(5, id)
 	}
 	ctx, leave := context.WithCancelCause(t.Context())
 	asked := 0
-	w.runner.KeepLimits(&relay.ReplicaLimits{
-		Ask: func(context.Context, relay.LimitQuestion) relay.Permit {
+	w.runner.EnforceLimits(&relay.ReplicaLimits{
+		Ask: func(context.Context, relay.PermitRequest) relay.Permit {
 			asked++
-			leave(errGone)
+			leave(errCallerDisconnected)
 			return relay.Permit{}
 		},
 		Count: func(string) {},
 	})
-	w.runner.Run(ctx, callOf(traffic.KindOnce, 1), &recorder{})
+	w.runner.Run(ctx, newCall(traffic.KindOnce, 1), &recordingResponder{})
 	assert.Equal(t, 1, asked)
 }
 
 // A replica that denied a request's first attempt may be used by the second one.
 func TestRetryMayUseAReplicaThatDeniedTheFirstAttempt(t *testing.T) {
-	w := newWorld(t)
+	w := newTestEnvironment(t)
 	c := w.countLimits(map[string]int{})
 	c.wait = time.Millisecond
-	w.add("limited", "", sealed(http.StatusOK, "ok"))
-	w.add("failing", "", func(writer http.ResponseWriter, request *http.Request) {
+	w.addReplica("limited", "", respondSealed(http.StatusOK, "ok"))
+	w.addReplica("failing", "", func(writer http.ResponseWriter, request *http.Request) {
 		time.Sleep(30 * time.Millisecond)
 		c.mutex.Lock()
 		c.room["limited"] = 1
 		c.mutex.Unlock()
-		sealed(http.StatusInternalServerError, "failed")(writer, request)
+		respondSealed(http.StatusInternalServerError, "failed")(writer, request)
 	})
 	w.limit(5, "limited")
-	answer := w.run(callOf(traffic.KindRepeatable, 2))
+	answer := w.runCall(newCall(traffic.KindRepeatable, 2))
 	assert.Equal(t, http.StatusOK, answer.status)
 }
--- a/internal/relay/logs_benchmark_test.go
+++ b/internal/relay/logs_benchmark_test.go
@@ -39,10 +39,10 @@
 				logger = log.Logger()
 			}
 			w := newLoggedTestEnvironment(b, logger)
-			w.add("a", "", sealed(http.StatusOK, "answer"))
+			w.addReplica("a", "", respondSealed(http.StatusOK, "answer"))
 			b.ReportAllocs()
 			for b.Loop() {
-				require.Equal(b, http.StatusOK, w.run(callOf(traffic.KindOnce, 1)).status)
+				require.Equal(b, http.StatusOK, w.runCall(newCall(traffic.KindOnce, 1)).status)
 			}
 			log.Close(10 * time.Second)
 			b.ReportMetric(float64(written.bytes.Load())/float64(b.N), "log-B/op")
--- a/internal/relay/meter.go
+++ b/internal/relay/meter.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// timeMeter is an exponential moving average of a duration. It is guarded by the Directory's mutex.
-type timeMeter struct {
+// averageTime is an exponential moving average of a duration. It is guarded by the Directory's mutex.
+type averageTime struct {
 	smoothed time.Duration
 	hasValue bool
 }
 
-func (m *timeMeter) observe(duration time.Duration) {
+func (m *averageTime) observe(duration time.Duration) {
 	if !m.hasValue {
 		m.smoothed, m.hasValue = duration, true
 		return
@@ -19,41 +19,41 @@
 	m.smoothed += time.Duration(smoothing * float64(duration-m.smoothed))
 }
 
-// typical returns the smoothed duration, 0 if none was observed.
-func (m *timeMeter) typical() time.Duration {
+// average returns the smoothed duration, 0 if none was observed.
+func (m *averageTime) average() time.Duration {
 	if m == nil {
 		return 0
 	}
 	return m.smoothed
 }
 
-// timeMeters holds a timeMeter for each service.
-type timeMeters map[string]*timeMeter
+// averageTimes holds an averageTime for each service.
+type averageTimes map[string]*averageTime
 
-func (m timeMeters) observe(service string, duration time.Duration) {
+func (m averageTimes) observe(service string, duration time.Duration) {
 	meter, found := m[service]
 	if !found {
-		meter = &timeMeter{}
+		meter = &averageTime{}
 		m[service] = meter
 	}
 	meter.observe(duration)
 }
 
-// peakMeter holds the longest recent duration, which decays. It is guarded by the Directory's mutex.
-type peakMeter struct {
+// decayingPeak holds the longest recent duration, which decays. It is guarded by the Directory's mutex.
+type decayingPeak struct {
 	peak   time.Duration
 	peakAt time.Duration
 }
 
-// peakFade is the time constant of the decay: a peak falls to 1/e, about a third, in this time.
-const peakFade = time.Second
+// peakTimeConstant is the time constant of the decay: a peak falls to 1/e, about a third, in this time.
+const peakTimeConstant = time.Second
 
-func (m *peakMeter) observe(now, duration time.Duration) {
+func (m *decayingPeak) observe(now, duration time.Duration) {
 	m.peak = max(m.longest(now), duration)
 	m.peakAt = now
 }
 
 // longest returns the decayed peak.
-func (m *peakMeter) longest(now time.Duration) time.Duration {
-	return time.Duration(float64(m.peak) * math.Exp(-(now-m.peakAt).Seconds()/peakFade.Seconds()))
+func (m *decayingPeak) longest(now time.Duration) time.Duration {
+	return time.Duration(float64(m.peak) * math.Exp(-(now-m.peakAt).Seconds()/peakTimeConstant.Seconds()))
 }
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -15,8 +15,8 @@
 	movePause = 200 * time.Millisecond
 	// moveTimeout bounds one request of a move.
 	moveTimeout = time.Second
-	// moveLimit is the occupancy up to which a replica accepts streams moved from others.
-	moveLimit = 0.9
+	// maximumMoveOccupancy is the occupancy up to which a replica accepts streams moved from others.
+	maximumMoveOccupancy = 0.9
 )
 
 // movedStream is a stream that was stopped at one replica and continues at another.
@@ -28,7 +28,7 @@
 // streamMover moves a stream away from a replica that is leaving or changing its stage. Otherwise the
 // stream would delay the replica until it ends, or be cut off.
 type streamMover struct {
-	run   *run
+	run   *callState
 	lease *Lease
 	// cancel ends the wait for the replica to leave; done is closed once the mover's goroutine has
 	// ended.
@@ -38,7 +38,7 @@
 }
 
 // startMover starts a mover for a stream that has begun.
-func (r *run) startMover(ctx context.Context, lease *Lease) *streamMover {
+func (r *callState) startMover(ctx context.Context, lease *Lease) *streamMover {
 	ctx, cancel := context.WithCancel(ctx)
 	m := &streamMover{run: r, lease: lease, cancel: cancel, done: make(chan struct{})}
 	go m.watch(ctx)
@@ -101,14 +101,14 @@
 		// where it is.
 		return true
 	}
-	if m.lease.RestLeft() > 0 {
+	if m.lease.BackoffLeft() > 0 {
 		return false
 	}
 	target := r.placer.Room(ctx, m.lease, r.readRequest())
 	if target == nil {
 		return false
 	}
-	if !r.takes(ctx, target) {
+	if !r.permits(ctx, target) {
 		target.Release()
 		return false
 	}
@@ -132,7 +132,7 @@
 		return true
 	}
 	r.metrics.countTransfer(transferStream, r.directory.distance(m.lease.Replica, target.Replica))
-	m.lease.handStreamTo(target)
+	m.lease.moveStreamTo(target)
 	m.moved = &movedStream{lease: target, handle: stopped}
 	return true
 }
@@ -140,10 +140,10 @@
 // requestMove has a replica copy a stream's memory to another one and, with last set, stop the stream.
 // It returns the handle of the copy, nil if there is none, and the response status, 0 if no
 // response came.
-func (r *run) requestMove(ctx context.Context, from, to *Replica, last bool) (*promptHandle, int) {
+func (r *callState) requestMove(ctx context.Context, from, to *Replica, last bool) (*promptHandle, int) {
 	ctx, cancel := context.WithTimeout(ctx, moveTimeout)
 	defer cancel()
-	r.countUnasked(from)
+	r.countWithoutPermit(from)
 	method, path, body := r.dialect.Move(r.call.ID, to.Address, last)
 	response, err := r.client.Do(ctx, &upstream.Request{
 		Address:  from.Address,
--- a/internal/relay/move_test.go
+++ b/internal/relay/move_test.go
@@ -68,9 +68,9 @@
 }
 
 // changeFirstReplica changes the list entry of the first replica, so that it is leaving.
-func (w *world) changeFirstReplica(change func(*region.Replica)) {
-	change(&w.replicas[0])
-	w.directory.Replace(w.replicas)
+func (w *testEnvironment) changeFirstReplica(change func(*region.Replica)) {
+	change(&w.replicaList[0])
+	w.directory.Replace(w.replicaList)
 }
 
 var leaveReasons = map[string]func(*region.Replica){
@@ -80,27 +80,27 @@
 
 // newUnsplitCall returns a model call whose prompt a decode replica prefills itself, as there is no
 // prefill replica.
-func newUnsplitCall() *relay.Call { return modelCall(100, "own") }
+func newUnsplitCall() *relay.Call { return newModelCall(100, "own") }
 
 func TestStreamIsMovedAwayFromLeavingReplica(t *testing.T) {
 	for name, change := range leaveReasons {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t)
+			w := newTestEnvironment(t)
 			leaving := newPausedStream()
-			w.add("leaving", region.StageDecode, leaving.serveHTTP)
+			w.addReplica("leaving", region.StageDecode, leaving.serveHTTP)
 			go func() {
 				<-leaving.firstEventsSent
-				w.add("other", region.StageDecode, func(writer http.ResponseWriter, request *http.Request) {
-					assert.Equal(t, w.replicas[0].Address+"/moved", request.Header.Get("Source"))
+				w.addReplica("other", region.StageDecode, func(writer http.ResponseWriter, request *http.Request) {
+					assert.Equal(t, w.replicaList[0].Address+"/moved", request.Header.Get("Source"))
 					assert.Equal(t, "3", request.Header.Get("Last-Event"))
-					events(4, 6, false)(writer, request)
+					streamEvents(4, 6, false)(writer, request)
 				})
 				w.changeFirstReplica(change)
 			}()
-			answer := w.run(newUnsplitCall())
-			assert.Equal(t, text(1, 6), answer.body.String())
+			answer := w.runCall(newUnsplitCall())
+			assert.Equal(t, eventText(1, 6), answer.body.String())
 			assert.True(t, answer.ended)
-			assert.Equal(t, 1, w.visits("other"), "a moved stream is the same run, so that a route with one attempt may continue it")
+			assert.Equal(t, 1, w.requestCount("other"), "a moved stream is the same run, so that a route with one attempt may continue it")
 		})
 	}
 }
@@ -115,85 +115,85 @@
 		"no capacity":      {0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t)
+			w := newTestEnvironment(t)
 			leaving := newPausedStream()
 			leaving.moveStatus = test.refuse
-			w.add("leaving", region.StageDecode, leaving.serveHTTP)
+			w.addReplica("leaving", region.StageDecode, leaving.serveHTTP)
 			go func() {
 				<-leaving.firstEventsSent
 				if test.room {
-					w.add("other", region.StageDecode, refusing)
+					w.addReplica("other", region.StageDecode, rejectRequest)
 				}
 				w.changeFirstReplica(leaveReasons["drains"])
 				time.Sleep(300 * time.Millisecond)
 				close(leaving.resume)
 			}()
-			answer := w.run(newUnsplitCall())
-			assert.Equal(t, text(1, 6), answer.body.String())
+			answer := w.runCall(newUnsplitCall())
+			assert.Equal(t, eventText(1, 6), answer.body.String())
 			assert.True(t, answer.ended)
-			assert.Zero(t, w.visits("other"))
+			assert.Zero(t, w.requestCount("other"))
 		})
 	}
 }
 
 func TestStreamIsMovedOnlyWithinRetryBudget(t *testing.T) {
-	w := newTestEnvironmentWithBudget(t, relay.BudgetTerms{Window: time.Second})
+	w := newTestEnvironmentWithBudget(t, relay.RetryBudgetOptions{Window: time.Second})
 	leaving := newPausedStream()
-	w.add("leaving", region.StageDecode, leaving.serveHTTP)
+	w.addReplica("leaving", region.StageDecode, leaving.serveHTTP)
 	go func() {
 		<-leaving.firstEventsSent
-		w.add("other", region.StageDecode, refusing)
+		w.addReplica("other", region.StageDecode, rejectRequest)
 		w.changeFirstReplica(leaveReasons["drains"])
 		time.Sleep(300 * time.Millisecond)
 		close(leaving.resume)
 	}()
-	answer := w.run(newUnsplitCall())
-	assert.Equal(t, text(1, 6), answer.body.String())
-	assert.Equal(t, 1, w.visits("leaving"), "no move was requested")
+	answer := w.runCall(newUnsplitCall())
+	assert.Equal(t, eventText(1, 6), answer.body.String())
+	assert.Equal(t, 1, w.requestCount("leaving"), "no move was requested")
 }
 
-func TestAMovedStreamThatIsNotTakenInIsBrokenOff(t *testing.T) {
-	w := newWorld(t)
+func TestMovedStreamRejectedByTargetIsAborted(t *testing.T) {
+	w := newTestEnvironment(t)
 	leaving := newPausedStream()
-	w.add("leaving", region.StageDecode, leaving.serveHTTP)
+	w.addReplica("leaving", region.StageDecode, leaving.serveHTTP)
 	go func() {
 		<-leaving.firstEventsSent
-		w.add("other", region.StageDecode, refusing)
+		w.addReplica("other", region.StageDecode, rejectRequest)
 		w.changeFirstReplica(leaveReasons["drains"])
 	}()
 	call := newUnsplitCall()
 	call.Route = &traffic.Route{Name: "route", Kind: traffic.KindStream, MaximumAttempts: 1}
-	answer := w.run(call)
+	answer := w.runCall(call)
 	assert.True(t, answer.aborted)
 	assert.False(t, answer.ended)
-	assert.Equal(t, text(1, 3), answer.body.String())
+	assert.Equal(t, eventText(1, 3), answer.body.String())
 }
 
 // Guards against a crash of the gateway: the stream of a service without engines has no memory to move,
 // and asking where to move it crashed the gateway.
 func TestStreamWithoutPromptIsNotMoved(t *testing.T) {
-	w := newWorld(t)
+	w := newTestEnvironment(t)
 	first := newPausedStream()
-	w.add("draining", "", first.serveHTTP)
-	w.list("other", "", "127.0.0.1:1")
-	w.runner.AskPlacements(&relay.RemotePlacement{
+	w.addReplica("draining", "", first.serveHTTP)
+	w.listReplica("other", "", "127.0.0.1:1")
+	w.runner.SetRemotePlacement(&relay.RemotePlacement{
 		Ask: func(context.Context, *region.PlacementQuestion, time.Duration) (*region.PlacementAnswer, string, error) {
 			t.Error("a placement is requested")
-			return nil, "", errGone
+			return nil, "", errCallerDisconnected
 		},
 		Tell: func(region.LeaseEvent) {},
 	})
-	w.replicas[1].Draining = true
-	w.directory.Replace(w.replicas)
-	call := callOf(traffic.KindStream, 1)
-	answered := make(chan *recorder)
-	go func() { answered <- w.run(call) }()
+	w.replicaList[1].Draining = true
+	w.directory.Replace(w.replicaList)
+	call := newCall(traffic.KindStream, 1)
+	answered := make(chan *recordingResponder)
+	go func() { answered <- w.runCall(call) }()
 	<-first.firstEventsSent
-	w.replicas[0].Draining = true
-	w.directory.Replace(w.replicas)
+	w.replicaList[0].Draining = true
+	w.directory.Replace(w.replicaList)
 	time.Sleep(20 * time.Millisecond)
 	close(first.resume)
 	answer := <-answered
 	assert.True(t, answer.ended)
-	assert.Equal(t, text(1, 6), answer.body.String())
+	assert.Equal(t, eventText(1, 6), answer.body.String())
 }
--- a/internal/relay/outstanding.go
+++ b/internal/relay/outstanding.go
@@ -20,8 +20,8 @@
 			work = append(work, region.OutstandingWork{
 				Replica:      name,
 				Requests:     own,
-				InTimeMicros: (replica.reading[InTime] - replica.granted.reading[InTime]).Microseconds(),
-				LateMicros:   (replica.reading[Late] - replica.granted.reading[Late]).Microseconds(),
+				InTimeMicros: (replica.prefillWork[InTime] - replica.granted.reading[InTime]).Microseconds(),
+				LateMicros:   (replica.prefillWork[Late] - replica.granted.reading[Late]).Microseconds(),
 			})
 		}
 	}
@@ -62,7 +62,7 @@
 
 // TakeOutstanding records a peer's work at replicas: all of it (whole), or what has changed.
 func (d *Directory) TakeOutstanding(gateway string, work []region.OutstandingWork, whole bool) {
-	if d.off[mechanism.Peers] {
+	if d.disabled[mechanism.Peers] {
 		return
 	}
 	d.mutex.Lock()
@@ -70,10 +70,10 @@
 	d.recordPeerWork(gateway, work, whole, d.clock())
 }
 
-// TakeSums records the work at replicas that a peer in another region reported some time (age) ago. Reports
+// TakeRegionWork records the work at replicas that a peer in another region reported some time (age) ago. Reports
 // older than peerReportLifetime are ignored.
-func (d *Directory) TakeSums(otherRegion, peer string, work []region.OutstandingWork, whole bool, age time.Duration) {
-	if d.off[mechanism.Peers] || age >= peerReportLifetime {
+func (d *Directory) TakeRegionWork(otherRegion, peer string, work []region.OutstandingWork, whole bool, age time.Duration) {
+	if d.disabled[mechanism.Peers] || age >= peerReportLifetime {
 		return
 	}
 	d.mutex.Lock()
@@ -86,9 +86,9 @@
 	d.recordPeerWork(peer, work, whole, reportedAt)
 }
 
-// RegionWordAge returns the age of the newest report of another region's work, or a negative value if there
+// RegionReportAge returns the age of the newest report of another region's work, or a negative value if there
 // is no current one: then it is unknown how busy its replicas are.
-func (d *Directory) RegionWordAge(otherRegion string) time.Duration {
+func (d *Directory) RegionReportAge(otherRegion string) time.Duration {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	reportedAt, heard := d.regionReportedAt[otherRegion]
@@ -143,11 +143,11 @@
 
 // boundedReading returns the prefill work that a peer has reported. Each class is bounded, so that no peer
 // can make a replica look busy forever.
-func boundedReading(work region.OutstandingWork) readingWork {
+func boundedReading(work region.OutstandingWork) prefillWork {
 	bounded := func(micros int64) time.Duration {
 		return min(max(time.Duration(micros)*time.Microsecond, 0), maximumPeerReading)
 	}
-	return readingWork{InTime: bounded(work.InTimeMicros), Late: bounded(work.LateMicros)}
+	return prefillWork{InTime: bounded(work.InTimeMicros), Late: bounded(work.LateMicros)}
 }
 
 // maximumPeerReading bounds the prefill work of one class that one peer may report for one replica.
@@ -231,9 +231,9 @@
 	}
 }
 
-// Kept returns what the selected replicas have cached, as far as it is known; whole reports whether it is
+// Cached returns what the selected replicas have cached, as far as it is known; whole reports whether it is
 // known for all of them.
-func (d *Directory) Kept(wanted func(replica region.Replica) bool) (cached []region.KeptParts, whole bool) {
+func (d *Directory) Cached(wanted func(replica region.Replica) bool) (cached []region.KeptParts, whole bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	whole = len(d.replicas) > 0
@@ -250,8 +250,8 @@
 	return cached, whole
 }
 
-// TakeKept records what replicas have cached according to another process.
-func (d *Directory) TakeKept(cached []region.KeptParts) {
+// TakeCached records what replicas have cached according to another process.
+func (d *Directory) TakeCached(cached []region.KeptParts) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := d.clock()
--- a/internal/relay/overload.go
+++ b/internal/relay/overload.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// rankedMeter measures the work that on-time prompts demand of a service's prefill replicas, by the
+// rankMeter measures the work that on-time prompts demand of a service's prefill replicas, by the
 // rank of their routes, and how many of the replicas have such work. It decays with readTimeConstant.
 // It is guarded by the Directory's mutex.
-type rankedMeter struct {
+type rankMeter struct {
 	// busy is the work recently placed by this process, in seconds, and prompts the number of its prompts.
 	busy, prompts [LastRank]float64
 	// squares is the sum of the squares of the prompts' work, in square seconds.
@@ -23,8 +23,8 @@
 	at    time.Duration
 }
 
-// fade decays the sums up to now, and returns the factor that was applied.
-func (m *rankedMeter) fade(now time.Duration) float64 {
+// decay decays the sums up to now, and returns the factor that was applied.
+func (m *rankMeter) decay(now time.Duration) float64 {
 	left := math.Exp(-(now - m.at).Seconds() / readTimeConstant.Seconds())
 	m.at = now
 	for rank := range m.busy {
@@ -36,15 +36,15 @@
 }
 
 // observe samples the state of the prefill replicas when a prompt arrives.
-func (m *rankedMeter) observe(now time.Duration, readers []*Replica) {
-	left := m.fade(now)
+func (m *rankMeter) observe(now time.Duration, readers []*Replica) {
+	left := m.decay(now)
 	if len(readers) == 0 {
 		return
 	}
 	busyReaders := 0
 	m.readers, m.late = len(readers), 0
 	for _, reader := range readers {
-		reading := reader.allReading(now)
+		reading := reader.totalPrefillWork(now)
 		if reading[InTime] > 0 {
 			busyReaders++
 		}
@@ -56,7 +56,7 @@
 }
 
 // place records an on-time prompt that was placed.
-func (m *rankedMeter) place(rank int, busy time.Duration) {
+func (m *rankMeter) place(rank int, busy time.Duration) {
 	m.busy[rank] += busy.Seconds()
 	m.prompts[rank]++
 	m.squares += busy.Seconds() * busy.Seconds()
@@ -64,7 +64,7 @@
 
 // shareUpTo is the share of the on-time work that is of a rank or an earlier one; 1 as long as no work is
 // known.
-func (m *rankedMeter) shareUpTo(rank int) float64 {
+func (m *rankMeter) shareUpTo(rank int) float64 {
 	var sum, all float64
 	for each, busy := range m.busy {
 		all += busy
@@ -81,7 +81,7 @@
 // earlierRankLoad is the share of a prefill replica's time taken by prompts of earlier ranks that have yet
 // to arrive: prompts that wait there also wait for them. Without it, prompts of the latest rank were
 // classified as on time and then read late: at 1.5 times the capacity goodput fell from 0.94 to 0.60.
-func (m *rankedMeter) earlierRankLoad(rank int) float64 {
+func (m *rankMeter) earlierRankLoad(rank int) float64 {
 	if rank == 0 || m.busyShare <= 0 {
 		return 0
 	}
@@ -93,7 +93,7 @@
 const maxEarlierRankLoad = 0.9
 
 // meanLaterRank is the mean time to read a prompt of a later rank, 0 if there is none.
-func (m *rankedMeter) meanLaterRank(rank int) time.Duration {
+func (m *rankMeter) meanLaterRank(rank int) time.Duration {
 	var busy, prompts float64
 	for each := rank + 1; each < LastRank; each++ {
 		busy += m.busy[each]
@@ -107,7 +107,7 @@
 
 // typical is the work-weighted mean time to read an on-time prompt: about half of the work belongs to prompts that
 // take as long or longer. It is 0 as long as no work is known.
-func (m *rankedMeter) typical() time.Duration {
+func (m *rankMeter) typical() time.Duration {
 	var all float64
 	for _, busy := range m.busy {
 		all += busy
@@ -118,23 +118,23 @@
 	return time.Duration(m.squares / all * float64(time.Second))
 }
 
-// rankedOf returns the meter of a service. The caller must hold d.mutex.
-func (d *Directory) rankedOf(service string) *rankedMeter {
+// rankMeterOf returns the meter of a service. The caller must hold d.mutex.
+func (d *Directory) rankMeterOf(service string) *rankMeter {
 	meter, found := d.ranked[service]
 	if !found {
-		meter = &rankedMeter{at: d.clock()}
+		meter = &rankMeter{at: d.clock()}
 		d.ranked[service] = meter
 	}
 	return meter
 }
 
-// aheadOf is the expected time for on-time work that the replica does before the request's prompt: replicas
+// waitBefore is the expected time for on-time work that the replica does before the request's prompt: replicas
 // read the prompts of earlier ranks first. Work reported by peers is not broken down by rank; its ranks are
 // assumed to be distributed as those of the work placed by this process. A prompt of a later rank that was
 // begun is read to its end. The caller must hold d.mutex.
-func (d *Directory) aheadOf(replica *Replica, request ReadRequest, now time.Duration) time.Duration {
+func (d *Directory) waitBefore(replica *Replica, request ReadRequest, now time.Duration) time.Duration {
 	rank := request.Rank
-	all := replica.allReading(now)[InTime]
+	all := replica.totalPrefillWork(now)[InTime]
 	var own, ahead time.Duration
 	for each, busy := range replica.ranked {
 		own += busy
@@ -142,7 +142,7 @@
 			ahead += busy
 		}
 	}
-	meter := d.rankedOf(replica.Service)
+	meter := d.rankMeterOf(replica.Service)
 	ahead += time.Duration(meter.shareUpTo(rank) * float64(max(all-own, 0)))
 	wait := ahead + min(max(all-ahead, 0), meter.meanLaterRank(rank))
 	return time.Duration(float64(wait) * meter.tenants.waitFactor(request.Tenant, now) / (1 - meter.earlierRankLoad(rank)))
@@ -168,9 +168,9 @@
 // mayBeginLate reports whether a late prompt may be placed at an idle prefill replica, where it begins at once
 // and is read to its end. The replicas with late prompts are limited to a share of those that have no on-time
 // prompts, so that on-time prompts rarely wait for late ones. The caller must hold d.mutex.
-func (d *Directory) mayBeginLate(estimated *readEstimate, now time.Duration) bool {
-	meter := d.rankedOf(estimated.replica.Service)
-	idle := estimated.replica.allReading(now).before(Late) <= 0
+func (d *Directory) mayBeginLate(estimated *prefillEstimate, now time.Duration) bool {
+	meter := d.rankMeterOf(estimated.replica.Service)
+	idle := estimated.replica.totalPrefillWork(now).before(Late) <= 0
 	return idle && float64(meter.late+1) <= lateReaderShare*(1-meter.busyShare)*float64(meter.readers)
 }
 
@@ -181,14 +181,14 @@
 // lateTotal is the expected time until a replica has read a late prompt. A replica reads late prompts only while
 // it has no on-time ones; the share of that time is estimated by the share of the replicas without on-time
 // prompts. The caller must hold d.mutex.
-func (d *Directory) lateTotal(estimated *readEstimate) time.Duration {
-	free := 1 - d.rankedOf(estimated.replica.Service).busyShare
+func (d *Directory) lateTotal(estimated *prefillEstimate) time.Duration {
+	free := 1 - d.rankMeterOf(estimated.replica.Service).busyShare
 	if free <= 0 {
 		return math.MaxInt64
 	}
 	total := estimated.total().Seconds() / free
-	if total > longestTold.Seconds() {
-		return longestTold
+	if total > maximumReportedTime.Seconds() {
+		return maximumReportedTime
 	}
 	return time.Duration(total * float64(time.Second))
 }
--- a/internal/relay/overload_test.go
+++ b/internal/relay/overload_test.go
@@ -172,11 +172,11 @@
 	}
 	r := &replay{
 		seed:      1,
-		directory: newTaught(list...),
+		directory: newDirectoryWithKnownCosts(list...),
 		waiting:   map[string][]*replayed{}, reading: map[string]*replayed{}, busyUntil: map[string]time.Duration{},
 		returns: map[time.Duration][]*replayed{}, asked: map[string]int{}, inTime: map[string]int{}, served: map[string]int{},
 	}
-	r.place = func(request relay.ReadRequest) (*relay.Lease, error) { return r.PlaceReading("s", request) }
+	r.place = func(request relay.ReadRequest) (*relay.Lease, error) { return r.PlacePrefill("s", request) }
 	return r
 }
 
@@ -201,16 +201,16 @@
 
 // A light, urgent prompt was classified as late behind heavy prompts, although it is read before them.
 func TestPromptIsNotLateBecauseOfLaterRanks(t *testing.T) {
-	d := newTaught(replica("r", region.StagePrefill), replica("g", region.StageDecode))
+	d := newDirectoryWithKnownCosts(replica("r", region.StagePrefill), replica("g", region.StageDecode))
 	for number := range 8 {
 		heavy := readRequest(prompt(relay.PromptPart{ID: fmt.Sprint("heavy-", number), Tokens: pace / 10}))
 		heavy.Rank = 2
-		_, err := d.PlaceReading("s", heavy)
+		_, err := d.PlacePrefill("s", heavy)
 		require.NoError(t, err)
 	}
 	light := readRequest(ownPrompt(500))
 	light.Objective, light.AimLeft = 500*time.Millisecond, 500*time.Millisecond
-	lease, err := d.PlaceReading("s", light)
+	lease, err := d.PlacePrefill("s", light)
 	require.NoError(t, err)
 	assert.Zero(t, lease.Rank(&route), "eight tenths of a second of later ranks, of half a second")
 }
@@ -218,9 +218,9 @@
 // Late prompts were accepted as long as they would be read before their callers left if no other prompt arrived;
 // others did arrive, and the callers of late ones left.
 func TestLatePromptIsRejectedUnderSteadyOnTimeWork(t *testing.T) {
-	d := newTaught(replica("r", region.StagePrefill), replica("g", region.StageDecode))
+	d := newDirectoryWithKnownCosts(replica("r", region.StagePrefill), replica("g", region.StageDecode))
 	late := func() error {
-		lease, err := d.PlaceReading("s", readRequest(ownPrompt(3*pace/2)))
+		lease, err := d.PlacePrefill("s", readRequest(ownPrompt(3*pace/2)))
 		if err == nil {
 			lease.Release()
 		}
@@ -228,7 +228,7 @@
 	}
 	require.NoError(t, late(), "an idle reader takes a second and a half, of one")
 	next := func(number int) *relay.Lease {
-		return d.read(prompt(relay.PromptPart{ID: fmt.Sprint("in-time-", number), Tokens: pace / 10}))
+		return d.placePrefill(prompt(relay.PromptPart{ID: fmt.Sprint("in-time-", number), Tokens: pace / 10}))
 	}
 	reads := next(0)
 	for number := range 40 {
@@ -252,7 +252,7 @@
 	for number := range 8 {
 		list = append(list, replica(fmt.Sprint("r", number), region.StagePrefill))
 	}
-	d := newTaught(list...)
+	d := newDirectoryWithKnownCosts(list...)
 	keepBusy := func(count int) {
 		for number := range 8 {
 			reading := 50 * time.Millisecond
@@ -265,7 +265,7 @@
 		}
 	}
 	late := func(id string) error {
-		lease, err := d.PlaceReading("s", readRequest(prompt(relay.PromptPart{ID: id, Tokens: 2 * pace})))
+		lease, err := d.PlacePrefill("s", readRequest(prompt(relay.PromptPart{ID: id, Tokens: 2 * pace})))
 		if err == nil {
 			assert.Equal(t, relay.LastRank, lease.Rank(&route))
 		}
@@ -274,7 +274,7 @@
 	for range 80 {
 		keepBusy(5)
 		d.now += 100 * time.Millisecond
-		d.read(prompt(relay.PromptPart{ID: "short", Tokens: 1})).Release()
+		d.placePrefill(prompt(relay.PromptPart{ID: "short", Tokens: 1})).Release()
 	}
 	require.NoError(t, late("first"), "3 of 8 are idle")
 	assert.Error(t, late("second"), "the others are left to on-time prompts")
--- a/internal/relay/picker.go
+++ b/internal/relay/picker.go
@@ -24,7 +24,7 @@
 
 // excludes reports whether a replica may not get the request now.
 func (w *Wanted) excludes(replica *Replica, now time.Duration) bool {
-	if limit := &replica.limit; limit.named && (w.Unlimited || limit.denied(w.Rank, now)) {
+	if limit := &replica.limit; limit.declared && (w.Unlimited || limit.denied(w.Rank, now)) {
 		return true
 	}
 	return slices.Contains(w.Excluded, replica)
@@ -90,7 +90,7 @@
 func (d *Directory) healthyCandidates(service string, wanted Wanted, passes func(*Replica) bool, now time.Duration) []*Replica {
 	candidates := d.candidates(service, wanted, passes, now)
 	sound := slices.DeleteFunc(slices.Clone(candidates), func(r *Replica) bool { return r.avoided(now) })
-	if len(sound) > 0 && !d.off[mechanism.Ejection] {
+	if len(sound) > 0 && !d.disabled[mechanism.Ejection] {
 		return sound
 	}
 	return candidates
@@ -99,14 +99,14 @@
 // candidates returns the replicas of a service that may get a request. The caller must hold d.mutex.
 func (d *Directory) candidates(service string, wanted Wanted, passes func(*Replica) bool, now time.Duration) []*Replica {
 	var candidates, ending []*Replica
-	asking := d.askingNow()
+	asking := d.gateNow()
 	for _, replica := range d.services[service] {
-		if replica.Draining || replica.gone || !passes(replica) || replica.rests(asking) || wanted.excludes(replica, now) {
+		if replica.Draining || replica.removed || !passes(replica) || replica.inBackoff(asking) || wanted.excludes(replica, now) {
 			continue
 		}
-		if !replica.ends() {
+		if !replica.isLeavingForGood() {
 			candidates = append(candidates, replica)
-		} else if d.takesLast(replica) {
+		} else if d.acceptsAsLast(replica) {
 			ending = append(ending, replica)
 		}
 	}
@@ -166,8 +166,8 @@
 	distance float64
 	// typicalLatency is that of the service's replicas in seconds, 0 if unknown.
 	typicalLatency float64
-	// draw breaks ties between replicas with about the same score.
-	draw func() float64
+	// random breaks ties between replicas with about the same score.
+	random func() float64
 	// connected reports whether there is a connection to an incarnation; nil if connections don't count.
 	connected func(address, life string) bool
 }
@@ -191,7 +191,7 @@
 )
 
 func (s loadScore) score(replica *Replica, now time.Duration) float64 {
-	score := replica.occupancy(now) + errorWeight*replica.errorRate + jitterWeight*s.draw()
+	score := replica.occupancy(now) + errorWeight*replica.errorRate + jitterWeight*s.random()
 	if replica.Zone != s.zone {
 		score += s.distance
 	}
@@ -201,7 +201,7 @@
 	if s.connected != nil && s.connected(replica.Address, replica.name) {
 		score -= connectedBonus
 	}
-	if replica.limit.named {
+	if replica.limit.declared {
 		// Its few answers are too small a sample to compare its latency.
 		return score - unusedLimitBonus
 	}
@@ -232,12 +232,12 @@
 // shared prefix and the replicas' ids, so that all gateways select the same. The caller must hold d.mutex.
 func (d *Directory) preferredReplicas(service, stage string, prompt *Prompt, now time.Duration) []*Replica {
 	key := prompt.sharedPart()
-	if key == "" || d.off[mechanism.Homes] {
+	if key == "" || d.disabled[mechanism.Homes] {
 		return nil
 	}
 	var preferred []weightedReplica
 	for _, replica := range d.services[service] {
-		if replica.ends() || replica.gone || replica.Stage != stage || now < replica.avoidUntil {
+		if replica.isLeavingForGood() || replica.removed || replica.Stage != stage || now < replica.avoidUntil {
 			continue
 		}
 		preferred = d.addIfHeaviest(preferred, weightedReplica{replica, xxhash.Sum64String(key + "/" + replica.ID)})
@@ -289,13 +289,13 @@
 
 // PickAny leases a replica for a request that is not for model engines.
 func (d *Directory) PickAny(service string, wanted Wanted) *Lease {
-	rating := loadScore{zone: d.zone, distance: 0.2, typicalLatency: d.typicalLatency(service), draw: d.draw, connected: d.connected}
+	rating := loadScore{zone: d.zone, distance: 0.2, typicalLatency: d.typicalLatency(service), random: d.random, connected: d.connected}
 	return d.pick(service, wanted, anyReplica, rating)
 }
 
-// PickGenerator leases a decode replica, near a zone, for a prompt that has been prefilled.
-func (d *Directory) PickGenerator(service string, wanted Wanted, zone string) *Lease {
-	return d.pick(service, wanted, ofStage(region.StageDecode), loadScore{zone: zone, distance: 0.05, draw: d.draw})
+// PickDecode leases a decode replica, near a zone, for a prompt that has been prefilled.
+func (d *Directory) PickDecode(service string, wanted Wanted, zone string) *Lease {
+	return d.pick(service, wanted, ofStage(region.StageDecode), loadScore{zone: zone, distance: 0.05, random: d.random})
 }
 
 // PickWithCapacity leases a replica with capacity for a stream that must move away from an excluded one in
@@ -305,12 +305,12 @@
 	defer d.mutex.Unlock()
 	now := d.clock()
 	candidates := slices.DeleteFunc(d.candidates(service, wanted, ofStage(region.StageDecode), now), func(r *Replica) bool {
-		return r.avoided(now) || r.refuses(now) || r.occupancy(now) > moveLimit
+		return r.avoided(now) || r.refuses(now) || r.occupancy(now) > maximumMoveOccupancy
 	})
 	if len(candidates) == 0 {
 		return nil
 	}
-	return d.leaseLowest(service, candidates, loadScore{zone: zone, distance: 0.05, draw: d.draw}, now)
+	return d.leaseLowest(service, candidates, loadScore{zone: zone, distance: 0.05, random: d.random}, now)
 }
 
 func anyReplica(*Replica) bool { return true }
--- a/internal/relay/placement.go
+++ b/internal/relay/placement.go
@@ -18,16 +18,16 @@
 	crossZoneShare = 0.01
 )
 
-// PlaceReading leases the replica that is to prefill a prompt: a prefill replica, or the decode replica
+// PlacePrefill leases the replica that is to prefill a prompt: a prefill replica, or the decode replica
 // that also generates the answer. A prompt that no replica is expected to prefill within its objective
 // becomes a late one. It returns an error if no replica has capacity.
-func (d *Directory) PlaceReading(service string, request ReadRequest) (*Lease, error) {
+func (d *Directory) PlacePrefill(service string, request ReadRequest) (*Lease, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := d.clock()
 	d.costModel(service).Expect(request.Prompt.Tokens, request.Objective)
 	all := d.replicasByStage(service, request, now)
-	d.rankedOf(service).observe(now, all.prefill)
+	d.rankMeterOf(service).observe(now, all.prefill)
 	d.recordArrival(service, request, now)
 	if len(all.decode) == 0 {
 		return nil, errNoReplica
@@ -45,10 +45,10 @@
 	}
 	if best.Outcome == crossing.AtCapacity {
 		// A refused prompt counts as demand, too.
-		d.noteRead(service, best.times(request, 0))
-		return nil, newNoCapacityError(request, &best.readEstimate)
+		d.notePrefill(service, best.times(request, 0))
+		return nil, newNoCapacityError(request, &best.prefillEstimate)
 	}
-	decision.lease = d.leasePrefill(best.readEstimate, request, best.urgency(), all.count())
+	decision.lease = d.leasePrefill(best.prefillEstimate, request, best.urgency(), all.count())
 	d.logCrossRegion(decision, now)
 	return decision.lease, nil
 }
@@ -56,7 +56,7 @@
 // prefillOffer is the best estimate for a prompt, inside or outside a region.
 type prefillOffer struct {
 	crossing.Offer
-	readEstimate
+	prefillEstimate
 }
 
 // urgency returns the class in which the prompt would be prefilled.
@@ -78,10 +78,10 @@
 	}
 	best = d.bestEstimate(among.prefill, among.decode, request, Late, sources, now)
 	offered := prefillOffer{crossing.Offer{Outcome: crossing.Late, ServiceTime: best.total()}, best}
-	if d.acceptsLate(&best, request, now) || d.off[mechanism.EarlyRefusal] {
+	if d.acceptsLate(&best, request, now) || d.disabled[mechanism.EarlyRefusal] {
 		return offered
 	}
-	if d.promotesLate(service, request, &inTime.readEstimate) {
+	if d.promotesLate(service, request, &inTime.prefillEstimate) {
 		return inTime
 	}
 	offered.Outcome = crossing.AtCapacity
@@ -92,7 +92,7 @@
 // caller is expected to give up, although on-time prompts arrive meanwhile (or at once, on an idle prefill
 // replica), and less than lateShare of its slots may be taken, so that on-time prompts find capacity. The
 // caller must hold d.mutex.
-func (d *Directory) acceptsLate(e *readEstimate, request ReadRequest, now time.Duration) bool {
+func (d *Directory) acceptsLate(e *prefillEstimate, request ReadRequest, now time.Duration) bool {
 	taken := float64(e.replica.totalInFlight(now))
 	inLate := d.lateTotal(e) < request.lateLeft() || (e.total() < request.lateLeft() && d.mayBeginLate(e, now))
 	return inLate && taken < lateShare*float64(max(e.replica.Slots, 1))
@@ -100,19 +100,19 @@
 
 // newNoCapacityError returns the refusal of a prompt for which no replica has capacity. The caller should
 // retry when the best replica will have completed the prefills before it.
-func newNoCapacityError(request ReadRequest, best *readEstimate) error {
-	return &noRoomError{
-		until: min(max(best.wait, refusedRetryAfter), request.Left/retryDivisor),
-		busy:  best.busy / slowness(best.replica),
+func newNoCapacityError(request ReadRequest, best *prefillEstimate) error {
+	return &noCapacityError{
+		until: min(max(best.wait, defaultRetryAfter), request.Left/retryDivisor),
+		busy:  best.busy / prefillSlowdown(best.replica),
 	}
 }
 
-// noRoomError is the refusal of a prompt; until is after how long there should be capacity, and busy how
+// noCapacityError is the refusal of a prompt; until is after how long there should be capacity, and busy how
 // long the prefill would have taken on a prefill replica.
-type noRoomError struct{ until, busy time.Duration }
+type noCapacityError struct{ until, busy time.Duration }
 
 // Error implements error.
-func (*noRoomError) Error() string { return "no replica has room for the prompt" }
+func (*noCapacityError) Error() string { return "no replica has room for the prompt" }
 
 var errNoReplica = failure.New(failure.NoBackEnd, "no replica of the service is left to try")
 
@@ -126,18 +126,18 @@
 
 // bestEstimate compares a prefill on a prefill replica with one on the decode replica that generates the
 // answer. The caller must hold d.mutex.
-func (d *Directory) bestEstimate(prefillReplicas, decodeReplicas []*Replica, request ReadRequest, urgency Urgency, sources []prefixSource, now time.Duration) readEstimate {
+func (d *Directory) bestEstimate(prefillReplicas, decodeReplicas []*Replica, request ReadRequest, urgency Urgency, sources []prefixSource, now time.Duration) prefillEstimate {
 	direct, harmless := d.bestDecodeReplica(decodeReplicas, request, urgency, sources, now)
-	if len(prefillReplicas) == 0 || d.off[mechanism.ReadingApart] {
+	if len(prefillReplicas) == 0 || d.disabled[mechanism.ReadingApart] {
 		return direct
 	}
 	separate := d.bestPrefillReplica(prefillReplicas, request, urgency, sources, now)
 	service := decodeReplicas[0].Service
-	handover := d.costModel(service).Overhead() + d.handoverTimes[service].typical()
+	handover := d.costModel(service).Overhead() + d.handoverTimes[service].average()
 	short := direct.busy <= time.Duration(directGapShare*float64(request.TargetGap))
 	directTime := direct.total() + interferenceWeight*direct.busy + d.typicalOverrun(service, region.StageDecode)
 	separateTime := separate.total() + handover + d.typicalOverrun(service, region.StagePrefill)
-	if short && harmless && directTime <= separateTime && !d.off[mechanism.DirectReading] {
+	if short && harmless && directTime <= separateTime && !d.disabled[mechanism.DirectReading] {
 		return direct
 	}
 	return separate
@@ -146,8 +146,8 @@
 // bestDecodeReplica returns the decode replica that is expected to complete the prefill of a prompt first,
 // and whether the inter-token gaps of its streams stay within bounds meanwhile. The caller must hold
 // d.mutex.
-func (d *Directory) bestDecodeReplica(decodeReplicas []*Replica, request ReadRequest, urgency Urgency, sources []prefixSource, now time.Duration) (readEstimate, bool) {
-	var best readEstimate
+func (d *Directory) bestDecodeReplica(decodeReplicas []*Replica, request ReadRequest, urgency Urgency, sources []prefixSource, now time.Duration) (prefillEstimate, bool) {
+	var best prefillEstimate
 	var bestScore time.Duration
 	for index, replica := range decodeReplicas {
 		estimated := d.estimatePrefill(replica, request, urgency, sources, now)
@@ -176,11 +176,11 @@
 )
 
 // leasePrefill leases a replica for the prefill of a prompt. The caller must hold d.mutex.
-func (d *Directory) leasePrefill(estimated readEstimate, request ReadRequest, urgency Urgency, candidates int) *Lease {
+func (d *Directory) leasePrefill(estimated prefillEstimate, request ReadRequest, urgency Urgency, candidates int) *Lease {
 	choice := estimated.replica.choice(d.clock(), candidates)
 	lease := d.lease(estimated.replica)
 	lease.Choice = choice
-	lease.readPrompt(request, estimated, urgency)
+	lease.startPrefill(request, estimated, urgency)
 	return lease
 }
 
@@ -204,7 +204,7 @@
 			best = remote
 		}
 	}
-	decision.lease = d.leasePrefill(best.readEstimate, request, best.urgency(), len(decodeReplicas))
+	decision.lease = d.leasePrefill(best.prefillEstimate, request, best.urgency(), len(decodeReplicas))
 	d.logCrossRegion(decision, now)
 	return decision.lease
 }
@@ -225,8 +225,8 @@
 
 // inTime reports whether a prompt is expected to be answered within its objective. The caller must hold
 // d.mutex.
-func (d *Directory) inTime(service string, request ReadRequest, estimated *readEstimate) bool {
-	needed := estimated.total() + d.costModel(service).Overhead() + d.handoverTimes[service].typical()
+func (d *Directory) inTime(service string, request ReadRequest, estimated *prefillEstimate) bool {
+	needed := estimated.total() + d.costModel(service).Overhead() + d.handoverTimes[service].average()
 	return needed <= time.Duration(inTimeShare*float64(request.AimLeft))
 }
 
@@ -234,26 +234,26 @@
 // prompt first. The preferred replicas of the prompt's shared prefix get a bonus for the part of it that
 // they do not have cached, so that prompts with one prefix from all gateways of a region meet there. The
 // caller must hold d.mutex.
-func (d *Directory) bestPrefillReplica(candidates []*Replica, request ReadRequest, urgency Urgency, sources []prefixSource, now time.Duration) readEstimate {
+func (d *Directory) bestPrefillReplica(candidates []*Replica, request ReadRequest, urgency Urgency, sources []prefixSource, now time.Duration) prefillEstimate {
 	preferred := d.preferredReplicas(candidates[0].Service, region.StagePrefill, request.Prompt, now)
 	var best, unlimited ratedEstimate
 	for _, replica := range candidates {
 		estimated := d.estimatePrefill(replica, request, urgency, sources, now)
 		rated := ratedEstimate{estimated, d.prefillScore(&estimated, request, slices.Contains(preferred, replica), now)}
 		best = best.better(rated)
-		if !replica.limit.named {
+		if !replica.limit.declared {
 			unlimited = unlimited.better(rated)
 		}
 	}
-	if best.replica.limit.named && unlimited.replica != nil && d.sparesLimitedReplica(request, &best.readEstimate, &unlimited.readEstimate) {
-		return unlimited.readEstimate
+	if best.replica.limit.declared && unlimited.replica != nil && d.sparesLimitedReplica(request, &best.prefillEstimate, &unlimited.prefillEstimate) {
+		return unlimited.prefillEstimate
 	}
-	return best.readEstimate
+	return best.prefillEstimate
 }
 
 // ratedEstimate is an estimate with its score; it is empty if it has no replica.
 type ratedEstimate struct {
-	readEstimate
+	prefillEstimate
 	score time.Duration
 }
 
@@ -268,13 +268,13 @@
 // sparesLimitedReplica reports whether a prompt should leave the capacity of a replica with a rate limit to
 // others. Limits count requests, so that capacity is best used for prompts with the longest prefill. The
 // caller must hold d.mutex.
-func (d *Directory) sparesLimitedReplica(request ReadRequest, limited, unlimited *readEstimate) bool {
+func (d *Directory) sparesLimitedReplica(request ReadRequest, limited, unlimited *prefillEstimate) bool {
 	service := unlimited.replica.Service
-	return limited.busy < d.rankedOf(service).typical() && d.inTime(service, request, unlimited)
+	return limited.busy < d.rankMeterOf(service).typical() && d.inTime(service, request, unlimited)
 }
 
 // prefillScore scores an estimate; the lowest score is the best. The caller must hold d.mutex.
-func (d *Directory) prefillScore(estimated *readEstimate, request ReadRequest, isPreferred bool, now time.Duration) time.Duration {
+func (d *Directory) prefillScore(estimated *prefillEstimate, request ReadRequest, isPreferred bool, now time.Duration) time.Duration {
 	score := estimated.total()
 	if shared := estimated.missing - request.Prompt.unsharedTokens(); isPreferred && shared > 0 {
 		score -= time.Duration(preferredCacheShare * float64(estimated.busy) * float64(shared) / float64(estimated.missing))
@@ -286,7 +286,7 @@
 	if estimated.replica.refuses(now) {
 		score += time.Duration(refusalShare * float64(request.Objective))
 	}
-	return score + time.Duration(d.draw()*float64(scoreJitter))
+	return score + time.Duration(d.random()*float64(scoreJitter))
 }
 
 // refusalShare is the penalty for a replica that is expected to refuse, as a share of the objective: it is
--- a/internal/relay/placement_benchmark_test.go
+++ b/internal/relay/placement_benchmark_test.go
@@ -22,13 +22,13 @@
 				}
 				replicas = append(replicas, replica(fmt.Sprint("r", number), stage))
 			}
-			d := newTaught(replicas...)
+			d := newDirectoryWithKnownCosts(replicas...)
 			shared := relay.PromptPart{ID: "shared", Tokens: 6000}
 			request := readRequest(prompt(shared, relay.PromptPart{ID: "own", Tokens: 3000}))
 			request.Left = time.Minute
 			b.ReportAllocs()
 			for b.Loop() {
-				lease, err := d.PlaceReading("s", request)
+				lease, err := d.PlacePrefill("s", request)
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/relay/placer.go
+++ b/internal/relay/placer.go
@@ -33,13 +33,13 @@
 	maximumCoordinatorTimeout = 100 * time.Millisecond
 )
 
-// Reading leases the replica that is to prefill a prompt, as Directory.PlaceReading does.
+// Reading leases the replica that is to prefill a prompt, as Directory.PlacePrefill does.
 func (p *Placer) Reading(ctx context.Context, service string, request ReadRequest) (*Lease, error) {
 	lease, err := p.ask(ctx, region.PlaceRead, service, request, "", region.StagePrefill, region.StageDecode)
 	if lease != nil || err != nil {
 		return lease, err
 	}
-	return p.Directory.PlaceReading(service, request)
+	return p.Directory.PlacePrefill(service, request)
 }
 
 // Direct leases a decode replica that is to prefill a prompt itself, or returns nil.
@@ -55,7 +55,7 @@
 	if lease, _ := p.ask(ctx, region.PlaceGenerate, service, request, zone, region.StageDecode); lease != nil {
 		return lease
 	}
-	return p.Directory.PickGenerator(service, request.wanted(), zone)
+	return p.Directory.PickDecode(service, request.wanted(), zone)
 }
 
 // Room leases a replica with capacity for a stream that must move away from another, nil if there is none.
@@ -76,14 +76,14 @@
 		// A coordinator is not told which replicas have a rate limit.
 		return nil, nil
 	}
-	question := p.question(kind, service, request, near)
+	question := p.query(kind, service, request, near)
 	answer, by, err := p.Remote.Ask(ctx, question, coordinatorTimeout(request))
 	if err != nil {
 		return nil, nil
 	}
 	if answer.Outcome == region.PlacementNoRoom {
-		full := &noRoomError{until: micros(answer.UntilMicros), busy: micros(answer.BusyMicros)}
-		p.Directory.recordRefused(service, refusedTimes(request, full.busy))
+		full := &noCapacityError{until: micros(answer.UntilMicros), busy: micros(answer.BusyMicros)}
+		p.Directory.recordRefused(service, rejectedTimes(request, full.busy))
 		return nil, full
 	}
 	lease := p.Directory.takeGrant(&grant{id: question.Lease, by: by, tell: p.Remote.Tell}, answer, request, stages...)
@@ -98,9 +98,9 @@
 	return min(time.Duration(coordinatorTimeoutShare*float64(request.Objective)), maximumCoordinatorTimeout)
 }
 
-// question creates the placement query for a request. It excludes the replicas that were tried, those that
+// query creates the placement query for a request. It excludes the replicas that were tried, those that
 // this gateway can't reach, and those that have asked it to back off.
-func (p *Placer) question(kind region.PlacementKind, service string, request ReadRequest, near string) *region.PlacementQuestion {
+func (p *Placer) query(kind region.PlacementKind, service string, request ReadRequest, near string) *region.PlacementQuestion {
 	asked := &region.PlacementQuestion{
 		Kind:            kind,
 		Service:         service,
@@ -113,7 +113,7 @@
 		GapMicros:       request.TargetGap.Microseconds(),
 		AimLeftMicros:   request.AimLeft.Microseconds(),
 		LeftMicros:      request.Left.Microseconds(),
-		Excluded:        append(p.Directory.Unreachable(), p.Directory.restingHere()...),
+		Excluded:        append(p.Directory.Unreachable(), p.Directory.inBackoffHere()...),
 	}
 	for _, replica := range request.Excluded {
 		asked.Excluded = append(asked.Excluded, replica.name)
--- a/internal/relay/prompt.go
+++ b/internal/relay/prompt.go
@@ -28,7 +28,7 @@
 // placeModelCall leases a decode replica and, if that is better, has another replica prefill the
 // prompt first. A prompt is prefilled separately at most once, and not if a stream is continued.
 // An error means that the request may not be sent to another replica.
-func (r *run) placeModelCall(ctx context.Context) (*Lease, *promptHandle, error) {
+func (r *callState) placeModelCall(ctx context.Context) (*Lease, *promptHandle, error) {
 	service := r.call.Service.Name
 	if r.prefills > 0 || r.stream != nil {
 		lease, err := r.permittedDirect(ctx)
@@ -45,8 +45,8 @@
 }
 
 // placeSeparatePrefill has a replica prefill the prompt, and leases a decode replica.
-func (r *run) placeSeparatePrefill(ctx context.Context, prefillLease *Lease) (*Lease, *promptHandle, error) {
-	reserved, err := r.reserveGenerator(ctx, prefillLease)
+func (r *callState) placeSeparatePrefill(ctx context.Context, prefillLease *Lease) (*Lease, *promptHandle, error) {
+	reserved, err := r.reserveDecodeReplica(ctx, prefillLease)
 	if err != nil {
 		prefillLease.Release()
 		return nil, nil, err
@@ -68,7 +68,7 @@
 }
 
 // retryPlacement places the call again after its prefill request has reached no replica.
-func (r *run) retryPlacement(ctx context.Context, lease *Lease) (*Lease, *promptHandle, error) {
+func (r *callState) retryPlacement(ctx context.Context, lease *Lease) (*Lease, *promptHandle, error) {
 	r.tried = append(r.tried, lease.Replica)
 	r.unsentPrefills++
 	if r.tooManyUnsent() {
@@ -78,7 +78,7 @@
 }
 
 // readRequest describes the prompt and the time that is left to prefill it.
-func (r *run) readRequest() ReadRequest {
+func (r *callState) readRequest() ReadRequest {
 	objective := r.call.objective()
 	return ReadRequest{
 		Prompt:    r.call.Prompt,
@@ -87,7 +87,7 @@
 		AimLeft:   time.Until(r.call.Arrived.Add(objective)),
 		Left:      r.timeLeft(),
 		Rank:      rankOf(r.call.Route.Priority),
-		Tenant:    tenantOf(r.call.Tenant),
+		Tenant:    tenantHash(r.call.Tenant),
 		Zone:      r.directory.zone,
 		Excluded:  r.excluded(),
 		Unlimited: r.onlyUnlimitedReplicas(),
@@ -95,7 +95,7 @@
 }
 
 // excluded returns the replicas that the request was sent to and those without capacity for it.
-func (r *run) excluded() []*Replica {
+func (r *callState) excluded() []*Replica {
 	if len(r.denied) == 0 {
 		return r.tried
 	}
@@ -104,19 +104,19 @@
 
 // onlyUnlimitedReplicas reports whether so many replicas had no capacity that no further replica with
 // a limit is considered.
-func (r *run) onlyUnlimitedReplicas() bool { return len(r.denied) >= maximumDenials }
+func (r *callState) onlyUnlimitedReplicas() bool { return len(r.denied) >= maximumDenials }
 
 // runPrefill has the prompt prefilled. It returns a nil handle if that failed, and errPrefillUnsent if
 // the request reached no replica. If a prefill replica received the request and did not prefill the
 // prompt, the next send is a retry, which the retry budget has to allow. A slow prefill replica is
 // therefore abandoned only if the budget allows it.
-func (r *run) runPrefill(ctx context.Context, lease *Lease) (*promptHandle, error) {
+func (r *callState) runPrefill(ctx context.Context, lease *Lease) (*promptHandle, error) {
 	r.prefills++
 	service := r.call.Service.Name
 	defer lease.Release()
 	startedAt := time.Now()
-	placedPrompt := *lease.reading
-	backoffBefore, leavingBefore := lease.RestLeft(), lease.saysLeaving()
+	placedPrompt := *lease.prefill
+	backoffBefore, leavingBefore := lease.BackoffLeft(), lease.saysLeaving()
 	prefillCtx, abandon := context.WithCancelCause(ctx)
 	defer abandon(nil)
 	var budgetTaken atomic.Bool
@@ -133,7 +133,7 @@
 		"distance", r.directory.distanceTo(lease.Replica).String(), "tokens", r.call.Prompt.Tokens, "missing", placedPrompt.missing, "prefix", r.call.Prompt.sharedPart(),
 		"fetch", lease.FetchFrom(), "late", placedPrompt.urgency == Late, "wait_ms", placedPrompt.wait.Milliseconds(),
 		"busy_ms", placedPrompt.busy.Milliseconds(), "took_ms", time.Since(startedAt).Milliseconds(),
-		"pace", int(r.directory.pace(service)), "after_ms", time.Since(r.call.Arrived).Milliseconds(), "limit", lease.Limit(),
+		"pace", int(r.directory.prefillRate(service)), "after_ms", time.Since(r.call.Arrived).Milliseconds(), "limit", lease.Limit(),
 		"rest_ms", backoffBefore.Milliseconds(), "leaving", leavingBefore, "error", failure.Text(err))
 	if err == nil {
 		r.metrics.recordPrefill(prefillDone, time.Since(startedAt))
@@ -165,7 +165,7 @@
 
 // stallTimeout returns how long a replica may be known to have prefilled nothing before the prompt is
 // withdrawn from it. A prompt that is already late stays where it is.
-func (r *run) stallTimeout(placedPrompt *placedReading) time.Duration {
+func (r *callState) stallTimeout(placedPrompt *placedPrefill) time.Duration {
 	if placedPrompt.urgency == Late {
 		return r.timeLeft()
 	}
@@ -177,11 +177,11 @@
 
 var errSlowPrefill = failure.New(failure.DeadlineExceeded, "the prompt was not read in time")
 
-func (r *run) sendPrefill(ctx context.Context, lease *Lease) (*promptHandle, error) {
+func (r *callState) sendPrefill(ctx context.Context, lease *Lease) (*promptHandle, error) {
 	fetch := lease.FetchFrom()
 	r.metrics.countTransfer(transferPrefill, r.directory.distanceTo(lease.Replica))
 	r.countFetch(lease)
-	response, err := r.client.Do(ctx, r.request(lease.Replica, Send{ReadOnly: true, Fetch: fetch, Ranked: true, Rank: lease.Rank(r.call.Route)}))
+	response, err := r.client.Do(ctx, r.request(lease.Replica, Send{PrefillOnly: true, Fetch: fetch, Ranked: true, Rank: lease.Rank(r.call.Route)}))
 	if err == nil || upstream.HandedOver(err) {
 		lease.permitUsed()
 	}
@@ -195,7 +195,7 @@
 		return nil, err
 	}
 	defer response.Close()
-	recordLimit(lease, response.Status, r.dialect.ReadMarks(response.Header))
+	recordLimit(lease, response.Status, r.dialect.ReadResponseMetadata(response.Header))
 	body, err := response.ReadAll()
 	if err != nil {
 		lease.Unreachable(true)
@@ -217,12 +217,12 @@
 	return &promptHandle{id: id, replica: lease.Replica}, nil
 }
 
-func (r *run) recordPrefillRejection(lease *Lease, response *upstream.Exchange) {
+func (r *callState) recordPrefillRejection(lease *Lease, response *upstream.Exchange) {
 	switch {
 	case response.Status == http.StatusMisdirectedRequest && lease.Replica.Stage == region.StagePrefill:
 		lease.Misdirected()
 	default:
-		lease.Refused(lease.RestLeft())
+		lease.Refused(lease.BackoffLeft())
 	}
 }
 
@@ -238,7 +238,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), freeTimeout)
 	defer cancel()
 	method, path := r.dialect.FreeHandle(handle.id)
-	r.countUnasked(handle.replica)
+	r.countWithoutPermit(handle.replica)
 	response, err := r.client.Do(ctx, &upstream.Request{
 		Address:  handle.replica.Address,
 		Instance: handle.replica.name,
--- a/internal/relay/question.go
+++ b/internal/relay/question.go
@@ -14,11 +14,11 @@
 	var err error
 	switch question.Kind {
 	case region.PlaceRead:
-		lease, err = d.PlaceReading(question.Service, request)
+		lease, err = d.PlacePrefill(question.Service, request)
 	case region.PlaceDirect:
 		lease = d.PlaceDirect(question.Service, request)
 	case region.PlaceGenerate:
-		lease = d.PickGenerator(question.Service, request.wanted(), question.Near)
+		lease = d.PickDecode(question.Service, request.wanted(), question.Near)
 	case region.PlaceRoom:
 		lease = d.PickWithCapacity(question.Service, request.wanted(), question.Near)
 	}
@@ -26,7 +26,7 @@
 	if lease != nil {
 		answer = lease.Describe()
 	}
-	if full := (*noRoomError)(nil); errors.As(err, &full) {
+	if full := (*noCapacityError)(nil); errors.As(err, &full) {
 		answer.Outcome = region.PlacementNoRoom
 		answer.UntilMicros = full.until.Microseconds()
 		answer.BusyMicros = full.busy.Microseconds()
@@ -52,14 +52,14 @@
 }
 
 const (
-	// longestTold bounds times in queries.
-	longestTold = time.Hour
+	// maximumReportedTime bounds times in queries.
+	maximumReportedTime = time.Hour
 	// maximumTokens bounds token counts in queries. It is more than any engine's cache holds.
 	maximumTokens = 1 << 26
 )
 
 func boundedMicros(count int64) time.Duration {
-	return micros(min(max(count, 0), longestTold.Microseconds()))
+	return micros(min(max(count, 0), maximumReportedTime.Microseconds()))
 }
 
 // PromptOf returns the prompt of a query.
@@ -74,8 +74,8 @@
 func boundedTokens(reported int) int { return min(max(reported, 0), maximumTokens) }
 
 // recordRefused counts a refused prompt as demand.
-func (d *Directory) recordRefused(service string, refused readTimes) {
+func (d *Directory) recordRefused(service string, refused prefillTimes) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.noteRead(service, refused)
+	d.notePrefill(service, refused)
 }
