--- a/internal/relay/ratelimit.go
+++ b/internal/relay/ratelimit.go
@@ -11,8 +11,8 @@
 
 // RateLimit is what a replica's response says of its rate limit.
 type RateLimit struct {
-	// Named is set if the response declares a limit, and Unreadable if it declares one that can't be parsed.
-	Named, Unreadable bool
+	// Declared is set if the response declares a limit, and Unreadable if it declares one that can't be parsed.
+	Declared, Unreadable bool
 	// Rate is the requests a second that the replica accepts from all gateways together.
 	Rate float64
 }
@@ -20,13 +20,13 @@
 // ReplicaLimits enforces the limits that replicas declare, across all gateways.
 type ReplicaLimits struct {
 	// Ask requests a permit to send a request to a replica.
-	Ask func(ctx context.Context, asked LimitQuestion) Permit
+	Ask func(ctx context.Context, asked PermitRequest) Permit
 	// Count counts a message that was sent to an incarnation of a replica without a permit.
 	Count func(life string)
 }
 
-// LimitQuestion asks for a permit to send a request to a replica that declares a limit.
-type LimitQuestion struct {
+// PermitRequest asks for a permit to send a request to a replica that declares a limit.
+type PermitRequest struct {
 	Request string
 	// Life is the replica's incarnation, by Life.Name, and Rate the limit that it declares.
 	Life string
@@ -35,15 +35,15 @@
 	Rank int
 }
 
-// Permit is the answer to a LimitQuestion.
+// Permit is the answer to a PermitRequest.
 type Permit struct {
 	Granted bool
 	// Wait is the expected time until the replica has capacity, if the permit is not granted.
 	Wait time.Duration
 	// By names the process that decided.
 	By string
-	// GiveBack returns an unused permit: the request was not sent, and is not counted.
-	GiveBack func()
+	// Return returns an unused permit: the request was not sent, and is not counted.
+	Return func()
 }
 
 const (
@@ -56,11 +56,11 @@
 	noLimit = -1.0
 )
 
-// namedLimit is the limit that a replica declares, as this process knows it, and the ranks that were denied
+// declaredLimit is the limit that a replica declares, as this process knows it, and the ranks that were denied
 // under it. It is guarded by the Directory's mutex.
-type namedLimit struct {
-	named bool
-	rate  float64
+type declaredLimit struct {
+	declared bool
+	rate     float64
 	// deniedUntil is, by rank, the time until which requests are denied.
 	deniedUntil [LastRank]time.Duration
 	// nextLogAt is when the next line may be logged, and omitted the number of lines skipped since the last.
@@ -70,8 +70,8 @@
 
 // denied reports whether requests of a rank are denied now: a denial of one rank also applies to all lower
 // priorities, which have higher rank numbers.
-func (l *namedLimit) denied(rank int, now time.Duration) bool {
-	if !l.named {
+func (l *declaredLimit) denied(rank int, now time.Duration) bool {
+	if !l.declared {
 		return false
 	}
 	for each := 0; each <= rank; each++ {
@@ -90,7 +90,7 @@
 // was not run is ignored: a rejection may come from a component that does not declare limits.
 func (l *Lease) NoteLimit(limit RateLimit, ran bool) {
 	d := l.directory
-	if !limit.Unreadable && !limit.Named && (!ran || d.limited.Load() == 0) {
+	if !limit.Unreadable && !limit.Declared && (!ran || d.limited.Load() == 0) {
 		return
 	}
 	report, says := d.noteLimit(l.Replica, limit)
@@ -107,35 +107,35 @@
 		d.logLimit(replica, event.LimitUnreadable)
 		return report, false
 	}
-	if !limit.Named && !replica.limit.named {
+	if !limit.Declared && !replica.limit.declared {
 		return report, false
 	}
-	report = ratelimit.Report{Replica: replica.name, Declared: limit.Named, Rate: limit.Rate}
-	d.takeLimit(report, d.clock())
+	report = ratelimit.Report{Replica: replica.name, Declared: limit.Declared, Rate: limit.Rate}
+	d.mergeLimit(report, d.clock())
 	return report, true
 }
 
-// TakeLimits merges the limit reports of another process.
-func (d *Directory) TakeLimits(reports []ratelimit.Report) {
+// MergeLimits merges the limit reports of another process.
+func (d *Directory) MergeLimits(reports []ratelimit.Report) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := d.clock()
 	for _, report := range reports {
-		d.takeLimit(report, now)
+		d.mergeLimit(report, now)
 	}
 }
 
-// takeLimit merges a limit report. A changed limit lifts all denials. The caller must hold d.mutex.
-func (d *Directory) takeLimit(report ratelimit.Report, now time.Duration) {
+// mergeLimit merges a limit report. A changed limit lifts all denials. The caller must hold d.mutex.
+func (d *Directory) mergeLimit(report ratelimit.Report, now time.Duration) {
 	replica, listed := d.replicas[report.Replica]
 	if !listed || !d.limits.Merge(now, report) {
 		return
 	}
 	known := &replica.limit
-	if known.named != report.Declared {
+	if known.declared != report.Declared {
 		d.countLimited(report.Declared)
 	}
-	known.named, known.rate = report.Declared, report.Rate
+	known.declared, known.rate = report.Declared, report.Rate
 	known.deniedUntil = [LastRank]time.Duration{}
 	d.logLimit(replica, event.LimitNamed)
 }
@@ -147,7 +147,7 @@
 		known.omitted++
 		return
 	}
-	d.logger.Info(what, "replica", replica.ID, "named", known.named, "rate", known.rate, "omitted", known.omitted)
+	d.logger.Info(what, "replica", replica.ID, "named", known.declared, "rate", known.rate, "omitted", known.omitted)
 	known.nextLogAt, known.omitted = now+limitLogInterval, 0
 }
 
@@ -163,8 +163,8 @@
 // LimitedCount is the number of replicas that declare a limit, as this process knows it.
 func (d *Directory) LimitedCount() int { return int(d.limited.Load()) }
 
-// LimitNames is ratelimit.Table.ReplicasHash of what this process knows, 0 if no replica declares a limit.
-func (d *Directory) LimitNames() uint64 {
+// LimitedReplicasHash is ratelimit.Table.ReplicasHash of what this process knows, 0 if no replica declares a limit.
+func (d *Directory) LimitedReplicasHash() uint64 {
 	if d.limited.Load() == 0 {
 		return 0
 	}
@@ -180,18 +180,18 @@
 	return d.limits.Dropped
 }
 
-// LimitWords returns limit reports of all that this process knows.
-func (d *Directory) LimitWords() []ratelimit.Report {
+// LimitReports returns limit reports of all that this process knows.
+func (d *Directory) LimitReports() []ratelimit.Report {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.limits.Reports(d.clock())
 }
 
-// Denied records that a replica has no capacity for requests of a rank for a time.
-func (d *Directory) Denied(life string, rank int, wait time.Duration) {
+// NoteDenial records that a replica has no capacity for requests of a rank for a time.
+func (d *Directory) NoteDenial(life string, rank int, wait time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if replica, listed := d.replicas[life]; listed && replica.limit.named {
+	if replica, listed := d.replicas[life]; listed && replica.limit.declared {
 		replica.limit.deniedUntil[rankOf(rank)] = d.clock() + max(wait, minDenialTime)
 	}
 }
@@ -213,7 +213,7 @@
 	}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return replica.limit.named
+	return replica.limit.declared
 }
 
 // decodeReplicasLimited reports whether the service has decode replicas and each of them declares a limit.
@@ -225,7 +225,7 @@
 	defer d.mutex.Unlock()
 	limited := false
 	for _, replica := range d.candidates(service, Wanted{}, ofStage(region.StageDecode), d.clock()) {
-		if !replica.limit.named {
+		if !replica.limit.declared {
 			return false
 		}
 		limited = true
@@ -246,7 +246,7 @@
 	rate, earliest := 0.0, time.Duration(-1)
 	for _, replica := range d.services[service] {
 		limit := &replica.limit
-		if !limit.named || replica.ends() || replica.gone || replica.Stage == region.StagePrefill {
+		if !limit.declared || replica.isLeavingForGood() || replica.removed || replica.Stage == region.StagePrefill {
 			continue
 		}
 		rate += limit.rate
@@ -257,18 +257,18 @@
 	if earliest < 0 {
 		return 0
 	}
-	pace := longestReturn
+	pace := maximumRetryAfter
 	if rate > 0 {
-		pace = time.Duration(min(float64(d.choosers())/rate, longestReturn.Seconds()) * float64(time.Second))
+		pace = time.Duration(min(float64(d.placerCount())/rate, maximumRetryAfter.Seconds()) * float64(time.Second))
 	}
-	return d.callBack(service, now+max(earliest, minDenialTime), pace, now+longestReturn) - now
+	return d.scheduleRetry(service, now+max(earliest, minDenialTime), pace, now+maximumRetryAfter) - now
 }
 
-// longestReturn bounds the Retry-After of a caller that is rejected because of replicas' limits.
-const longestReturn = ratelimit.Window
+// maximumRetryAfter bounds the Retry-After of a caller that is rejected because of replicas' limits.
+const maximumRetryAfter = ratelimit.Window
 
 // denialLeft is the time until requests of a rank are no longer denied.
-func (l *namedLimit) denialLeft(rank int, now time.Duration) time.Duration {
+func (l *declaredLimit) denialLeft(rank int, now time.Duration) time.Duration {
 	var until time.Duration
 	for each := 0; each <= rank; each++ {
 		until = max(until, l.deniedUntil[each])
--- a/internal/relay/reading.go
+++ b/internal/relay/reading.go
@@ -43,11 +43,11 @@
 	urgencyCount
 )
 
-// readingWork is the prefill work of a replica as a duration, by urgency.
-type readingWork [urgencyCount]time.Duration
+// prefillWork is the prefill work of a replica as a duration, by urgency.
+type prefillWork [urgencyCount]time.Duration
 
 // before returns the work that is done before a prompt of an urgency.
-func (w readingWork) before(urgency Urgency) time.Duration {
+func (w prefillWork) before(urgency Urgency) time.Duration {
 	var sum time.Duration
 	for class := InTime; class <= urgency; class++ {
 		sum += w[class]
@@ -55,12 +55,12 @@
 	return sum
 }
 
-// readEstimate is the expected time until a replica has completed the prefill of a prompt.
-type readEstimate struct {
+// prefillEstimate is the expected time until a replica has completed the prefill of a prompt.
+type prefillEstimate struct {
 	replica *Replica
 	// wait is for the prompts before it, move for the transfer of a fetched prefix, and busy for the
 	// replica's own work on it.
-	wait, move, busy time.Duration
+	wait, transfer, busy time.Duration
 	// crossRegion is the delay of crossing to another region.
 	crossRegion time.Duration
 	// from is the replica to fetch a prefix from, nil if there is none.
@@ -70,16 +70,16 @@
 }
 
 // total returns the time until the prefill is complete and the gateway knows that it is.
-func (e *readEstimate) total() time.Duration { return e.reading() + e.crossRegion }
+func (e *prefillEstimate) total() time.Duration { return e.prefillTime() + e.crossRegion }
 
-// reading returns the time until the replica has completed the prefill.
-func (e *readEstimate) reading() time.Duration { return e.wait + e.move + e.busy }
+// prefillWork returns the time until the replica has completed the prefill.
+func (e *prefillEstimate) prefillTime() time.Duration { return e.wait + e.transfer + e.busy }
 
 // estimatePrefill estimates how long a replica takes to prefill a prompt of an urgency. The caller must
 // hold d.mutex.
-func (d *Directory) estimatePrefill(replica *Replica, request ReadRequest, urgency Urgency, sources []prefixSource, now time.Duration) readEstimate {
+func (d *Directory) estimatePrefill(replica *Replica, request ReadRequest, urgency Urgency, sources []prefixSource, now time.Duration) prefillEstimate {
 	missing := d.missing(replica, request.Prompt)
-	estimated := readEstimate{
+	estimated := prefillEstimate{
 		replica:     replica,
 		wait:        d.queueingTime(replica, urgency, request, now),
 		busy:        d.prefillTime(replica, request, missing),
@@ -94,8 +94,8 @@
 		left := request.Prompt.Tokens - source.cached
 		busy := d.prefillTime(replica, request, left)
 		move := d.transferTime(source.replica, replica, source.cached-own, estimated.busy-busy)
-		if busy+move < estimated.busy+estimated.move {
-			estimated.busy, estimated.move, estimated.from, estimated.missing = busy, move, source.replica, left
+		if busy+move < estimated.busy+estimated.transfer {
+			estimated.busy, estimated.transfer, estimated.from, estimated.missing = busy, move, source.replica, left
 		}
 	}
 	return estimated
@@ -104,7 +104,7 @@
 // missing returns the tokens of a prompt that a replica is expected to prefill. The caller must hold
 // d.mutex.
 func (d *Directory) missing(replica *Replica, prompt *Prompt) int {
-	if d.off[mechanism.PrefixAffinity] {
+	if d.disabled[mechanism.PrefixAffinity] {
 		return prompt.Tokens
 	}
 	return replica.prefixes.uncachedTokens(prompt)
@@ -119,7 +119,7 @@
 // prefixSources returns, for each zone, the replica with the longest cached prefix of a prompt that can be
 // fetched. The caller must hold d.mutex.
 func (d *Directory) prefixSources(service string, prompt *Prompt, now time.Duration) []prefixSource {
-	if d.off[mechanism.Fetching] {
+	if d.disabled[mechanism.Fetching] {
 		return nil
 	}
 	var best []prefixSource
--- a/internal/relay/reading_test.go
+++ b/internal/relay/reading_test.go
@@ -18,8 +18,8 @@
 
 const pace = 40_000
 
-// newTaught returns a directory that has learned its engines' prefill rate.
-func newTaught(replicas ...region.Replica) *directory {
+// newDirectoryWithKnownCosts returns a directory that has learned its engines' prefill rate.
+func newDirectoryWithKnownCosts(replicas ...region.Replica) *directory {
 	d := newDirectory(replicas...)
 	d.learnPrefillRate(pace)
 	return d
@@ -36,66 +36,66 @@
 }
 
 func TestPromptBeyondObjectiveBecomesLate(t *testing.T) {
-	d := newTaught(replica("r", region.StagePrefill), replica("g", region.StageDecode))
-	inTime := d.read(ownPrompt(20_000))
+	d := newDirectoryWithKnownCosts(replica("r", region.StagePrefill), replica("g", region.StageDecode))
+	inTime := d.placePrefill(ownPrompt(20_000))
 	assert.Zero(t, inTime.Rank(&traffic.Route{}))
-	late := d.read(ownPrompt(20_001))
+	late := d.placePrefill(ownPrompt(20_001))
 	assert.Equal(t, relay.LastRank, late.Rank(&traffic.Route{}), "0.5 s of prefill behind another 0.5 s, with an objective of 1 s")
-	next := d.read(ownPrompt(4000))
+	next := d.placePrefill(ownPrompt(4000))
 	assert.Zero(t, next.Rank(&traffic.Route{}), "late prompts are prefilled after all others")
 	inTime.Release()
 	late.Release()
 	next.Release()
-	again := d.read(ownPrompt(20_002))
+	again := d.placePrefill(ownPrompt(20_002))
 	assert.Zero(t, again.Rank(&traffic.Route{}))
-	assert.Equal(t, 3, d.read(ownPrompt(10)).Rank(&traffic.Route{Priority: 3}))
+	assert.Equal(t, 3, d.placePrefill(ownPrompt(10)).Rank(&traffic.Route{Priority: 3}))
 }
 
 // A prefill replica completes what it has started: an on-time prompt that arrives behind a late one waits
 // for it.
 func TestOnTimePromptAvoidsReplicaWithStartedLatePrefill(t *testing.T) {
-	d := newTaught(replica("a", region.StagePrefill), replica("b", region.StagePrefill), replica("g", region.StageDecode))
-	late := d.read(ownPrompt(80_000))
+	d := newDirectoryWithKnownCosts(replica("a", region.StagePrefill), replica("b", region.StagePrefill), replica("g", region.StageDecode))
+	late := d.placePrefill(ownPrompt(80_000))
 	require.Equal(t, relay.LastRank, late.Rank(&traffic.Route{}), "2 s of prefill, with an objective of 1 s")
 	for number := range 8 {
-		short := d.read(prompt(relay.PromptPart{ID: fmt.Sprint("short-", number), Tokens: 400}))
+		short := d.placePrefill(prompt(relay.PromptPart{ID: fmt.Sprint("short-", number), Tokens: 400}))
 		assert.NotEqual(t, late.Replica, short.Replica)
 		short.Release()
 	}
 	late.Release()
 
 	d.TakeOutstanding("peer", []region.OutstandingWork{{Replica: "a", Requests: 1, LateMicros: 2_000_000}}, true)
-	assert.Equal(t, "b", d.read(ownPrompt(500)).Replica.ID, "a peer has reported a late prompt")
+	assert.Equal(t, "b", d.placePrefill(ownPrompt(500)).Replica.ID, "a peer has reported a late prompt")
 }
 
 func TestLatePromptIsRefusedWithoutCapacity(t *testing.T) {
 	request := readRequest(ownPrompt(20_000))
 	t.Run("the caller will have given up", func(t *testing.T) {
-		d := newTaught(replica("r", region.StagePrefill), replica("g", region.StageDecode))
+		d := newDirectoryWithKnownCosts(replica("r", region.StagePrefill), replica("g", region.StageDecode))
 		d.reportPeerWork("r", 12*time.Second)
-		_, err := d.PlaceReading("s", request)
+		_, err := d.PlacePrefill("s", request)
 		require.Error(t, err)
 		assert.Equal(t, failure.RanNo, failure.AnswerFor(failure.Wrap(err, failure.BackEndRefused)).Ran)
 	})
 	t.Run("half of the slots are in use", func(t *testing.T) {
-		d := newTaught(replica("r", region.StagePrefill), replica("g", region.StageDecode))
+		d := newDirectoryWithKnownCosts(replica("r", region.StagePrefill), replica("g", region.StageDecode))
 		d.reportPeerWork("r", 2*time.Second)
-		_, err := d.PlaceReading("s", request)
+		_, err := d.PlacePrefill("s", request)
 		require.NoError(t, err, "1 of 4 slots is in use")
-		_, err = d.PlaceReading("s", request)
+		_, err = d.PlacePrefill("s", request)
 		assert.Error(t, err)
 	})
 }
 
 func TestEngineCostsAreSharedWithPeers(t *testing.T) {
-	taught := newTaught(replica("r", region.StagePrefill), replica("g", region.StageDecode))
+	taught := newDirectoryWithKnownCosts(replica("r", region.StagePrefill), replica("g", region.StageDecode))
 	costs := taught.Costs()
 	require.Len(t, costs, 1)
 	d := newDirectory(replica("r", region.StagePrefill), replica("g", region.StageDecode))
 	assert.Empty(t, d.Costs())
 	d.TakeCosts(append(costs, region.EngineCost{Service: "unknown", Samples: 5, Token: 1}))
 	late := readRequest(ownPrompt(2 * pace))
-	lease, err := d.PlaceReading("s", late)
+	lease, err := d.PlacePrefill("s", late)
 	require.NoError(t, err)
 	assert.Equal(t, relay.LastRank, lease.Rank(&traffic.Route{}), "2 s of prefill, with an objective of 1 s")
 	assert.Empty(t, d.Costs(), "costs from peers are not reported again")
@@ -107,22 +107,22 @@
 		asked++
 		request := readRequest(prompt(relay.PromptPart{ID: fmt.Sprintf("short-%d", asked), Tokens: tokens}))
 		request.TargetGap = gap
-		lease, err := d.PlaceReading("s", request)
+		lease, err := d.PlacePrefill("s", request)
 		require.NoError(t, err)
 		defer lease.Release()
 		return lease.Replica.ID
 	}
-	d := newTaught(replica("r", region.StagePrefill), replica("g", region.StageDecode))
+	d := newDirectoryWithKnownCosts(replica("r", region.StagePrefill), replica("g", region.StageDecode))
 	d.reportPeerWork("r", 300*time.Millisecond)
 	assert.Equal(t, "g", placedOn(d, 200, 150*time.Millisecond), "the prefill replica is busy")
 	assert.Equal(t, "r", placedOn(d, 200, 10*time.Millisecond), "the prefill would exceed the inter-token gap")
 
 	assert.Equal(t, "r", placedOn(d, 2000, 150*time.Millisecond), "the prompt is too long")
 
-	stream := d.PickGenerator("s", relay.Wanted{}, "z")
+	stream := d.PickDecode("s", relay.Wanted{}, "z")
 	stream.StreamBegun("route", false)
 	d.now += 140 * time.Millisecond
-	stream.StreamWentOn()
+	stream.StreamContinued()
 	d.reportPeerWork("r", 300*time.Millisecond)
 	assert.Equal(t, "r", placedOn(d, 200, 150*time.Millisecond), "its streams already have long gaps")
 	d.now += 5 * time.Second
@@ -139,13 +139,13 @@
 		request := readRequest(ownPrompt(200))
 		request.TargetGap = 150 * time.Millisecond
 		d.reportPeerWork("r", 300*time.Millisecond)
-		lease, err := d.PlaceReading("s", request)
+		lease, err := d.PlacePrefill("s", request)
 		require.NoError(t, err)
 		return lease
 	}
 	for _, off := range []bool{false, true} {
-		d := newTaught(replica("r", region.StagePrefill), replica("g", region.StageDecode))
-		d.SwitchOff(mechanism.Set{mechanism.Excess: off})
+		d := newDirectoryWithKnownCosts(replica("r", region.StagePrefill), replica("g", region.StageDecode))
+		d.Disable(mechanism.Set{mechanism.Excess: off})
 		slow := place(d)
 		require.Equal(t, "g", slow.Replica.ID)
 		d.now += 800 * time.Millisecond
@@ -166,11 +166,11 @@
 		{1e12, "b:1"},
 		{1e8, ""},
 	} {
-		d := newTaught(replica("g", region.StageDecode), replica("a", region.StagePrefill), replica("b", region.StagePrefill))
+		d := newDirectoryWithKnownCosts(replica("g", region.StageDecode), replica("a", region.StagePrefill), replica("b", region.StagePrefill))
 		d.SetEngine("s", traffic.Engine{TokenBytes: 1000, LinkBitsPerSecond: test.link})
 		d.LearnKept(region.Life{ID: "b"}, []relay.PromptPart{shared})
 		d.reportPeerWork("b", 900*time.Millisecond)
-		lease := d.read(prompt(shared, relay.PromptPart{ID: "own", Tokens: 100}))
+		lease := d.placePrefill(prompt(shared, relay.PromptPart{ID: "own", Tokens: 100}))
 		require.Equal(t, "a", lease.Replica.ID)
 		if test.fetch != "" {
 			assert.Equal(t, test.fetch, lease.FetchFrom())
@@ -182,7 +182,7 @@
 	d := newDirectory(replica("a", region.StageDecode), replica("b", region.StageDecode), replica("c", region.StageDecode))
 	counts := map[string]int{}
 	for taken := 1; taken <= 6; taken++ {
-		counts[d.PickGenerator("s", relay.Wanted{}, "z").Replica.ID]++
+		counts[d.PickDecode("s", relay.Wanted{}, "z").Replica.ID]++
 		if taken%3 == 0 {
 			assert.Equal(t, map[string]int{"a": taken / 3, "b": taken / 3, "c": taken / 3}, counts)
 		}
@@ -196,7 +196,7 @@
 	// Ten streams per second, each for two seconds.
 	for step := range 100 {
 		d.now = time.Duration(step) * 100 * time.Millisecond
-		lease := d.PickGenerator("s", relay.Wanted{}, "z")
+		lease := d.PickDecode("s", relay.Wanted{}, "z")
 		lease.StreamBegun("long", false)
 		running = append(running, lease)
 		if len(running) > 20 {
@@ -222,7 +222,7 @@
 func TestNoPrefillRateIsLearnedWhileCacheIsUnknown(t *testing.T) {
 	d := newDirectory(replica("r", region.StagePrefill), replica("g", region.StageDecode))
 	prefill := func(id string) {
-		lease := d.read(prompt(relay.PromptPart{ID: "shared-" + id, Tokens: 8000}, relay.PromptPart{ID: "own-" + id, Tokens: 400}))
+		lease := d.placePrefill(prompt(relay.PromptPart{ID: "shared-" + id, Tokens: 8000}, relay.PromptPart{ID: "own-" + id, Tokens: 400}))
 		d.now += 10 * time.Millisecond
 		lease.PromptRead()
 		lease.Release()
--- a/internal/relay/refusal.go
+++ b/internal/relay/refusal.go
@@ -10,35 +10,35 @@
 	"github.com/pierhaven/pierhaven/internal/region"
 )
 
-// refusals tracks the requests that a replica has rejected, and when it can take requests again. It is
+// rejections tracks the requests that a replica has rejected, and when it can take requests again. It is
 // guarded by the Directory's mutex.
-type refusals struct {
-	// inRow counts the rejections that came while the replica was not full, since it last ran a request
+type rejections struct {
+	// consecutive counts the rejections that came while the replica was not full, since it last ran a request
 	// successfully. The first one came at firstRejectedAt, the last one at lastRejectedAt.
-	inRow                           int
+	consecutive                     int
 	firstRejectedAt, lastRejectedAt time.Duration
 	// avoidUntil is the time until which the replica is expected to reject requests.
 	avoidUntil time.Duration
-	// restUntil is the end of the backoff that the replica has requested from this process, or from one
+	// backoffUntil is the end of the backoff that the replica has requested from this process, or from one
 	// that this process places requests for.
-	restUntil time.Duration
-	ramp      ramp
+	backoffUntil time.Duration
+	ramp         slowStart
 }
 
-// ramp is a slow start: it bounds the requests of a process at a replica that has rejected one although
+// slowStart is a slow start: it bounds the requests of a process at a replica that has rejected one although
 // it was not full. The bound begins at one and grows by one with each request that succeeds.
-type ramp struct {
+type slowStart struct {
 	// limit is the bound, 0 for none.
 	limit int
 	// startedAt is the time at which the ramp began.
 	startedAt time.Duration
 }
 
-func (r *ramp) begin(now time.Duration) { r.limit, r.startedAt = 1, now }
+func (r *slowStart) begin(now time.Duration) { r.limit, r.startedAt = 1, now }
 
-// tookWell records the success of a request that began at the given time. The bound ends once it
+// recordSuccess records the success of a request that began at the given time. The bound ends once it
 // exceeds the number of slots.
-func (r *ramp) tookWell(requestStart time.Duration, slots int) {
+func (r *slowStart) recordSuccess(requestStart time.Duration, slots int) {
 	if r.limit == 0 || requestStart < r.startedAt {
 		return
 	}
@@ -47,8 +47,8 @@
 	}
 }
 
-// takes reports whether one more request may be sent beside those in flight.
-func (r *ramp) takes(inFlight int) bool { return r.limit == 0 || inFlight < r.limit }
+// allows reports whether one more request may be sent beside those in flight.
+func (r *slowStart) allows(inFlight int) bool { return r.limit == 0 || inFlight < r.limit }
 
 const (
 	// minimumAvoidance is the least time for which a replica is avoided after it has rejected a request.
@@ -69,64 +69,64 @@
 )
 
 // extendAvoidance has the replica avoided at least until the given time.
-func (r *refusals) extendAvoidance(until time.Duration) { r.avoidUntil = max(r.avoidUntil, until) }
+func (r *rejections) extendAvoidance(until time.Duration) { r.avoidUntil = max(r.avoidUntil, until) }
 
-// tookWell records that the lease's replica has run the request successfully. The caller must hold
+// recordSuccess records that the lease's replica has run the request successfully. The caller must hold
 // l.directory.mutex.
-func (l *Lease) tookWell(now time.Duration) {
+func (l *Lease) recordSuccess(now time.Duration) {
 	slots := max(l.Replica.Slots, 1)
-	l.Replica.room.tookWell(now, slots, l.beside)
-	l.Replica.refusals.ramp.tookWell(l.begun, slots)
-	if l.begun > l.Replica.refusals.lastRejectedAt {
-		l.Replica.refusals.inRow = 0
+	l.Replica.learnedLimit.accepted(now, slots, l.concurrent)
+	l.Replica.rejections.ramp.recordSuccess(l.startedAt, slots)
+	if l.startedAt > l.Replica.rejections.lastRejectedAt {
+		l.Replica.rejections.consecutive = 0
 	}
 }
 
-// noteRefusal records that a lease's replica has rejected the request and requested a backoff, 0 for
+// recordRejection records that a lease's replica has rejected the request and requested a backoff, 0 for
 // none. The caller must hold d.mutex.
-func (d *Directory) noteRefusal(lease *Lease, requestedBackoff time.Duration) {
+func (d *Directory) recordRejection(lease *Lease, requestedBackoff time.Duration) {
 	now, replica := d.clock(), lease.Replica
-	state := &replica.refusals
+	state := &replica.rejections
 	state.extendAvoidance(now + minimumAvoidance)
-	if requestedBackoff > 0 && !d.off[mechanism.LearnedRoom] {
-		d.noteFull(replica, now, lease.begun, requestedBackoff)
+	if requestedBackoff > 0 && !d.disabled[mechanism.LearnedRoom] {
+		d.updateLearnedLimit(replica, now, lease.startedAt, requestedBackoff)
 	}
-	if d.isFull(replica, now) || d.off[mechanism.RefusalBackoff] {
+	if d.isFull(replica, now) || d.disabled[mechanism.RefusalBackoff] {
 		// Another process may find a free slot there immediately.
 		return
 	}
-	if state.inRow == 0 {
+	if state.consecutive == 0 {
 		state.firstRejectedAt = now
 	}
-	state.inRow++
+	state.consecutive++
 	state.lastRejectedAt = now
 	state.ramp.begin(now)
-	backoff := min(max(requestedBackoff, minimumAvoidance)<<min(state.inRow-1, 8), max(requestedBackoff, maximumBackoff))
+	backoff := min(max(requestedBackoff, minimumAvoidance)<<min(state.consecutive-1, 8), max(requestedBackoff, maximumBackoff))
 	state.extendAvoidance(now + d.withJitter(backoff))
-	if until := now + min(backoff, maximumSharedBackoff); (requestedBackoff > 0 || state.inRow > 1) && until > state.restUntil && !d.off[mechanism.RestHints] {
-		state.restUntil = until
-		d.restRevision++
+	if until := now + min(backoff, maximumSharedBackoff); (requestedBackoff > 0 || state.consecutive > 1) && until > state.backoffUntil && !d.disabled[mechanism.RestHints] {
+		state.backoffUntil = until
+		d.backoffRevision++
 	}
 }
 
-// refusesAll reports whether a replica has rejected all requests for as long as another one takes to
+// rejectsAll reports whether a replica has rejected all requests for as long as another one takes to
 // change its stage, so that another one should replace it. The caller must hold d.mutex.
-func (d *Directory) refusesAll(replica *Replica, now time.Duration) bool {
-	state := &replica.refusals
-	return state.inRow > 1 && replica.refuses(now) && now-state.firstRejectedAt >= d.engines[replica.Service].SwitchTime
+func (d *Directory) rejectsAll(replica *Replica, now time.Duration) bool {
+	state := &replica.rejections
+	return state.consecutive > 1 && replica.refuses(now) && now-state.firstRejectedAt >= d.engines[replica.Service].SwitchTime
 }
 
 // withJitter returns the delay extended by a random jitter.
 func (d *Directory) withJitter(delay time.Duration) time.Duration {
 	jitter := min(jitterShare*float64(delay), float64(maximumJitter))
-	return delay + time.Duration(d.draw()*jitter)
+	return delay + time.Duration(d.random()*jitter)
 }
 
-// RestRevision returns a number that grows with each backoff added to the list of Resting.
-func (d *Directory) RestRevision() uint64 {
+// BackoffRevision returns a number that grows with each backoff added to the list of Resting.
+func (d *Directory) BackoffRevision() uint64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.restRevision
+	return d.backoffRevision
 }
 
 // Resting lists the replicas that have requested a backoff from this process, or from one that this
@@ -134,13 +134,13 @@
 func (d *Directory) Resting() []region.RestingReplica {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if d.restRevision == 0 {
+	if d.backoffRevision == 0 {
 		return nil
 	}
 	var reported []region.RestingReplica
 	now := d.clock()
 	for name, replica := range d.replicas {
-		if left := replica.refusals.restUntil - now; left > 0 {
+		if left := replica.rejections.backoffUntil - now; left > 0 {
 			reported = append(reported, region.RestingReplica{Replica: name, LeftMillis: int(left.Milliseconds())})
 		}
 	}
@@ -150,15 +150,15 @@
 	return reported[:min(len(reported), maximumReportedBackoffs)]
 }
 
-// TakeResting records the replicas that have requested a backoff from another process.
-func (d *Directory) TakeResting(reported []region.RestingReplica) {
+// ApplyBackoffs records the replicas that have requested a backoff from another process.
+func (d *Directory) ApplyBackoffs(reported []region.RestingReplica) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := d.clock()
 	for _, each := range reported {
 		if replica, known := d.replicas[each.Replica]; known {
 			left := time.Duration(min(max(each.LeftMillis, 0), int(maximumSharedBackoff.Milliseconds()))) * time.Millisecond
-			replica.refusals.extendAvoidance(now + d.withJitter(left))
+			replica.rejections.extendAvoidance(now + d.withJitter(left))
 		}
 	}
 }
--- a/internal/relay/replica.go
+++ b/internal/relay/replica.go
@@ -15,8 +15,8 @@
 	name string
 	// inFlight is the number of this gateway's requests there, and reading their prefill work that is not
 	// yet complete.
-	inFlight int
-	reading  readingWork
+	inFlight    int
+	prefillWork prefillWork
 	// ranked is the InTime part of reading, by the rank of the route.
 	ranked [LastRank]time.Duration
 	// latePrefills is the number of prompts in the Late part of reading.
@@ -28,7 +28,7 @@
 	// generating is the number of this gateway's streams there that have begun.
 	generating int
 	// tokenGap tracks the longest recent time between two events of the replica's streams.
-	tokenGap peakMeter
+	tokenGap decayingPeak
 	// peers is the work that other gateways have placed there.
 	peers  map[string]peerWork
 	load   Load
@@ -38,21 +38,21 @@
 	avoidUntil time.Duration
 	// unconnected says that the last failure was a failure to connect.
 	unconnected bool
-	refusals    refusals
-	// room is the learned limit of its service and stage.
-	room  *room
-	limit namedLimit
+	rejections  rejections
+	// learnedLimit is the learned limit of its service and stage.
+	learnedLimit *learnedLimit
+	limit        declaredLimit
 	// leavingSince is when other processes were first known to have learned that it is leaving, by the
 	// gate's clock.
 	leavingSince time.Duration
-	// endSeen says that a process with the replica's name has ended: what other processes have learned may
+	// processEnded says that a process with the replica's name has ended: what other processes have learned may
 	// be about that one.
-	endSeen bool
-	// asks is what the replica asks of this process, nil if nothing.
-	asks      *backpressure.PeerState
+	processEnded bool
+	// peerState is what the replica asks of this process, nil if nothing.
+	peerState *backpressure.PeerState
 	latency   float64
 	errorRate float64
-	gone      bool
+	removed   bool
 	// streams are those of this gateway that run there.
 	streams  map[*Lease]struct{}
 	prefixes *prefixCache
@@ -64,7 +64,7 @@
 // peerWork is what another gateway has reported of its work at a replica.
 type peerWork struct {
 	requests int
-	reading  readingWork
+	reading  prefillWork
 	at       time.Duration
 }
 
@@ -83,9 +83,9 @@
 	return sum
 }
 
-// allReading returns the replica's remaining prefill work for all gateways, as each last reported it.
-func (r *Replica) allReading(now time.Duration) readingWork {
-	sum := r.reading
+// totalPrefillWork returns the replica's remaining prefill work for all gateways, as each last reported it.
+func (r *Replica) totalPrefillWork(now time.Duration) prefillWork {
+	sum := r.prefillWork
 	for _, work := range r.peers {
 		if now-work.at >= peerReportLifetime {
 			continue
@@ -100,21 +100,21 @@
 // queueingTime returns the prefill work that a replica does before a prompt of an urgency. The caller must
 // hold d.mutex.
 func (d *Directory) queueingTime(replica *Replica, urgency Urgency, request ReadRequest, now time.Duration) time.Duration {
-	reading := replica.allReading(now)
+	reading := replica.totalPrefillWork(now)
 	if urgency == Late {
 		return reading.before(Late)
 	}
 	if reading[InTime] <= 0 {
 		return replica.startedLateWork(now)
 	}
-	return d.aheadOf(replica, request, now)
+	return d.waitBefore(replica, request, now)
 }
 
 // startedLateWork returns the late prefill that a replica without on-time prompts is assumed to be
 // processing: once started, a prefill runs to completion, whatever arrives. Peers do not report the number
 // of their late prompts, which count as one.
 func (r *Replica) startedLateWork(now time.Duration) time.Duration {
-	begun := r.reading[Late] / time.Duration(max(r.latePrefills, 1))
+	begun := r.prefillWork[Late] / time.Duration(max(r.latePrefills, 1))
 	for _, work := range r.peers {
 		if now-work.at < peerReportLifetime {
 			begun = max(begun, work.reading[Late])
@@ -139,7 +139,7 @@
 
 // refuses reports whether a replica is expected to refuse another request of this process.
 func (r *Replica) refuses(now time.Duration) bool {
-	return now < r.refusals.avoidUntil || !r.refusals.ramp.takes(r.inFlight)
+	return now < r.rejections.avoidUntil || !r.rejections.ramp.allows(r.inFlight)
 }
 
 // unreachable records that the replica could not be connected to, or did not answer.
@@ -186,16 +186,16 @@
 	return max(placed, reported*(1-age.Seconds()/loadReportLifetime.Seconds()))
 }
 
-// leaves reports whether the replica takes no new work, permanently or until it has another stage. The
+// isLeaving reports whether the replica takes no new work, permanently or until it has another stage. The
 // caller must hold Directory.mutex.
-func (r *Replica) leaves() bool { return r.ends() || r.Stage == region.StageChanging }
+func (r *Replica) isLeaving() bool { return r.isLeavingForGood() || r.Stage == region.StageChanging }
 
-// ends reports whether the replica takes no new work until its incarnation ends, according to the list or
+// isLeavingForGood reports whether the replica takes no new work until its incarnation ends, according to the list or
 // its own answers. The caller must hold Directory.mutex.
-func (r *Replica) ends() bool { return r.Leaves() || r.saysLeaving() }
+func (r *Replica) isLeavingForGood() bool { return r.Leaves() || r.saysLeaving() }
 
-// tellStreams notifies the streams on the replica that it is leaving. The caller must hold Directory.mutex.
-func (r *Replica) tellStreams() {
+// notifyStreams notifies the streams on the replica that it is leaving. The caller must hold Directory.mutex.
+func (r *Replica) notifyStreams() {
 	for lease := range r.streams {
 		close(lease.leaving)
 		delete(r.streams, lease)
--- a/internal/relay/rest_load_test.go
+++ b/internal/relay/rest_load_test.go
@@ -53,7 +53,7 @@
 	now      time.Duration
 	gateways []*relay.Directory
 	gates    []*backpressure.Gate
-	budgets  []*relay.Budgets
+	budgets  []*relay.RetryBudgets
 	// limits treats a requested backoff as a declared limit; nil if it is not treated so.
 	limits   *backoffLimits
 	replicas map[string]*shedder
@@ -89,13 +89,13 @@
 	for range gateways {
 		gate := backpressure.NewGate(backpressure.Options{Clock: clock, Logger: logr.Discard()})
 		directory := relay.NewDirectory(clock, "z", func(string, string) {}, logr.Discard())
-		directory.DrawFrom(r.random.Float64)
-		directory.CountChoosers(func() int { return gateways })
-		directory.SwitchOff(off)
-		directory.Heed(gate)
+		directory.SetRandom(r.random.Float64)
+		directory.SetPlacerCount(func() int { return gateways })
+		directory.Disable(off)
+		directory.UseGate(gate)
 		directory.Replace(list)
 		r.gateways, r.gates = append(r.gateways, directory), append(r.gates, gate)
-		r.budgets = append(r.budgets, relay.NewBudgets(clock, relay.BudgetTerms{Ratio: 0.2, Window: 10 * time.Second, Slack: 54}, gateways))
+		r.budgets = append(r.budgets, relay.NewRetryBudgets(clock, relay.RetryBudgetOptions{Ratio: 0.2, Window: 10 * time.Second, Slack: 54}, gateways))
 	}
 	return r
 }
@@ -156,11 +156,11 @@
 		}
 		gate.Observe(backpressure.Peer{Address: lease.Replica.Address, Instance: lease.Replica.ID}, http.StatusServiceUnavailable,
 			http.Header{"Retry-After": {strconv.FormatFloat(r.replicas[lease.Replica.ID].backoff.Seconds(), 'f', -1, 64)}})
-		lease.Refused(lease.RestLeft())
+		lease.Refused(lease.BackoffLeft())
 		lease.Release()
 	}
 	left := request.first + r.deadline - r.now
-	wait := directory.RestsReturn("s", 0)
+	wait := directory.BackoffRetryAfter("s", 0)
 	if wait == 0 {
 		wait = 150 * time.Millisecond
 	}
@@ -223,7 +223,7 @@
 		for step := range min(reportedPeers, len(r.gateways)-1) {
 			each := r.gateways[(from+step+1)%len(r.gateways)]
 			each.TakeOutstanding(fmt.Sprint(from), work, true)
-			each.TakeResting(resting)
+			each.ApplyBackoffs(resting)
 		}
 	}
 }
@@ -423,7 +423,7 @@
 	r.seed = seed
 	r.gate = backpressure.NewGate(backpressure.Options{Clock: func() time.Duration { return r.now + time.Second }, Logger: logr.Discard()})
 	if honors {
-		r.Heed(r.gate)
+		r.UseGate(r.gate)
 	}
 	r.place = r.placeOrReject
 	return r
@@ -431,7 +431,7 @@
 
 func (r *backoffReplay) placeOrReject(request relay.ReadRequest) (*relay.Lease, error) {
 	for range 4 {
-		lease, err := r.PlaceReading("s", request)
+		lease, err := r.PlacePrefill("s", request)
 		if err != nil {
 			return nil, err
 		}
@@ -448,7 +448,7 @@
 		r.backoffEnds[id] = r.now + r.backoff
 		header := http.Header{"Retry-After": {strconv.FormatFloat(r.backoff.Seconds(), 'f', -1, 64)}}
 		r.gate.Observe(backpressure.Peer{Address: lease.Replica.Address, Instance: id}, http.StatusServiceUnavailable, header)
-		lease.Refused(lease.RestLeft())
+		lease.Refused(lease.BackoffLeft())
 		lease.Release()
 		request.Excluded = append(request.Excluded, lease.Replica)
 	}
--- a/internal/relay/rest_test.go
+++ b/internal/relay/rest_test.go
@@ -23,7 +23,7 @@
 func rejecting(backoff time.Duration) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		writer.Header().Set("Retry-After", strconv.FormatFloat(backoff.Seconds(), 'f', -1, 64))
-		refusing(writer, request)
+		rejectRequest(writer, request)
 	}
 }
 
@@ -31,56 +31,56 @@
 const longBackoff = 10 * time.Minute
 
 // A gateway kept sending to a replica that had requested a backoff: the replica was empty, and so looked idle.
-func TestAReplicaThatAsksForRestGetsNothingUntilItIsOver(t *testing.T) {
+func TestReplicaInBackoffReceivesNothing(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		stage string
 		call  func(number int) *relay.Call
 	}{
-		{"plain", "", func(int) *relay.Call { return callOf(traffic.KindOnce, 1) }},
+		{"plain", "", func(int) *relay.Call { return newCall(traffic.KindOnce, 1) }},
 		{"reader", region.StagePrefill, modelCallOf},
 		{"generator", region.StageDecode, modelCallOf},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			w := newWorld(t)
-			w.add("resting", test.stage, rejecting(longBackoff))
-			w.add("reader", region.StagePrefill, sealed(http.StatusOK, "handle"))
-			w.add("generator", region.StageDecode, events(1, 3, false))
+			w := newTestEnvironment(t)
+			w.addReplica("resting", test.stage, rejecting(longBackoff))
+			w.addReplica("reader", region.StagePrefill, respondSealed(http.StatusOK, "handle"))
+			w.addReplica("generator", region.StageDecode, streamEvents(1, 3, false))
 			if test.stage == "" {
-				w.add("free", "", sealed(http.StatusOK, "ok"))
+				w.addReplica("free", "", respondSealed(http.StatusOK, "ok"))
 			}
 			serve := func(first, count int) {
 				for number := range count {
-					answer := w.run(test.call(first + number))
+					answer := w.runCall(test.call(first + number))
 					require.True(t, answer.ended, "%v", answer.err)
-					w.skip(100 * time.Millisecond)
+					w.advanceClock(100 * time.Millisecond)
 				}
 			}
-			for w.visits("resting") == 0 {
+			for w.requestCount("resting") == 0 {
 				serve(1, 1)
 			}
 			serve(1000, 100)
-			assert.Equal(t, 1, w.visits("resting"), "the request that it rejected")
-			w.skip(longBackoff)
+			assert.Equal(t, 1, w.requestCount("resting"), "the request that it rejected")
+			w.advanceClock(longBackoff)
 			serve(2000, 20)
-			assert.Equal(t, 2, w.visits("resting"), "one request finds that it still rejects")
+			assert.Equal(t, 2, w.requestCount("resting"), "one request finds that it still rejects")
 		})
 	}
 }
 
 // A backoff is honored even if no other replica is left for the request.
-func TestARequestThatAllReplicasRestForIsRefusedAtOnce(t *testing.T) {
-	w := newWorld(t)
-	w.add("a", "", rejecting(longBackoff))
-	w.add("b", "", rejecting(longBackoff))
+func TestRequestIsRejectedAtOnceWhileAllReplicasAreInBackoff(t *testing.T) {
+	w := newTestEnvironment(t)
+	w.addReplica("a", "", rejecting(longBackoff))
+	w.addReplica("b", "", rejecting(longBackoff))
 	for range 10 {
-		answer := w.run(callOf(traffic.KindRepeatable, 4))
+		answer := w.runCall(newCall(traffic.KindRepeatable, 4))
 		require.Error(t, answer.err)
 		assert.Equal(t, failure.RanNo, failure.AnswerFor(answer.err).Ran)
-		w.skip(100 * time.Millisecond)
+		w.advanceClock(100 * time.Millisecond)
 	}
-	assert.LessOrEqual(t, w.visits("a"), 1)
-	assert.LessOrEqual(t, w.visits("b"), 1)
+	assert.LessOrEqual(t, w.requestCount("a"), 1)
+	assert.LessOrEqual(t, w.requestCount("b"), 1)
 }
 
 // leavingAnswer makes a replica say with each response that it is leaving.
@@ -98,43 +98,43 @@
 		answer      http.HandlerFunc
 		call        func(number int) *relay.Call
 	}{
-		{"plain", "", sealed(http.StatusOK, "ok"), func(int) *relay.Call { return callOf(traffic.KindOnce, 1) }},
-		{"reader", region.StagePrefill, sealed(http.StatusOK, "handle"), modelCallOf},
-		{"generator", region.StageDecode, events(1, 3, false), modelCallOf},
+		{"plain", "", respondSealed(http.StatusOK, "ok"), func(int) *relay.Call { return newCall(traffic.KindOnce, 1) }},
+		{"reader", region.StagePrefill, respondSealed(http.StatusOK, "handle"), modelCallOf},
+		{"generator", region.StageDecode, streamEvents(1, 3, false), modelCallOf},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			w := newWorld(t)
-			w.add("leaving", test.stage, leavingAnswer(test.answer))
-			w.add("reader", region.StagePrefill, sealed(http.StatusOK, "handle"))
-			w.add("generator", region.StageDecode, events(1, 3, false))
+			w := newTestEnvironment(t)
+			w.addReplica("leaving", test.stage, leavingAnswer(test.answer))
+			w.addReplica("reader", region.StagePrefill, respondSealed(http.StatusOK, "handle"))
+			w.addReplica("generator", region.StageDecode, streamEvents(1, 3, false))
 			if test.stage == "" {
-				w.add("free", "", sealed(http.StatusOK, "ok"))
+				w.addReplica("free", "", respondSealed(http.StatusOK, "ok"))
 			}
-			for number := 0; w.visits("leaving") == 0; number++ {
-				require.True(t, w.run(test.call(number)).ended)
+			for number := 0; w.requestCount("leaving") == 0; number++ {
+				require.True(t, w.runCall(test.call(number)).ended)
 			}
 			for number := range 100 {
-				require.True(t, w.run(test.call(1000+number)).ended)
-				w.skip(100 * time.Millisecond)
+				require.True(t, w.runCall(test.call(1000+number)).ended)
+				w.advanceClock(100 * time.Millisecond)
 				// The platform's list still shows it as ready.
-				w.directory.Replace(w.replicas)
+				w.directory.Replace(w.replicaList)
 			}
-			assert.Equal(t, 1, w.visits("leaving"))
+			assert.Equal(t, 1, w.requestCount("leaving"))
 		})
 	}
 }
 
-func modelCallOf(number int) *relay.Call { return modelCall(20_000, fmt.Sprint("own-", number)) }
+func modelCallOf(number int) *relay.Call { return newModelCall(20_000, fmt.Sprint("own-", number)) }
 
 // A coordinator chooses by what other gateways experienced. Its query excludes the replicas in backoff here, and the
 // gateway chooses again if the coordinator's choice is one of them.
 func TestCoordinatorsChoiceInBackoffIsReplaced(t *testing.T) {
-	w := newWorld(t)
-	w.add("resting", region.StagePrefill, rejecting(longBackoff))
-	w.add("reader", region.StagePrefill, sealed(http.StatusOK, "handle"))
-	w.add("generator", region.StageDecode, events(1, 3, false))
+	w := newTestEnvironment(t)
+	w.addReplica("resting", region.StagePrefill, rejecting(longBackoff))
+	w.addReplica("reader", region.StagePrefill, respondSealed(http.StatusOK, "handle"))
+	w.addReplica("generator", region.StageDecode, streamEvents(1, 3, false))
 	asked, excluded, released := 0, 0, 0
-	w.runner.AskPlacements(&relay.RemotePlacement{
+	w.runner.SetRemotePlacement(&relay.RemotePlacement{
 		Ask: func(_ context.Context, question *region.PlacementQuestion, _ time.Duration) (*region.PlacementAnswer, string, error) {
 			answer := &region.PlacementAnswer{Lease: question.Lease, Outcome: region.PlacementGranted, Replica: "generator"}
 			if question.Kind == region.PlaceRead {
@@ -153,9 +153,9 @@
 		},
 	})
 	for number := range 10 {
-		require.True(t, w.run(modelCallOf(number)).ended)
+		require.True(t, w.runCall(modelCallOf(number)).ended)
 	}
-	assert.Equal(t, 1, w.visits("resting"))
+	assert.Equal(t, 1, w.requestCount("resting"))
 	assert.Equal(t, 10, asked, "no additional query")
 	assert.Equal(t, 9, excluded)
 	assert.GreaterOrEqual(t, released, 10, "unused leases are released")
@@ -163,23 +163,23 @@
 
 // If all replicas are leaving, they are used until the leave time is over; then callers are rejected at once.
 func TestLeavingReplicasAreUsedUntilTheLeaveTimeIsOver(t *testing.T) {
-	w := newWorld(t)
+	w := newTestEnvironment(t)
 	for _, id := range []string{"a", "b"} {
-		w.add(id, "", leavingAnswer(sealed(http.StatusOK, "ok")))
+		w.addReplica(id, "", leavingAnswer(respondSealed(http.StatusOK, "ok")))
 	}
 	for range 10 {
-		require.True(t, w.run(callOf(traffic.KindOnce, 1)).ended)
+		require.True(t, w.runCall(newCall(traffic.KindOnce, 1)).ended)
 	}
-	w.skip(leaveTime)
-	visits := w.visits("a") + w.visits("b")
+	w.advanceClock(leavingGrace)
+	visits := w.requestCount("a") + w.requestCount("b")
 	for range 10 {
-		answer := w.run(callOf(traffic.KindOnce, 1))
+		answer := w.runCall(newCall(traffic.KindOnce, 1))
 		require.Error(t, answer.err)
 		assert.Equal(t, failure.RanNo, failure.AnswerFor(answer.err).Ran)
 	}
-	assert.Equal(t, visits, w.visits("a")+w.visits("b"))
-	w.add("new", "", sealed(http.StatusOK, "ok"))
-	require.True(t, w.run(callOf(traffic.KindOnce, 1)).ended)
+	assert.Equal(t, visits, w.requestCount("a")+w.requestCount("b"))
+	w.addReplica("new", "", respondSealed(http.StatusOK, "ok"))
+	require.True(t, w.runCall(newCall(traffic.KindOnce, 1)).ended)
 }
 
 // A replica that has refused everything for as long as a stage change takes is reported as unreachable, so that
--- a/internal/relay/room.go
+++ b/internal/relay/room.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// room is a concurrency limit for this process's requests at the replicas of one service and stage, learned
+// learnedLimit is a concurrency limit for this process's requests at the replicas of one service and stage, learned
 // from replicas that have refused requests and asked for a backoff. Requests beyond it would be refused,
 // too, and put one replica after the other into backoff. It is guarded by Directory.mutex.
-type room struct {
+type learnedLimit struct {
 	// perSlotLimit is the limit per slot as of since, 0 if there is none. It doubles every doublingTime.
 	perSlotLimit float64
 	since        time.Duration
@@ -47,13 +47,13 @@
 	takenDecay = 10 * time.Second
 )
 
-// tookWell records that a replica accepted a request in addition to a number of others.
-func (r *room) tookWell(now time.Duration, slots, others int) {
+// accepted records that a replica accepted a request in addition to a number of others.
+func (r *learnedLimit) accepted(now time.Duration, slots, others int) {
 	r.taken = max(r.decayedTaken(now), float64(others)/float64(slots))
 	r.takenAt = now
 }
 
-func (r *room) decayedTaken(now time.Duration) float64 {
+func (r *learnedLimit) decayedTaken(now time.Duration) float64 {
 	if r.taken == 0 {
 		return 0
 	}
@@ -63,14 +63,14 @@
 // mayBeFull reports whether a replica that refused a request in addition to a number of others may be full.
 // One that refuses at a lower level than others of its kind have accepted refuses for another
 // reason.
-func (r *room) mayBeFull(now time.Duration, slots, others int) bool {
+func (r *learnedLimit) mayBeFull(now time.Duration, slots, others int) bool {
 	return others >= slots || others > 0 && float64(others)/float64(slots) >= usableShare*r.decayedTaken(now)
 }
 
 // update records the level, in requests of this process per slot, at which a replica refused a request that
 // began at a time, and asked for a backoff. confirmed says that the replica had at least as many
 // requests of all processes as slots.
-func (r *room) update(now, begun, backoff time.Duration, level float64, confirmed bool) {
+func (r *learnedLimit) update(now, begun, backoff time.Duration, level float64, confirmed bool) {
 	share := level
 	if before := r.perSlot(now); before > 0 {
 		// Several replicas that refuse at once for another reason agree, but do not refuse again later at
@@ -89,7 +89,7 @@
 }
 
 // perSlot returns the current limit per slot, 0 if there is none.
-func (r *room) perSlot(now time.Duration) float64 {
+func (r *learnedLimit) perSlot(now time.Duration) float64 {
 	if r.perSlotLimit == 0 {
 		return 0
 	}
@@ -101,19 +101,19 @@
 	return r.perSlotLimit * math.Exp2(doublings)
 }
 
-// takes reports whether a number of slots with a number of this process's requests may take another one.
-// draw is a random number in [0, 1): a fractional limit is rounded up with a probability equal to the
+// allowsAnother reports whether a number of slots with a number of this process's requests may take another one.
+// random is a random number in [0, 1): a fractional limit is rounded up with a probability equal to the
 // fraction. At least one request is always allowed.
-func takes(share float64, slots, requests int, draw float64) bool {
-	return float64(requests) < max(math.Floor(share*float64(slots)+draw), 1)
+func allowsAnother(share float64, slots, requests int, random float64) bool {
+	return float64(requests) < max(math.Floor(share*float64(slots)+random), 1)
 }
 
 // learnedLimitOf returns the learned limit of a service and stage. The caller must hold d.mutex.
-func (d *Directory) learnedLimitOf(service, stage string) *room {
+func (d *Directory) learnedLimitOf(service, stage string) *learnedLimit {
 	key := service + "/" + stage
 	known, found := d.learnedLimits[key]
 	if !found {
-		known = &room{}
+		known = &learnedLimit{}
 		d.learnedLimits[key] = known
 	}
 	return known
@@ -123,7 +123,7 @@
 // Only some of the others report their work, with a delay, so each is assumed to have as many as this
 // process. The caller must hold d.mutex.
 func (d *Directory) concurrentRequests(replica *Replica, now time.Duration) int {
-	return max(replica.totalInFlight(now)-1, (replica.inFlight-1)*d.choosers())
+	return max(replica.totalInFlight(now)-1, (replica.inFlight-1)*d.placerCount())
 }
 
 // isFull reports whether a replica that refused a request of this process has at least as many others as
@@ -132,33 +132,33 @@
 	return d.concurrentRequests(replica, now) >= max(replica.Slots, 1)
 }
 
-// noteFull updates the learned limit from a replica that refused a request of this process and asked for a
+// updateLearnedLimit updates the learned limit from a replica that refused a request of this process and asked for a
 // backoff, if it may be full. The caller must hold d.mutex.
-func (d *Directory) noteFull(replica *Replica, now, begun, backoff time.Duration) {
+func (d *Directory) updateLearnedLimit(replica *Replica, now, begun, backoff time.Duration) {
 	slots, all := max(replica.Slots, 1), d.concurrentRequests(replica, now)
-	full := replica.room.mayBeFull(now, slots, all)
-	if choosers := d.choosers(); choosers > maximumPlacersPerSlot*slots {
+	full := replica.learnedLimit.mayBeFull(now, slots, all)
+	if choosers := d.placerCount(); choosers > maximumPlacersPerSlot*slots {
 		slots, all = d.stageLoad(replica, now)
 		full = all >= slots
 	}
 	if full {
-		replica.room.update(now, begun, backoff, float64(all)/float64(d.choosers()*slots), all >= slots)
+		replica.learnedLimit.update(now, begun, backoff, float64(all)/float64(d.placerCount()*slots), all >= slots)
 	}
 }
 
 // stageLoad returns the slots of the replicas of a replica's service and stage that are not in backoff, and
 // the requests of all processes there, excluding a refused one. The caller must hold d.mutex.
 func (d *Directory) stageLoad(replica *Replica, now time.Duration) (slots, requests int) {
-	asking := d.askingNow()
+	asking := d.gateNow()
 	own, all := -1, -1
 	for _, each := range d.services[replica.Service] {
-		if each.room == replica.room && !each.gone && (each == replica || !each.rests(asking)) {
+		if each.learnedLimit == replica.learnedLimit && !each.removed && (each == replica || !each.inBackoff(asking)) {
 			slots += max(each.Slots, 1)
 			own += each.inFlight
 			all += each.totalInFlight(now)
 		}
 	}
-	return slots, max(all, own*d.choosers())
+	return slots, max(all, own*d.placerCount())
 }
 
 // belowLearnedLimit returns the candidates, all of one service and stage, that are below the learned limit
@@ -167,7 +167,7 @@
 	if len(candidates) == 0 {
 		return candidates
 	}
-	share := candidates[0].room.perSlot(now) * (1 - reservedSharePerRank*float64(rank))
+	share := candidates[0].learnedLimit.perSlot(now) * (1 - reservedSharePerRank*float64(rank))
 	if share == 0 {
 		return candidates
 	}
@@ -176,10 +176,10 @@
 		slots += max(each.Slots, 1)
 		requests += each.inFlight
 	}
-	if !takes(share, slots, requests, d.draw()) {
+	if !allowsAnother(share, slots, requests, d.random()) {
 		return nil
 	}
 	return slices.DeleteFunc(candidates, func(r *Replica) bool {
-		return !takes(share, max(r.Slots, 1), r.inFlight, d.draw())
+		return !allowsAnother(share, max(r.Slots, 1), r.inFlight, d.random())
 	})
 }
--- a/internal/relay/runner.go
+++ b/internal/relay/runner.go
@@ -21,7 +21,7 @@
 	placer    *Placer
 	client    *upstream.Client
 	dialect   Dialect
-	budgets   *Budgets
+	budgets   *RetryBudgets
 	metrics   *Metrics
 	logger    logr.Logger
 	// onStart is called once for each request of a tenant that begins to run, with the time at which
@@ -41,7 +41,7 @@
 
 // NewRunner returns a Runner that places requests from the given directory, without a guard, rate
 // limits or coordinators.
-func NewRunner(directory *Directory, client *upstream.Client, dialect Dialect, budgets *Budgets, metrics *Metrics, logger logr.Logger) *Runner {
+func NewRunner(directory *Directory, client *upstream.Client, dialect Dialect, budgets *RetryBudgets, metrics *Metrics, logger logr.Logger) *Runner {
 	runner := &Runner{
 		directory: directory,
 		placer:    &Placer{Directory: directory},
@@ -57,36 +57,36 @@
 	return runner
 }
 
-// CountBegun sets a function that is called once for each request of a tenant that begins to run,
+// OnRequestStart sets a function that is called once for each request of a tenant that begins to run,
 // with the time at which it began. It must be called before the Runner is used.
-func (r *Runner) CountBegun(onStart func(tenant string, at time.Time)) { r.onStart = onStart }
+func (r *Runner) OnRequestStart(onStart func(tenant string, at time.Time)) { r.onStart = onStart }
 
-// GuardWith sets a guard that is notified of what happens to requests and asked which ones are
+// SetGuard sets a guard that is notified of what happens to requests and asked which ones are
 // held. It must be called before the Runner is used.
-func (r *Runner) GuardWith(guard *poison.Guard) {
+func (r *Runner) SetGuard(guard *poison.Guard) {
 	r.guard = guard
 	r.endWatch = poison.NewGuardedWatch(guard, upstream.Refuses, r.logger)
 	r.endWatch.Ended = func(life string, under []poison.Digest) {
-		r.directory.Ended(life)
+		r.directory.ProcessEnded(life)
 		guard.Ended(life, under)
 	}
 }
 
-// AskPermits sets a function that asks a coordinator before a request on probation is sent. It must
+// SetProbationPermits sets a function that asks a coordinator before a request on probation is sent. It must
 // be called before the Runner is used.
-func (r *Runner) AskPermits(permit func(ctx context.Context, digest poison.Digest) (wait time.Duration)) {
+func (r *Runner) SetProbationPermits(permit func(ctx context.Context, digest poison.Digest) (wait time.Duration)) {
 	r.probationPermit = permit
 }
 
-// CountSuspensions sets a function that returns the total time for which the machine was suspended,
+// SetSuspendedTime sets a function that returns the total time for which the machine was suspended,
 // so that it counts towards the time that calls have taken. Deadlines are kept by the monotonic
 // clock, which stops during a suspension: without this, replicas would be told of more time than
 // their callers have left. It must be called before the Runner is used.
-func (r *Runner) CountSuspensions(suspended func() time.Duration) { r.suspended = suspended }
+func (r *Runner) SetSuspendedTime(suspended func() time.Duration) { r.suspended = suspended }
 
-// AskPlacements sets the remote placement, by which a coordinator is asked for replicas. It must be
+// SetRemotePlacement sets the remote placement, by which a coordinator is asked for replicas. It must be
 // called before the Runner is used.
-func (r *Runner) AskPlacements(remote *RemotePlacement) { r.placer.Remote = remote }
+func (r *Runner) SetRemotePlacement(remote *RemotePlacement) { r.placer.Remote = remote }
 
 const (
 	// maximumSends bounds the replicas that a call is offered to, including those that reject it.
@@ -95,8 +95,8 @@
 	// a few milliseconds and none of the retry budget; after the loss of a rack, several replicas
 	// in a row may take no connection.
 	maximumUnsent = 16
-	// refusedRetryAfter is the Retry-After of a request for which no replica was found.
-	refusedRetryAfter = 150 * time.Millisecond
+	// defaultRetryAfter is the Retry-After of a request for which no replica was found.
+	defaultRetryAfter = 150 * time.Millisecond
 	// minimumTimeLeft is the least remaining time for which a request is sent.
 	minimumTimeLeft = 5 * time.Millisecond
 	// maximumConnectionIdle bounds how long a reused connection may have been idle if it carries a
@@ -104,8 +104,8 @@
 	maximumConnectionIdle = time.Second
 )
 
-// run is the state of one call.
-type run struct {
+// callState is the state of one call.
+type callState struct {
 	*Runner
 	call      *Call
 	responder Responder
@@ -153,7 +153,7 @@
 }
 
 // countStart counts the request as begun at a given time. Only the first call has an effect.
-func (r *run) countStart(at time.Time) {
+func (r *callState) countStart(at time.Time) {
 	if r.startCounted || r.call.Tenant == "" {
 		return
 	}
@@ -163,7 +163,7 @@
 
 // Run serves a call until the caller has its answer or has disconnected.
 func (r *Runner) Run(ctx context.Context, call *Call, responder Responder) {
-	state := &run{Runner: r, call: call, responder: responder, deadline: call.deadline(), suspendedBefore: r.suspended()}
+	state := &callState{Runner: r, call: call, responder: responder, deadline: call.deadline(), suspendedBefore: r.suspended()}
 	r.budgets.Request(call.Service.Name)
 	deadlineCtx, cancel := context.WithDeadlineCause(ctx, state.deadline, errDeadline)
 	defer cancel()
@@ -188,12 +188,12 @@
 }
 
 // timeLeft returns the time that the caller has left.
-func (r *run) timeLeft() time.Duration {
+func (r *callState) timeLeft() time.Duration {
 	return time.Until(r.deadline) - (r.suspended() - r.suspendedBefore)
 }
 
 // eventCount returns the number of event batches forwarded.
-func (r *run) eventCount() int {
+func (r *callState) eventCount() int {
 	if r.stream == nil {
 		return 0
 	}
@@ -201,7 +201,7 @@
 }
 
 // timeToFirstEvent returns the time from arrival to the first forwarded event, 0 if there was none.
-func (r *run) timeToFirstEvent() time.Duration {
+func (r *callState) timeToFirstEvent() time.Duration {
 	if r.stream == nil {
 		return 0
 	}
@@ -209,7 +209,7 @@
 }
 
 // longestEventGap returns the longest time between two forwarded events.
-func (r *run) longestEventGap() time.Duration {
+func (r *callState) longestEventGap() time.Duration {
 	if r.stream == nil {
 		return 0
 	}
@@ -219,7 +219,7 @@
 var errDeadline = errors.New("the time of the request has ended")
 
 // serve makes attempts until one is answered or no other may be made.
-func (r *run) serve(ctx context.Context) error {
+func (r *callState) serve(ctx context.Context) error {
 	for {
 		if err := r.checkSendAllowed(); err != nil {
 			r.releaseMoved()
@@ -236,7 +236,7 @@
 			return r.limitedOrNone(err)
 		}
 		if lease == nil {
-			return r.noReplica()
+			return r.noReplicaError()
 		}
 		r.tried = append(r.tried, lease.Replica)
 		outcome, cause := r.attemptSend(ctx, lease, handle)
@@ -260,7 +260,7 @@
 }
 
 // checkSendAllowed returns the reason why no further send may be made, or nil.
-func (r *run) checkSendAllowed() error {
+func (r *callState) checkSendAllowed() error {
 	if r.isHeld() {
 		return failure.New(failure.RequestHeld, "replicas have ended under this request")
 	}
@@ -276,7 +276,7 @@
 	if r.mayHaveRun && !r.call.Route.Repeatable() {
 		return failure.New(failure.OutcomeUnknown, "the request may have run and may not be repeated")
 	}
-	if r.sends > 0 && r.directory.off[mechanism.Retries] {
+	if r.sends > 0 && r.directory.disabled[mechanism.Retries] {
 		return failure.New(failure.AttemptsExhausted, "no further attempt is allowed")
 	}
 	if r.attempts >= max(r.call.Route.MaximumAttempts, 1) || r.sends-r.unsent >= maximumSends || r.tooManyUnsent() {
@@ -289,14 +289,14 @@
 }
 
 // tooManyUnsent reports whether too many sends and prefills have reached no replica.
-func (r *run) tooManyUnsent() bool { return r.unsent+r.unsentPrefills >= maximumUnsent }
+func (r *callState) tooManyUnsent() bool { return r.unsent+r.unsentPrefills >= maximumUnsent }
 
 // isModelCall reports whether the call is for model engines.
-func (r *run) isModelCall() bool { return r.call.Service.Engine != nil && r.call.Prompt != nil }
+func (r *callState) isModelCall() bool { return r.call.Service.Engine != nil && r.call.Prompt != nil }
 
 // place leases the replica for the next send, nil if there is none. The handle is that of the prompt
 // if another replica has prefilled it, or of a moved stream's memory, and otherwise nil.
-func (r *run) place(ctx context.Context) (*Lease, *promptHandle, error) {
+func (r *callState) place(ctx context.Context) (*Lease, *promptHandle, error) {
 	if moved := r.moved; moved != nil {
 		r.moved = nil
 		return moved.lease, moved.handle, nil
@@ -315,7 +315,7 @@
 
 // refuse ends a call that no replica has answered. An error response of a replica takes precedence
 // over an error of the gateway.
-func (r *run) refuse(err error) {
+func (r *callState) refuse(err error) {
 	if r.stream != nil {
 		r.logger.Info(event.StreamBrokenOff, "request", r.call.ID, "events", r.stream.events, "cause", err.Error())
 		r.metrics.request(r.call, outcomeBrokenOff)
@@ -348,12 +348,12 @@
 
 // retryAfter returns the time after which the caller should retry: when capacity was expected to be
 // free, by what was known at the time of the refusal.
-func (r *run) retryAfter(err error) time.Duration {
-	var noCapacity *noRoomError
+func (r *callState) retryAfter(err error) time.Duration {
+	var noCapacity *noCapacityError
 	if errors.As(err, &noCapacity) {
 		return noCapacity.until
 	}
-	var backoff *restingError
+	var backoff *backoffError
 	if errors.As(err, &backoff) {
 		return backoff.wait
 	}
@@ -365,10 +365,10 @@
 	if errors.As(err, &probation) {
 		return probation.wait
 	}
-	return refusedRetryAfter
+	return defaultRetryAfter
 }
 
-func (r *run) abortStream() {
+func (r *callState) abortStream() {
 	if r.stream != nil {
 		r.stream.writer.Abort()
 	}
--- a/internal/relay/runner_test.go
+++ b/internal/relay/runner_test.go
@@ -32,29 +32,31 @@
 // testDialect is a minimal Dialect with one header field per value.
 type testDialect struct{}
 
-func (testDialect) ReadTerms(func(string) string) relay.Terms { return relay.Terms{} }
-func (testDialect) Sets(string) bool                          { return false }
+func (testDialect) ReadRequestMetadata(func(string) string) relay.RequestMetadata {
+	return relay.RequestMetadata{}
+}
+func (testDialect) SetsField(string) bool { return false }
 
 func (testDialect) Fields(send relay.Send) []upstream.Field {
 	return []upstream.Field{
-		{Name: "Left", Value: strconv.FormatInt(send.Left.Milliseconds(), 10)},
+		{Name: "Left", Value: strconv.FormatInt(send.TimeLeft.Milliseconds(), 10)},
 		{Name: "Instance", Value: send.Instance},
-		{Name: "Read-Only", Value: strconv.FormatBool(send.ReadOnly)},
-		{Name: "Source", Value: send.Source},
+		{Name: "Read-Only", Value: strconv.FormatBool(send.PrefillOnly)},
+		{Name: "Source", Value: send.PrefillSource},
 		{Name: "Fetch", Value: send.Fetch},
 		{Name: "Last-Event", Value: send.LastEvent},
 	}
 }
 
-func (testDialect) ReadMarks(header http.Header) relay.Marks {
-	marks := relay.Marks{
+func (testDialect) ReadResponseMetadata(header http.Header) relay.ResponseMetadata {
+	marks := relay.ResponseMetadata{
 		RequestID: header.Get("Request"),
 		NotRun:    header.Get("Not-Run") != "",
 		Sealed:    header.Get("Sealed") != "",
 	}
 	if limit := header.Get("Limit"); limit != "" {
 		rate, err := strconv.ParseFloat(limit, 64)
-		marks.Limit = relay.RateLimit{Named: err == nil, Unreadable: err != nil, Rate: rate}
+		marks.Limit = relay.RateLimit{Declared: err == nil, Unreadable: err != nil, Rate: rate}
 	}
 	return marks
 }
@@ -68,8 +70,8 @@
 func (testDialect) MoveFields(string) []upstream.Field    { return nil }
 func (testDialect) FreeHandle(id string) (string, string) { return http.MethodDelete, "/free/" + id }
 
-// recorder is a Responder that records what it is given.
-type recorder struct {
+// recordingResponder is a Responder that records what it is given.
+type recordingResponder struct {
 	status  int
 	body    bytes.Buffer
 	err     error
@@ -77,75 +79,75 @@
 	aborted bool
 }
 
-func (r *recorder) Answer(status int, _ http.Header, body []byte) {
+func (r *recordingResponder) Answer(status int, _ http.Header, body []byte) {
 	r.status = status
 	r.body.Write(body)
 	r.ended = true
 }
 
-func (r *recorder) Refuse(err error) { r.err = err }
+func (r *recordingResponder) Refuse(err error) { r.err = err }
 
-func (r *recorder) Stream(status int, _ http.Header) relay.StreamWriter {
+func (r *recordingResponder) Stream(status int, _ http.Header) relay.StreamWriter {
 	r.status = status
 	return r
 }
 
-func (r *recorder) Send(events []byte) error {
+func (r *recordingResponder) Send(events []byte) error {
 	r.body.Write(events)
 	return nil
 }
 
-func (r *recorder) End()   { r.ended = true }
-func (r *recorder) Abort() { r.aborted = true }
+func (r *recordingResponder) End()   { r.ended = true }
+func (r *recordingResponder) Abort() { r.aborted = true }
 
-// world is a Runner with replicas whose handlers the tests provide.
-type world struct {
+// testEnvironment is a Runner with replicas whose handlers the tests provide.
+type testEnvironment struct {
 	t             testing.TB
 	directory     *relay.Directory
 	runner        *relay.Runner
-	replicas      []region.Replica
+	replicaList   []region.Replica
 	mutex         sync.Mutex
 	requestCounts map[string]int
 	// clockOffset is how far the clock is ahead of the monotonic clock, in nanoseconds.
 	clockOffset atomic.Int64
 }
 
-func newWorld(t *testing.T) *world {
+func newTestEnvironment(t *testing.T) *testEnvironment {
 	t.Helper()
-	return newTestEnvironmentWithBudget(t, relay.BudgetTerms{Ratio: 5, Window: time.Second, Slack: 100})
+	return newTestEnvironmentWithBudget(t, relay.RetryBudgetOptions{Ratio: 5, Window: time.Second, Slack: 100})
 }
 
-func newTestEnvironmentWithBudget(t *testing.T, terms relay.BudgetTerms) *world {
+func newTestEnvironmentWithBudget(t *testing.T, terms relay.RetryBudgetOptions) *testEnvironment {
 	t.Helper()
 	return makeTestEnvironment(t, terms, logr.Discard())
 }
 
-func newLoggedTestEnvironment(t testing.TB, logger logr.Logger) *world {
+func newLoggedTestEnvironment(t testing.TB, logger logr.Logger) *testEnvironment {
 	t.Helper()
-	return makeTestEnvironment(t, relay.BudgetTerms{Ratio: 5, Window: time.Second, Slack: 100}, logger)
+	return makeTestEnvironment(t, relay.RetryBudgetOptions{Ratio: 5, Window: time.Second, Slack: 100}, logger)
 }
 
-func makeTestEnvironment(t testing.TB, terms relay.BudgetTerms, logger logr.Logger) *world {
+func makeTestEnvironment(t testing.TB, terms relay.RetryBudgetOptions, logger logr.Logger) *testEnvironment {
 	t.Helper()
 	began := time.Now()
-	w := &world{t: t, requestCounts: map[string]int{}}
+	w := &testEnvironment{t: t, requestCounts: map[string]int{}}
 	clock := func() time.Duration { return time.Since(began) + time.Duration(w.clockOffset.Load()) }
-	gate := backpressure.NewGate(backpressure.Options{Clock: clock, Leaving: testDialect{}.Leaving, LeavingGrace: leaveTime, Logger: logger})
+	gate := backpressure.NewGate(backpressure.Options{Clock: clock, Leaving: testDialect{}.Leaving, LeavingGrace: leavingGrace, Logger: logger})
 	client := upstream.NewClient(upstream.Options{DialTimeout: time.Second, MaximumBodyBytes: 1 << 20, Gate: gate})
 	w.directory = relay.NewDirectory(clock, "zone", client.Forget, logger)
-	w.directory.Heed(gate)
-	budgets := relay.NewBudgets(clock, terms, 1)
+	w.directory.UseGate(gate)
+	budgets := relay.NewRetryBudgets(clock, terms, 1)
 	w.runner = relay.NewRunner(w.directory, client, testDialect{}, budgets, relay.NewMetrics(telemetry.NewMetrics("test")), logger)
 	return w
 }
 
-// leaveTime is how long replicas that report that they are leaving may still get requests.
-const leaveTime = 3 * time.Second
+// leavingGrace is how long replicas that report that they are leaving may still get requests.
+const leavingGrace = 3 * time.Second
 
-// skip advances the clock.
-func (w *world) skip(ahead time.Duration) { w.clockOffset.Add(int64(ahead)) }
+// advanceClock advances the clock.
+func (w *testEnvironment) advanceClock(ahead time.Duration) { w.clockOffset.Add(int64(ahead)) }
 
-func (w *world) add(id, stage string, handler http.HandlerFunc) {
+func (w *testEnvironment) addReplica(id, stage string, handler http.HandlerFunc) {
 	w.t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		w.mutex.Lock()
@@ -155,45 +157,45 @@
 		handler(writer, request)
 	}))
 	w.t.Cleanup(server.Close)
-	w.list(id, stage, server.Listener.Addr().String())
+	w.listReplica(id, stage, server.Listener.Addr().String())
 }
 
-func (w *world) list(id, stage, address string) {
-	w.replicas = append(w.replicas, region.Replica{
+func (w *testEnvironment) listReplica(id, stage, address string) {
+	w.replicaList = append(w.replicaList, region.Replica{
 		ID: id, Service: "service", Address: address, Zone: "zone", Slots: 4, Stage: stage,
 	})
-	w.directory.Replace(w.replicas)
+	w.directory.Replace(w.replicaList)
 }
 
-func (w *world) visits(id string) int {
+func (w *testEnvironment) requestCount(id string) int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.requestCounts[id]
 }
 
-func (w *world) run(call *relay.Call) *recorder {
+func (w *testEnvironment) runCall(call *relay.Call) *recordingResponder {
 	w.t.Helper()
 	ctx, cancel := context.WithTimeout(w.t.Context(), 30*time.Second)
 	defer cancel()
-	answer := &recorder{}
+	answer := &recordingResponder{}
 	w.runner.Run(ctx, call, answer)
 	return answer
 }
 
-func callOf(kind traffic.Kind, attempts int) *relay.Call {
+func newCall(kind traffic.Kind, attempts int) *relay.Call {
 	return &relay.Call{
-		Terms:   relay.Terms{ID: "r-1", Wait: 20 * time.Second},
-		Method:  http.MethodPost,
-		Target:  "/a/b?c",
-		Host:    "h",
-		Body:    []byte("body"),
-		Arrived: time.Now(),
-		Route:   &traffic.Route{Name: "route", Kind: kind, MaximumAttempts: attempts},
-		Service: &traffic.Service{Name: "service"},
+		RequestMetadata: relay.RequestMetadata{ID: "r-1", Wait: 20 * time.Second},
+		Method:          http.MethodPost,
+		Target:          "/a/b?c",
+		Host:            "h",
+		Body:            []byte("body"),
+		Arrived:         time.Now(),
+		Route:           &traffic.Route{Name: "route", Kind: kind, MaximumAttempts: attempts},
+		Service:         &traffic.Service{Name: "service"},
 	}
 }
 
-func sealed(status int, body string) http.HandlerFunc {
+func respondSealed(status int, body string) http.HandlerFunc {
 	return func(writer http.ResponseWriter, _ *http.Request) {
 		writer.Header().Set("Sealed", "yes")
 		writer.WriteHeader(status)
@@ -201,21 +203,21 @@
 	}
 }
 
-func refusing(writer http.ResponseWriter, _ *http.Request) {
+func rejectRequest(writer http.ResponseWriter, _ *http.Request) {
 	writer.Header().Set("Not-Run", "yes")
 	writer.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// dropping closes the connection after the request has been read.
-func dropping(writer http.ResponseWriter, _ *http.Request) {
+// dropConnection closes the connection after the request has been read.
+func dropConnection(writer http.ResponseWriter, _ *http.Request) {
 	connection, _, err := writer.(http.Hijacker).Hijack()
 	if err == nil {
 		_ = connection.Close()
 	}
 }
 
-// events streams events and, with breakOff set, aborts in the middle of one more.
-func events(from, to int, breakOff bool) http.HandlerFunc {
+// streamEvents streams events and, with breakOff set, aborts in the middle of one more.
+func streamEvents(from, to int, breakOff bool) http.HandlerFunc {
 	return func(writer http.ResponseWriter, _ *http.Request) {
 		writer.Header().Set("Sealed", "yes")
 		writer.Header().Set("Content-Type", "text/event-stream")
@@ -232,7 +234,7 @@
 	}
 }
 
-func text(from, to int) string {
+func eventText(from, to int) string {
 	var all bytes.Buffer
 	for number := from; number <= to; number++ {
 		_, _ = fmt.Fprintf(&all, "id: %d\ndata: %d\n\n", number, number)
@@ -241,21 +243,21 @@
 }
 
 func TestReplicaResponseIsForwarded(t *testing.T) {
-	w := newWorld(t)
-	w.add("a", "", func(writer http.ResponseWriter, request *http.Request) {
+	w := newTestEnvironment(t)
+	w.addReplica("a", "", func(writer http.ResponseWriter, request *http.Request) {
 		assert.Equal(t, "a", request.Header.Get("Instance"))
 		assert.Equal(t, "/a/b?c", request.RequestURI)
 		left, err := strconv.Atoi(request.Header.Get("Left"))
 		require.NoError(t, err)
 		assert.LessOrEqual(t, left, 20_000)
-		sealed(http.StatusCreated, "answer")(writer, request)
+		respondSealed(http.StatusCreated, "answer")(writer, request)
 	})
-	answer := w.run(callOf(traffic.KindOnce, 1))
+	answer := w.runCall(newCall(traffic.KindOnce, 1))
 	assert.Equal(t, http.StatusCreated, answer.status)
 	assert.Equal(t, "answer", answer.body.String())
 }
 
-func TestARequestThatMayHaveRunIsRepeatedOnlyIfItMayBe(t *testing.T) {
+func TestRequestThatMayHaveRunIsRetriedOnlyIfRepeatable(t *testing.T) {
 	for _, test := range []struct {
 		kind     traffic.Kind
 		attempts int
@@ -268,35 +270,35 @@
 		{traffic.KindRepeatable, 2, 2, failure.OutcomeUnknown},
 	} {
 		t.Run(fmt.Sprint(test.kind, test.attempts), func(t *testing.T) {
-			w := newWorld(t)
+			w := newTestEnvironment(t)
 			for _, id := range []string{"a", "b", "c"} {
-				w.add(id, "", dropping)
+				w.addReplica(id, "", dropConnection)
 			}
-			answer := w.run(callOf(test.kind, test.attempts))
+			answer := w.runCall(newCall(test.kind, test.attempts))
 			require.Error(t, answer.err)
 			assert.Equal(t, test.failure, failure.KindOf(answer.err))
 			assert.NotEqual(t, http.StatusServiceUnavailable, failure.AnswerFor(answer.err).Status, "the request may have run, so it must not be reported as not run")
-			assert.Equal(t, test.sends, w.visits("a")+w.visits("b")+w.visits("c"))
+			assert.Equal(t, test.sends, w.requestCount("a")+w.requestCount("b")+w.requestCount("c"))
 		})
 	}
 }
 
 func TestRejectedRequestIsSentToAnotherReplica(t *testing.T) {
-	w := newWorld(t)
-	w.add("full", "", refusing)
-	w.add("free", "", sealed(http.StatusOK, "answer"))
+	w := newTestEnvironment(t)
+	w.addReplica("full", "", rejectRequest)
+	w.addReplica("free", "", respondSealed(http.StatusOK, "answer"))
 	for range 10 {
-		answer := w.run(callOf(traffic.KindOnce, 1))
+		answer := w.runCall(newCall(traffic.KindOnce, 1))
 		require.NoError(t, answer.err)
 		assert.Equal(t, "answer", answer.body.String())
 	}
 }
 
 func TestRequestRejectedByAllReplicasIsReportedAsNotRun(t *testing.T) {
-	w := newWorld(t)
-	w.add("a", "", refusing)
-	w.add("b", "", refusing)
-	answer := w.run(callOf(traffic.KindOnce, 1))
+	w := newTestEnvironment(t)
+	w.addReplica("a", "", rejectRequest)
+	w.addReplica("b", "", rejectRequest)
+	answer := w.runCall(newCall(traffic.KindOnce, 1))
 	response := failure.AnswerFor(answer.err)
 	assert.Equal(t, http.StatusServiceUnavailable, response.Status)
 	assert.Equal(t, failure.RanNo, response.Ran)
@@ -304,83 +306,83 @@
 }
 
 func TestMisdirectedResponseEndsUseOfListedIncarnation(t *testing.T) {
-	w := newWorld(t)
-	w.add("old", "", func(writer http.ResponseWriter, _ *http.Request) {
+	w := newTestEnvironment(t)
+	w.addReplica("old", "", func(writer http.ResponseWriter, _ *http.Request) {
 		writer.WriteHeader(http.StatusMisdirectedRequest)
 	})
-	assert.Error(t, w.run(callOf(traffic.KindOnce, 1)).err)
-	assert.Error(t, w.run(callOf(traffic.KindOnce, 1)).err)
-	assert.Equal(t, 1, w.visits("old"))
+	assert.Error(t, w.runCall(newCall(traffic.KindOnce, 1)).err)
+	assert.Error(t, w.runCall(newCall(traffic.KindOnce, 1)).err)
+	assert.Equal(t, 1, w.requestCount("old"))
 }
 
 func TestErrorResponseIsRetriedOrElseForwarded(t *testing.T) {
-	w := newWorld(t)
-	w.add("failing", "", sealed(http.StatusInternalServerError, "failed"))
-	answer := w.run(callOf(traffic.KindRepeatable, 2))
+	w := newTestEnvironment(t)
+	w.addReplica("failing", "", respondSealed(http.StatusInternalServerError, "failed"))
+	answer := w.runCall(newCall(traffic.KindRepeatable, 2))
 	assert.Equal(t, http.StatusInternalServerError, answer.status)
 	assert.Equal(t, "failed", answer.body.String())
 
-	w.add("sound", "", sealed(http.StatusOK, "answer"))
+	w.addReplica("sound", "", respondSealed(http.StatusOK, "answer"))
 	for range 10 {
-		assert.Equal(t, "answer", w.run(callOf(traffic.KindRepeatable, 2)).body.String())
+		assert.Equal(t, "answer", w.runCall(newCall(traffic.KindRepeatable, 2)).body.String())
 	}
 }
 
 func TestUnsealedSuccessIsNotForwarded(t *testing.T) {
-	w := newWorld(t)
-	w.add("a", "", func(writer http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(writer, "forged") })
-	answer := w.run(callOf(traffic.KindOnce, 1))
+	w := newTestEnvironment(t)
+	w.addReplica("a", "", func(writer http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(writer, "forged") })
+	answer := w.runCall(newCall(traffic.KindOnce, 1))
 	assert.Equal(t, failure.OutcomeUnknown, failure.KindOf(answer.err))
 	assert.Empty(t, answer.body.String())
 }
 
 func TestWholeStreamIsForwarded(t *testing.T) {
-	w := newWorld(t)
-	w.add("a", "", events(1, 5, false))
-	answer := w.run(callOf(traffic.KindStream, 1))
+	w := newTestEnvironment(t)
+	w.addReplica("a", "", streamEvents(1, 5, false))
+	answer := w.runCall(newCall(traffic.KindStream, 1))
 	assert.True(t, answer.ended)
-	assert.Equal(t, text(1, 5), answer.body.String())
+	assert.Equal(t, eventText(1, 5), answer.body.String())
 }
 
 func TestBrokenStreamEndsAfterLastCompleteEvent(t *testing.T) {
-	w := newWorld(t)
-	w.add("a", "", events(1, 3, true))
-	w.add("b", "", events(1, 3, true))
-	answer := w.run(callOf(traffic.KindStream, 2))
+	w := newTestEnvironment(t)
+	w.addReplica("a", "", streamEvents(1, 3, true))
+	w.addReplica("b", "", streamEvents(1, 3, true))
+	answer := w.runCall(newCall(traffic.KindStream, 2))
 	assert.True(t, answer.aborted)
 	assert.False(t, answer.ended)
-	assert.Equal(t, text(1, 3), answer.body.String())
-	assert.Equal(t, 1, w.visits("a")+w.visits("b"))
+	assert.Equal(t, eventText(1, 3), answer.body.String())
+	assert.Equal(t, 1, w.requestCount("a")+w.requestCount("b"))
 }
 
 func TestResumableStreamContinuesAfterLastCompleteEvent(t *testing.T) {
-	w := newWorld(t)
+	w := newTestEnvironment(t)
 	continued := func(writer http.ResponseWriter, request *http.Request) {
 		if request.Header.Get("Last-Event") == "3" {
-			events(4, 6, false)(writer, request)
+			streamEvents(4, 6, false)(writer, request)
 			return
 		}
-		events(1, 3, true)(writer, request)
+		streamEvents(1, 3, true)(writer, request)
 	}
-	w.add("a", "", continued)
-	w.add("b", "", continued)
-	call := callOf(traffic.KindStream, 2)
+	w.addReplica("a", "", continued)
+	w.addReplica("b", "", continued)
+	call := newCall(traffic.KindStream, 2)
 	call.Route.Resumable = true
-	answer := w.run(call)
+	answer := w.runCall(call)
 	assert.True(t, answer.ended)
-	assert.Equal(t, text(1, 6), answer.body.String())
+	assert.Equal(t, eventText(1, 6), answer.body.String())
 }
 
 func TestRouteTimeoutEndsCallAndReplicaWork(t *testing.T) {
-	w := newWorld(t)
+	w := newTestEnvironment(t)
 	stopped := make(chan struct{})
-	w.add("a", "", func(_ http.ResponseWriter, request *http.Request) {
+	w.addReplica("a", "", func(_ http.ResponseWriter, request *http.Request) {
 		<-request.Context().Done()
 		close(stopped)
 	})
-	call := callOf(traffic.KindOnce, 1)
+	call := newCall(traffic.KindOnce, 1)
 	call.Route.Timeout = 50 * time.Millisecond
-	answer := w.run(call)
+	answer := w.runCall(call)
 	assert.Equal(t, failure.DeadlineExceeded, failure.KindOf(answer.err))
 	select {
 	case <-stopped:
@@ -390,9 +392,9 @@
 }
 
 func TestCallerDisconnectStopsReplicaWork(t *testing.T) {
-	w := newWorld(t)
+	w := newTestEnvironment(t)
 	begun, stopped := make(chan struct{}), make(chan struct{})
-	w.add("a", "", func(_ http.ResponseWriter, request *http.Request) {
+	w.addReplica("a", "", func(_ http.ResponseWriter, request *http.Request) {
 		close(begun)
 		<-request.Context().Done()
 		close(stopped)
@@ -402,28 +404,28 @@
 		<-begun
 		leave()
 	}()
-	answer := &recorder{}
-	w.runner.Run(ctx, callOf(traffic.KindRepeatable, 2), answer)
+	answer := &recordingResponder{}
+	w.runner.Run(ctx, newCall(traffic.KindRepeatable, 2), answer)
 	assert.NoError(t, answer.err)
 	<-stopped
 }
 
 func TestUnreachableReplicaIsAvoided(t *testing.T) {
-	w := newWorld(t)
+	w := newTestEnvironment(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	require.NoError(t, listener.Close())
-	w.list("dead", "", listener.Addr().String())
-	w.add("sound", "", sealed(http.StatusOK, "answer"))
+	w.listReplica("dead", "", listener.Addr().String())
+	w.addReplica("sound", "", respondSealed(http.StatusOK, "answer"))
 	for range 20 {
-		require.NoError(t, w.run(callOf(traffic.KindOnce, 1)).err)
+		require.NoError(t, w.runCall(newCall(traffic.KindOnce, 1)).err)
 	}
-	assert.Equal(t, 20, w.visits("sound"))
+	assert.Equal(t, 20, w.requestCount("sound"))
 }
 
-// modelCall returns a call with a prompt of the given number of tokens.
-func modelCall(tokens int, part string) *relay.Call {
-	call := callOf(traffic.KindStream, 1)
+// newModelCall returns a call with a prompt of the given number of tokens.
+func newModelCall(tokens int, part string) *relay.Call {
+	call := newCall(traffic.KindStream, 1)
 	call.Service = &traffic.Service{Name: "service", Engine: &traffic.Engine{Slots: 4, CacheTokens: 100_000, EventTokens: 1}}
 	call.Prompt = &relay.Prompt{Tokens: tokens, Parts: []relay.PromptPart{
 		{ID: "shared", Tokens: tokens / 2}, {ID: part, Tokens: tokens - tokens/2},
@@ -432,42 +434,42 @@
 }
 
 func TestLongPromptIsPrefilledSeparatelyAndHandedOver(t *testing.T) {
-	w := newWorld(t)
-	w.add("reader", region.StagePrefill, func(writer http.ResponseWriter, request *http.Request) {
+	w := newTestEnvironment(t)
+	w.addReplica("reader", region.StagePrefill, func(writer http.ResponseWriter, request *http.Request) {
 		if assert.Equal(t, "true", request.Header.Get("Read-Only")) {
 			_, _ = io.WriteString(writer, "handle-1")
 		}
 	})
-	w.add("generator", region.StageDecode, func(writer http.ResponseWriter, request *http.Request) {
-		assert.Equal(t, w.replicas[0].Address+"/handle-1", request.Header.Get("Source"))
-		events(1, 2, false)(writer, request)
+	w.addReplica("generator", region.StageDecode, func(writer http.ResponseWriter, request *http.Request) {
+		assert.Equal(t, w.replicaList[0].Address+"/handle-1", request.Header.Get("Source"))
+		streamEvents(1, 2, false)(writer, request)
 	})
-	answer := w.run(modelCall(8000, "own"))
-	assert.Equal(t, text(1, 2), answer.body.String())
+	answer := w.runCall(newModelCall(8000, "own"))
+	assert.Equal(t, eventText(1, 2), answer.body.String())
 }
 
 func TestRejectedPrefillIsDoneByDecodeReplica(t *testing.T) {
-	w := newWorld(t)
-	w.add("reader", region.StagePrefill, refusing)
-	w.add("generator", region.StageDecode, func(writer http.ResponseWriter, request *http.Request) {
+	w := newTestEnvironment(t)
+	w.addReplica("reader", region.StagePrefill, rejectRequest)
+	w.addReplica("generator", region.StageDecode, func(writer http.ResponseWriter, request *http.Request) {
 		assert.Empty(t, request.Header.Get("Source"))
-		events(1, 2, false)(writer, request)
+		streamEvents(1, 2, false)(writer, request)
 	})
-	assert.Equal(t, text(1, 2), w.run(modelCall(8000, "own")).body.String())
+	assert.Equal(t, eventText(1, 2), w.runCall(newModelCall(8000, "own")).body.String())
 }
 
 func TestUnconsumedPromptHandleIsFreed(t *testing.T) {
-	w := newWorld(t)
+	w := newTestEnvironment(t)
 	freedPath := make(chan string, 1)
-	w.add("reader", region.StagePrefill, func(writer http.ResponseWriter, request *http.Request) {
+	w.addReplica("reader", region.StagePrefill, func(writer http.ResponseWriter, request *http.Request) {
 		if request.Method == http.MethodDelete {
 			freedPath <- request.URL.Path
 			return
 		}
 		_, _ = io.WriteString(writer, "handle-1")
 	})
-	w.add("generator", region.StageDecode, refusing)
-	assert.Error(t, w.run(modelCall(8000, "own")).err)
+	w.addReplica("generator", region.StageDecode, rejectRequest)
+	assert.Error(t, w.runCall(newModelCall(8000, "own")).err)
 	select {
 	case path := <-freedPath:
 		assert.Equal(t, "/free/handle-1", path)
@@ -476,26 +478,26 @@
 	}
 }
 
-func TestAPromptThatAReaderRefusedGoesOnOnlyWithinTheBudget(t *testing.T) {
-	w := newTestEnvironmentWithBudget(t, relay.BudgetTerms{Window: time.Second})
-	w.add("reader", region.StagePrefill, refusing)
-	w.add("generator", region.StageDecode, events(1, 2, false))
-	answer := w.run(modelCall(8000, "own"))
+func TestRejectedPrefillNeedsRetryBudget(t *testing.T) {
+	w := newTestEnvironmentWithBudget(t, relay.RetryBudgetOptions{Window: time.Second})
+	w.addReplica("reader", region.StagePrefill, rejectRequest)
+	w.addReplica("generator", region.StageDecode, streamEvents(1, 2, false))
+	answer := w.runCall(newModelCall(8000, "own"))
 	assert.Equal(t, failure.RanNo, failure.AnswerFor(answer.err).Ran)
-	assert.Zero(t, w.visits("generator"))
+	assert.Zero(t, w.requestCount("generator"))
 }
 
-func TestASlowReaderIsWaitedForIfTheBudgetAllowsNothingElse(t *testing.T) {
+func TestSlowPrefillIsAbandonedOnlyWithinRetryBudget(t *testing.T) {
 	for name, test := range map[string]struct {
-		terms   relay.BudgetTerms
+		terms   relay.RetryBudgetOptions
 		aborted bool
 	}{
-		"no budget": {relay.BudgetTerms{Window: time.Second}, false},
-		"budget":    {relay.BudgetTerms{Ratio: 5, Window: time.Second, Slack: 100}, true},
+		"no budget": {relay.RetryBudgetOptions{Window: time.Second}, false},
+		"budget":    {relay.RetryBudgetOptions{Ratio: 5, Window: time.Second, Slack: 100}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newTestEnvironmentWithBudget(t, test.terms)
-			w.add("reader", region.StagePrefill, func(writer http.ResponseWriter, request *http.Request) {
+			w.addReplica("reader", region.StagePrefill, func(writer http.ResponseWriter, request *http.Request) {
 				if test.aborted {
 					<-request.Context().Done()
 					return
@@ -503,24 +505,24 @@
 				time.Sleep(300 * time.Millisecond)
 				_, _ = io.WriteString(writer, "handle-1")
 			})
-			w.add("generator", region.StageDecode, func(writer http.ResponseWriter, request *http.Request) {
+			w.addReplica("generator", region.StageDecode, func(writer http.ResponseWriter, request *http.Request) {
 				assert.Equal(t, test.aborted, request.Header.Get("Source") == "")
-				events(1, 2, false)(writer, request)
+				streamEvents(1, 2, false)(writer, request)
 			})
-			assert.Equal(t, text(1, 2), w.run(modelCall(1200, "own")).body.String())
+			assert.Equal(t, eventText(1, 2), w.runCall(newModelCall(1200, "own")).body.String())
 		})
 	}
 }
 
 func TestFailedConnectionCostsNoRetryBudget(t *testing.T) {
-	w := newTestEnvironmentWithBudget(t, relay.BudgetTerms{Window: time.Second})
+	w := newTestEnvironmentWithBudget(t, relay.RetryBudgetOptions{Window: time.Second})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	require.NoError(t, listener.Close())
-	w.list("dead", "", listener.Addr().String())
-	w.add("sound", "", sealed(http.StatusOK, "answer"))
+	w.listReplica("dead", "", listener.Addr().String())
+	w.addReplica("sound", "", respondSealed(http.StatusOK, "answer"))
 	for range 20 {
-		require.NoError(t, w.run(callOf(traffic.KindOnce, 1)).err)
+		require.NoError(t, w.runCall(newCall(traffic.KindOnce, 1)).err)
 	}
 }
 
@@ -544,34 +546,34 @@
 	assert.Contains(t, lines[2], `"failures"=2`)
 }
 
-func TestAPromptWhoseReadingWasNotAnsweredIsFetchedFromItsReader(t *testing.T) {
+func TestPromptWithLostPrefillResponseIsFetched(t *testing.T) {
 	// Sending a prompt that was received is no retry, so no budget is needed.
-	w := newTestEnvironmentWithBudget(t, relay.BudgetTerms{Window: time.Second})
-	w.add("reader", region.StagePrefill, dropping)
-	w.add("generator", region.StageDecode, func(writer http.ResponseWriter, request *http.Request) {
-		assert.Equal(t, w.replicas[0].Address, request.Header.Get("Fetch"))
-		events(1, 2, false)(writer, request)
+	w := newTestEnvironmentWithBudget(t, relay.RetryBudgetOptions{Window: time.Second})
+	w.addReplica("reader", region.StagePrefill, dropConnection)
+	w.addReplica("generator", region.StageDecode, func(writer http.ResponseWriter, request *http.Request) {
+		assert.Equal(t, w.replicaList[0].Address, request.Header.Get("Fetch"))
+		streamEvents(1, 2, false)(writer, request)
 	})
-	assert.Equal(t, text(1, 2), w.run(modelCall(8000, "own")).body.String())
+	assert.Equal(t, eventText(1, 2), w.runCall(newModelCall(8000, "own")).body.String())
 }
 
 // Guards against a replica being told of more time than the caller has left: the monotonic clock stops
 // while the machine is suspended, here between two sends.
-func TestTheTimeOfACallGoesOnWhileTheMachineIsSuspended(t *testing.T) {
-	w := newWorld(t)
+func TestSuspensionCountsTowardsTimeLeft(t *testing.T) {
+	w := newTestEnvironment(t)
 	var suspended atomic.Int64
-	w.runner.CountSuspensions(func() time.Duration { return time.Duration(suspended.Load()) })
+	w.runner.SetSuspendedTime(func() time.Duration { return time.Duration(suspended.Load()) })
 	var lefts []int
 	handler := func(writer http.ResponseWriter, request *http.Request) {
 		left, err := strconv.Atoi(request.Header.Get("Left"))
 		assert.NoError(t, err)
 		lefts = append(lefts, left)
 		suspended.Store(int64(15 * time.Second))
-		dropping(writer, request)
+		dropConnection(writer, request)
 	}
-	w.add("a", "", handler)
-	w.add("b", "", handler)
-	w.run(callOf(traffic.KindRepeatable, 2))
+	w.addReplica("a", "", handler)
+	w.addReplica("b", "", handler)
+	w.runCall(newCall(traffic.KindRepeatable, 2))
 	require.Len(t, lefts, 2)
 	assert.Greater(t, lefts[0], 15_000)
 	assert.LessOrEqual(t, lefts[1], 5_000)
--- a/internal/relay/send.go
+++ b/internal/relay/send.go
@@ -30,10 +30,10 @@
 )
 
 // request builds the upstream request of one send.
-func (r *run) request(replica *Replica, send Send) *upstream.Request {
+func (r *callState) request(replica *Replica, send Send) *upstream.Request {
 	send.Instance = replica.ID
 	send.Tenant = r.call.Tenant
-	send.Left = r.timeLeft()
+	send.TimeLeft = r.timeLeft()
 	request := &upstream.Request{
 		Address:  replica.Address,
 		Instance: replica.name,
@@ -44,9 +44,9 @@
 		Body:     r.call.Body,
 		Work:     true,
 
-		MaximumIdle: idleConnectionLimit(r.call.Service.MaximumConnections, r.directory.choosers()),
+		MaximumIdle: idleConnectionLimit(r.call.Service.MaximumConnections, r.directory.placerCount()),
 		Belongs: func(header http.Header) bool {
-			marks := r.dialect.ReadMarks(header)
+			marks := r.dialect.ReadResponseMetadata(header)
 			return marks.RequestID == "" || marks.RequestID == r.call.ID
 		},
 	}
@@ -77,7 +77,7 @@
 
 // attemptSend sends the request to a replica and forwards its answer. The handle is that of the
 // prompt, or nil if the replica is to prefill it itself.
-func (r *run) attemptSend(ctx context.Context, lease *Lease, handle *promptHandle) (verdict, error) {
+func (r *callState) attemptSend(ctx context.Context, lease *Lease, handle *promptHandle) (verdict, error) {
 	defer handle.freeUnlessConsumed(r.Runner)
 	if ctx.Err() != nil {
 		return verdictNotRun, context.Cause(ctx)
@@ -88,7 +88,7 @@
 	}
 	switch {
 	case handle != nil:
-		send.Source = handle.source()
+		send.PrefillSource = handle.source()
 		r.metrics.countTransfer(transferHandover, r.directory.distance(handle.replica, lease.Replica))
 		send.Moved = r.stream != nil
 	case r.isModelCall():
@@ -103,7 +103,7 @@
 }
 
 // countFetch counts the prefix fetch that the replica of a lease is to make.
-func (r *run) countFetch(lease *Lease) {
+func (r *callState) countFetch(lease *Lease) {
 	if lease.fetchFrom != nil {
 		r.metrics.countTransfer(transferFetch, r.directory.distance(lease.fetchFrom, lease.Replica))
 	}
@@ -111,17 +111,17 @@
 
 // exchange makes one send: it sends the request and forwards the response, or returns why there is none
 // to forward.
-func (r *run) exchange(ctx context.Context, lease *Lease, send Send) (verdict, error) {
+func (r *callState) exchange(ctx context.Context, lease *Lease, send Send) (verdict, error) {
 	r.sends++
 	choice := lease.Choice
 	distance := r.directory.distanceTo(lease.Replica)
 	r.metrics.countTransfer(transferSend, distance)
 	r.logger.V(1).Info(event.RequestSent, "request", r.call.ID, "route", r.call.Route.Name, "replica", lease.Replica.ID,
-		"address", lease.Replica.Address, "distance", distance.String(), "source", send.Source, "fetch", send.Fetch, "send", r.sends,
+		"address", lease.Replica.Address, "distance", distance.String(), "source", send.PrefillSource, "fetch", send.Fetch, "send", r.sends,
 		"candidates", choice.Candidates, "in_flight", choice.InFlight, "peers_age_ms", choice.PeersAge.Milliseconds(),
 		"occupancy", math.Round(choice.Occupancy*100)/100, "load_age_ms", choice.LoadAge.Milliseconds(),
-		"missing", lease.missing(), "wait_ms", lease.expectedWait().Milliseconds(), "placed_by", lease.placedBy(), "limit", lease.Limit(),
-		"rest_ms", lease.RestLeft().Milliseconds(), "leaving", lease.saysLeaving())
+		"missing", lease.missing(), "wait_ms", lease.expectedWait().Milliseconds(), "placed_by", lease.chosenBy(), "limit", lease.Limit(),
+		"rest_ms", lease.BackoffLeft().Milliseconds(), "leaving", lease.saysLeaving())
 	if send.LastEvent != "" {
 		r.logger.Info(event.StreamContinued, "request", r.call.ID, "replica", lease.Replica.ID, "after_event", send.LastEvent,
 			"send", r.sends, "after_ms", time.Since(r.call.Arrived).Milliseconds())
@@ -141,7 +141,7 @@
 	}
 	defer response.Close()
 	r.arrivals++
-	marks := r.dialect.ReadMarks(response.Header)
+	marks := r.dialect.ReadResponseMetadata(response.Header)
 	recordLimit(lease, response.Status, marks)
 	if marks.NotRun || response.Status == http.StatusMisdirectedRequest {
 		r.recordRejection(lease, response, marks)
@@ -164,7 +164,7 @@
 }
 
 // classifyFailure returns the verdict on an exchange that failed without an answer.
-func (r *run) classifyFailure(ctx context.Context, lease *Lease, err error) (verdict, error) {
+func (r *callState) classifyFailure(ctx context.Context, lease *Lease, err error) (verdict, error) {
 	if upstream.Held(err) {
 		r.unsent++
 		return verdictNotRun, err
@@ -188,24 +188,24 @@
 
 // recordLimit records the rate limit that a response declares. A response of another incarnation is
 // ignored: its limit does not apply to this one.
-func recordLimit(lease *Lease, status int, marks Marks) {
+func recordLimit(lease *Lease, status int, marks ResponseMetadata) {
 	if status != http.StatusMisdirectedRequest {
 		lease.NoteLimit(marks.Limit, !marks.NotRun && status < http.StatusInternalServerError)
 	}
 }
 
-func (r *run) recordRejection(lease *Lease, response *upstream.Exchange, marks Marks) {
+func (r *callState) recordRejection(lease *Lease, response *upstream.Exchange, marks ResponseMetadata) {
 	_, _ = response.ReadAll()
 	if response.Status == http.StatusMisdirectedRequest {
 		lease.Misdirected()
 		return
 	}
-	lease.Refused(lease.RestLeft())
+	lease.Refused(lease.BackoffLeft())
 }
 
 // relayResponse forwards a whole response. An error response of the replica is kept back while
 // another attempt may do better.
-func (r *run) relayResponse(ctx context.Context, lease *Lease, response *upstream.Exchange, marks Marks) (verdict, error) {
+func (r *callState) relayResponse(ctx context.Context, lease *Lease, response *upstream.Exchange, marks ResponseMetadata) (verdict, error) {
 	body, err := response.ReadAll()
 	if err != nil {
 		lease.Unreachable(true)
--- a/internal/relay/sizes.go
+++ b/internal/relay/sizes.go
@@ -66,7 +66,7 @@
 
 // sizesOf returns the meter of a service and rank. The caller must hold d.mutex.
 func (d *Directory) sizesOf(service string, rank int) *sizeMeter {
-	meter := d.rankedOf(service)
+	meter := d.rankMeterOf(service)
 	if meter.sizes[rank] == nil {
 		meter.sizes[rank] = &sizeMeter{at: d.clock()}
 	}
@@ -84,6 +84,6 @@
 // its size are prefilled far less often than others, and its prefill will complete before its caller is
 // expected to give up. Without this, at 3 times the capacity, the largest tenth was prefilled 0.04 times as
 // often as all. The caller must hold d.mutex.
-func (d *Directory) promotesLate(service string, request ReadRequest, best *readEstimate) bool {
+func (d *Directory) promotesLate(service string, request ReadRequest, best *prefillEstimate) bool {
 	return best.total() < request.lateLeft() && d.sizesOf(service, request.Rank).isUnderserved(request.Prompt.Tokens)
 }
--- a/internal/relay/stall.go
+++ b/internal/relay/stall.go
@@ -55,5 +55,5 @@
 func (l *Lease) IdleTime() time.Duration {
 	l.directory.mutex.Lock()
 	defer l.directory.mutex.Unlock()
-	return l.directory.clock() - max(l.begun, l.Replica.progressAt)
+	return l.directory.clock() - max(l.startedAt, l.Replica.progressAt)
 }
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -43,7 +43,7 @@
 
 // relayStream forwards the events of a response as they arrive, each one complete. A stream that breaks
 // off ends after its last complete event, so that another replica can continue it.
-func (r *run) relayStream(ctx context.Context, lease *Lease, response *upstream.Exchange, marks Marks, send Send) (verdict, error) {
+func (r *callState) relayStream(ctx context.Context, lease *Lease, response *upstream.Exchange, marks ResponseMetadata, send Send) (verdict, error) {
 	events := &eventSplitter{}
 	buffer := make([]byte, streamReadBytes)
 	first := true
@@ -58,11 +58,11 @@
 				r.countStart(time.Now())
 				lease.Answered(false, marks.Load)
 				r.recordStreamStart(lease, send)
-				if r.isModelCall() && !r.directory.off[mechanism.StreamMoves] {
+				if r.isModelCall() && !r.directory.disabled[mechanism.StreamMoves] {
 					mover = r.startMover(ctx, lease)
 				}
 			} else {
-				lease.StreamWentOn()
+				lease.StreamContinued()
 			}
 			if err := r.forward(response, complete, events.lastID); err != nil {
 				r.callerGone = true
@@ -97,7 +97,7 @@
 
 // forward writes complete events, preceded by the header if it was not sent yet. An error means that
 // the caller has disconnected.
-func (r *run) forward(response *upstream.Exchange, complete []byte, lastID string) error {
+func (r *callState) forward(response *upstream.Exchange, complete []byte, lastID string) error {
 	if r.stream == nil {
 		r.metrics.firstAnswer(r.call)
 		r.stream = &streamState{writer: r.responder.Stream(response.Status, response.Header)}
@@ -111,11 +111,11 @@
 
 // recordStreamStart records the first event of a stream at a replica, which now has the prompt cached.
 // The start of a moved stream was recorded before.
-func (r *run) recordStreamStart(lease *Lease, send Send) {
+func (r *callState) recordStreamStart(lease *Lease, send Send) {
 	if send.Moved {
 		return
 	}
-	lease.StreamBegun(r.call.Route.Name, send.Source != "")
+	lease.StreamBegun(r.call.Route.Name, send.PrefillSource != "")
 	if r.call.Prompt != nil {
 		lease.PromptRead()
 		lease.PromptKept(r.call.Prompt)
--- a/internal/relay/switches_test.go
+++ b/internal/relay/switches_test.go
@@ -23,8 +23,8 @@
 	}
 	stageOf := func(off mechanism.Set) string {
 		d := newDirectory(replica("reader", region.StagePrefill), replica("generator", region.StageDecode))
-		d.SwitchOff(off)
-		lease, err := d.PlaceReading("s", request("own"))
+		d.Disable(off)
+		lease, err := d.PlacePrefill("s", request("own"))
 		require.NoError(t, err)
 		return lease.Replica.Stage
 	}
@@ -33,14 +33,14 @@
 
 	fetchOf := func(off mechanism.Set) string {
 		d := newDirectory(replica("a", region.StagePrefill), replica("b", region.StagePrefill), replica("g", region.StageDecode))
-		d.SwitchOff(off)
-		first, err := d.PlaceReading("s", request("first"))
+		d.Disable(off)
+		first, err := d.PlacePrefill("s", request("first"))
 		require.NoError(t, err)
 		first.PromptRead()
 		first.PromptKept(request("first").Prompt)
 		d.now += time.Second
 		for number := range 20 {
-			lease, err := d.PlaceReading("s", request(fmt.Sprint(number)))
+			lease, err := d.PlacePrefill("s", request(fmt.Sprint(number)))
 			if err != nil {
 				break
 			}
--- a/internal/relay/tenantlevel.go
+++ b/internal/relay/tenantlevel.go
@@ -78,8 +78,8 @@
 	return min(own/max(heavyTenantRatio*mean, negligibleWork), maxWaitFactor)
 }
 
-// tenantOf returns the hash that stands for a tenant's name in placement queries, 0 for no tenant.
-func tenantOf(name string) uint64 {
+// tenantHash returns the hash that stands for a tenant's name in placement queries, 0 for no tenant.
+func tenantHash(name string) uint64 {
 	if name == "" {
 		return 0
 	}
--- a/internal/relay/unconnected_test.go
+++ b/internal/relay/unconnected_test.go
@@ -18,14 +18,14 @@
 
 // Most replicas of a service are lost at once. The call has not run anywhere, and is sent on until it
 // meets a live replica.
-func TestReplicasThatTakeNoConnectionCostNoAttempt(t *testing.T) {
+func TestUnreachableReplicasCostNoAttempt(t *testing.T) {
 	for range 6 {
-		w := newTestEnvironmentWithBudget(t, relay.BudgetTerms{})
-		w.add("alive", "", sealed(http.StatusOK, "answer"))
+		w := newTestEnvironmentWithBudget(t, relay.RetryBudgetOptions{})
+		w.addReplica("alive", "", respondSealed(http.StatusOK, "answer"))
 		for number := range deadReplicas {
-			w.list(fmt.Sprint("dead-", number), "", testnet.Address(t))
+			w.listReplica(fmt.Sprint("dead-", number), "", testnet.Address(t))
 		}
-		answer := w.run(callOf(traffic.KindOnce, 1))
+		answer := w.runCall(newCall(traffic.KindOnce, 1))
 		assert.Equal(t, "answer", answer.body.String())
 		assert.NoError(t, answer.err)
 	}
@@ -33,22 +33,22 @@
 
 // Guards against a prompt being prefilled by the decode replica, at half the pace, only because the prefill
 // replica chosen first is lost.
-func TestAPromptIsReadApartThoughReadersTakeNoConnection(t *testing.T) {
+func TestPrefillIsSeparateDespiteUnreachablePrefillReplicas(t *testing.T) {
 	for range 6 {
-		w := newTestEnvironmentWithBudget(t, relay.BudgetTerms{})
-		w.add("reader", region.StagePrefill, func(writer http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprint(writer, "handle") })
-		w.add("generator", region.StageDecode, func(writer http.ResponseWriter, request *http.Request) {
+		w := newTestEnvironmentWithBudget(t, relay.RetryBudgetOptions{})
+		w.addReplica("reader", region.StagePrefill, func(writer http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprint(writer, "handle") })
+		w.addReplica("generator", region.StageDecode, func(writer http.ResponseWriter, request *http.Request) {
 			assert.NotEmpty(t, request.Header.Get("Source"), "the prompt was prefilled separately")
-			events(1, 2, false)(writer, request)
+			streamEvents(1, 2, false)(writer, request)
 		})
 		for number := range deadReplicas {
-			w.list(fmt.Sprint("dead-", number), region.StagePrefill, testnet.Address(t))
+			w.listReplica(fmt.Sprint("dead-", number), region.StagePrefill, testnet.Address(t))
 		}
-		call := callOf(traffic.KindStream, 1)
+		call := newCall(traffic.KindStream, 1)
 		call.Service.Engine = &traffic.Engine{}
 		call.Prompt = &relay.Prompt{Tokens: 9000, Parts: []relay.PromptPart{{ID: "shared", Tokens: 8000}, {ID: "own", Tokens: 1000}}}
-		answer := w.run(call)
-		assert.Equal(t, text(1, 2), answer.body.String())
-		assert.Equal(t, 1, w.visits("reader"))
+		answer := w.runCall(call)
+		assert.Equal(t, eventText(1, 2), answer.body.String())
+		assert.Equal(t, 1, w.requestCount("reader"))
 	}
 }
