--- a/internal/relay/daemon/replicalimits.go
+++ b/internal/relay/daemon/replicalimits.go
@@ -63,12 +63,12 @@
 
 // report sends a coordinator the limit that a response has declared, unless it was reported too
 // recently.
-func (l *limitClient) report(limit ratelimit.Word) {
+func (l *limitClient) report(limit ratelimit.Report) {
 	now := l.clock()
 	l.stateMutex.Lock()
 	last, known := l.reported[limit.Replica]
 	interval := limitResendInterval
-	if last.declared != limit.Named || last.rate != limit.Rate {
+	if last.declared != limit.Declared || last.rate != limit.Rate {
 		interval = limitReportInterval
 	}
 	if known && now < last.at+interval {
@@ -80,19 +80,19 @@
 		// Limits that are reported once more as a result do no harm.
 		clear(l.reported)
 	}
-	l.reported[limit.Replica] = reportedLimit{declared: limit.Named, rate: limit.Rate, at: now}
+	l.reported[limit.Replica] = reportedLimit{declared: limit.Declared, rate: limit.Rate, at: now}
 	l.stateMutex.Unlock()
-	l.sendReports([]ratelimit.Word{limit})
+	l.sendReports([]ratelimit.Report{limit})
 }
 
 // sendReports sends limits to the first coordinator that may be asked.
-func (l *limitClient) sendReports(limits []ratelimit.Word) {
+func (l *limitClient) sendReports(limits []ratelimit.Report) {
 	candidates := l.candidates()
 	if len(candidates) == 0 {
 		return
 	}
 	for _, batch := range ratelimit.Batches(limits) {
-		l.socket.Send(datagram.KindLimitWord, &ratelimit.Message{From: l.settings.PeerListen, Words: batch}, candidates[0])
+		l.socket.Send(datagram.KindLimitWord, &ratelimit.Message{From: l.settings.PeerListen, Reports: batch}, candidates[0])
 	}
 }
 
@@ -100,8 +100,8 @@
 // it may have restarted or missed a report, so all known limits are sent to it, at most once per
 // limitResendInterval.
 func (l *limitClient) applyView(view *region.View) {
-	l.directory.TakeLimits(view.Limits)
-	if l.directory.LimitNames() == view.LimitNames {
+	l.directory.MergeLimits(view.Limits)
+	if l.directory.LimitedReplicasHash() == view.LimitNames {
 		return
 	}
 	now := l.clock()
@@ -112,12 +112,12 @@
 	}
 	l.stateMutex.Unlock()
 	if due {
-		l.sendReports(l.directory.LimitWords())
+		l.sendReports(l.directory.LimitReports())
 	}
 }
 
 // requestPermit asks whether a request may be sent to a replica that declares a limit.
-func (l *limitClient) requestPermit(ctx context.Context, limitQuestion relay.LimitQuestion) relay.Permit {
+func (l *limitClient) requestPermit(ctx context.Context, limitQuestion relay.PermitRequest) relay.Permit {
 	question := quota.Question{Account: limitQuestion.Life, Units: 1, Rank: limitQuestion.Rank}
 	decision, decided, err := l.decide(ctx, limitQuestion.Request, question)
 	if err != nil {
@@ -130,20 +130,20 @@
 	l.fallback.Forget()
 	l.stateMutex.Unlock()
 	return relay.Permit{
-		Granted:  decision.Admitted,
-		Wait:     time.Duration(decision.WaitMicros) * time.Microsecond,
-		By:       decision.coordinator.String(),
-		GiveBack: func() { l.newCharge(question, decision.coordinator).settle(0) },
+		Granted: decision.Admitted,
+		Wait:    time.Duration(decision.WaitMicros) * time.Microsecond,
+		By:      decision.coordinator.String(),
+		Return:  func() { l.newCharge(question, decision.coordinator).settle(0) },
 	}
 }
 
 // decideLocally decides while no coordinator answers.
-func (l *limitClient) decideLocally(limitQuestion relay.LimitQuestion) relay.Permit {
+func (l *limitClient) decideLocally(limitQuestion relay.PermitRequest) relay.Permit {
 	l.stateMutex.Lock()
 	granted, wait := l.fallback.Ask(l.clock(), limitQuestion.Life, limitQuestion.Rate, l.views.gatewayCount())
 	l.stateMutex.Unlock()
 	l.countDecision(granted, true)
-	return relay.Permit{Granted: granted, Wait: wait, By: "self", GiveBack: func() {}}
+	return relay.Permit{Granted: granted, Wait: wait, By: "self", Return: func() {}}
 }
 
 // recordSend charges a request that was sent to a replica without asking.
