--- a/coordination/consensus/commit.go
+++ b/coordination/consensus/commit.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// maybeCommit moves the commit index to what a majority has on disk, if that
-// is of the current term (Ongaro 2014, section 3.6.2). It reports progress.
+// maybeCommit advances the commit index to the last entry that a majority has
+// on disk, if that entry is of the current term (Ongaro 2014, section 3.6.2). It
+// reports whether the commit index advanced.
 func (c *Core) maybeCommit() bool {
 	if c.role != RoleLeader {
 		return false
@@ -14,21 +15,21 @@
 		return false
 	}
 	c.commitTo(index)
-	c.startWaitingReads()
+	c.startDeferredReads()
 	return true
 }
 
-// quorumMatch returns the last position that a majority of voters has on disk.
+// quorumMatch returns the last log index that a majority of voters has on disk.
 func (c *Core) quorumMatch() uint64 {
 	voters := c.configuration().Voters()
 	matches := make([]uint64, 0, len(voters))
 	for _, voter := range voters {
-		matches = append(matches, c.matchOf(voter))
+		matches = append(matches, c.matchIndexOf(voter))
 	}
 	return quorumValue(matches)
 }
 
-func (c *Core) matchOf(id ReplicaID) uint64 {
+func (c *Core) matchIndexOf(id ReplicaID) uint64 {
 	if id == c.config.ID {
 		return c.log.saved
 	}
@@ -38,7 +39,8 @@
 	return 0
 }
 
-// quorumValue returns the largest value that a majority has reached.
+// quorumValue returns the largest value that a majority of values is at or
+// above, or zero if there are none. It sorts values in place.
 func quorumValue(values []uint64) uint64 {
 	if len(values) == 0 {
 		return 0
--- a/coordination/consensus/config.go
+++ b/coordination/consensus/config.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The defaults of a Config.
+// Defaults for the fields of Config that are zero.
 const (
 	DefaultElectionTimeout    = time.Second
 	DefaultMaxAppendBytes     = 256 << 10
@@ -17,35 +17,36 @@
 	heartbeatsPerElectionTimeout = 10
 )
 
-// Config describes a replica and the state that it has on disk.
+// Config holds the settings of a replica and the state that it has saved.
 type Config struct {
 	ID    ReplicaID
 	Group uint64
-	// Now is the time of the process's monotonic clock.
+	// Now is the current time of the process's monotonic clock.
 	Now time.Duration
-	// Random makes the election timeouts.
+	// Random is the source of randomized election timeouts.
 	Random *rand.Rand
 
-	// ElectionTimeout is the shortest time without a leader before a campaign;
-	// each wait is drawn between it and its double.
+	// ElectionTimeout is the minimum time without contact from a leader before
+	// a campaign. The actual timeout is random between it and its double.
 	ElectionTimeout time.Duration
 	// HeartbeatInterval is the time between a leader's heartbeats.
 	HeartbeatInterval time.Duration
 	// MaxAppendBytes bounds the entries of one append request, which always
 	// carries at least one.
 	MaxAppendBytes int
-	// MaxInflightAppends bounds the unanswered append requests to one member.
+	// MaxInflightAppends bounds the unacknowledged append requests to one member.
 	MaxInflightAppends int
 	// SnapshotChunkBytes bounds the data of one snapshot request.
 	SnapshotChunkBytes int
-	// CatchUpEntries is how far a learner may be behind when it gets its vote.
+	// CatchUpEntries is the number of entries that a learner may lag behind the
+	// leader when it is promoted to a voter.
 	CatchUpEntries uint64
 
-	// Founding is the founding that the replica has promised to take part in,
-	// or zero. The configuration's own takes its place.
+	// Founding is the token of the bootstrap that the replica has promised to
+	// take part in, or zero. The token of a configuration takes precedence.
 	Founding uint64
 
-	// HardState, Snapshot and Entries are what was last saved. Entries are
+	// HardState, Snapshot and Entries are the last saved state. Entries must be
 	// contiguous and begin at or before Snapshot.Index+1.
 	HardState HardState
 	Snapshot  Snapshot
@@ -95,9 +96,9 @@
 	if entries[0].Index > snapshot.Index+1 || entries[len(entries)-1].Index < snapshot.Index {
 		return fmt.Errorf("%w: entries do not connect to snapshot %d", ErrInvalidConfig, snapshot.Index)
 	}
-	for position := 1; position < len(entries); position++ {
-		if entries[position].Index != entries[position-1].Index+1 {
-			return fmt.Errorf("%w: gap in entries after %d", ErrInvalidConfig, entries[position-1].Index)
+	for i := 1; i < len(entries); i++ {
+		if entries[i].Index != entries[i-1].Index+1 {
+			return fmt.Errorf("%w: gap in entries after %d", ErrInvalidConfig, entries[i-1].Index)
 		}
 	}
 	return nil
--- a/coordination/consensus/core.go
+++ b/coordination/consensus/core.go
@@ -20,20 +20,21 @@
 	lastLeaderContact time.Duration
 	heartbeatDue      time.Duration
 
-	// votes holds the answers to this replica's campaign.
+	// votes holds the responses to this replica's campaign: true if granted.
 	votes map[ReplicaID]bool
-	// progress is kept by a leader for all other members.
+	// progress holds the replication state of all other members on a leader.
 	progress map[ReplicaID]*progress
 	reads    readTracker
 	transfer leadershipTransfer
 	incoming *incomingSnapshot
-	// hasLostEntries says that the log lacks entries that were acknowledged.
+	// hasLostEntries is set once the log is found to lack entries that this
+	// replica has acknowledged.
 	hasLostEntries bool
 
 	outbox outbox
 }
 
-// New returns a follower that goes on from the state in config.
+// New returns a follower with the state in config.
 func New(config Config) (*Core, error) {
 	config.setDefaults()
 	if err := config.validate(); err != nil {
@@ -52,7 +53,7 @@
 	}
 	core.log = newEntryLog(config.Snapshot, config.Entries, config.HardState.Commit)
 	core.membership = newMembershipHistory(config.Snapshot)
-	if err := core.membership.append(core.log.between(config.Snapshot.Index, core.log.lastIndex())); err != nil {
+	if err := core.membership.append(core.log.entriesBetween(config.Snapshot.Index, core.log.lastIndex())); err != nil {
 		return nil, err
 	}
 	core.outbox.savedHardState = config.HardState
@@ -62,11 +63,12 @@
 	return core, nil
 }
 
-// advanceClock keeps the core's time from running backwards.
+// advanceClock sets the core's time, which never goes backwards.
 func (c *Core) advanceClock(now time.Duration) { c.now = max(c.now, now) }
 
-// Tick lets the time pass: it starts campaigns, sends heartbeats and makes a
-// leader without a quorum step down.
+// Tick advances the core's time to now. It starts campaigns, sends heartbeats,
+// ends a leadership transfer that has timed out, and makes a leader without an
+// active quorum step down.
 func (c *Core) Tick(now time.Duration) {
 	c.advanceClock(now)
 	if c.role == RoleLeader {
@@ -92,40 +94,43 @@
 	}
 }
 
-// Step takes in a message from another replica. Messages for others are ignored.
+// Step handles a message from another replica. It ignores messages to other
+// replicas, groups or foundings, and vote requests while the leader is live,
+// unless they are part of a leadership transfer.
 func (c *Core) Step(now time.Duration, message Message) {
 	c.advanceClock(now)
 	if message.To != c.config.ID || message.Group != c.config.Group || message.From == 0 {
 		return
 	}
-	if !c.isOfOwnFounding(message) {
+	if !c.matchesFounding(message) {
 		return
 	}
-	if isVoteRequest(message) && !message.Transfer && c.hearsLeader() {
+	if isVoteRequest(message) && !message.Transfer && c.hasLiveLeader() {
 		return
 	}
-	if !c.compareTerm(message) {
+	if !c.reconcileTerm(message) {
 		return
 	}
 	c.dispatch(message)
 }
 
-// compareTerm brings this replica to the message's term or turns a message of
-// an older term away. It reports whether the message is to be handled.
-func (c *Core) compareTerm(message Message) bool {
+// reconcileTerm moves this replica to the message's term if that is newer and
+// rejects a message of an older term. It reports whether the message is to be
+// handled.
+func (c *Core) reconcileTerm(message Message) bool {
 	switch {
 	case message.Term > c.term:
-		c.followHigherTerm(message)
+		c.handleHigherTerm(message)
 		return true
 	case message.Term < c.term:
-		c.answerOlderTerm(message)
+		c.rejectStaleTerm(message)
 		return false
 	default:
 		return true
 	}
 }
 
-func (c *Core) followHigherTerm(message Message) {
+func (c *Core) handleHigherTerm(message Message) {
 	if message.Kind == MessagePreVoteRequest {
 		return
 	}
@@ -139,9 +144,10 @@
 	c.becomeFollower(message.Term, leader)
 }
 
-// answerOlderTerm tells the sender of a request about the newer term, so that
-// an old leader steps down and an old candidate gives up.
-func (c *Core) answerOlderTerm(message Message) {
+// rejectStaleTerm sends the current term to the sender of a request with an
+// older term, so that a stale leader steps down and a stale candidate ends its
+// campaign.
+func (c *Core) rejectStaleTerm(message Message) {
 	switch {
 	case isFromLeader(message):
 		c.sendAfterSync(Message{Kind: MessageAppendResponse, To: message.From, Rejected: true})
@@ -188,10 +194,10 @@
 	}
 }
 
-// PromiseFounding makes the core ignore the messages of all other foundings.
+// PromiseFounding makes the core ignore messages of all other foundings.
 func (c *Core) PromiseFounding(founding uint64) { c.config.Founding = founding }
 
-// founding returns the founding that this replica belongs to, or zero.
+// founding returns the founding token of this replica's group, or zero.
 func (c *Core) founding() uint64 {
 	if founding := c.configuration().Founding; founding != 0 {
 		return founding
@@ -199,9 +205,9 @@
 	return c.config.Founding
 }
 
-// isOfOwnFounding reports whether a message comes from this replica's group. A
-// new replica belongs to the group whose leader reaches it first.
-func (c *Core) isOfOwnFounding(message Message) bool {
+// matchesFounding reports whether a message has this replica's founding. A
+// replica without one adopts that of the first leader that contacts it.
+func (c *Core) matchesFounding(message Message) bool {
 	if c.founding() == 0 && isFromLeader(message) {
 		c.config.Founding = message.Founding
 	}
--- a/coordination/consensus/doc.go
+++ b/coordination/consensus/doc.go
@@ -1,4 +1,5 @@
-// Package consensus is a Raft core: a state machine for one replica of one group.
+// Package consensus implements the Raft algorithm as a state machine for one
+// replica of one group.
 //
 // The algorithm is that of Ongaro, "Consensus: Bridging Theory and Practice"
 // (dissertation, Stanford 2014): leader election (chapter 3), single-server
@@ -6,9 +7,9 @@
 // read index (section 6.4), leadership transfer (section 3.10), pre-vote
 // (section 9.6) and check-quorum (section 6.2).
 //
-// The core has no goroutines, clock, files or sockets. The caller hands it
-// messages, proposals and the time of its own monotonic clock, takes a Ready,
-// makes its contents durable, sends its messages and calls Advance:
+// Core uses no goroutines, clock, files or sockets. The caller passes it
+// messages, proposals and the time of a monotonic clock, takes a Ready, makes
+// its contents durable, sends its messages and calls Advance:
 //
 //	core.Step(now, message)
 //	for core.HasReady() {
--- a/coordination/consensus/election.go
+++ b/coordination/consensus/election.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// becomeFollower enters a term, which is not below the current one.
+// becomeFollower makes this replica a follower in term, which must not be below
+// the current one.
 func (c *Core) becomeFollower(term uint64, leader ReplicaID) {
 	if term != c.term {
 		c.term = term
@@ -17,8 +18,8 @@
 	c.resetElectionDeadline()
 }
 
-// resetElectionDeadline draws the time of the next campaign. A sole voter need
-// not wait for anyone.
+// resetElectionDeadline sets the next campaign to a random time between one and
+// two election timeouts from now. A sole voter campaigns at the next Tick.
 func (c *Core) resetElectionDeadline() {
 	voters := c.configuration().Voters()
 	if len(voters) == 1 && voters[0] == c.config.ID {
@@ -29,26 +30,30 @@
 	c.electionDeadline = c.now + c.config.ElectionTimeout + spread
 }
 
-// retrySooner draws the time at which a campaign that has no majority is
-// repeated. The leader is known to be silent then, so that no full election
-// timeout has to pass; the wide spread keeps candidates apart.
-func (c *Core) retrySooner() {
+// resetCampaignRetryDeadline sets the time at which a campaign without a
+// majority is repeated, at random between a quarter and the whole of an election
+// timeout from now. The leader is already known to be unresponsive, so no full
+// election timeout has to pass; the wide range makes it less likely that
+// candidates split the vote again.
+func (c *Core) resetCampaignRetryDeadline() {
 	shortest := c.config.ElectionTimeout / 4
 	spread := time.Duration(c.config.Random.Int64N(int64(c.config.ElectionTimeout - shortest)))
 	c.electionDeadline = c.now + shortest + spread
 }
 
-// hearsLeader reports whether this replica knows a live leader and therefore
-// ignores campaigns (Ongaro 2014, section 4.2.3).
-func (c *Core) hearsLeader() bool {
+// hasLiveLeader reports whether this replica leads or has heard from its leader
+// within an election timeout, and therefore ignores campaigns (Ongaro 2014,
+// section 4.2.3).
+func (c *Core) hasLiveLeader() bool {
 	if c.role == RoleLeader {
 		return true
 	}
 	return c.leader != 0 && c.now-c.lastLeaderContact < c.config.ElectionTimeout
 }
 
-// followLeader notes a sign of life of the leader of the current term.
-func (c *Core) followLeader(leader ReplicaID) {
+// recordLeaderContact makes this replica a follower of the leader of the current
+// term, from which a message has arrived, and resets the election deadline.
+func (c *Core) recordLeaderContact(leader ReplicaID) {
 	if c.role != RoleFollower || c.leader != leader {
 		c.becomeFollower(c.term, leader)
 	}
@@ -56,31 +61,31 @@
 	c.resetElectionDeadline()
 }
 
-// startPreVote asks whether a campaign could be won, without entering a new
-// term (Ongaro 2014, section 9.6).
+// startPreVote asks the voters whether they would vote for this replica, without
+// entering a new term (Ongaro 2014, section 9.6).
 func (c *Core) startPreVote() {
 	if !c.configuration().IsVoter(c.config.ID) {
 		return
 	}
 	c.becomeFollower(c.term, 0)
-	c.retrySooner()
+	c.resetCampaignRetryDeadline()
 	c.role = RolePreCandidate
-	c.collectVotes(MessagePreVoteRequest, c.term+1, false)
+	c.requestVotes(MessagePreVoteRequest, c.term+1, false)
 }
 
 // startCampaign enters a new term as a candidate.
-func (c *Core) startCampaign(transfer bool) {
+func (c *Core) startCampaign(isTransfer bool) {
 	c.becomeFollower(c.term+1, 0)
-	c.retrySooner()
+	c.resetCampaignRetryDeadline()
 	c.role = RoleCandidate
 	c.vote = c.config.ID
-	c.collectVotes(MessageVoteRequest, c.term, transfer)
+	c.requestVotes(MessageVoteRequest, c.term, isTransfer)
 }
 
-func (c *Core) collectVotes(kind MessageKind, term uint64, transfer bool) {
+func (c *Core) requestVotes(kind MessageKind, term uint64, isTransfer bool) {
 	c.votes = map[ReplicaID]bool{c.config.ID: true}
 	if c.countVotes(true) >= c.configuration().Quorum() {
-		c.winVotes()
+		c.handleVoteMajority()
 		return
 	}
 	for _, voter := range c.configuration().Voters() {
@@ -93,12 +98,12 @@
 			Term:     term,
 			LogIndex: c.log.lastIndex(),
 			LogTerm:  c.log.lastTerm(),
-			Transfer: transfer,
+			Transfer: isTransfer,
 		})
 	}
 }
 
-func (c *Core) winVotes() {
+func (c *Core) handleVoteMajority() {
 	if c.role == RolePreCandidate {
 		c.startCampaign(false)
 		return
@@ -109,7 +114,7 @@
 func (c *Core) countVotes(granted bool) int {
 	count := 0
 	for _, voter := range c.configuration().Voters() {
-		if vote, answered := c.votes[voter]; answered && vote == granted {
+		if vote, responded := c.votes[voter]; responded && vote == granted {
 			count++
 		}
 	}
@@ -145,23 +150,23 @@
 }
 
 func (c *Core) handleVoteResponse(message Message) {
-	if !c.awaitsVote(message) {
+	if !c.expectsVoteResponse(message) {
 		return
 	}
-	if _, answered := c.votes[message.From]; answered {
+	if _, responded := c.votes[message.From]; responded {
 		return
 	}
 	c.votes[message.From] = !message.Rejected
 	quorum := c.configuration().Quorum()
 	switch {
 	case c.countVotes(true) >= quorum:
-		c.winVotes()
+		c.handleVoteMajority()
 	case c.countVotes(false) >= quorum:
 		c.becomeFollower(c.term, 0)
 	}
 }
 
-func (c *Core) awaitsVote(message Message) bool {
+func (c *Core) expectsVoteResponse(message Message) bool {
 	if message.Kind == MessageVoteResponse {
 		return c.role == RoleCandidate
 	}
@@ -171,8 +176,9 @@
 	return message.Rejected || message.Term == c.term+1
 }
 
-// becomeLeader starts the term with an empty entry, by which the entries of
-// earlier terms get committed (Ongaro 2014, section 3.6.2).
+// becomeLeader appends an empty entry of the new term, because entries of earlier
+// terms are committed only together with one of the leader's own term (Ongaro
+// 2014, section 3.6.2).
 func (c *Core) becomeLeader() {
 	c.role = RoleLeader
 	c.leader = c.config.ID
@@ -185,8 +191,9 @@
 	c.broadcastAppend()
 }
 
-// hasActiveQuorum reports whether a majority of a configuration's voters was
-// heard of within an election timeout (check-quorum, Ongaro 2014, section 6.2).
+// hasActiveQuorum reports whether this leader has heard from a majority of a
+// configuration's voters, itself included, within an election timeout
+// (check-quorum, Ongaro 2014, section 6.2).
 func (c *Core) hasActiveQuorum(configuration Configuration) bool {
 	active := 0
 	for _, voter := range configuration.Voters() {
--- a/coordination/consensus/errors.go
+++ b/coordination/consensus/errors.go
@@ -2,24 +2,28 @@
 
 import "errors"
 
-// The errors of the core. None of them changes the core's state.
+// Errors returned by New and by the methods of Core. A call that returns one
+// leaves the core's state unchanged.
 var (
-	// ErrNotLeader says that this replica does not lead.
+	// ErrNotLeader means that this replica is not the leader.
 	ErrNotLeader = errors.New("consensus: not the leader")
-	// ErrTransferring says that the leader is handing over and takes no proposals.
+	// ErrTransferring means that the leader accepts no proposals because a
+	// leadership transfer is in progress.
 	ErrTransferring = errors.New("consensus: leadership is being transferred")
-	// ErrChangeInProgress says that an earlier membership change, or the first
+	// ErrChangeInProgress means that an earlier membership change, or the first
 	// entry of the leader's term, is not committed yet.
 	ErrChangeInProgress = errors.New("consensus: a membership change is in progress")
-	// ErrUnchanged says that the configuration is already as the change asks.
+	// ErrUnchanged means that the change would leave the configuration as it is.
 	ErrUnchanged = errors.New("consensus: membership is already so")
-	// ErrUnknownMember says that the change or transfer names no fitting member.
+	// ErrUnknownMember means that the member named by a change or transfer does
+	// not exist or is not eligible, or that the kind of change is invalid.
 	ErrUnknownMember = errors.New("consensus: no such member")
-	// ErrNotCaughtUp says that a learner lacks too much of the log for a vote.
+	// ErrNotCaughtUp means that a learner is inactive or too far behind the
+	// leader's log to be promoted to a voter.
 	ErrNotCaughtUp = errors.New("consensus: learner has not caught up")
-	// ErrQuorumAtRisk says that too few voters of the new configuration are
-	// active for it to commit anything.
+	// ErrQuorumAtRisk means that too few voters of the new configuration are
+	// active to commit an entry.
 	ErrQuorumAtRisk = errors.New("consensus: change would leave no active quorum")
-	// ErrInvalidConfig says that New was given an unusable Config.
+	// ErrInvalidConfig means that New was called with an invalid Config.
 	ErrInvalidConfig = errors.New("consensus: invalid config")
 )
--- a/coordination/consensus/example_test.go
+++ b/coordination/consensus/example_test.go
@@ -9,8 +9,8 @@
 )
 
 // Three cores elect a leader and commit a command. The example delivers all
-// messages at once and keeps nothing on disk, which a real caller must do
-// between MessagesBeforeSync and MessagesAfterSync.
+// messages at once and saves nothing to disk; a real caller must do so after it
+// sends MessagesBeforeSync and before it sends MessagesAfterSync.
 func ExampleCore() {
 	configuration := consensus.Configuration{Generation: 1, Founding: 1}
 	cores := map[consensus.ReplicaID]*consensus.Core{}
@@ -54,6 +54,6 @@
 		}
 		exchange(now)
 	}
-	fmt.Println("replicas that have it:", committed)
-	// Output: replicas that have it: 3
+	fmt.Println("replicas that committed the command:", committed)
+	// Output: replicas that committed the command: 3
 }
--- a/coordination/consensus/interrupted_test.go
+++ b/coordination/consensus/interrupted_test.go
@@ -9,89 +9,92 @@
 	"github.com/stretchr/testify/require"
 )
 
-// cutOff drops all messages from and to a replica.
-func (b *bench) cutOff(id ReplicaID) {
-	b.drop = func(message Message) bool { return message.From == id || message.To == id }
+// isolate drops all messages from and to a replica.
+func (cluster *testCluster) isolate(id ReplicaID) {
+	cluster.drop = func(message Message) bool { return message.From == id || message.To == id }
 }
 
-func (b *bench) heal() { b.drop = func(Message) bool { return false } }
+func (cluster *testCluster) heal() { cluster.drop = func(Message) bool { return false } }
 
-// TestConfigurationIsRolledBack lets a leader that is cut off append a
-// membership change, which the next leader knows nothing of.
-func TestConfigurationIsRolledBack(t *testing.T) {
-	b := newBench(t, 3)
-	old := b.elect(t)
-	b.cutOff(old.config.ID)
-	_, err := old.ProposeMembership(b.now, MembershipChange{AddLearner, Member{ID: 9}})
+// TestUncommittedConfigurationIsRolledBack guards against a replica that keeps a
+// configuration whose entry was replaced: an isolated leader appends a membership
+// change that the next leader does not have.
+func TestUncommittedConfigurationIsRolledBack(t *testing.T) {
+	cluster := newTestCluster(t, 3)
+	old := cluster.elect(t)
+	cluster.isolate(old.config.ID)
+	_, err := old.ProposeMembership(cluster.now, MembershipChange{AddLearner, Member{ID: 9}})
 	require.NoError(t, err)
 	_, found := old.configuration().Find(9)
-	require.True(t, found, "a configuration is in force when it is appended")
-	b.pass(time.Second)
-	b.heal()
-	b.pass(time.Second)
-	leader := b.leader(t)
+	require.True(t, found, "a configuration takes effect when it is appended")
+	cluster.advance(time.Second)
+	cluster.heal()
+	cluster.advance(time.Second)
+	leader := cluster.leader(t)
 	require.NotEqual(t, old.config.ID, leader.config.ID)
 	_, found = old.configuration().Find(9)
 	require.False(t, found)
-	_, err = leader.ProposeMembership(b.now, MembershipChange{AddLearner, Member{ID: 10}})
+	_, err = leader.ProposeMembership(cluster.now, MembershipChange{AddLearner, Member{ID: 10}})
 	require.NoError(t, err)
-	b.settle()
+	cluster.deliverAll()
 	require.Equal(t, leader.configuration(), old.configuration())
 }
 
-// TestNewLeaderWaitsForItsOwnTerm holds the first entry of a new leader's term
-// back: until it is committed no membership change is taken (Ongaro's
-// correction of 2015) and no read is answered (Ongaro 2014, section 6.4).
-func TestNewLeaderWaitsForItsOwnTerm(t *testing.T) {
-	b := newBench(t, 3)
-	first := b.elect(t)
-	b.cutOff(first.config.ID)
-	held := b.drop
-	b.drop = func(message Message) bool {
-		return held(message) || message.Kind == MessageAppendResponse
+// TestNewLeaderWaitsForCommitInItsTerm delays the commit of the first entry of a
+// new leader's term. Until then the leader must accept no membership change
+// (Ongaro's correction of 2015) and confirm no read (Ongaro 2014, section 6.4).
+func TestNewLeaderWaitsForCommitInItsTerm(t *testing.T) {
+	cluster := newTestCluster(t, 3)
+	first := cluster.elect(t)
+	cluster.isolate(first.config.ID)
+	dropOldLeader := cluster.drop
+	cluster.drop = func(message Message) bool {
+		return dropOldLeader(message) || message.Kind == MessageAppendResponse
 	}
-	b.pass(time.Second)
-	leader := b.leader(t)
+	cluster.advance(time.Second)
+	leader := cluster.leader(t)
 	require.NotEqual(t, first.config.ID, leader.config.ID)
-	require.NoError(t, leader.ReadIndex(b.now, 42))
-	_, err := leader.ProposeMembership(b.now, MembershipChange{AddLearner, Member{ID: 9}})
+	require.NoError(t, leader.ReadIndex(cluster.now, 42))
+	_, err := leader.ProposeMembership(cluster.now, MembershipChange{AddLearner, Member{ID: 9}})
 	require.ErrorIs(t, err, ErrChangeInProgress)
-	b.pass(50 * time.Millisecond)
-	require.Empty(t, b.reads[leader.config.ID])
-	b.drop = held
-	b.pass(100 * time.Millisecond)
-	reads := b.reads[leader.config.ID]
+	cluster.advance(50 * time.Millisecond)
+	require.Empty(t, cluster.reads[leader.config.ID])
+	cluster.drop = dropOldLeader
+	cluster.advance(100 * time.Millisecond)
+	reads := cluster.reads[leader.config.ID]
 	require.Len(t, reads, 1)
 	term, _ := leader.log.term(reads[0].Index)
 	require.Equal(t, leader.term, term)
-	_, err = leader.ProposeMembership(b.now, MembershipChange{AddLearner, Member{ID: 9}})
+	_, err = leader.ProposeMembership(cluster.now, MembershipChange{AddLearner, Member{ID: 9}})
 	require.NoError(t, err)
 }
 
-// TestInterruptedTransfer loses the order to campaign: proposals are refused
-// for an election timeout and taken again afterwards.
-func TestInterruptedTransfer(t *testing.T) {
-	b := newBench(t, 3)
-	leader := b.elect(t)
-	b.drop = func(message Message) bool { return message.Kind == MessageTimeoutNow }
-	require.NoError(t, leader.TransferLeadership(b.now, 0))
-	b.pass(leader.config.ElectionTimeout / 2)
-	_, err := leader.Propose(b.now, [][]byte{nil})
+// TestFailedTransferResumesProposals guards against a leader that rejects proposals
+// forever after a failed transfer. The timeout-now message is lost: proposals must
+// be rejected for an election timeout and accepted afterwards.
+func TestFailedTransferResumesProposals(t *testing.T) {
+	cluster := newTestCluster(t, 3)
+	leader := cluster.elect(t)
+	cluster.drop = func(message Message) bool { return message.Kind == MessageTimeoutNow }
+	require.NoError(t, leader.TransferLeadership(cluster.now, 0))
+	cluster.advance(leader.config.ElectionTimeout / 2)
+	_, err := leader.Propose(cluster.now, [][]byte{nil})
 	require.ErrorIs(t, err, ErrTransferring)
-	b.pass(leader.config.ElectionTimeout)
+	cluster.advance(leader.config.ElectionTimeout)
 	require.Equal(t, RoleLeader, leader.role)
-	_, err = leader.Propose(b.now, [][]byte{nil})
+	_, err = leader.Propose(cluster.now, [][]byte{nil})
 	require.NoError(t, err)
 }
 
-// TestPiecesOfTwoSnapshotsAreNotMixed sends a piece of one snapshot and the
-// rest of another of the same size, and then the whole of the other.
-func TestPiecesOfTwoSnapshotsAreNotMixed(t *testing.T) {
-	b := newBench(t, 3)
-	leader := b.elect(t)
-	follower := b.cores[leader.others()[0]]
-	b.cutOff(follower.config.ID)
-	piece := func(index uint64, content byte, offset int) Message {
+// TestChunksOfTwoSnapshotsAreNotMixed guards against a snapshot assembled from
+// chunks of two. The follower receives the first chunk of one snapshot and the
+// rest of another of the same size, and then all chunks of the other.
+func TestChunksOfTwoSnapshotsAreNotMixed(t *testing.T) {
+	cluster := newTestCluster(t, 3)
+	leader := cluster.elect(t)
+	follower := cluster.cores[leader.otherMembers()[0]]
+	cluster.isolate(follower.config.ID)
+	chunk := func(index uint64, content byte, offset int) Message {
 		data := bytes.Repeat([]byte{content}, 20)
 		return Message{
 			Kind: MessageSnapshotRequest, From: leader.config.ID, To: follower.config.ID, Founding: 5, Term: leader.term,
@@ -102,34 +105,35 @@
 		}
 	}
 	step := func(message Message) Message {
-		follower.Step(b.now, message)
+		follower.Step(cluster.now, message)
 		ready := follower.Ready()
 		follower.Advance()
 		require.NotEmpty(t, ready.MessagesAfterSync)
 		return ready.MessagesAfterSync[len(ready.MessagesAfterSync)-1]
 	}
-	require.EqualValues(t, 10, step(piece(50, 'a', 0)).Offset)
-	answer := step(piece(60, 'b', 10))
-	require.True(t, answer.Rejected)
-	require.Zero(t, answer.Offset)
+	require.EqualValues(t, 10, step(chunk(50, 'a', 0)).Offset)
+	response := step(chunk(60, 'b', 10))
+	require.True(t, response.Rejected)
+	require.Zero(t, response.Offset)
 	require.NotEqual(t, uint64(60), follower.snapshot.Index)
-	require.EqualValues(t, 10, step(piece(60, 'b', 0)).Offset)
-	require.EqualValues(t, 10, step(piece(60, 'b', 0)).Offset, "a repeated piece adds nothing")
-	step(piece(60, 'b', 10))
+	require.EqualValues(t, 10, step(chunk(60, 'b', 0)).Offset)
+	require.EqualValues(t, 10, step(chunk(60, 'b', 0)).Offset, "a repeated chunk adds nothing")
+	step(chunk(60, 'b', 10))
 	require.EqualValues(t, 60, follower.snapshot.Index)
 	require.Equal(t, bytes.Repeat([]byte{'b'}, 20), follower.snapshot.Data)
 }
 
-// TestLeaderCountsItselfAfterItsSync lets one of two followers acknowledge an
-// entry that the leader has not synced: that is no majority of disks.
-func TestLeaderCountsItselfAfterItsSync(t *testing.T) {
-	b := newBench(t, 3)
-	leader := b.elect(t)
+// TestLeaderCountsItsEntriesOnlyAfterSync guards against the commit of an entry that
+// only a minority has on disk: one of two followers acknowledges an entry that the
+// leader itself has not synced yet.
+func TestLeaderCountsItsEntriesOnlyAfterSync(t *testing.T) {
+	cluster := newTestCluster(t, 3)
+	leader := cluster.elect(t)
 	committed := leader.log.committed
-	position, err := leader.Propose(b.now, [][]byte{[]byte("x")})
+	position, err := leader.Propose(cluster.now, [][]byte{[]byte("x")})
 	require.NoError(t, err)
-	leader.Step(b.now, Message{
-		Kind: MessageAppendResponse, From: leader.others()[0], To: leader.config.ID, Founding: 5,
+	leader.Step(cluster.now, Message{
+		Kind: MessageAppendResponse, From: leader.otherMembers()[0], To: leader.config.ID, Founding: 5,
 		Term: leader.term, LogIndex: position.Index,
 	})
 	require.Equal(t, committed, leader.log.committed)
@@ -138,31 +142,31 @@
 	require.Equal(t, position.Index, leader.log.committed)
 }
 
-// TestEarlierTermsAreNotCommittedByCounting is the case of figure 3.7 of Ongaro
-// 2014: an entry of an earlier term on a majority of disks may still be
-// replaced, until one of the leader's own term is committed behind it.
+// TestEarlierTermsAreNotCommittedByCounting covers the case of figure 3.7 of Ongaro
+// 2014: an entry of an earlier term that is on a majority of disks may still be
+// replaced until an entry of the leader's own term is committed after it.
 func TestEarlierTermsAreNotCommittedByCounting(t *testing.T) {
-	b := newBench(t, 3)
-	old := b.elect(t)
+	cluster := newTestCluster(t, 3)
+	old := cluster.elect(t)
 	committed := old.log.committed
-	b.drop = func(Message) bool { return true }
-	earlier, err := old.Propose(b.now, [][]byte{[]byte("x")})
+	cluster.drop = func(Message) bool { return true }
+	earlierTermEntry, err := old.Propose(cluster.now, [][]byte{[]byte("x")})
 	require.NoError(t, err)
-	b.pass(time.Second)
-	b.drop = func(message Message) bool {
+	cluster.advance(time.Second)
+	cluster.drop = func(message Message) bool {
 		return message.Kind == MessageAppendRequest || message.Kind == MessageAppendResponse
 	}
 	old.startCampaign(true)
-	b.settle()
+	cluster.deliverAll()
 	require.Equal(t, RoleLeader, old.role)
-	require.Greater(t, old.term, earlier.Term)
+	require.Greater(t, old.term, earlierTermEntry.Term)
 	acknowledge := func(index uint64) {
-		old.Step(b.now, Message{
-			Kind: MessageAppendResponse, From: old.others()[0], To: old.config.ID, Founding: 5, Term: old.term, LogIndex: index,
+		old.Step(cluster.now, Message{
+			Kind: MessageAppendResponse, From: old.otherMembers()[0], To: old.config.ID, Founding: 5, Term: old.term, LogIndex: index,
 		})
 	}
-	acknowledge(earlier.Index)
+	acknowledge(earlierTermEntry.Index)
 	require.Equal(t, committed, old.log.committed)
-	acknowledge(earlier.Index + 1)
-	require.Equal(t, earlier.Index+1, old.log.committed)
+	acknowledge(earlierTermEntry.Index + 1)
+	require.Equal(t, earlierTermEntry.Index+1, old.log.committed)
 }
--- a/coordination/consensus/log.go
+++ b/coordination/consensus/log.go
@@ -2,18 +2,19 @@
 
 import "fmt"
 
-// entryLog is the part of the log after the compacted prefix.
+// entryLog holds the log entries after the compacted prefix.
 type entryLog struct {
-	// baseIndex and baseTerm name the position before entries[0].
+	// baseIndex and baseTerm are the index and term of the entry before entries[0].
 	baseIndex uint64
 	baseTerm  uint64
 	entries   []Entry
-	// saved is the last position that is known to be on this replica's disk.
+	// saved is the last index that is known to be on this replica's disk.
 	saved uint64
-	// committed is the last position that is known to be committed.
+	// committed is the last index that is known to be committed.
 	committed uint64
-	// handedOut is the last position that was given to the state machine.
-	handedOut uint64
+	// applied is the last index whose entry the caller has applied to the state
+	// machine.
+	applied uint64
 }
 
 func newEntryLog(snapshot Snapshot, entries []Entry, committed uint64) *entryLog {
@@ -25,7 +26,7 @@
 	log.entries = append(log.entries, entries...)
 	log.saved = log.lastIndex()
 	log.committed = max(snapshot.Index, min(committed, log.lastIndex()))
-	log.handedOut = snapshot.Index
+	log.applied = snapshot.Index
 	return log
 }
 
@@ -36,7 +37,8 @@
 	return term
 }
 
-// term returns the term of the entry at index, if the log still holds it.
+// term returns the term of the entry at index, if the log has it or it is the
+// last compacted one.
 func (l *entryLog) term(index uint64) (uint64, bool) {
 	if index == l.baseIndex {
 		return l.baseTerm, true
@@ -48,11 +50,12 @@
 }
 
 func (l *entryLog) matches(index, term uint64) bool {
-	own, found := l.term(index)
-	return found && own == term
+	localTerm, found := l.term(index)
+	return found && localTerm == term
 }
 
-// isUpToDate is the comparison of logs for votes (Ongaro 2014, section 3.6.1).
+// isUpToDate reports whether a log that ends at index and term is at least as
+// up to date as this one, as a vote requires (Ongaro 2014, section 3.6.1).
 func (l *entryLog) isUpToDate(index, term uint64) bool {
 	if term != l.lastTerm() {
 		return term > l.lastTerm()
@@ -60,15 +63,16 @@
 	return index >= l.lastIndex()
 }
 
-// from returns the entries from index on, at most maxBytes but at least one.
-func (l *entryLog) from(index uint64, maxBytes int) []Entry {
+// entriesFrom returns the entries from index on, limited to about maxBytes but at
+// least one if there is any.
+func (l *entryLog) entriesFrom(index uint64, maxBytes int) []Entry {
 	if index > l.lastIndex() {
 		return nil
 	}
 	available := l.entries[index-l.baseIndex-1:]
 	size := 0
 	for count, entry := range available {
-		size += sizeOf(entry)
+		size += entrySize(entry)
 		if count > 0 && size > maxBytes {
 			return available[:count:count]
 		}
@@ -76,11 +80,11 @@
 	return available[:len(available):len(available)]
 }
 
-// entryOverheadBytes is about what an entry takes in a message beside its data.
+// entryOverheadBytes approximates the size of an encoded entry without its data.
 const entryOverheadBytes = 16
 
-// between returns the entries after low up to and including high.
-func (l *entryLog) between(low, high uint64) []Entry {
+// entriesBetween returns the entries after low up to and including high.
+func (l *entryLog) entriesBetween(low, high uint64) []Entry {
 	if high <= low {
 		return nil
 	}
@@ -88,58 +92,60 @@
 	return l.entries[start:end:end]
 }
 
-// append adds entries that begin after the last one.
+// append adds entries, the first of which must follow the last one of the log.
 func (l *entryLog) append(entries ...Entry) {
 	l.entries = append(l.entries, entries...)
 }
 
-// truncate removes the entries from index on. The slice is copied because
-// messages may still refer to the removed entries.
+// truncate removes the entries from index on, none of which may be committed.
+// The slice is copied because messages may still refer to the removed entries.
 func (l *entryLog) truncate(index uint64) {
 	if index <= l.committed {
 		panic(fmt.Sprintf("consensus: truncation at %d of an entry committed up to %d", index, l.committed))
 	}
-	keep := index - l.baseIndex - 1
-	l.entries = append([]Entry(nil), l.entries[:keep]...)
+	keptEntries := index - l.baseIndex - 1
+	l.entries = append([]Entry(nil), l.entries[:keptEntries]...)
 	l.saved = min(l.saved, index-1)
 }
 
-// firstConflict returns the position in entries of the first one that the log
-// lacks or holds with another term.
+// firstConflict returns the offset in entries of the first one that the log
+// lacks or has with another term, or len(entries) if there is none.
 func (l *entryLog) firstConflict(entries []Entry) int {
-	for position, entry := range entries {
+	for offset, entry := range entries {
 		if entry.Index <= l.baseIndex {
 			continue
 		}
 		if !l.matches(entry.Index, entry.Term) {
-			return position
+			return offset
 		}
 	}
 	return len(entries)
 }
 
-// lastAtOrBelow returns the last position up to index whose term is at most
-// term; it lets leader and follower skip whole terms that conflict.
-func (l *entryLog) lastAtOrBelow(index, term uint64) (uint64, uint64) {
+// findConflictByTerm returns the last index up to the given one whose term is at
+// most term, and its term. It lets leader and follower skip all conflicting
+// entries of a term at once.
+func (l *entryLog) findConflictByTerm(index, term uint64) (uint64, uint64) {
 	for index = min(index, l.lastIndex()); index > l.baseIndex; index-- {
-		own, _ := l.term(index)
-		if own <= term {
-			return index, own
+		localTerm, _ := l.term(index)
+		if localTerm <= term {
+			return index, localTerm
 		}
 	}
 	return l.baseIndex, l.baseTerm
 }
 
-// sizeOf returns about what an entry takes in memory and in messages, in bytes.
-func sizeOf(entry Entry) int { return len(entry.Data) + entryOverheadBytes }
+// entrySize returns the approximate size in bytes of an entry in memory and in
+// messages.
+func entrySize(entry Entry) int { return len(entry.Data) + entryOverheadBytes }
 
-// startOfTail returns the position before the longest tail up to index that
-// has at most maxEntries entries and maxBytes bytes.
-func (l *entryLog) startOfTail(index, maxEntries uint64, maxBytes int64) uint64 {
+// compactionIndex returns the index before the longest run of entries up to index
+// that has at most maxEntries entries and maxBytes bytes.
+func (l *entryLog) compactionIndex(index, maxEntries uint64, maxBytes int64) uint64 {
 	var bytes int64
 	start := index
 	for start > l.baseIndex && index-start < maxEntries {
-		bytes += int64(sizeOf(l.entries[start-l.baseIndex-1]))
+		bytes += int64(entrySize(l.entries[start-l.baseIndex-1]))
 		if bytes > maxBytes {
 			break
 		}
@@ -148,9 +154,10 @@
 	return start
 }
 
-// compact forgets the entries up to and including index.
+// compact drops the entries up to and including index. It does nothing if that
+// one has not been applied yet.
 func (l *entryLog) compact(index uint64) {
-	if index <= l.baseIndex || index > l.handedOut {
+	if index <= l.baseIndex || index > l.applied {
 		return
 	}
 	term, _ := l.term(index)
@@ -158,9 +165,9 @@
 	l.baseIndex, l.baseTerm = index, term
 }
 
-// reset replaces the whole log by a snapshot's position.
+// reset empties the log, which then continues after a snapshot's last entry.
 func (l *entryLog) reset(index, term uint64) {
 	l.baseIndex, l.baseTerm = index, term
 	l.entries = nil
-	l.saved, l.committed, l.handedOut = index, index, index
+	l.saved, l.committed, l.applied = index, index, index
 }
--- a/coordination/consensus/membership.go
+++ b/coordination/consensus/membership.go
@@ -2,20 +2,20 @@
 
 import "sort"
 
-// MembershipChangeKind tells the kinds of membership changes apart.
+// MembershipChangeKind is the kind of a membership change.
 type MembershipChangeKind uint8
 
-// The kinds of membership changes. One change is in progress at a time.
+// The kinds of membership changes. Only one change is in progress at a time.
 const (
 	// AddLearner adds a member without a vote.
 	AddLearner MembershipChangeKind = iota + 1
-	// PromoteLearner gives a learner that has caught up a vote.
+	// PromoteLearner makes a learner that has caught up a voter.
 	PromoteLearner
 	// RemoveMember removes a voter or a learner.
 	RemoveMember
 )
 
-// MembershipChange is one step from a configuration to the next.
+// MembershipChange changes one member of a configuration.
 type MembershipChange struct {
 	Kind   MembershipChangeKind
 	Member Member
@@ -31,13 +31,13 @@
 	return Member{}, false
 }
 
-// IsVoter reports whether id is a member with a vote.
+// IsVoter reports whether id is a voting member.
 func (configuration Configuration) IsVoter(id ReplicaID) bool {
 	member, found := configuration.Find(id)
 	return found && !member.Learner
 }
 
-// Voters returns the ids of the members with a vote in ascending order.
+// Voters returns the ids of the voting members in ascending order.
 func (configuration Configuration) Voters() []ReplicaID {
 	voters := make([]ReplicaID, 0, len(configuration.Members))
 	for _, member := range configuration.Members {
@@ -48,7 +48,7 @@
 	return voters
 }
 
-// Quorum returns the number of voters that is a majority.
+// Quorum returns the number of voters that form a majority.
 func (configuration Configuration) Quorum() int {
 	return len(configuration.Voters())/2 + 1
 }
@@ -60,7 +60,7 @@
 	return clone
 }
 
-// Sort puts the members in ascending order of their ids.
+// Sort sorts the members by ascending ID.
 func (configuration Configuration) Sort() {
 	members := configuration.Members
 	sort.Slice(members, func(i, j int) bool { return members[i].ID < members[j].ID })
--- a/coordination/consensus/membership_change.go
+++ b/coordination/consensus/membership_change.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// Position is where a proposal was put in the log. The proposal is committed
-// if and only if the committed entry at Index has this Term.
+// Position is the index and term at which a proposal was appended to the log.
+// The proposal is committed if and only if the committed entry at Index has this
+// Term.
 type Position struct {
 	Index uint64
 	Term  uint64
 }
 
-// ProposeMembership appends the configuration that the change leads to. It
-// refuses a change while another is uncommitted and before the first entry of
-// the leader's term is committed (Ongaro's correction of 2015 to single-server
-// changes).
+// ProposeMembership appends the configuration that results from the change. It
+// returns ErrChangeInProgress while another change is uncommitted and before the
+// first entry of the leader's term is committed (Ongaro's correction of 2015 to
+// single-server changes).
 func (c *Core) ProposeMembership(now time.Duration, change MembershipChange) (Position, error) {
 	c.advanceClock(now)
 	if err := c.acceptsProposals(); err != nil {
@@ -24,7 +25,7 @@
 	if c.membership.latestIndex() > c.log.committed || !c.hasCommittedInTerm() {
 		return Position{}, ErrChangeInProgress
 	}
-	next, err := c.changedConfiguration(change)
+	next, err := c.nextConfiguration(change)
 	if err != nil {
 		return Position{}, err
 	}
@@ -37,13 +38,13 @@
 	return position, nil
 }
 
-func (c *Core) changedConfiguration(change MembershipChange) (Configuration, error) {
+func (c *Core) nextConfiguration(change MembershipChange) (Configuration, error) {
 	next := c.configuration().Clone()
 	switch change.Kind {
 	case AddLearner:
 		return c.withLearner(next, change.Member)
 	case PromoteLearner:
-		return c.withPromoted(next, change.Member.ID)
+		return c.withPromotedLearner(next, change.Member.ID)
 	case RemoveMember:
 		return c.withoutMember(next, change.Member.ID)
 	default:
@@ -64,7 +65,7 @@
 	return next, nil
 }
 
-func (c *Core) withPromoted(next Configuration, id ReplicaID) (Configuration, error) {
+func (c *Core) withPromotedLearner(next Configuration, id ReplicaID) (Configuration, error) {
 	member, found := next.Find(id)
 	if !found {
 		return next, ErrUnknownMember
@@ -75,12 +76,12 @@
 	if !c.hasCaughtUp(id) {
 		return next, ErrNotCaughtUp
 	}
-	for position := range next.Members {
-		if next.Members[position].ID == id {
-			next.Members[position].Learner = false
+	for i := range next.Members {
+		if next.Members[i].ID == id {
+			next.Members[i].Learner = false
 		}
 	}
-	return c.checkedQuorum(next)
+	return c.requireActiveQuorum(next)
 }
 
 func (c *Core) withoutMember(next Configuration, id ReplicaID) (Configuration, error) {
@@ -94,10 +95,10 @@
 		return next, ErrUnchanged
 	}
 	next.Members = remaining
-	return c.checkedQuorum(next)
+	return c.requireActiveQuorum(next)
 }
 
-func (c *Core) checkedQuorum(next Configuration) (Configuration, error) {
+func (c *Core) requireActiveQuorum(next Configuration) (Configuration, error) {
 	if len(next.Voters()) == 0 || !c.hasActiveQuorum(next) {
 		return next, ErrQuorumAtRisk
 	}
--- a/coordination/consensus/membership_history.go
+++ b/coordination/consensus/membership_history.go
@@ -2,42 +2,42 @@
 
 import "fmt"
 
-// positionedConfiguration is a configuration with the log position of its entry.
-type positionedConfiguration struct {
+// indexedConfiguration is a configuration with the log index of its entry.
+type indexedConfiguration struct {
 	index         uint64
 	configuration Configuration
 }
 
-// membershipHistory holds the configurations of the log. The latest is in
-// force as soon as it is appended (Ongaro 2014, section 4.1).
+// membershipHistory holds the configurations in the log. The latest one takes
+// effect when it is appended, before it is committed (Ongaro 2014, section 4.1).
 type membershipHistory struct {
-	positions []positionedConfiguration
+	configurations []indexedConfiguration
 }
 
 func newMembershipHistory(snapshot Snapshot) membershipHistory {
-	first := positionedConfiguration{index: snapshot.Index, configuration: snapshot.Configuration.Clone()}
-	return membershipHistory{positions: []positionedConfiguration{first}}
+	first := indexedConfiguration{index: snapshot.Index, configuration: snapshot.Configuration.Clone()}
+	return membershipHistory{configurations: []indexedConfiguration{first}}
 }
 
 func (h *membershipHistory) latest() Configuration {
-	return h.positions[len(h.positions)-1].configuration
+	return h.configurations[len(h.configurations)-1].configuration
 }
 
 func (h *membershipHistory) latestIndex() uint64 {
-	return h.positions[len(h.positions)-1].index
+	return h.configurations[len(h.configurations)-1].index
 }
 
-// at returns the configuration in force at a position of the log.
+// at returns the configuration in effect at a log index.
 func (h *membershipHistory) at(index uint64) Configuration {
-	for position := len(h.positions) - 1; position > 0; position-- {
-		if h.positions[position].index <= index {
-			return h.positions[position].configuration
+	for i := len(h.configurations) - 1; i > 0; i-- {
+		if h.configurations[i].index <= index {
+			return h.configurations[i].configuration
 		}
 	}
-	return h.positions[0].configuration
+	return h.configurations[0].configuration
 }
 
-// append takes in the configurations among appended entries.
+// append adds the configurations among appended entries.
 func (h *membershipHistory) append(entries []Entry) error {
 	for _, entry := range entries {
 		if entry.Kind != EntryConfiguration {
@@ -47,22 +47,22 @@
 		if err != nil {
 			return fmt.Errorf("consensus: configuration at %d: %w", entry.Index, err)
 		}
-		h.positions = append(h.positions, positionedConfiguration{entry.Index, configuration})
+		h.configurations = append(h.configurations, indexedConfiguration{entry.Index, configuration})
 	}
 	return nil
 }
 
 // truncate drops the configurations from index on.
 func (h *membershipHistory) truncate(index uint64) {
-	for len(h.positions) > 1 && h.latestIndex() >= index {
-		h.positions = h.positions[:len(h.positions)-1]
+	for len(h.configurations) > 1 && h.latestIndex() >= index {
+		h.configurations = h.configurations[:len(h.configurations)-1]
 	}
 }
 
-// compact drops the configurations that were replaced at or before index.
+// compact drops the configurations that were superseded at or before index.
 func (h *membershipHistory) compact(index uint64) {
-	for len(h.positions) > 1 && h.positions[1].index <= index {
-		h.positions = h.positions[1:]
+	for len(h.configurations) > 1 && h.configurations[1].index <= index {
+		h.configurations = h.configurations[1:]
 	}
 }
 
--- a/coordination/consensus/message.go
+++ b/coordination/consensus/message.go
@@ -1,18 +1,19 @@
 package consensus
 
 //go:generate go tool msgp -file message.go -o message_gen.go -tests=false -io=false
-// Lists and maps are bounded, because decoders allocate what a header claims.
-// Bytes are not: their decoder first looks whether as many are there, and an
-// entry or a snapshot that was taken must be readable ever after.
+// Arrays and maps are limited because decoders allocate the size that a header
+// claims. Byte strings are not: their decoder first checks that the input has that
+// many bytes, and an entry or snapshot that was once accepted must stay readable.
 //msgp:limit arrays:65536 maps:65536
 
 //msgp:tuple Entry
 
-// ReplicaID names one replica. It is random, is created together with the data
-// folder and dies with it; zero means no replica.
+// ReplicaID identifies one replica. It is generated at random when the data
+// directory is created and is not used again if that is lost; zero means no
+// replica.
 type ReplicaID uint64
 
-// MessageKind tells the kinds of messages between replicas apart.
+// MessageKind is the kind of a message between replicas.
 type MessageKind uint8
 
 // The kinds of messages between replicas.
@@ -30,7 +31,7 @@
 	MessageTimeoutNow
 )
 
-// String returns the name of the kind for logs.
+// String returns the name of the kind as used in logs.
 func (kind MessageKind) String() string {
 	names := [...]string{
 		"invalid", "pre-vote request", "pre-vote response", "vote request", "vote response",
@@ -43,20 +44,21 @@
 	return names[kind]
 }
 
-// EntryKind tells the kinds of log entries apart.
+// EntryKind is the kind of a log entry.
 type EntryKind uint8
 
 // The kinds of log entries.
 const (
 	// EntryCommand carries a command for the state machine.
 	EntryCommand EntryKind = iota + 1
-	// EntryEmpty is the entry that a leader appends at the start of its term.
+	// EntryEmpty is the entry without data that a leader appends at the start of
+	// its term.
 	EntryEmpty
 	// EntryConfiguration carries an encoded Configuration.
 	EntryConfiguration
 )
 
-// Entry is one position of the replicated log.
+// Entry is one entry of the replicated log.
 type Entry struct {
 	Index uint64
 	Term  uint64
@@ -64,36 +66,37 @@
 	Data  []byte `msg:"Data,limit=2147483647"`
 }
 
-// Member is one replica of a group as the group's configuration lists it.
+// Member is one replica in the configuration of a group.
 type Member struct {
 	ID ReplicaID `msg:"id"`
-	// Address is opaque to the core; the transport sends to it.
+	// Address is the address for the transport and opaque to the core.
 	Address string `msg:"address"`
-	// Learner is true for a member that receives the log but has no vote.
+	// Learner marks a non-voting member, which receives the log.
 	Learner bool `msg:"learner,omitempty"`
 }
 
 // Configuration is the membership of a group. Members are sorted by ID.
 type Configuration struct {
-	// Generation counts how often the group was founded; it never changes
-	// within a group's life and orders (Generation, index) pairs over a group
-	// that was lost and founded again.
+	// Generation is one for the first bootstrap of the group and higher for each
+	// later one, after the group was lost. It is constant in between, so that
+	// (Generation, index) pairs are ordered across bootstraps.
 	Generation uint64 `msg:"generation"`
-	// Founding is the random token of the group's founding. Messages between
-	// replicas of different foundings are ignored.
+	// Founding is the random token that identifies the bootstrap of the group.
+	// Messages between replicas of different foundings are ignored.
 	Founding uint64   `msg:"founding"`
 	Members  []Member `msg:"members"`
 }
 
-// HardState is what a replica must have on disk before it sends messages that
-// depend on it.
+// HardState is the state that a replica must have on disk before it sends
+// messages that depend on it.
 type HardState struct {
 	Term   uint64    `msg:"term"`
 	Vote   ReplicaID `msg:"vote"`
 	Commit uint64    `msg:"commit"`
 }
 
-// Snapshot is the state machine's state after the entry at Index.
+// Snapshot is the state of the state machine after it has applied the entry at
+// Index.
 type Snapshot struct {
 	Index         uint64        `msg:"index"`
 	Term          uint64        `msg:"term"`
@@ -101,7 +104,8 @@
 	Data          []byte        `msg:"data,limit=2147483647"`
 }
 
-// SnapshotChunk is one bounded piece of a snapshot on its way to a follower.
+// SnapshotChunk is a part, bounded in size, of a snapshot that is sent to a
+// follower.
 type SnapshotChunk struct {
 	Index         uint64        `msg:"i"`
 	Term          uint64        `msg:"t"`
@@ -115,37 +119,39 @@
 	Data   []byte `msg:"d,limit=2147483647"`
 }
 
-// Message is what replicas of a group send each other. Which fields are in use
-// depends on Kind.
+// Message is a message between replicas of a group. Kind determines which fields
+// are used.
 type Message struct {
-	// Group tells groups apart that share one transport.
+	// Group identifies the group among those that share a transport.
 	Group uint64 `msg:"g"`
-	// Founding is the token of the sender's founding, or zero if it knows none.
+	// Founding is the sender's founding token, or zero if it has none.
 	Founding uint64      `msg:"b,omitempty"`
 	Kind     MessageKind `msg:"k"`
 	From     ReplicaID   `msg:"f"`
 	To       ReplicaID   `msg:"t"`
-	// Term is the sender's term; in a pre-vote request it is the term that the
-	// sender would campaign in.
+	// Term is the sender's term. In a pre-vote request, and in a response that
+	// grants one, it is the term in which the candidate would campaign.
 	Term uint64 `msg:"e,omitempty"`
-	// LogIndex and LogTerm name a log position: the one before Entries in an
-	// append request, the sender's last in a vote request, the one that was
-	// matched (or refused, if Rejected) in a response.
+	// LogIndex and LogTerm identify a log entry: the one before Entries in an
+	// append request, the sender's last one in a vote request. In an append
+	// response LogIndex is the index that matched, or that was rejected; in a
+	// snapshot response it is the snapshot's index.
 	LogIndex uint64  `msg:"i,omitempty"`
 	LogTerm  uint64  `msg:"l,omitempty"`
 	Commit   uint64  `msg:"c,omitempty"`
 	Entries  []Entry `msg:"n,omitempty"`
 	Rejected bool    `msg:"r,omitempty"`
-	// HintIndex and HintTerm help a leader to find the last common position
-	// after a rejected append request.
+	// HintIndex and HintTerm help a leader to find the last common entry after a
+	// rejected append request.
 	HintIndex uint64 `msg:"h,omitempty"`
 	HintTerm  uint64 `msg:"u,omitempty"`
-	// Round numbers the leader's rounds of confirmation for reads.
+	// Round is the number of the leader's latest confirmation round for reads.
+	// Responses return it.
 	Round uint64 `msg:"o,omitempty"`
-	// Transfer marks a vote request made on the leader's own order, which is
-	// granted although the leader is alive.
+	// Transfer marks a vote request of a leadership transfer, which the leader
+	// itself has started. Voters handle it although the leader is live.
 	Transfer bool `msg:"x,omitempty"`
-	// Chunk is the piece carried by a snapshot request.
+	// Chunk is the part of a snapshot in a snapshot request.
 	Chunk *SnapshotChunk `msg:"s,omitempty"`
 	// Offset is the number of snapshot bytes received so far in a snapshot response.
 	Offset uint64 `msg:"p,omitempty"`
--- a/coordination/consensus/message_test.go
+++ b/coordination/consensus/message_test.go
@@ -7,11 +7,13 @@
 	"pgregory.net/rapid"
 )
 
-// TestArbitraryMessages feeds a core whatever the decoder lets through.
-func TestArbitraryMessages(t *testing.T) {
+// TestArbitraryMessagesNeverLowerTheTerm passes a leader messages with arbitrary
+// field values, as the decoder accepts them. None may lower its term or make it
+// panic.
+func TestArbitraryMessagesNeverLowerTheTerm(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := newBench(t, 3)
-		target := b.elect(t)
+		cluster := newTestCluster(t, 3)
+		target := cluster.elect(t)
 		small := rapid.Uint64Range(0, 6)
 		for range rapid.IntRange(1, 30).Draw(t, "count") {
 			message := Message{
@@ -28,7 +30,7 @@
 				message.Entries = []Entry{{Index: message.LogIndex + 1, Term: small.Draw(t, "entry term"), Kind: EntryConfiguration, Data: []byte{0xc1}}}
 			}
 			term := target.term
-			target.Step(b.now, message)
+			target.Step(cluster.now, message)
 			require.GreaterOrEqual(t, target.term, term)
 			for target.HasReady() {
 				target.Ready()
@@ -38,7 +40,8 @@
 	})
 }
 
-// FuzzMessage decodes arbitrary bytes and checks that what decodes encodes again.
+// FuzzMessage checks that any bytes that decode to a message can be encoded and
+// decoded again.
 func FuzzMessage(f *testing.F) {
 	seed := Message{Kind: MessageAppendRequest, From: 1, To: 2, Term: 3, Entries: []Entry{{Index: 4, Term: 3, Data: []byte("x")}}}
 	encoded, err := seed.MarshalMsg(nil)
--- a/coordination/consensus/progress.go
+++ b/coordination/consensus/progress.go
@@ -5,37 +5,40 @@
 type progressState uint8
 
 const (
-	// stateProbing sends one append request at a time to find the match.
+	// stateProbing sends one append request at a time to find the last entry that
+	// the member has in common with the leader.
 	stateProbing progressState = iota + 1
-	// stateReplicating sends without waiting, up to the bound of inflights.
+	// stateReplicating sends append requests without waiting for responses, up to
+	// MaxInflightAppends.
 	stateReplicating
 	// stateSnapshotting sends a snapshot in chunks.
 	stateSnapshotting
 )
 
-// progress is what a leader knows about one other member.
+// progress is a leader's replication state for one other member.
 type progress struct {
 	state progressState
-	// match is the last position known to be on the member's disk.
+	// match is the last index known to be on the member's disk.
 	match uint64
-	// next is the position to send next.
+	// next is the index of the next entry to send.
 	next uint64
-	// probeSent pauses probing until an answer or a heartbeat's answer.
+	// probeSent pauses probing until a response to the probe or to a heartbeat.
 	probeSent bool
-	// inflight holds the last position of each unanswered append request.
+	// inflight holds the last index of each unacknowledged append request.
 	inflight []uint64
-	// lastContact is when the member was last heard of.
+	// lastContact is the time of the last response from the member, initially the
+	// time at which the leader began to track it.
 	lastContact time.Duration
-	// ackedRound is the latest confirmation round that the member answered.
-	ackedRound uint64
-	transfer   *outgoingSnapshot
+	// ackedRound is the latest confirmation round that the member acknowledged.
+	ackedRound       uint64
+	snapshotTransfer *outgoingSnapshot
 }
 
-// outgoingSnapshot is a snapshot on its way to a member.
+// outgoingSnapshot is the state of a snapshot transfer to a member.
 type outgoingSnapshot struct {
 	snapshot Snapshot
 	checksum uint64
-	// acked is the number of bytes that the member has.
+	// acked is the number of bytes that the member has acknowledged.
 	acked  uint64
 	sentAt time.Duration
 }
@@ -44,23 +47,23 @@
 	return &progress{state: stateProbing, next: next, lastContact: now}
 }
 
-// resumeAfterMatch goes on sending from behind the match in a state that is not
-// stateSnapshotting.
+// resumeAfterMatch switches to state, which must not be stateSnapshotting, and
+// continues with the entry after match.
 func (p *progress) resumeAfterMatch(state progressState) {
 	p.state = state
 	p.next = p.match + 1
 	p.probeSent = false
 	p.inflight = nil
-	p.transfer = nil
+	p.snapshotTransfer = nil
 }
 
 func (p *progress) becomeSnapshotting(transfer *outgoingSnapshot) {
 	p.state = stateSnapshotting
 	p.inflight = nil
-	p.transfer = transfer
+	p.snapshotTransfer = transfer
 }
 
-func (p *progress) paused(maxInflight int) bool {
+func (p *progress) isPaused(maxInflight int) bool {
 	switch p.state {
 	case stateProbing:
 		return p.probeSent
@@ -71,8 +74,8 @@
 	}
 }
 
-// sent records an append request that ends at lastIndex.
-func (p *progress) sent(lastIndex uint64) {
+// recordSent records an append request whose last entry is at lastIndex.
+func (p *progress) recordSent(lastIndex uint64) {
 	if p.state == stateProbing {
 		p.probeSent = true
 		return
@@ -83,7 +86,8 @@
 	}
 }
 
-// acknowledge records a match and reports whether it is news.
+// acknowledge records that the member has the log up to index and reports whether
+// match advanced.
 func (p *progress) acknowledge(index uint64) bool {
 	p.next = max(p.next, index+1)
 	if index <= p.match {
@@ -103,22 +107,23 @@
 	p.inflight = p.inflight[released:]
 }
 
-// reject records that the member refused the entries after refused, and
-// reports whether that is news. candidate is the position to try before. A
-// refusal at or before the match is old, or the member has lost entries; it is
-// not answered at once, so that the two don't send each other the same forever.
-func (p *progress) reject(refused, candidate uint64) bool {
-	if refused <= p.match {
+// reject records that the member has rejected the entries after rejectedIndex and
+// reports whether to send an append request again at once. matchCandidate is the
+// last index at which the logs may match. A rejection at or below match is stale,
+// or the member has lost entries; it causes no request, because leader and member
+// would otherwise exchange the same messages forever.
+func (p *progress) reject(rejectedIndex, matchCandidate uint64) bool {
+	if rejectedIndex <= p.match {
 		return false
 	}
 	if p.state == stateReplicating {
 		p.resumeAfterMatch(stateProbing)
 		return true
 	}
-	if p.state == stateSnapshotting || p.next-1 != refused {
+	if p.state == stateSnapshotting || p.next-1 != rejectedIndex {
 		return false
 	}
-	p.next = max(min(refused, candidate+1), p.match+1)
+	p.next = max(min(rejectedIndex, matchCandidate+1), p.match+1)
 	p.probeSent = false
 	return true
 }
--- a/coordination/consensus/reads.go
+++ b/coordination/consensus/reads.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// ReadState tells that the state machine may answer the read named Context
-// once it has applied the entry at Index.
+// ReadState means that the read identified by Context may be served once the
+// state machine has applied the entry at Index.
 type ReadState struct {
 	Context uint64
 	Index   uint64
@@ -12,32 +12,34 @@
 type pendingRead struct {
 	context uint64
 	index   uint64
-	// round is the first round of confirmation that began after the read.
+	// round is the first confirmation round that starts after the read arrived.
 	round uint64
 }
 
-// readTracker holds a leader's reads (read index, Ongaro 2014, section 6.4).
-// No clock is involved: every read waits for a majority's answer to a message
-// that was sent after it.
+// readTracker holds a leader's unconfirmed reads (read index, Ongaro 2014,
+// section 6.4). It does not rely on clocks: every read waits until a majority has
+// responded to a message that was sent after the read arrived.
 type readTracker struct {
-	// round is the number of the latest round of confirmation.
-	round     uint64
+	// round is the number of the latest confirmation round.
+	round uint64
+	// confirmed is the latest round that a majority has acknowledged.
 	confirmed uint64
 	pending   []pendingRead
-	// waiting holds reads that came before the leader's first commit.
-	waiting []uint64
+	// deferred holds the reads that arrived before the leader committed an entry
+	// of its term.
+	deferred []uint64
 }
 
-// ReadIndex asks for a position by which a read that starts now is
-// linearizable. The answer comes as a ReadState; when leadership is lost first
-// there is none.
+// ReadIndex requests an index at which a read that starts now is linearizable.
+// The result is returned as a ReadState in a Ready, or never if leadership is lost
+// first.
 func (c *Core) ReadIndex(now time.Duration, context uint64) error {
 	c.advanceClock(now)
 	if c.role != RoleLeader {
 		return ErrNotLeader
 	}
 	if !c.hasCommittedInTerm() {
-		c.reads.waiting = append(c.reads.waiting, context)
+		c.reads.deferred = append(c.reads.deferred, context)
 		return nil
 	}
 	c.addRead(context)
@@ -49,8 +51,8 @@
 	c.startReadRound()
 }
 
-// startReadRound starts a round unless one is on its way: reads that come
-// meanwhile share the next one.
+// startReadRound starts a confirmation round unless one is in progress. Reads that
+// arrive during a round share the next one.
 func (c *Core) startReadRound() {
 	if len(c.reads.pending) == 0 {
 		return
@@ -62,23 +64,23 @@
 	c.broadcastHeartbeat()
 }
 
-func (c *Core) startWaitingReads() {
+func (c *Core) startDeferredReads() {
 	if !c.hasCommittedInTerm() {
 		return
 	}
-	waiting := c.reads.waiting
-	c.reads.waiting = nil
-	for _, context := range waiting {
+	deferred := c.reads.deferred
+	c.reads.deferred = nil
+	for _, context := range deferred {
 		c.addRead(context)
 	}
 }
 
-// confirmReads releases the reads whose round a majority has answered.
+// confirmReads completes the reads whose round a majority has acknowledged.
 func (c *Core) confirmReads() {
 	voters := c.configuration().Voters()
 	rounds := make([]uint64, 0, len(voters))
 	for _, voter := range voters {
-		rounds = append(rounds, c.roundOf(voter))
+		rounds = append(rounds, c.ackedRoundOf(voter))
 	}
 	c.reads.confirmed = max(c.reads.confirmed, quorumValue(rounds))
 	released := 0
@@ -91,7 +93,7 @@
 	c.startReadRound()
 }
 
-func (c *Core) roundOf(id ReplicaID) uint64 {
+func (c *Core) ackedRoundOf(id ReplicaID) uint64 {
 	if id == c.config.ID {
 		return c.reads.round
 	}
--- a/coordination/consensus/replication.go
+++ b/coordination/consensus/replication.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Propose appends commands to the log, in order, at the returned position and
-// the ones after it.
+// Propose appends commands to the log in order. It returns the position of the
+// first; the others follow it.
 func (c *Core) Propose(now time.Duration, commands [][]byte) (Position, error) {
 	c.advanceClock(now)
 	if err := c.acceptsProposals(); err != nil {
@@ -39,16 +39,18 @@
 	return first
 }
 
-// appendEntries adds entries to the log and takes in their configurations. The
-// entries were checked before.
+// appendEntries appends entries, which must have been validated, to the log and
+// their configurations to the membership history.
 func (c *Core) appendEntries(entries []Entry) {
 	c.log.append(entries...)
-	// Undecodable configurations are refused before they reach this point.
+	// Undecodable configurations were rejected by validAppend; a leader appends
+	// only those that it has encoded itself.
 	_ = c.membership.append(entries)
 	c.syncProgress()
 }
 
-// syncProgress makes a leader's progress records fit the configuration.
+// syncProgress adds and removes a leader's progress records to match the members
+// of the configuration.
 func (c *Core) syncProgress() {
 	if c.role != RoleLeader {
 		return
@@ -66,8 +68,8 @@
 	}
 }
 
-// others returns the ids of the other members in ascending order.
-func (c *Core) others() []ReplicaID {
+// otherMembers returns the ids of the other members in ascending order.
+func (c *Core) otherMembers() []ReplicaID {
 	members := c.configuration().Members
 	others := make([]ReplicaID, 0, len(members))
 	for _, member := range members {
@@ -79,22 +81,26 @@
 }
 
 func (c *Core) broadcastAppend() {
-	for _, id := range c.others() {
+	for _, id := range c.otherMembers() {
 		c.sendAppend(id, false)
 	}
 }
 
-// broadcastCommit tells the others the new commit index at once.
+// broadcastCommit sends the new commit index to the other members without waiting
+// for the next heartbeat.
 func (c *Core) broadcastCommit() {
-	for _, id := range c.others() {
+	for _, id := range c.otherMembers() {
 		c.sendAppend(id, true)
 	}
 }
 
-// sendAppend sends what the member lacks; with allowEmpty also if it lacks nothing.
+// sendAppend sends an append request with the next entries that the member lacks,
+// or starts a snapshot transfer if those are compacted. It does nothing while the
+// member is paused. A request without entries is sent only with allowEmpty or
+// while the member is not in stateReplicating.
 func (c *Core) sendAppend(id ReplicaID, allowEmpty bool) {
 	member := c.progress[id]
-	if member == nil || member.paused(c.config.MaxInflightAppends) {
+	if member == nil || member.isPaused(c.config.MaxInflightAppends) {
 		return
 	}
 	previousTerm, found := c.log.term(member.next - 1)
@@ -102,7 +108,7 @@
 		c.startSnapshotTransfer(id, member)
 		return
 	}
-	entries := c.log.from(member.next, c.config.MaxAppendBytes)
+	entries := c.log.entriesFrom(member.next, c.config.MaxAppendBytes)
 	if len(entries) == 0 && !allowEmpty && member.state == stateReplicating {
 		return
 	}
@@ -115,13 +121,13 @@
 		Entries:  entries,
 		Round:    c.reads.round,
 	})
-	member.sent(member.next - 1 + uint64(len(entries)))
+	member.recordSent(member.next - 1 + uint64(len(entries)))
 }
 
 func (c *Core) broadcastHeartbeat() {
 	c.heartbeatDue = c.now + c.config.HeartbeatInterval
 	c.reads.round++
-	for _, id := range c.others() {
+	for _, id := range c.otherMembers() {
 		c.sendBeforeSync(Message{
 			Kind:   MessageHeartbeatRequest,
 			To:     id,
@@ -133,9 +139,10 @@
 }
 
 func (c *Core) handleHeartbeatRequest(message Message) {
-	c.followLeader(message.From)
+	c.recordLeaderContact(message.From)
 	if message.Commit > c.log.lastIndex() {
-		// The leader only counts on what this replica has acknowledged to it.
+		// A heartbeat's commit index is at most what this replica has acknowledged,
+		// so acknowledged entries are missing from its log.
 		c.hasLostEntries = true
 		return
 	}
@@ -144,7 +151,7 @@
 }
 
 func (c *Core) handleHeartbeatResponse(message Message) {
-	member := c.contact(message)
+	member := c.recordContact(message)
 	if member == nil {
 		return
 	}
@@ -161,9 +168,10 @@
 	}
 }
 
-// contact notes a sign of life of a member; it returns nil if this replica
-// doesn't lead or the sender is no member.
-func (c *Core) contact(message Message) *progress {
+// recordContact records the time of a response and the confirmation round that it
+// acknowledges, and returns the sender's progress. It returns nil if this replica
+// is not the leader or the sender is not a member.
+func (c *Core) recordContact(message Message) *progress {
 	if c.role != RoleLeader {
 		return nil
 	}
@@ -183,7 +191,7 @@
 	if c.role == RoleLeader {
 		return
 	}
-	c.followLeader(message.From)
+	c.recordLeaderContact(message.From)
 	response := Message{Kind: MessageAppendResponse, To: message.From, Round: message.Round}
 	if !validAppend(message) {
 		return
@@ -196,7 +204,7 @@
 	if !c.log.matches(message.LogIndex, message.LogTerm) {
 		response.Rejected = true
 		response.LogIndex = message.LogIndex
-		response.HintIndex, response.HintTerm = c.log.lastAtOrBelow(message.LogIndex, message.LogTerm)
+		response.HintIndex, response.HintTerm = c.log.findConflictByTerm(message.LogIndex, message.LogTerm)
 		c.sendAfterSync(response)
 		return
 	}
@@ -206,7 +214,8 @@
 	c.sendAfterSync(response)
 }
 
-// validAppend checks that entries are contiguous and configurations decodable.
+// validAppend checks that the entries are contiguous and of no later term than the
+// message, and that their configurations can be decoded.
 func validAppend(message Message) bool {
 	expected := message.LogIndex
 	for _, entry := range message.Entries {
@@ -229,16 +238,16 @@
 	if conflict == len(entries) {
 		return
 	}
-	fresh := entries[conflict:]
-	if fresh[0].Index <= c.log.lastIndex() {
-		c.log.truncate(fresh[0].Index)
-		c.membership.truncate(fresh[0].Index)
+	newEntries := entries[conflict:]
+	if newEntries[0].Index <= c.log.lastIndex() {
+		c.log.truncate(newEntries[0].Index)
+		c.membership.truncate(newEntries[0].Index)
 	}
-	c.appendEntries(fresh)
+	c.appendEntries(newEntries)
 }
 
 func (c *Core) handleAppendResponse(message Message) {
-	member := c.contact(message)
+	member := c.recordContact(message)
 	if member == nil || message.LogIndex > c.log.lastIndex() {
 		return
 	}
@@ -254,22 +263,22 @@
 		c.broadcastCommit()
 	}
 	c.sendAppend(message.From, false)
-	c.continueTransfer(message.From)
+	c.maybeSendTimeoutNow(message.From)
 }
 
 func (c *Core) leaveProbing(message Message, member *progress) {
 	switch {
 	case member.state == stateProbing:
 		member.resumeAfterMatch(stateReplicating)
-	case member.state == stateSnapshotting && member.match >= member.transfer.snapshot.Index:
+	case member.state == stateSnapshotting && member.match >= member.snapshotTransfer.snapshot.Index:
 		member.resumeAfterMatch(stateReplicating)
 	}
 	member.next = max(member.next, message.LogIndex+1)
 }
 
 func (c *Core) handleRejection(message Message, member *progress) {
-	candidate, _ := c.log.lastAtOrBelow(message.HintIndex, message.HintTerm)
-	if member.reject(message.LogIndex, candidate) {
+	matchCandidate, _ := c.log.findConflictByTerm(message.HintIndex, message.HintTerm)
+	if member.reject(message.LogIndex, matchCandidate) {
 		c.sendAppend(message.From, true)
 	}
 }
--- a/coordination/consensus/role.go
+++ b/coordination/consensus/role.go
@@ -1,6 +1,6 @@
 package consensus
 
-// Role is what a replica currently does in its group.
+// Role is the role of a replica in its group.
 type Role uint8
 
 // The roles of a replica.
@@ -11,7 +11,7 @@
 	RoleLeader
 )
 
-// String returns the name of the role for logs.
+// String returns the name of the role as used in logs.
 func (role Role) String() string {
 	switch role {
 	case RoleFollower:
--- a/coordination/consensus/snapshot_transfer.go
+++ b/coordination/consensus/snapshot_transfer.go
@@ -6,33 +6,33 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// incomingSnapshot collects the chunks of a snapshot.
+// incomingSnapshot collects the received chunks of a snapshot.
 type incomingSnapshot struct {
 	chunk SnapshotChunk
 	data  []byte
 }
 
-// Compact tells the core of a snapshot of the applied state. The core keeps it
-// for members that are far behind and forgets the log up to and including
-// keepAfter, which must not lie beyond snapshot.Index.
-func (c *Core) Compact(snapshot Snapshot, keepAfter uint64) {
+// Compact passes a snapshot of the applied state to the core. The core retains it
+// for members that are far behind and drops the log up to and including
+// compactIndex, which must not be above snapshot.Index.
+func (c *Core) Compact(snapshot Snapshot, compactIndex uint64) {
 	if snapshot.Index <= c.snapshot.Index {
 		return
 	}
 	c.snapshot = snapshot
-	c.log.compact(min(keepAfter, snapshot.Index))
+	c.log.compact(min(compactIndex, snapshot.Index))
 	c.membership.compact(snapshot.Index)
 }
 
-// StartOfTail returns the position before the longest tail of the log up to an
-// applied index that has at most maxEntries entries and maxBytes bytes. It is
-// meant for the keepAfter of Compact.
+// StartOfTail returns the index before the longest run of entries up to an applied
+// index that has at most maxEntries entries and maxBytes bytes. The result is
+// intended as the compactIndex of Compact.
 func (c *Core) StartOfTail(index, maxEntries uint64, maxBytes int64) uint64 {
-	return c.log.startOfTail(index, maxEntries, maxBytes)
+	return c.log.compactionIndex(index, maxEntries, maxBytes)
 }
 
-// ConfigurationAt returns the configuration and the term at an applied
-// position, as a snapshot of that position needs them.
+// ConfigurationAt returns the configuration and the term at an applied index, as
+// needed for a snapshot at that index.
 func (c *Core) ConfigurationAt(index uint64) (Configuration, uint64) {
 	term, _ := c.log.term(index)
 	return c.membership.at(index).Clone(), term
@@ -65,25 +65,25 @@
 	})
 }
 
-// resendChunk repeats a chunk that has had no answer for a heartbeat interval.
+// resendChunk sends a chunk again that was sent at least a heartbeat interval ago.
 func (c *Core) resendChunk(id ReplicaID, member *progress) {
-	if c.now-member.transfer.sentAt >= c.config.HeartbeatInterval {
-		c.sendChunk(id, member.transfer)
+	if c.now-member.snapshotTransfer.sentAt >= c.config.HeartbeatInterval {
+		c.sendChunk(id, member.snapshotTransfer)
 	}
 }
 
 func (c *Core) handleSnapshotResponse(message Message) {
-	member := c.contact(message)
+	member := c.recordContact(message)
 	if member == nil || member.state != stateSnapshotting {
 		return
 	}
-	transfer := member.transfer
+	transfer := member.snapshotTransfer
 	if message.LogIndex != transfer.snapshot.Index || message.Offset > uint64(len(transfer.snapshot.Data)) {
 		return
 	}
-	isNews := message.Offset > transfer.acked
+	isAdvance := message.Offset > transfer.acked
 	isRewind := message.Rejected && message.Offset < transfer.acked
-	if !isNews && !isRewind {
+	if !isAdvance && !isRewind {
 		return
 	}
 	transfer.acked = message.Offset
@@ -94,9 +94,9 @@
 	if c.role == RoleLeader || message.Chunk == nil {
 		return
 	}
-	c.followLeader(message.From)
+	c.recordLeaderContact(message.From)
 	chunk := message.Chunk
-	if c.holdsSnapshot(*chunk) {
+	if c.coversSnapshot(*chunk) {
 		c.incoming = nil
 		c.sendAfterSync(Message{
 			Kind: MessageAppendResponse, To: message.From, LogIndex: c.log.committed, Round: message.Round,
@@ -104,7 +104,7 @@
 		return
 	}
 	rejected := !c.receiveChunk(*chunk)
-	if c.installReceived() {
+	if c.installIfComplete() {
 		c.sendAfterSync(Message{
 			Kind: MessageAppendResponse, To: message.From, LogIndex: c.log.committed, Round: message.Round,
 		})
@@ -120,9 +120,10 @@
 	})
 }
 
-// holdsSnapshot reports whether the log covers the snapshot's position; a log
-// that holds the very entry needs only a newer commit index.
-func (c *Core) holdsSnapshot(chunk SnapshotChunk) bool {
+// coversSnapshot reports whether the log already covers the snapshot. A log that
+// has the snapshot's last entry uncommitted needs no snapshot: the entry is marked
+// as committed instead.
+func (c *Core) coversSnapshot(chunk SnapshotChunk) bool {
 	if chunk.Index <= c.log.committed {
 		return true
 	}
@@ -133,10 +134,11 @@
 	return true
 }
 
-// receiveChunk appends a chunk if it continues the incoming snapshot and
-// reports whether this was so or the chunk was known already.
+// receiveChunk appends a chunk if it continues the incoming snapshot. A chunk of
+// another snapshot replaces the incoming one. It reports whether the chunk was
+// appended or received before.
 func (c *Core) receiveChunk(chunk SnapshotChunk) bool {
-	if c.incoming == nil || !c.incoming.belongs(chunk) {
+	if c.incoming == nil || !c.incoming.matches(chunk) {
 		c.incoming = &incomingSnapshot{chunk: chunk}
 	}
 	received := uint64(len(c.incoming.data))
@@ -150,14 +152,15 @@
 	return true
 }
 
-func (s *incomingSnapshot) belongs(chunk SnapshotChunk) bool {
+func (s *incomingSnapshot) matches(chunk SnapshotChunk) bool {
 	return s.chunk.Index == chunk.Index && s.chunk.Term == chunk.Term &&
 		s.chunk.Size == chunk.Size && s.chunk.Checksum == chunk.Checksum
 }
 
-// installReceived replaces log and state by a complete incoming snapshot and
-// reports whether it did. Damaged data is dropped, to be sent again.
-func (c *Core) installReceived() bool {
+// installIfComplete replaces log and state with the incoming snapshot if that is
+// complete, and reports whether it did. Data with a wrong checksum is discarded
+// and received again.
+func (c *Core) installIfComplete() bool {
 	if uint64(len(c.incoming.data)) != c.incoming.chunk.Size {
 		return false
 	}
@@ -165,7 +168,7 @@
 		c.incoming.data = nil
 		return false
 	}
-	c.install(Snapshot{
+	c.installSnapshot(Snapshot{
 		Index:         c.incoming.chunk.Index,
 		Term:          c.incoming.chunk.Term,
 		Configuration: c.incoming.chunk.Configuration.Clone(),
@@ -175,15 +178,16 @@
 	return true
 }
 
-func (c *Core) install(snapshot Snapshot) {
+func (c *Core) installSnapshot(snapshot Snapshot) {
 	c.snapshot = snapshot
 	c.log.reset(snapshot.Index, snapshot.Term)
 	c.membership = newMembershipHistory(snapshot)
 	c.outbox.snapshot = &snapshot
 }
 
-// Found installs the initial configuration of a group on a replica that has
-// neither log nor term. It takes position one of the log.
+// Found bootstraps a group: it installs the initial configuration on a replica
+// that has neither log nor term, as a snapshot at index 1. It does nothing on other
+// replicas.
 func (c *Core) Found(now time.Duration, configuration Configuration) {
 	c.advanceClock(now)
 	if c.term != 0 || c.log.lastIndex() != 0 {
@@ -192,7 +196,7 @@
 	configuration = configuration.Clone()
 	configuration.Sort()
 	c.term = foundingTerm
-	c.install(Snapshot{Index: foundingIndex, Term: foundingTerm, Configuration: configuration})
+	c.installSnapshot(Snapshot{Index: foundingIndex, Term: foundingTerm, Configuration: configuration})
 	c.resetElectionDeadline()
 }
 
--- a/coordination/consensus/status.go
+++ b/coordination/consensus/status.go
@@ -1,26 +1,27 @@
 package consensus
 
-// Status is a replica's view of itself.
+// Status is the state of a replica at one point in time.
 type Status struct {
 	SoftState
 	// Vote is the replica that this one has voted for in its term, 0 for none.
 	Vote   ReplicaID
 	Commit uint64
-	// FirstIndex is the first position that the log holds in memory; it is
-	// LastIndex+1 for an empty one.
+	// FirstIndex is the index of the first log entry in memory, or LastIndex+1 if
+	// there is none.
 	FirstIndex uint64
 	LastIndex  uint64
-	// Snapshot is the position of the latest snapshot.
+	// Snapshot is the index of the latest snapshot.
 	Snapshot      uint64
 	Configuration Configuration
-	// ConfigurationIndex is the position of Configuration in the log; it is
-	// committed if Commit has reached it.
+	// ConfigurationIndex is the log index of Configuration, which is committed if
+	// Commit has reached it.
 	ConfigurationIndex uint64
-	// Progress holds what a leader knows about the other members.
+	// Progress holds the replication state of the other members on a leader. It is
+	// empty on other replicas.
 	Progress map[ReplicaID]MemberProgress
 }
 
-// MemberProgress is what a leader knows about another member.
+// MemberProgress is a leader's replication state for another member.
 type MemberProgress struct {
 	Match          uint64
 	RecentlyActive bool
@@ -32,10 +33,11 @@
 }
 
 // HasLostEntries reports whether the replica was found to lack entries that it
-// had acknowledged as being on disk. It must take no further part in its group.
+// had acknowledged as being on disk. Such a replica must no longer take part in
+// its group.
 func (c *Core) HasLostEntries() bool { return c.hasLostEntries }
 
-// Status returns the replica's view of itself.
+// Status returns the replica's current status.
 func (c *Core) Status() Status {
 	status := Status{
 		SoftState:     c.SoftState(),
--- a/coordination/consensus/step_fuzz_test.go
+++ b/coordination/consensus/step_fuzz_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// FuzzStep hands arbitrary messages to a leader and to a follower, whatever
-// their fields say. None may break a core's own invariants.
+// FuzzStep passes arbitrary messages to a leader or a follower. None may lower the
+// core's term or commit index, or commit entries beyond the end of its log.
 func FuzzStep(f *testing.F) {
 	chunk := SnapshotChunk{Index: 50, Term: 1, Size: 2, Checksum: 3, Data: []byte("ab")}
 	entry := Entry{Index: 3, Term: 1, Kind: EntryCommand, Data: []byte("x")}
@@ -31,16 +31,16 @@
 		if _, err := message.UnmarshalMsg(data); err != nil {
 			return
 		}
-		b := newBench(t, 3)
-		leader := b.elect(t)
-		target, sender := leader, b.cores[leader.config.ID%3+1]
+		cluster := newTestCluster(t, 3)
+		leader := cluster.elect(t)
+		target, sender := leader, cluster.cores[leader.config.ID%3+1]
 		if !toLeader {
 			target, sender = sender, target
 		}
 		message.To, message.From, message.Founding = target.config.ID, sender.config.ID, 5
 		message.Term = target.term + uint64(termOffset%3)
 		committed, term := target.log.committed, target.term
-		target.Step(b.now, message)
+		target.Step(cluster.now, message)
 		require.GreaterOrEqual(t, target.term, term)
 		require.GreaterOrEqual(t, target.log.committed, committed)
 		require.LessOrEqual(t, target.log.committed, target.log.lastIndex())
@@ -48,11 +48,12 @@
 			target.Ready()
 			target.Advance()
 		}
-		target.Tick(b.now + time.Second)
+		target.Tick(cluster.now + time.Second)
 	})
 }
 
-// FuzzDecodeConfiguration decodes the data of configuration entries.
+// FuzzDecodeConfiguration checks that any bytes that decode to a configuration can
+// be encoded and decoded again.
 func FuzzDecodeConfiguration(f *testing.F) {
 	configuration := Configuration{Generation: 1, Members: []Member{{ID: 1, Address: "a"}}}
 	encoded, err := configuration.MarshalMsg(nil)
