--- a/coordination/storage/memoryfs/memoryfs.go
+++ b/coordination/storage/memoryfs/memoryfs.go
@@ -1,5 +1,6 @@
-// Package memoryfs is a file system in memory that loses on a crash what a
-// disk may lose: unsynced data, in part or whole, and unsynced folder entries.
+// Package memoryfs is an in-memory file system that simulates the losses of a
+// machine crash: unsynced data, partly or completely, and unsynced directory
+// entries.
 package memoryfs
 
 import (
@@ -12,16 +13,16 @@
 	"syscall"
 )
 
-// The errors that the file system injects.
+// Errors injected by the file system.
 var (
-	// ErrDiskFull is returned by writes that exceed the capacity.
+	// ErrDiskFull is returned by writes beyond the capacity.
 	ErrDiskFull = fmt.Errorf("memoryfs: %w", syscall.ENOSPC)
-	// ErrSyncFailed is returned by the syncs that were told to fail.
+	// ErrSyncFailed is returned by the syncs that FailSyncs makes fail.
 	ErrSyncFailed = errors.New("memoryfs: sync failed")
-	// ErrCrashed is returned after the point that CrashAfter has set, and by
-	// files that were open at a crash.
+	// ErrCrashed is returned by operations after the crash point set with
+	// CrashAfter, and by files that were opened before Crash or Kill.
 	ErrCrashed = errors.New("memoryfs: machine has crashed")
-	// ErrLocked is returned when a folder is locked already.
+	// ErrLocked is returned if a directory is already locked.
 	ErrLocked = errors.New("memoryfs: folder is locked")
 )
 
@@ -31,15 +32,17 @@
 	mutex       sync.Mutex
 	directories map[string]*directory
 	locks       map[string]bool
-	generation  uint64
-	// inodes numbers the files that were created.
-	inodes      uint64
+	// generation is incremented by Crash and Kill, which invalidates earlier
+	// locks and open files.
+	generation uint64
+	// inodeCount is the number of the inode created last.
+	inodeCount  uint64
 	capacity    int64
-	failSyncs   int
+	syncsToFail int
 	ignoreSyncs bool
 	syncCount   uint64
-	// operationsLeft counts down to a crash in the middle of an operation;
-	// zero means that none is planned.
+	// operationsLeft counts down to the operation in which the machine crashes;
+	// zero means that no crash is scheduled.
 	operationsLeft int
 	crashed        bool
 }
@@ -49,48 +52,50 @@
 	durable map[string]*inode
 }
 
-// inode is a file. Its bytes are only ever appended to or replaced, never
-// changed in place, so that data and durable may share memory.
+// inode is a file. Its content is appended to or replaced, never modified in
+// place, so that data and durable may share memory.
 type inode struct {
 	number  uint64
 	data    []byte
 	durable []byte
-	// isDropped says that a sync has failed: later ones succeed without making
-	// durable what was written before, although it can still be read.
-	isDropped bool
+	// hasFailedSync is set after a failed sync: later syncs succeed without making
+	// the data durable, although it can still be read.
+	hasFailedSync bool
 }
 
-// New returns an empty file system without a limit of capacity.
+// New returns an empty file system with unlimited capacity.
 func New() *FileSystem {
 	return &FileSystem{directories: map[string]*directory{}, locks: map[string]bool{}}
 }
 
-// SetCapacity limits the sum of all files' sizes to bytes; zero lifts the limit.
+// SetCapacity limits the total size of all files in bytes; zero means no limit.
 func (f *FileSystem) SetCapacity(bytes int64) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.capacity = bytes
 }
 
-// FailSyncs lets the next count syncs fail. A file whose sync has failed can
-// still be read whole, but no later sync makes it durable, as on a system that
-// marks the pages of a failed write as clean.
+// FailSyncs makes the next count syncs of files or directories fail. A file
+// whose sync has failed can still be read completely, but no later sync makes it
+// durable, as on an operating system that marks pages as clean after a failed
+// write.
 func (f *FileSystem) FailSyncs(count int) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.failSyncs = count
+	f.syncsToFail = count
 }
 
-// CrashAfter lets the operation after the next count ones that change
-// anything, and all later ones, fail with ErrCrashed until Crash is called,
-// which leaves a part of a write that was cut short.
+// CrashAfter simulates a crash after the next count modifying operations. The
+// modifying operation after them and all later ones fail with ErrCrashed until
+// Crash is called. If the first of them is a write, part of its data may survive.
 func (f *FileSystem) CrashAfter(count int) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.operationsLeft = count + 1
 }
 
-// beginOperation counts an operation that changes something.
+// beginOperation counts a modifying operation and returns ErrCrashed at and after
+// the crash point. The caller must hold f.mutex.
 func (f *FileSystem) beginOperation() error {
 	if f.crashed {
 		return ErrCrashed
@@ -106,16 +111,16 @@
 	return ErrCrashed
 }
 
-// IgnoreSyncs lets the syncs of files that were opened for appending succeed
-// without making anything durable. It plants the fault that promises are sent
-// before what they promise is on disk.
+// IgnoreSyncs makes syncs of files opened with OpenAppend succeed without making
+// anything durable. It serves to simulate a replica that sends votes and
+// acknowledgements before they are on disk.
 func (f *FileSystem) IgnoreSyncs(ignore bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.ignoreSyncs = ignore
 }
 
-// UsedBytes returns the sum of all files' sizes.
+// UsedBytes returns the total size of all files.
 func (f *FileSystem) UsedBytes() int64 {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -129,9 +134,10 @@
 	return f.syncCount
 }
 
-// Crash drops what was not synced: folder entries wholly or not at all, file
-// data from a random position on, sometimes with garbage in place of its last
-// bytes (a torn write). Open files and locks become unusable.
+// Crash simulates a crash of the machine. A directory loses either all of its
+// unsynced entry changes or none. A file loses unsynced data from a random
+// position on; sometimes random bytes replace the end of what remains (a torn
+// write). Open files become unusable, and locks are released.
 func (f *FileSystem) Crash(random *rand.Rand) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -143,9 +149,9 @@
 	}
 }
 
-// Kill ends the process but not the machine: locks and open files are gone,
-// what was written without a sync can still be read, and a later crash may
-// still lose it.
+// Kill simulates a crash of the process, not of the machine: open files become
+// unusable, and locks are released. Unsynced data can still be read, and a later
+// Crash may still lose it.
 func (f *FileSystem) Kill() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -169,41 +175,41 @@
 }
 
 func (i *inode) crash(random *rand.Rand) {
-	common := commonPrefix(i.data, i.durable)
-	survivor := append([]byte(nil), i.durable...)
+	common := commonPrefixLength(i.data, i.durable)
+	remaining := append([]byte(nil), i.durable...)
 	if common == len(i.durable) && len(i.data) > common {
 		kept := common + random.IntN(len(i.data)-common+1)
-		survivor = append([]byte(nil), i.data[:kept]...)
+		remaining = append([]byte(nil), i.data[:kept]...)
 		if kept > common && random.IntN(3) == 0 {
-			tear(survivor[common:], random)
+			randomizeTail(remaining[common:], random)
 		}
 	}
-	i.data = survivor
-	i.durable = survivor
-	i.isDropped = false
+	i.data = remaining
+	i.durable = remaining
+	i.hasFailedSync = false
 }
 
-func tear(tail []byte, random *rand.Rand) {
+func randomizeTail(tail []byte, random *rand.Rand) {
 	start := random.IntN(len(tail))
 	for position := start; position < len(tail); position++ {
 		tail[position] = byte(random.Uint32())
 	}
 }
 
-// Copy returns a file system with copies of all files, as a backup and its
-// restoration make them: the content is the same, the files are others.
+// Copy returns a file system with copies of all files, as after restoring a
+// backup: the content is the same, but the file identities differ.
 func (f *FileSystem) Copy() *FileSystem {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	clone := New()
-	clone.inodes = f.inodes
+	clone.inodeCount = f.inodeCount
 	for _, name := range sortedKeys(f.directories) {
 		folder := f.directories[name]
 		copied := &directory{entries: map[string]*inode{}}
 		for _, entry := range sortedKeys(folder.entries) {
-			clone.inodes++
+			clone.inodeCount++
 			data := append([]byte(nil), folder.entries[entry].data...)
-			copied.entries[entry] = &inode{number: clone.inodes, data: data, durable: data}
+			copied.entries[entry] = &inode{number: clone.inodeCount, data: data, durable: data}
 		}
 		copied.durable = cloneEntries(copied.entries)
 		clone.directories[name] = copied
@@ -211,7 +217,7 @@
 	return clone
 }
 
-// Corrupt flips one bit of a file's durable content at the given offset.
+// Corrupt flips one bit of a file's durable content at an offset in bytes.
 func (f *FileSystem) Corrupt(name string, offset int) error {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -250,7 +256,7 @@
 	return used
 }
 
-func commonPrefix(left, right []byte) int {
+func commonPrefixLength(left, right []byte) int {
 	limit := min(len(left), len(right))
 	for position := range limit {
 		if left[position] != right[position] {
--- a/coordination/storage/memoryfs/operations.go
+++ b/coordination/storage/memoryfs/operations.go
@@ -56,8 +56,8 @@
 	}
 	file, found := folder.entries[path.Base(name)]
 	if !found {
-		f.inodes++
-		file = &inode{number: f.inodes}
+		f.inodeCount++
+		file = &inode{number: f.inodeCount}
 		folder.entries[path.Base(name)] = file
 	}
 	file.data = nil
@@ -86,7 +86,7 @@
 	return &handle{fileSystem: f, file: file, generation: f.generation, isAppend: true}, nil
 }
 
-// Rename implements storage.FileSystem. Both paths must be in one folder.
+// Rename implements storage.FileSystem. Both paths must be in the same directory.
 func (f *FileSystem) Rename(oldName, newName string) error {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -131,8 +131,8 @@
 	if !found {
 		return notExist("sync", name)
 	}
-	if f.failSyncs > 0 {
-		f.failSyncs--
+	if f.syncsToFail > 0 {
+		f.syncsToFail--
 		return ErrSyncFailed
 	}
 	folder.durable = cloneEntries(folder.entries)
@@ -171,7 +171,7 @@
 	fileSystem *FileSystem
 	file       *inode
 	generation uint64
-	// isAppend tells handles of OpenAppend from those of Create.
+	// isAppend is set if the handle was opened with OpenAppend, not with Create.
 	isAppend bool
 }
 
@@ -209,12 +209,12 @@
 		return err
 	}
 	h.fileSystem.syncCount++
-	if h.fileSystem.failSyncs > 0 {
-		h.fileSystem.failSyncs--
-		h.file.isDropped = true
+	if h.fileSystem.syncsToFail > 0 {
+		h.fileSystem.syncsToFail--
+		h.file.hasFailedSync = true
 		return ErrSyncFailed
 	}
-	if h.file.isDropped {
+	if h.file.hasFailedSync {
 		return nil
 	}
 	if !h.isAppend || !h.fileSystem.ignoreSyncs {
