--- a/coordination/storage/copy.go
+++ b/coordination/storage/copy.go
@@ -6,17 +6,17 @@
 	"path"
 )
 
-// Every segment's header holds the identity of the segment's file. A folder
-// that was restored from a backup, or copied to another machine, therefore does
-// not open: its replica may have voted and acknowledged entries since the copy
-// was made, and must not do so again in another way.
+// Every segment's header holds the identity of the segment's file, so that a
+// folder that was restored from a backup or copied to another machine does not
+// open: its replica may have voted and acknowledged entries since the copy was
+// made, and must not contradict that.
 
-// replaceSegment replaces a segment by a synced copy of its valid frames, whose
-// header holds the new file's identity.
+// replaceSegment replaces a segment with a synced copy of its valid frames,
+// whose header holds the new file's identity.
 func replaceSegment(fileSystem FileSystem, directory string, replaced *segment, content []byte) error {
-	err := replaceFileBy(fileSystem, directory, path.Base(replaced.path), func(identity FileIdentity) ([]byte, error) {
+	err := replaceFileWith(fileSystem, directory, path.Base(replaced.path), func(identity FileIdentity) ([]byte, error) {
 		replaced.file = identity
-		return withIdentity(content[:replaced.bytes], replaced.sequence, identity)
+		return withFileIdentity(content[:replaced.bytes], replaced.sequence, identity)
 	})
 	if err != nil {
 		return err
@@ -25,9 +25,10 @@
 	return nil
 }
 
-// withIdentity returns a segment's content with another identity in its header,
-// which keeps its length, as all frames must keep their places.
-func withIdentity(content []byte, sequence uint64, identity FileIdentity) ([]byte, error) {
+// withFileIdentity returns a segment's content with another identity in its
+// header. The header's length must not change, as the checksums of the other
+// frames cover their offsets.
+func withFileIdentity(content []byte, sequence uint64, identity FileIdentity) ([]byte, error) {
 	payload, err := decodeFrame(content, sequence, 0)
 	if err != nil {
 		return nil, err
@@ -48,28 +49,30 @@
 	return append(newFrame(sequence, 0, changed), rest...), nil
 }
 
-// checkIdentities refuses files that are not the ones that were written.
-func (f *folder) checkIdentities(fileSystem FileSystem) error {
-	for _, read := range f.segments {
-		if read.frames == 0 {
+// checkFileIdentities returns an error that matches ErrCopied if a segment's file
+// is not the one that its header was written to. Unknown identities are accepted.
+func (f *folderContent) checkFileIdentities(fileSystem FileSystem) error {
+	for _, loaded := range f.segments {
+		if loaded.frames == 0 {
 			continue
 		}
-		identity, err := fileSystem.Identify(read.path)
+		identity, err := fileSystem.Identify(loaded.path)
 		if err != nil {
-			return &IOError{Operation: "identify", Path: read.path, Err: err}
+			return &IOError{Operation: "identify", Path: loaded.path, Err: err}
 		}
-		if identity != read.file && identity != (FileIdentity{}) && read.file != (FileIdentity{}) {
-			return &CorruptionError{Path: read.path, Reason: ErrCopied.Error(), IsCopy: true}
+		if identity != loaded.file && identity != (FileIdentity{}) && loaded.file != (FileIdentity{}) {
+			return &CorruptionError{Path: loaded.path, Reason: ErrCopied.Error(), IsCopy: true}
 		}
 	}
 	return nil
 }
 
-// AcceptCopy makes a folder that is a copy usable. It is for an operator who
-// has moved the folder and knows that the replica has not run since the copy
-// was made, and that no other copy will ever be used: a copy that is older than
-// the replica's last promise can break its group. A folder with other damage
-// gives a *CorruptionError. It may be repeated.
+// AcceptCopy makes a copied folder usable. It is for an operator who has moved
+// the folder and knows that the replica has not run since the copy was made, and
+// that no other copy will ever be used: a copy that lacks the replica's latest
+// vote or acknowledgement can violate the group's consistency. AcceptCopy returns
+// a *CorruptionError for a folder with other damage. It may be called again after
+// an error or a crash.
 func AcceptCopy(fileSystem FileSystem, directory string) error {
 	lock, err := fileSystem.Lock(directory)
 	if err != nil {
--- a/coordination/storage/copy_test.go
+++ b/coordination/storage/copy_test.go
@@ -14,7 +14,8 @@
 )
 
 // TestRestoredCopyDoesNotOpen restores a folder from a copy that was made
-// before the replica voted: as it was, it could vote again in the same term.
+// before the replica voted. If it opened, the replica could vote again in the
+// same term.
 func TestRestoredCopyDoesNotOpen(t *testing.T) {
 	disk := memoryfs.New()
 	opened, _ := open(t, disk)
@@ -36,8 +37,9 @@
 	require.NoError(t, opened.Close())
 }
 
-// TestCopyOpensOnceAccepted moves a folder by copying, as an operator may who
-// knows that the copy is the latest and only one.
+// TestCopyOpensOnceAccepted moves a folder by copying and accepts the copy, as an
+// operator may who knows that it is the latest and only one. AcceptCopy must
+// succeed when it is repeated after a crash in the middle of the first call.
 func TestCopyOpensOnceAccepted(t *testing.T) {
 	for operations := range 30 {
 		disk := memoryfs.New()
@@ -59,18 +61,18 @@
 	}
 }
 
-// TestCopyOnTheMachinesDisk does the same with real files: a renamed folder is
-// the same folder, a copied one is not.
-func TestCopyOnTheMachinesDisk(t *testing.T) {
+// TestCopyOnRealFileSystem checks with real files that a renamed folder opens,
+// and that a copied one opens only once it is accepted.
+func TestCopyOnRealFileSystem(t *testing.T) {
 	root := t.TempDir()
 	original, renamed, copied := filepath.Join(root, "a"), filepath.Join(root, "b"), filepath.Join(root, "c")
-	at := func(folder string) storage.Options {
+	optionsFor := func(folder string) storage.Options {
 		options := options(storage.OperatingSystem{})
 		options.Directory = folder
 		return options
 	}
 	saveAndClose := func(folder string, first uint64) {
-		opened, _, err := storage.Open(at(folder))
+		opened, _, err := storage.Open(optionsFor(folder))
 		require.NoError(t, err)
 		for index := first; index < first+40; index++ {
 			require.NoError(t, opened.Save(consensus.HardState{Term: 1}, entries(1, index, index), nil))
@@ -82,7 +84,7 @@
 	require.NoError(t, os.Rename(original, renamed))
 	saveAndClose(renamed, 81)
 	require.NoError(t, os.CopyFS(copied, os.DirFS(renamed)))
-	_, _, err := storage.Open(at(copied))
+	_, _, err := storage.Open(optionsFor(copied))
 	require.ErrorIs(t, err, storage.ErrCopied)
 	require.NoError(t, storage.AcceptCopy(storage.OperatingSystem{}, copied))
 	saveAndClose(copied, 121)
--- a/coordination/storage/damage_test.go
+++ b/coordination/storage/damage_test.go
@@ -11,19 +11,19 @@
 	"github.com/pierhaven/pierhaven/coordination/storage/memoryfs"
 )
 
-// TestTornTail cuts the log at every byte: whole batches before the cut stay,
-// and the log can be continued. The header was synced before the first batch,
-// so that a cut in it is damage.
-func TestTornTail(t *testing.T) {
-	disk, content := threeBatches(t)
+// TestTornWriteAtEveryByte truncates the log at every byte. Complete batches before
+// that must be read, and the log can be appended to. The header was synced before
+// the first batch, so that a truncated header is corruption.
+func TestTornWriteAtEveryByte(t *testing.T) {
+	disk, content := saveThreeBatches(t)
 	report, err := storage.Inspect(disk, directory)
 	require.NoError(t, err)
 	require.EqualValues(t, len(content), report.Segments[0].Bytes)
 	previous := 0
 	header := bytes.Index(content[1:], []byte("PHF1")) + 1
 	for length := range len(content) {
-		disk, content := threeBatches(t)
-		rewrite(t, disk, firstSegment, content[:length])
+		disk, content := saveThreeBatches(t)
+		replaceContent(t, disk, firstSegment, content[:length])
 		if length < header {
 			require.ErrorIs(t, storage.Verify(disk, directory), storage.ErrCorrupt, "cut at %d", length)
 			continue
@@ -39,10 +39,11 @@
 	require.Equal(t, 2, previous)
 }
 
-// TestSealMakesLastBatchRecognisable damages every byte of a sealed log.
-func TestSealMakesLastBatchRecognisable(t *testing.T) {
+// TestDamageToLastBatchIsDetectedAfterSeal damages every byte of a log before the
+// batch that Seal has appended.
+func TestDamageToLastBatchIsDetectedAfterSeal(t *testing.T) {
 	for offset := 0; ; offset++ {
-		disk, content := threeBatches(t)
+		disk, content := saveThreeBatches(t)
 		if offset == len(content) {
 			return
 		}
@@ -58,13 +59,14 @@
 	}
 }
 
-// TestEveryFlippedBitIsSeen damages every byte: before the last batch it is
-// reported, in the last batch it can't be told from a torn write.
-func TestEveryFlippedBitIsSeen(t *testing.T) {
-	_, content := threeBatches(t)
+// TestFlippedBitsBeforeLastBatchAreDetected damages every byte. Damage before the
+// last batch is reported; damage to the last batch can't be distinguished from a
+// torn write.
+func TestFlippedBitsBeforeLastBatchAreDetected(t *testing.T) {
+	_, content := saveThreeBatches(t)
 	last := bytes.LastIndex(content, []byte("PHF1"))
 	for offset := range content {
-		disk, _ := threeBatches(t)
+		disk, _ := saveThreeBatches(t)
 		require.NoError(t, disk.Corrupt(firstSegment, offset))
 		_, state, err := storage.Open(options(disk))
 		if offset < last {
@@ -76,7 +78,7 @@
 	}
 }
 
-func TestDamageOfOtherFiles(t *testing.T) {
+func TestDamagedOrMissingFilesAreCorruption(t *testing.T) {
 	cases := map[string]func(t *testing.T, disk *memoryfs.FileSystem){
 		"identity damaged": func(t *testing.T, disk *memoryfs.FileSystem) {
 			require.NoError(t, disk.Corrupt(directory+"/identity", 20))
@@ -116,8 +118,8 @@
 			require.NoError(t, err)
 			require.NotNil(t, report.Damage)
 			require.NoError(t, storage.Discard(disk, directory))
-			renewed, state := open(t, disk)
-			require.Equal(t, storage.StageNew, renewed.Identity().Stage)
+			reopened, state := open(t, disk)
+			require.Equal(t, storage.StageNew, reopened.Identity().Stage)
 			require.Empty(t, state.Entries)
 		})
 	}
--- a/coordination/storage/errors.go
+++ b/coordination/storage/errors.go
@@ -6,40 +6,41 @@
 	"syscall"
 )
 
-// The kinds of storage errors, to be tested with errors.Is.
+// Kinds of storage errors, for use with errors.Is.
 var (
-	// ErrCorrupt says that data that had been synced can't be read back. The
-	// replica must not vote; it is to be discarded and to join again as new.
+	// ErrCorrupt is returned if synced data can't be read back. The replica must
+	// not vote; its data must be discarded so that it joins again as a new replica.
 	ErrCorrupt = errors.New("storage is damaged")
-	// ErrCopied says that a file of the log is a copy, such as one that was
-	// restored from a backup. What was promised since it was made is unknown.
-	// It is a kind of ErrCorrupt.
+	// ErrCopied is returned if a file of the log is a copy, for example one
+	// restored from a backup. Votes and acknowledgements since the copy was made
+	// are unknown. Errors that match it match ErrCorrupt too.
 	ErrCopied = errors.New("data is a copy, which may be old")
-	// ErrSyncFailed says that a sync failed, after which nothing is known of
-	// the data on disk. The process has to end; the sync is never repeated.
+	// ErrSyncFailed is returned if a sync failed. The state of the data on disk
+	// is then unknown: the process must exit, and the sync must not be retried.
 	ErrSyncFailed = errors.New("sync failed")
-	// ErrDiskFull says that the disk has no space left. It is a kind of
-	// ErrNotWritten.
+	// ErrDiskFull is returned if the disk or a quota has no space left. Such a
+	// write error matches ErrNotWritten too.
 	ErrDiskFull = errors.New("disk is full")
-	// ErrNotWritten says that the operating system has refused a write before
-	// any sync. Nothing rests on it: the call may be made again, at any time.
+	// ErrNotWritten is returned if the operating system refused a write before
+	// any sync. Nothing depends on the write: the call may be retried at any time.
 	ErrNotWritten = errors.New("write was refused")
-	// ErrFailed says that an earlier error has ended the use of this storage.
+	// ErrFailed is returned if an earlier error made this storage unusable, or if
+	// it is closed.
 	ErrFailed = errors.New("storage has failed before")
-	// ErrSnapshotTooLarge says that a snapshot is over 4 GiB.
+	// ErrSnapshotTooLarge is returned if an encoded snapshot exceeds 4 GiB.
 	ErrSnapshotTooLarge = errors.New("snapshot is too large")
-	// ErrWrongGroup says that the folder belongs to another group.
+	// ErrWrongGroup is returned if the folder belongs to another group.
 	ErrWrongGroup = errors.New("data folder belongs to another group")
 )
 
-// CorruptionError is ErrCorrupt with the place of the damage.
+// CorruptionError is an ErrCorrupt error with the location of the damage.
 type CorruptionError struct {
 	Path string
-	// Offset is the position of the damage in the file in bytes.
+	// Offset is the position of the damage in the file, in bytes.
 	Offset int64
 	Reason string
-	// IsCopy makes errors.Is(err, ErrCopied) hold: nothing but the copying is
-	// wrong.
+	// IsCopy is set if the only problem is that the file is a copy. The error then
+	// matches ErrCopied.
 	IsCopy bool
 }
 
@@ -48,12 +49,12 @@
 	return fmt.Sprintf("%v: %s at byte %d: %s", ErrCorrupt, e.Path, e.Offset, e.Reason)
 }
 
-// Is makes errors.Is hold for ErrCorrupt and ErrCopied.
+// Is makes errors.Is match ErrCorrupt, and ErrCopied if IsCopy is set.
 func (e *CorruptionError) Is(target error) bool {
 	return target == ErrCorrupt || e.IsCopy && target == ErrCopied
 }
 
-// IOError is a failed operation on a file.
+// IOError is a failed file system operation.
 type IOError struct {
 	Operation string
 	Path      string
@@ -68,11 +69,11 @@
 // Unwrap returns the operating system's error.
 func (e *IOError) Unwrap() error { return e.Err }
 
-// Is makes errors.Is hold for ErrSyncFailed, ErrDiskFull and ErrNotWritten.
+// Is makes errors.Is match ErrSyncFailed, ErrDiskFull and ErrNotWritten.
 func (e *IOError) Is(target error) bool {
 	switch target {
 	case ErrNotWritten:
-		return e.isRefusal()
+		return e.isTransientWriteError()
 	case ErrSyncFailed:
 		return e.Operation == operationSync
 	case ErrDiskFull:
@@ -82,19 +83,20 @@
 	}
 }
 
-// isRefusal reports whether the operating system has refused to write for a reason that
-// may pass. A folder that is missing or may not be written is none.
-func (e *IOError) isRefusal() bool {
+// isTransientWriteError reports whether the operating system refused a write for a
+// reason that may go away without intervention. A missing or read-only folder is
+// not such a reason.
+func (e *IOError) isTransientWriteError() bool {
 	var number syscall.Errno
-	return writeOperations[e.Operation] && errors.As(e.Err, &number) && passingRefusals[number]
+	return retryableOperations[e.Operation] && errors.As(e.Err, &number) && transientErrors[number]
 }
 
-// passingRefusals are a disk, a quota or a limit that is used up, and a disk that fails.
-var passingRefusals = map[syscall.Errno]bool{
+// transientErrors are an exhausted disk, quota or file size limit, and I/O errors.
+var transientErrors = map[syscall.Errno]bool{
 	syscall.ENOSPC: true, syscall.EDQUOT: true, syscall.EFBIG: true, syscall.EIO: true,
 }
 
-// writeOperations may be tried again after the operating system has refused them.
-var writeOperations = map[string]bool{"create": true, "write": true, "truncate": true, "rename": true}
+// retryableOperations may be retried after a transient error. Syncs must not be.
+var retryableOperations = map[string]bool{"create": true, "write": true, "truncate": true, "rename": true}
 
 const operationSync = "sync"
--- a/coordination/storage/example_test.go
+++ b/coordination/storage/example_test.go
@@ -9,7 +9,7 @@
 	"github.com/pierhaven/pierhaven/coordination/storage/memoryfs"
 )
 
-// What was saved before a power failure is there after it.
+// Saved data survives a power failure.
 func Example() {
 	disk := memoryfs.New()
 	options := storage.Options{FileSystem: disk, Directory: "/data", Group: 1, Random: rand.New(rand.NewPCG(1, 1))}
--- a/coordination/storage/export_test.go
+++ b/coordination/storage/export_test.go
@@ -1,7 +1,7 @@
 package storage
 
-// Batch is what one frame of a segment holds, for tests outside the package.
+// Batch exports batch, the content of a segment's frame.
 type Batch = batch
 
-// NewFrame is for tests that put their own payloads into sound files.
+// NewFrame exports newFrame for tests that write their own payloads to valid files.
 var NewFrame = newFrame
--- a/coordination/storage/files.go
+++ b/coordination/storage/files.go
@@ -4,27 +4,28 @@
 
 const temporarySuffix = ".tmp"
 
-// writeWhole replaces a file by one frame in one step: after a crash the file
-// has either its old or its new content.
-func writeWhole(fileSystem FileSystem, directory, name string, payload []byte) error {
+// writeFrameFile atomically replaces a file with a single frame: after a crash the
+// file has either its old or its new content.
+func writeFrameFile(fileSystem FileSystem, directory, name string, payload []byte) error {
 	return replaceFile(fileSystem, directory, name, newFrame(0, 0, payload))
 }
 
-// replaceFile replaces a file's content in one step.
+// replaceFile atomically replaces a file's content.
 func replaceFile(fileSystem FileSystem, directory, name string, content []byte) error {
-	return replaceFileBy(fileSystem, directory, name, func(FileIdentity) ([]byte, error) { return content, nil })
+	return replaceFileWith(fileSystem, directory, name, func(FileIdentity) ([]byte, error) { return content, nil })
 }
 
-// replaceFileBy is replaceFile for content that holds the new file's identity.
-func replaceFileBy(fileSystem FileSystem, directory, name string, contentOf func(FileIdentity) ([]byte, error)) error {
+// replaceFileWith is replaceFile for content that includes the new file's identity.
+func replaceFileWith(fileSystem FileSystem, directory, name string, contentFor func(FileIdentity) ([]byte, error)) error {
 	temporary := path.Join(directory, name+temporarySuffix)
-	if err := writeSynced(fileSystem, temporary, contentOf); err != nil {
+	if err := writeSynced(fileSystem, temporary, contentFor); err != nil {
 		return err
 	}
 	return renameIntoPlace(fileSystem, directory, name)
 }
 
-// renameIntoPlace puts a synced temporary file into the place of name.
+// renameIntoPlace replaces name with its synced temporary file and syncs the
+// directory.
 func renameIntoPlace(fileSystem FileSystem, directory, name string) error {
 	target := path.Join(directory, name)
 	if err := fileSystem.Rename(target+temporarySuffix, target); err != nil {
@@ -33,9 +34,9 @@
 	return syncDirectory(fileSystem, directory)
 }
 
-// writeSynced creates a file with synced content, which may hold the file's
-// identity; its folder entry is not synced.
-func writeSynced(fileSystem FileSystem, name string, contentOf func(FileIdentity) ([]byte, error)) error {
+// writeSynced creates a file with synced content, which may include the file's
+// identity. It does not sync the directory.
+func writeSynced(fileSystem FileSystem, name string, contentFor func(FileIdentity) ([]byte, error)) error {
 	file, err := fileSystem.Create(name)
 	if err != nil {
 		return &IOError{Operation: "create", Path: name, Err: err}
@@ -45,7 +46,7 @@
 		_ = file.Close()
 		return &IOError{Operation: "identify", Path: name, Err: err}
 	}
-	content, err := contentOf(identity)
+	content, err := contentFor(identity)
 	if err != nil {
 		_ = file.Close()
 		return err
--- a/coordination/storage/folder.go
+++ b/coordination/storage/folder.go
@@ -6,32 +6,32 @@
 	"github.com/pierhaven/pierhaven/coordination/consensus"
 )
 
-// State is what a replica has on disk.
+// State is a replica's state on disk.
 type State struct {
 	HardState consensus.HardState
 	Snapshot  consensus.Snapshot
-	// Entries are contiguous and begin at or before Snapshot.Index+1.
+	// Entries are contiguous; the first index is at most Snapshot.Index+1.
 	Entries []consensus.Entry
 }
 
-// folder is the content of a data folder.
-type folder struct {
-	// identity is nil if the folder is empty.
+// folderContent is what was read from a data folder.
+type folderContent struct {
+	// identity is nil if the folder has none.
 	identity *Identity
 	state    State
 	segments []segment
 	names    []string
-	// isReplaced says that the snapshot replaces all entries of the log.
-	isReplaced bool
+	// isLogReplaced is set if the snapshot replaces all entries of the log.
+	isLogReplaced bool
 }
 
 // readFolder reads a data folder without changing it.
-func readFolder(fileSystem FileSystem, directory string) (*folder, error) {
+func readFolder(fileSystem FileSystem, directory string) (*folderContent, error) {
 	names, err := fileSystem.List(directory)
 	if err != nil {
 		return nil, &IOError{Operation: "list", Path: directory, Err: err}
 	}
-	result := &folder{names: names}
+	result := &folderContent{names: names}
 	result.identity, err = readIdentity(fileSystem, directory)
 	if err != nil {
 		return result, err
@@ -49,8 +49,9 @@
 	return result, result.readSegments(fileSystem, directory)
 }
 
-// checkFiles refuses combinations of files that no crash leaves behind.
-func (f *folder) checkFiles(directory string) error {
+// checkFiles returns a *CorruptionError for combinations of files that no crash
+// can leave behind, and for a replica that was marked as damaged.
+func (f *folderContent) checkFiles(directory string) error {
 	segments := numberedFiles(f.names, segmentPrefix, segmentSuffix)
 	snapshots := numberedFiles(f.names, snapshotPrefix, snapshotSuffix)
 	if f.identity == nil && len(segments)+len(snapshots) > 0 {
@@ -65,7 +66,7 @@
 	return nil
 }
 
-func (f *folder) readSegments(fileSystem FileSystem, directory string) error {
+func (f *folderContent) readSegments(fileSystem FileSystem, directory string) error {
 	sequences := numberedFiles(f.names, segmentPrefix, segmentSuffix)
 	restored := replay{identity: *f.identity}
 	for position, sequence := range sequences {
@@ -73,37 +74,38 @@
 			return &CorruptionError{Path: directory, Reason: fmt.Sprintf("segment %d is missing", sequence-1)}
 		}
 		isLast := position == len(sequences)-1
-		read, err := readSegment(fileSystem, directory, sequence, isLast, &restored)
-		f.segments = append(f.segments, read)
+		loaded, err := readSegment(fileSystem, directory, sequence, isLast, &restored)
+		f.segments = append(f.segments, loaded)
 		if err != nil {
 			return err
 		}
 	}
-	if err := f.checkLoneSegment(); err != nil {
+	if err := f.checkOnlySegment(); err != nil {
 		return err
 	}
 	f.state.HardState = restored.hardState
-	if err := f.connect(directory, restored); err != nil {
+	if err := f.combineLogAndSnapshot(directory, restored); err != nil {
 		return err
 	}
-	return f.checkIdentities(fileSystem)
+	return f.checkFileIdentities(fileSystem)
 }
 
-// checkLoneSegment refuses a member's only segment without a readable header.
-// A segment is created whole before the ones before it are removed, and before
-// a replica becomes a member, so that this is no torn write: term and vote,
-// which nothing else repeats, would be lost.
-func (f *folder) checkLoneSegment() error {
+// checkOnlySegment returns a *CorruptionError if a member's only segment has no
+// valid header. This can't be a torn write, as a segment's header is synced
+// before earlier segments are removed and before the replica becomes a member.
+// Creating the segment again would lose the term and vote, which are stored
+// nowhere else.
+func (f *folderContent) checkOnlySegment() error {
 	if f.identity.Stage != StageMember || len(f.segments) != 1 || f.segments[0].frames > 0 {
 		return nil
 	}
 	return &CorruptionError{Path: f.segments[0].path, Reason: "header of the only segment is damaged"}
 }
 
-// connect joins the entries to the snapshot. A crash between saving an
-// installed snapshot and resetting the log leaves entries that the snapshot
-// replaces.
-func (f *folder) connect(directory string, restored replay) error {
+// combineLogAndSnapshot checks that the snapshot and the entries leave no gap, and
+// drops the entries if the snapshot replaces them: a crash between saving an
+// installed snapshot and resetting the log leaves such entries.
+func (f *folderContent) combineLogAndSnapshot(directory string, restored replay) error {
 	snapshot := f.state.Snapshot
 	entries := restored.entries
 	if restored.resetIndex > snapshot.Index {
@@ -113,7 +115,7 @@
 		return nil
 	}
 	if entries[len(entries)-1].Index < snapshot.Index {
-		f.isReplaced = true
+		f.isLogReplaced = true
 		return nil
 	}
 	first := entries[0].Index
@@ -121,7 +123,7 @@
 		return &CorruptionError{Path: directory, Reason: fmt.Sprintf("entries from %d to %d are missing", snapshot.Index+1, first-1)}
 	}
 	if first <= snapshot.Index && entries[snapshot.Index-first].Term != snapshot.Term {
-		f.isReplaced = true
+		f.isLogReplaced = true
 		return nil
 	}
 	f.state.Entries = entries
--- a/coordination/storage/frame.go
+++ b/coordination/storage/frame.go
@@ -8,10 +8,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A frame is: magic (4 bytes), payload length (4), checksum (8), payload. The
-// numbers are little-endian. The checksum is the xxhash64 of the segment's
+// A frame is: magic (4 bytes), payload length (4), checksum (8), payload.
+// Integers are little-endian. The checksum is the xxhash64 of the segment's
 // sequence number, the frame's offset, the length and the payload, so that a
-// frame is valid at its own place only.
+// frame is valid only at its original location.
 const (
 	frameHeaderBytes = 16
 	frameMagic       = "PHF1"
@@ -22,17 +22,17 @@
 	errFrameDamaged  = errors.New("frame is damaged")
 )
 
-// newFrame returns a frame that will stand at offset of a segment.
+// newFrame returns the frame of a payload for an offset in a segment.
 func newFrame(sequence uint64, offset int64, payload []byte) []byte {
 	frame := make([]byte, frameHeaderBytes, frameHeaderBytes+len(payload))
 	frame = append(frame, payload...)
-	sealFrame(frame, sequence, offset)
+	fillFrameHeader(frame, sequence, offset)
 	return frame
 }
 
-// sealFrame fills in the header of a frame whose payload stands behind
-// frameHeaderBytes of room.
-func sealFrame(frame []byte, sequence uint64, offset int64) {
+// fillFrameHeader fills in the first frameHeaderBytes of a frame; its payload
+// follows them.
+func fillFrameHeader(frame []byte, sequence uint64, offset int64) {
 	payload := frame[frameHeaderBytes:]
 	copy(frame, frameMagic)
 	binary.LittleEndian.PutUint32(frame[4:], uint32(len(payload)))
@@ -40,17 +40,17 @@
 }
 
 func frameChecksum(sequence uint64, offset int64, payload []byte) uint64 {
-	var place [20]byte
-	binary.LittleEndian.PutUint64(place[0:], sequence)
-	binary.LittleEndian.PutUint64(place[8:], uint64(offset))
-	binary.LittleEndian.PutUint32(place[16:], uint32(len(payload)))
+	var location [20]byte
+	binary.LittleEndian.PutUint64(location[0:], sequence)
+	binary.LittleEndian.PutUint64(location[8:], uint64(offset))
+	binary.LittleEndian.PutUint32(location[16:], uint32(len(payload)))
 	digest := xxhash.New()
-	_, _ = digest.Write(place[:])
+	_, _ = digest.Write(location[:])
 	_, _ = digest.Write(payload)
 	return digest.Sum64()
 }
 
-// decodeFrame returns the payload of the frame at offset of a segment's content.
+// decodeFrame returns the payload of the frame at an offset in a segment's content.
 func decodeFrame(content []byte, sequence uint64, offset int64) ([]byte, error) {
 	frame := content[offset:]
 	if len(frame) < frameHeaderBytes {
@@ -70,7 +70,7 @@
 	return payload, nil
 }
 
-// hasFrameAfter reports whether a valid frame stands behind a bad one at offset.
+// hasFrameAfter reports whether a valid frame follows the invalid one at offset.
 func hasFrameAfter(content []byte, sequence uint64, offset int64) bool {
 	for position := offset + 1; position < int64(len(content)); {
 		next := bytes.Index(content[position:], []byte(frameMagic))
@@ -86,8 +86,8 @@
 	return false
 }
 
-// decodeWhole returns the payload of a file that is one frame.
-func decodeWhole(content []byte) ([]byte, error) {
+// decodeFrameFile returns the payload of a file that consists of one frame.
+func decodeFrameFile(content []byte) ([]byte, error) {
 	payload, err := decodeFrame(content, 0, 0)
 	if err != nil {
 		return nil, err
--- a/coordination/storage/identity.go
+++ b/coordination/storage/identity.go
@@ -13,22 +13,23 @@
 //go:generate go tool msgp -file identity.go -o identity_gen.go -tests=false -io=false
 //msgp:replace consensus.ReplicaID with:uint64
 
-// Stage tells how far a replica has come in joining its group.
+// Stage is a replica's progress in joining its group.
 type Stage uint8
 
-// The stages of a replica, in their order.
+// Stages of a replica, in order.
 const (
-	// StageNew is a replica that has promised nothing to anyone.
+	// StageNew is a replica that has neither promised to take part in a bootstrap
+	// nor saved any state.
 	StageNew Stage = iota + 1
-	// StagePromised is a replica that has promised to take part in one founding.
+	// StagePromised is a replica that has promised to take part in one bootstrap.
 	StagePromised
-	// StageMember is a replica that has saved terms, votes or state of its group.
+	// StageMember is a replica that has saved a term, a vote or state of its group.
 	StageMember
-	// StageDamaged is a replica that was found to lack what it had saved.
+	// StageDamaged is a replica that was found to have lost saved data.
 	StageDamaged
 )
 
-// String returns the name of the stage for logs.
+// String returns the name of the stage for use in logs.
 func (stage Stage) String() string {
 	switch stage {
 	case StageNew:
@@ -49,13 +50,14 @@
 	Group     uint64              `msg:"group"`
 	ReplicaID consensus.ReplicaID `msg:"replica"`
 	Stage     Stage               `msg:"stage"`
-	// FoundingToken is the founding that was promised, or zero.
+	// FoundingToken identifies the bootstrap that the replica has promised to take
+	// part in; zero if none.
 	FoundingToken uint64 `msg:"founding_token"`
 }
 
 const identityName = "identity"
 
-// newIdentity draws a replica id that is not zero.
+// newIdentity returns an identity with a random replica id other than zero.
 func newIdentity(group uint64, random *rand.Rand) Identity {
 	id := random.Uint64()
 	for id == 0 {
@@ -64,16 +66,16 @@
 	return Identity{Group: group, ReplicaID: consensus.ReplicaID(id), Stage: StageNew}
 }
 
-// WriteIdentity makes an identity durable in a folder in one step.
+// WriteIdentity atomically and durably replaces the identity in a data folder.
 func WriteIdentity(fileSystem FileSystem, directory string, identity Identity) error {
 	payload, err := identity.MarshalMsg(nil)
 	if err != nil {
 		return err
 	}
-	return writeWhole(fileSystem, directory, identityName, payload)
+	return writeFrameFile(fileSystem, directory, identityName, payload)
 }
 
-// readIdentity returns nil when the folder has no identity.
+// readIdentity returns nil if the folder has no identity.
 func readIdentity(fileSystem FileSystem, directory string) (*Identity, error) {
 	name := path.Join(directory, identityName)
 	content, err := fileSystem.ReadFile(name)
@@ -83,7 +85,7 @@
 	if err != nil {
 		return nil, &IOError{Operation: "read", Path: name, Err: err}
 	}
-	payload, err := decodeWhole(content)
+	payload, err := decodeFrameFile(content)
 	if err != nil {
 		return nil, &CorruptionError{Path: name, Reason: err.Error()}
 	}
--- a/coordination/storage/inspect.go
+++ b/coordination/storage/inspect.go
@@ -7,38 +7,38 @@
 	"github.com/pierhaven/pierhaven/coordination/consensus"
 )
 
-// Report is what a data folder holds.
+// Report describes the content of a data folder.
 type Report struct {
-	// Identity is nil for an empty folder.
+	// Identity is nil if the folder has none.
 	Identity *Identity
-	// HardState has the zero value if the log could not be read.
+	// HardState is zero if the log could not be read.
 	HardState consensus.HardState
 	// Snapshot is the latest snapshot without its data.
 	Snapshot      consensus.Snapshot
 	SnapshotBytes int
-	// FirstIndex and LastIndex bound the entries in the log; they are zero for
-	// an empty one.
+	// FirstIndex and LastIndex are the indexes of the first and last entry in the
+	// log, or zero if it is empty.
 	FirstIndex uint64
 	LastIndex  uint64
 	Segments   []SegmentReport
-	// Damage is what makes the folder unusable, or nil.
+	// Damage is the corruption that makes the folder unusable, or nil.
 	Damage *CorruptionError
 }
 
-// SegmentReport is what a segment file holds.
+// SegmentReport describes a segment file.
 type SegmentReport struct {
 	Name  string
 	Bytes int64
-	// Frames is the number of valid frames, the header included.
+	// Frames is the number of valid frames, including the header.
 	Frames    int
 	LastIndex uint64
-	// TornBytes is the length of a torn write at the end, which the next start
-	// cuts off.
+	// TornBytes is the length of a torn write at the end, which the next Open
+	// truncates.
 	TornBytes int64
 }
 
-// Inspect reads a data folder without changing or locking it. Damage is
-// reported in the Report, not as an error.
+// Inspect reads a data folder without changing or locking it. Damage is returned
+// in the Report, not as an error.
 func Inspect(fileSystem FileSystem, directory string) (Report, error) {
 	content, err := readFolder(fileSystem, directory)
 	var damage *CorruptionError
@@ -56,13 +56,13 @@
 	if entries := content.state.Entries; len(entries) > 0 {
 		report.FirstIndex, report.LastIndex = entries[0].Index, entries[len(entries)-1].Index
 	}
-	for _, read := range content.segments {
+	for _, loaded := range content.segments {
 		report.Segments = append(report.Segments, SegmentReport{
-			Name:      path.Base(read.path),
-			Bytes:     read.bytes,
-			Frames:    read.frames,
-			LastIndex: read.lastIndex,
-			TornBytes: read.tornBytes,
+			Name:      path.Base(loaded.path),
+			Bytes:     loaded.bytes,
+			Frames:    loaded.frames,
+			LastIndex: loaded.lastIndex,
+			TornBytes: loaded.tornBytes,
 		})
 	}
 	return report, nil
@@ -83,8 +83,8 @@
 	return err
 }
 
-// Discard removes all data of a replica, its identity last. The replica that
-// is created in the folder afterwards is a new one, which joins as a learner.
+// Discard removes all data of a replica, its identity last. Opening the folder
+// afterwards creates a new replica, which joins as a learner.
 func Discard(fileSystem FileSystem, directory string) error {
 	lock, err := fileSystem.Lock(directory)
 	if err != nil {
--- a/coordination/storage/large_test.go
+++ b/coordination/storage/large_test.go
@@ -10,8 +10,8 @@
 	"github.com/pierhaven/pierhaven/coordination/storage/memoryfs"
 )
 
-// What was saved must be readable at the next start, whatever its size: a
-// replica that can't read its own snapshot is lost.
+// Saved data of any size must be readable at the next start: a replica that can't
+// read its own snapshot is lost.
 func TestLargeEntriesAndSnapshotsAreReadBack(t *testing.T) {
 	const size = 6 << 20
 	disk := memoryfs.New()
--- a/coordination/storage/lone_segment_test.go
+++ b/coordination/storage/lone_segment_test.go
@@ -10,9 +10,9 @@
 	"github.com/pierhaven/pierhaven/coordination/storage/memoryfs"
 )
 
-// loneHeader returns a folder whose log is one segment that holds only its
+// headerOnlyLog returns a folder whose log is a single segment with only a
 // header, and the path of that segment.
-func loneHeader(t *testing.T) (*memoryfs.FileSystem, string) {
+func headerOnlyLog(t *testing.T) (*memoryfs.FileSystem, string) {
 	disk := memoryfs.New()
 	opened, _ := open(t, disk)
 	vote := consensus.HardState{Term: 9, Vote: 5}
@@ -35,32 +35,33 @@
 	return report
 }
 
-// TestLoneHeaderKeepsTermAndVote damages every byte of a log that consists of a
-// header. Nothing stands behind it, as behind a torn write, but it was synced
-// before it became the only segment: term and vote would be lost in silence.
-func TestLoneHeaderKeepsTermAndVote(t *testing.T) {
-	disk, name := loneHeader(t)
+// TestDamagedHeaderOfOnlySegmentIsCorruption damages every byte of a log that
+// consists of a header. As with a torn write, no valid frame follows, but the
+// header was synced before its segment became the only one. Treating the damage
+// as a torn write would silently lose the term and vote.
+func TestDamagedHeaderOfOnlySegmentIsCorruption(t *testing.T) {
+	disk, name := headerOnlyLog(t)
 	opened, state := open(t, disk)
 	require.Equal(t, consensus.HardState{Term: 9, Vote: 5}, state.HardState)
 	require.NoError(t, opened.Close())
 	content, err := disk.ReadFile(name)
 	require.NoError(t, err)
 	for offset := range content {
-		disk, name := loneHeader(t)
+		disk, name := headerOnlyLog(t)
 		require.NoError(t, disk.Corrupt(name, offset))
 		_, state, err := storage.Open(options(disk))
 		require.ErrorIs(t, err, storage.ErrCorrupt, "offset %d gives %+v", offset, state.HardState)
 	}
 }
 
-// TestLoneHeaderCutShort cuts the same log at every byte.
-func TestLoneHeaderCutShort(t *testing.T) {
-	disk, name := loneHeader(t)
+// TestTruncatedHeaderOfOnlySegmentIsCorruption truncates such a log at every byte.
+func TestTruncatedHeaderOfOnlySegmentIsCorruption(t *testing.T) {
+	disk, name := headerOnlyLog(t)
 	content, err := disk.ReadFile(name)
 	require.NoError(t, err)
 	for length := range content {
-		disk, name := loneHeader(t)
-		rewrite(t, disk, name, content[:length])
+		disk, name := headerOnlyLog(t)
+		replaceContent(t, disk, name, content[:length])
 		_, _, err := storage.Open(options(disk))
 		require.ErrorIs(t, err, storage.ErrCorrupt, "cut at %d", length)
 	}
--- a/coordination/storage/osfs.go
+++ b/coordination/storage/osfs.go
@@ -17,10 +17,10 @@
 	directoryPermission = 0o700
 )
 
-// ErrLocked says that another process uses the folder.
+// ErrLocked is returned if another process uses the folder.
 var ErrLocked = errors.New("data folder is in use by another process")
 
-// OperatingSystem is the FileSystem of the machine.
+// OperatingSystem implements FileSystem with the files of the operating system.
 type OperatingSystem struct{}
 
 var _ FileSystem = OperatingSystem{}
@@ -102,7 +102,7 @@
 	return directory.Close()
 }
 
-// Lock implements FileSystem with an advisory lock on a file in the folder.
+// Lock implements FileSystem with an advisory lock on a file in the directory.
 func (OperatingSystem) Lock(directory string) (io.Closer, error) {
 	path := filepath.Join(directory, lockName)
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, filePermission)
--- a/coordination/storage/osfs_linux.go
+++ b/coordination/storage/osfs_linux.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Identify implements FileSystem by the number of the inode and its time of
-// creation, on file systems that keep one.
+// Identify implements FileSystem. The identity consists of the inode number and,
+// on file systems that record it, the creation time.
 func (OperatingSystem) Identify(path string) (FileIdentity, error) {
 	var found unix.Statx_t
 	err := unix.Statx(unix.AT_FDCWD, path, unix.AT_STATX_SYNC_AS_STAT, unix.STATX_INO|unix.STATX_BTIME, &found)
--- a/coordination/storage/osfs_other.go
+++ b/coordination/storage/osfs_other.go
@@ -2,5 +2,6 @@
 
 package storage
 
-// Identify implements FileSystem. Copies are not recognised on this system.
+// Identify implements FileSystem. It returns zero: copies are not detected on this
+// operating system.
 func (OperatingSystem) Identify(string) (FileIdentity, error) { return FileIdentity{}, nil }
--- a/coordination/storage/payload_fuzz_test.go
+++ b/coordination/storage/payload_fuzz_test.go
@@ -11,8 +11,8 @@
 	"github.com/pierhaven/pierhaven/coordination/storage/memoryfs"
 )
 
-// fuzzFolder returns a sound folder of a member.
-func fuzzFolder(t testing.TB) *memoryfs.FileSystem {
+// newMemberFolder returns the valid data folder of a member.
+func newMemberFolder(t testing.TB) *memoryfs.FileSystem {
 	disk := memoryfs.New()
 	opened, _ := open(t, disk)
 	require.NoError(t, opened.Save(consensus.HardState{Term: 1, Vote: 2}, entries(1, 1, 2), nil))
@@ -20,8 +20,9 @@
 	return disk
 }
 
-// checkOpens opens a folder: it is refused as damaged, or goes on being sound.
-func checkOpens(t *testing.T, disk *memoryfs.FileSystem) {
+// checkOpensOrIsRefused opens a folder and checks that it is either refused as
+// damaged or of another group, or valid and still valid after closing.
+func checkOpensOrIsRefused(t *testing.T, disk *memoryfs.FileSystem) {
 	opened, state, err := storage.Open(options(disk))
 	if err != nil {
 		require.True(t, errors.Is(err, storage.ErrCorrupt) || errors.Is(err, storage.ErrWrongGroup), "%v", err)
@@ -34,7 +35,7 @@
 	require.NoError(t, storage.Verify(disk, directory))
 }
 
-// FuzzBatchPayload puts arbitrary payloads with a valid checksum behind a sound log.
+// FuzzBatchPayload appends arbitrary payloads with a valid checksum to a valid log.
 func FuzzBatchPayload(f *testing.F) {
 	for _, seed := range []storage.Batch{
 		{HardState: consensus.HardState{Term: 2, Vote: 1, Commit: 2}, Entries: []consensus.Entry{{Index: 3, Term: 2}}},
@@ -47,16 +48,16 @@
 		f.Add(payload)
 	}
 	f.Fuzz(func(t *testing.T, payload []byte) {
-		disk := fuzzFolder(t)
+		disk := newMemberFolder(t)
 		content, err := disk.ReadFile(firstSegment)
 		require.NoError(t, err)
-		rewrite(t, disk, firstSegment, append(content, storage.NewFrame(1, int64(len(content)), payload)...))
-		checkOpens(t, disk)
+		replaceContent(t, disk, firstSegment, append(content, storage.NewFrame(1, int64(len(content)), payload)...))
+		checkOpensOrIsRefused(t, disk)
 	})
 }
 
-// FuzzWholeFilePayload puts arbitrary payloads with a valid checksum into the
-// identity and into a snapshot.
+// FuzzWholeFilePayload writes arbitrary payloads with a valid checksum to the
+// identity or to a snapshot.
 func FuzzWholeFilePayload(f *testing.F) {
 	identity := storage.Identity{Group: 3, ReplicaID: 1, Stage: storage.StageMember}
 	encoded, err := identity.MarshalMsg(nil)
@@ -67,12 +68,12 @@
 	require.NoError(f, err)
 	f.Add(false, encoded)
 	f.Fuzz(func(t *testing.T, isIdentity bool, payload []byte) {
-		disk := fuzzFolder(t)
+		disk := newMemberFolder(t)
 		name := "/snapshot-0000000000000002.snapshot"
 		if isIdentity {
 			name = "/identity"
 		}
-		rewrite(t, disk, directory+name, storage.NewFrame(0, 0, payload))
-		checkOpens(t, disk)
+		replaceContent(t, disk, directory+name, storage.NewFrame(0, 0, payload))
+		checkOpensOrIsRefused(t, disk)
 	})
 }
--- a/coordination/storage/record.go
+++ b/coordination/storage/record.go
@@ -10,22 +10,22 @@
 // formatVersion is the version of the segment files.
 const formatVersion = 2
 
-// segmentHeader is the first frame of a segment. It repeats the hard state, so
+// segmentHeader is the first frame of a segment. It includes the hard state so
 // that earlier segments can be removed.
 type segmentHeader struct {
 	Format    uint64              `msg:"format"`
 	Group     uint64              `msg:"group"`
 	ReplicaID consensus.ReplicaID `msg:"replica"`
 	HardState consensus.HardState `msg:"hard_state"`
-	// File is the identity of the segment's file, by which a copy is recognised.
+	// File is the identity of the segment's file, used to detect copies.
 	File FileIdentity `msg:"file"`
 }
 
-// batch is all that was saved with one sync.
+// batch is the content of a frame: everything saved with one sync.
 type batch struct {
 	HardState consensus.HardState `msg:"hard_state"`
-	// ResetIndex is not zero when an installed snapshot replaced the log; the
-	// entries before it are void.
+	// ResetIndex is not zero if an installed snapshot replaced the log: entries
+	// from earlier batches are then ignored.
 	ResetIndex uint64            `msg:"reset_index,omitempty"`
 	ResetTerm  uint64            `msg:"reset_term,omitempty"`
 	Entries    []consensus.Entry `msg:"entries,omitempty"`
--- a/coordination/storage/save.go
+++ b/coordination/storage/save.go
@@ -7,13 +7,13 @@
 	"github.com/pierhaven/pierhaven/coordination/consensus"
 )
 
-// Save makes a hard state, the entries that replace all saved ones from their
-// first position on, and a snapshot that replaces the whole log durable, with
-// one sync of the log. The snapshot may be nil. After ErrNotWritten all of it
-// has to be saved again before anything else.
+// Save makes a hard state, entries and a snapshot durable with one sync of the
+// log. The entries replace all saved ones from their first index on. The
+// snapshot replaces the whole log; it may be nil. After ErrNotWritten all of them
+// must be saved again before anything else.
 func (s *Storage) Save(hardState consensus.HardState, entries []consensus.Entry, snapshot *consensus.Snapshot) error {
 	if s.failure != nil {
-		return s.failed()
+		return s.earlierFailure()
 	}
 	if err := s.becomeMember(); err != nil {
 		return err
@@ -30,24 +30,24 @@
 	}
 	if snapshot != nil {
 		s.snapshotIndex = snapshot.Index
-		if err := s.removeBefore(snapshot.Index); err != nil {
+		if err := s.removeObsoleteFiles(snapshot.Index); err != nil {
 			return err
 		}
 	}
-	return s.closeEarly()
+	return s.rotateEarly()
 }
 
-// closeEarly begins a new segment before it is needed. If the disk refuses that,
-// the next batch begins it.
-func (s *Storage) closeEarly() error {
-	err := s.closeFullSegment()
+// rotateEarly starts a new segment after a save if the active one is full. If the
+// disk refuses the write, the next batch starts the segment.
+func (s *Storage) rotateEarly() error {
+	err := s.rotateFullSegment()
 	if errors.Is(err, ErrNotWritten) {
 		return nil
 	}
 	return err
 }
 
-// installSnapshot makes a snapshot durable that came from the leader.
+// installSnapshot makes a snapshot from the leader durable.
 func (s *Storage) installSnapshot(snapshot consensus.Snapshot) error {
 	if err := s.PrepareSnapshot(snapshot); err != nil {
 		return err
@@ -55,15 +55,16 @@
 	return renameIntoPlace(s.options.FileSystem, s.options.Directory, snapshotName(snapshot.Index))
 }
 
-// MarkDamaged records that the folder lacks what was once saved in it. It does
-// not open again until it is discarded.
+// MarkDamaged records that the folder has lost saved data. It does not open
+// again until its data is discarded.
 func (s *Storage) MarkDamaged() error {
 	identity := s.identity
 	identity.Stage = StageDamaged
 	return s.InstallIdentity(identity)
 }
 
-// becomeMember records that the folder holds promises from now on.
+// becomeMember records that the replica has saved state, such as votes, that it
+// must not lose.
 func (s *Storage) becomeMember() error {
 	if s.identity.Stage == StageMember {
 		return nil
@@ -73,14 +74,15 @@
 	return s.InstallIdentity(identity)
 }
 
-// maxKeptBuffer bounds the memory in bytes that is kept for the next batch.
-const maxKeptBuffer = 1 << 20
+// maxReusedBufferBytes bounds the capacity of the encoding buffer that is reused
+// for the next batch.
+const maxReusedBufferBytes = 1 << 20
 
 func (s *Storage) appendBatch(saved batch) error {
-	if err := s.closeFullSegment(); err != nil {
+	if err := s.rotateFullSegment(); err != nil {
 		return err
 	}
-	if err := s.cutTornWrite(); err != nil {
+	if err := s.truncateTornWrite(); err != nil {
 		return err
 	}
 	active := &s.segments[len(s.segments)-1]
@@ -88,12 +90,12 @@
 	if err != nil {
 		return err
 	}
-	if cap(frame) <= maxKeptBuffer {
+	if cap(frame) <= maxReusedBufferBytes {
 		s.buffer = frame
 	}
-	sealFrame(frame, active.sequence, active.bytes)
+	fillFrameHeader(frame, active.sequence, active.bytes)
 	if _, err := s.active.Write(frame); err != nil {
-		s.isTorn = true
+		s.hasTornWrite = true
 		return &IOError{Operation: "write", Path: active.path, Err: err}
 	}
 	if err := s.syncActive(); err != nil {
@@ -109,12 +111,12 @@
 	return nil
 }
 
-// Seal appends an empty batch unless the last one is empty already. Damage to
-// the very last batch can't be told from a torn write; a seal behind it makes
-// it recognisable. Call it when nothing was saved for a while.
+// Seal appends an empty batch unless Seal wrote the last one. Damage to the last
+// batch can't be distinguished from a torn write; an empty batch after it makes
+// the damage detectable. Call Seal if nothing has been saved for a while.
 func (s *Storage) Seal() error {
 	if s.failure != nil {
-		return s.failed()
+		return s.earlierFailure()
 	}
 	if s.isSealed {
 		return nil
@@ -134,23 +136,23 @@
 	return nil
 }
 
-// cutTornWrite removes what a refused write may have left: no valid frame may
-// stand behind it.
-func (s *Storage) cutTornWrite() error {
-	if !s.isTorn {
+// truncateTornWrite removes what a refused write may have left, as no valid frame
+// may follow an invalid one.
+func (s *Storage) truncateTornWrite() error {
+	if !s.hasTornWrite {
 		return nil
 	}
 	active := s.segments[len(s.segments)-1]
 	if err := s.active.Truncate(active.bytes); err != nil {
 		return &IOError{Operation: "truncate", Path: active.path, Err: err}
 	}
-	s.isTorn = false
+	s.hasTornWrite = false
 	return nil
 }
 
-// closeFullSegment begins a new segment if the active one is full. Nothing more
-// is written to a segment once its successor may have been created.
-func (s *Storage) closeFullSegment() error {
+// rotateFullSegment starts a new segment if the active one is full. Nothing is
+// appended to a segment once its successor may have been created.
+func (s *Storage) rotateFullSegment() error {
 	active := s.segments[len(s.segments)-1]
 	if active.bytes < s.options.SegmentBytes {
 		return nil
@@ -158,9 +160,10 @@
 	return s.addSegment(active.sequence + 1)
 }
 
-// removeBefore removes older snapshots and the leading segments that hold only
-// entries up to keepAfter. The active segment stays.
-func (s *Storage) removeBefore(keepAfter uint64) error {
+// removeObsoleteFiles removes the snapshots before the current one, and the leading
+// segments whose entries all have an index of at most compactIndex. It keeps the
+// active segment.
+func (s *Storage) removeObsoleteFiles(compactIndex uint64) error {
 	names, err := s.options.FileSystem.List(s.options.Directory)
 	if err != nil {
 		return s.fail(&IOError{Operation: "list", Path: s.options.Directory, Err: err})
@@ -173,13 +176,13 @@
 			return err
 		}
 	}
-	return s.removeSegments(keepAfter)
+	return s.removeSegments(compactIndex)
 }
 
-// removeSegments removes from the front and syncs the folder after each, so
-// that a crash can't leave a gap between segments.
-func (s *Storage) removeSegments(keepAfter uint64) error {
-	for len(s.segments) > 1 && s.segments[0].lastIndex <= keepAfter {
+// removeSegments removes the oldest segments first and syncs the directory after
+// each, so that a crash can't leave a gap between segments.
+func (s *Storage) removeSegments(compactIndex uint64) error {
+	for len(s.segments) > 1 && s.segments[0].lastIndex <= compactIndex {
 		if err := s.remove(s.segments[0].path); err != nil {
 			return err
 		}
--- a/coordination/storage/segment.go
+++ b/coordination/storage/segment.go
@@ -16,18 +16,18 @@
 	segmentSuffix = ".log"
 )
 
-// segment is what is known of one segment file.
+// segment describes a segment file.
 type segment struct {
 	sequence uint64
 	path     string
-	// bytes is the length of the valid frames.
+	// bytes is the total length of the valid frames.
 	bytes  int64
 	frames int
-	// tornBytes is the length of a torn write behind the valid frames.
+	// tornBytes is the length of a torn write after the valid frames.
 	tornBytes int64
-	// file is what the header says of the file's identity.
+	// file is the file identity recorded in the header.
 	file FileIdentity
-	// lastIndex is the highest position of any entry in the segment, or zero.
+	// lastIndex is the highest index of any entry in the segment, or zero.
 	lastIndex uint64
 }
 
@@ -35,7 +35,8 @@
 	return fmt.Sprintf("%s%016x%s", segmentPrefix, sequence, segmentSuffix)
 }
 
-// numberedName returns the number in a file name of the given form.
+// numberedName returns the hexadecimal number between a file name's prefix and
+// suffix.
 func numberedName(name, prefix, suffix string) (uint64, bool) {
 	middle, found := strings.CutPrefix(name, prefix)
 	if !found {
@@ -60,7 +61,8 @@
 	return numbers
 }
 
-// createSegment makes an empty segment durable and leaves it open for appending.
+// createSegment durably creates a segment without batches and opens it for
+// appending.
 func createSegment(fileSystem FileSystem, directory string, sequence uint64, header segmentHeader) (File, segment, error) {
 	created := segment{sequence: sequence, path: path.Join(directory, segmentName(sequence)), frames: 1}
 	err := writeSynced(fileSystem, created.path, func(identity FileIdentity) ([]byte, error) {
@@ -83,8 +85,8 @@
 	return file, created, nil
 }
 
-// readSegment reads the frames of a segment into the replay. Only the last
-// segment may end in a torn write.
+// readSegment reads the frames of a segment and applies them to the replay. Only
+// the last segment may end in a torn write.
 func readSegment(fileSystem FileSystem, directory string, sequence uint64, isLast bool, into *replay) (segment, error) {
 	result := segment{sequence: sequence, path: path.Join(directory, segmentName(sequence))}
 	content, err := fileSystem.ReadFile(result.path)
@@ -95,9 +97,9 @@
 	for result.bytes < int64(len(content)) {
 		payload, err := decodeFrame(content, sequence, result.bytes)
 		if err != nil {
-			return result, result.judgeBadFrame(content, isLast, err)
+			return result, result.classifyBadFrame(content, isLast, err)
 		}
-		lastIndex, err := into.takeFrame(payload, result.frames == 0)
+		lastIndex, err := into.applyFrame(payload, result.frames == 0)
 		if err != nil {
 			return result, &CorruptionError{Path: result.path, Offset: result.bytes, Reason: err.Error()}
 		}
@@ -112,9 +114,10 @@
 	return result, nil
 }
 
-// judgeBadFrame tells a torn write from damage. One frame at most is unsynced
-// at any time, so a torn write has nothing valid behind it.
-func (s *segment) judgeBadFrame(content []byte, isLast bool, cause error) error {
+// classifyBadFrame returns a *CorruptionError unless the invalid frame is a torn
+// write. At most one frame is unsynced at any time, so no valid frame follows a
+// torn write.
+func (s *segment) classifyBadFrame(content []byte, isLast bool, cause error) error {
 	if !isLast || hasFrameAfter(content, s.sequence, s.bytes) {
 		return &CorruptionError{Path: s.path, Offset: s.bytes, Reason: cause.Error()}
 	}
@@ -122,30 +125,31 @@
 	return nil
 }
 
-// replay rebuilds the saved state from frames.
+// replay rebuilds the saved state from the log's frames.
 type replay struct {
 	identity  Identity
 	hardState consensus.HardState
 	entries   []consensus.Entry
-	// resetIndex and resetTerm name the position before entries after a reset.
+	// resetIndex and resetTerm are those of the snapshot that last replaced the
+	// log, or zero.
 	resetIndex uint64
 	resetTerm  uint64
-	// file is what the latest header says of its file's identity.
+	// file is the file identity recorded in the latest header.
 	file FileIdentity
 }
 
-func (r *replay) takeFrame(payload []byte, isHeader bool) (lastIndex uint64, err error) {
+func (r *replay) applyFrame(payload []byte, isHeader bool) (lastIndex uint64, err error) {
 	if isHeader {
-		return 0, r.takeHeader(payload)
+		return 0, r.applyHeader(payload)
 	}
 	var saved batch
 	if _, err := saved.UnmarshalMsg(payload); err != nil {
 		return 0, err
 	}
-	return r.takeBatch(saved)
+	return r.applyBatch(saved)
 }
 
-func (r *replay) takeHeader(payload []byte) error {
+func (r *replay) applyHeader(payload []byte) error {
 	var header segmentHeader
 	if _, err := header.UnmarshalMsg(payload); err != nil {
 		return err
@@ -161,7 +165,7 @@
 	return nil
 }
 
-func (r *replay) takeBatch(saved batch) (lastIndex uint64, err error) {
+func (r *replay) applyBatch(saved batch) (lastIndex uint64, err error) {
 	r.hardState = saved.HardState
 	if saved.ResetIndex != 0 {
 		r.entries = nil
--- a/coordination/storage/snapshot.go
+++ b/coordination/storage/snapshot.go
@@ -18,7 +18,7 @@
 	return fmt.Sprintf("%s%016x%s", snapshotPrefix, index, snapshotSuffix)
 }
 
-// writeSnapshot makes a snapshot durable under a temporary name.
+// writeSnapshot writes and syncs a snapshot under a temporary name.
 func writeSnapshot(fileSystem FileSystem, directory string, snapshot consensus.Snapshot) error {
 	frame, err := snapshot.MarshalMsg(make([]byte, frameHeaderBytes, frameHeaderBytes+snapshot.Msgsize()))
 	if err != nil {
@@ -27,24 +27,25 @@
 	if len(frame)-frameHeaderBytes > math.MaxUint32 {
 		return fmt.Errorf("%w: %d bytes", ErrSnapshotTooLarge, len(frame))
 	}
-	sealFrame(frame, 0, 0)
+	fillFrameHeader(frame, 0, 0)
 	name := path.Join(directory, snapshotName(snapshot.Index)+temporarySuffix)
 	return writeSynced(fileSystem, name, func(FileIdentity) ([]byte, error) { return frame, nil })
 }
 
-// PrepareSnapshot writes a snapshot of the applied state without putting it in
-// force. It may run at the same time as all other methods, but only once at a
-// time and not after Close.
+// PrepareSnapshot writes a snapshot of the applied state, which takes effect only
+// with InstallPrepared. It may be called concurrently with all other methods,
+// but not with itself and not after Close.
 func (s *Storage) PrepareSnapshot(snapshot consensus.Snapshot) error {
 	return writeSnapshot(s.options.FileSystem, s.options.Directory, snapshot)
 }
 
-// InstallPrepared puts the snapshot in force that PrepareSnapshot has written,
-// unless a later one is, and removes the segments whose entries all lie at or
-// before keepAfter, which must not lie beyond index.
-func (s *Storage) InstallPrepared(index, keepAfter uint64) error {
+// InstallPrepared makes the snapshot written by PrepareSnapshot the current one
+// and removes the segments whose entries all have an index of at most compactIndex,
+// which is limited to index. If the current snapshot is as recent or more recent,
+// it removes the prepared one instead.
+func (s *Storage) InstallPrepared(index, compactIndex uint64) error {
 	if s.failure != nil {
-		return s.failed()
+		return s.earlierFailure()
 	}
 	if index <= s.snapshotIndex {
 		s.RemovePrepared(index)
@@ -54,22 +55,22 @@
 		return s.fail(err)
 	}
 	s.snapshotIndex = index
-	return s.removeBefore(min(keepAfter, index))
+	return s.removeObsoleteFiles(min(compactIndex, index))
 }
 
-// RemovePrepared gives the space of a snapshot back that could not be written
-// or is not wanted any more.
+// RemovePrepared frees the space of a prepared snapshot that could not be written
+// or is no longer needed.
 func (s *Storage) RemovePrepared(index uint64) {
 	name := path.Join(s.options.Directory, snapshotName(index)+temporarySuffix)
-	// The file is removed at the next start if this fails.
+	// If this fails, the next Open removes the file.
 	_ = s.options.FileSystem.Remove(name)
 }
 
-// SaveSnapshot is PrepareSnapshot and InstallPrepared in one. An error that is
-// ErrNotWritten leaves the storage usable: the log then only stays longer.
-func (s *Storage) SaveSnapshot(snapshot consensus.Snapshot, keepAfter uint64) error {
+// SaveSnapshot calls PrepareSnapshot and InstallPrepared. After an error that
+// matches ErrNotWritten the storage remains usable; the log is only kept longer.
+func (s *Storage) SaveSnapshot(snapshot consensus.Snapshot, compactIndex uint64) error {
 	if s.failure != nil {
-		return s.failed()
+		return s.earlierFailure()
 	}
 	if snapshot.Index <= s.snapshotIndex {
 		return nil
@@ -82,11 +83,11 @@
 	if err != nil {
 		return s.fail(err)
 	}
-	return s.InstallPrepared(snapshot.Index, keepAfter)
+	return s.InstallPrepared(snapshot.Index, compactIndex)
 }
 
-// readLatestSnapshot returns the snapshot with the highest index. Its damage is
-// an error, because the log before it may be gone.
+// readLatestSnapshot returns the snapshot with the highest index. Damage to it is
+// an error, because the log before it may have been removed.
 func readLatestSnapshot(fileSystem FileSystem, directory string, names []string) (consensus.Snapshot, error) {
 	var snapshot consensus.Snapshot
 	indexes := numberedFiles(names, snapshotPrefix, snapshotSuffix)
@@ -98,7 +99,7 @@
 	if err != nil {
 		return snapshot, &IOError{Operation: "read", Path: name, Err: err}
 	}
-	payload, err := decodeWhole(content)
+	payload, err := decodeFrameFile(content)
 	if err != nil {
 		return snapshot, &CorruptionError{Path: name, Reason: err.Error()}
 	}
--- a/coordination/storage/storage.go
+++ b/coordination/storage/storage.go
@@ -10,45 +10,49 @@
 	"github.com/pierhaven/pierhaven/coordination/consensus"
 )
 
-// DefaultSegmentBytes is the size at which a segment is closed.
+// DefaultSegmentBytes is the default of Options.SegmentBytes.
 const DefaultSegmentBytes = 8 << 20
 
-// Options describes a replica's storage.
+// Options configures a replica's storage.
 type Options struct {
 	FileSystem FileSystem
-	// Directory is used by this replica alone.
+	// Directory is the data folder, which no other replica may use.
 	Directory string
 	Group     uint64
-	// Random draws the replica id of an empty folder.
+	// Random generates the replica id for an empty folder.
 	Random *rand.Rand
-	// SegmentBytes is the size at which a segment is closed.
+	// SegmentBytes is the size in bytes at which a new segment is started; zero
+	// means DefaultSegmentBytes.
 	SegmentBytes int64
 }
 
 // Storage is the open data folder of one replica. It is not safe for
-// concurrent use. After an error of a method it is unusable, unless the error
-// wraps ErrNotWritten: then the call may be made again.
+// concurrent use, except for PrepareSnapshot. After a method returns an error
+// it is unusable, unless the error wraps ErrNotWritten: then the call may be
+// retried.
 type Storage struct {
 	options  Options
 	lock     io.Closer
 	identity Identity
-	// hardState is the last one saved.
+	// hardState is the last saved hard state.
 	hardState     consensus.HardState
 	segments      []segment
 	active        File
 	snapshotIndex uint64
 	buffer        []byte
-	// isSealed says that the last frame holds nothing that could be lost.
+	// isSealed is set while the last frame is an empty batch written by Seal, so
+	// that damage to it loses nothing.
 	isSealed bool
-	// isTorn says that the active segment may hold a part of a refused write
-	// behind its valid frames.
-	isTorn  bool
-	failure error
-	syncs   uint64
+	// hasTornWrite is set while the active segment may hold part of a refused write
+	// after its valid frames.
+	hasTornWrite bool
+	failure      error
+	syncs        uint64
 }
 
-// Open opens or creates a data folder and returns what is in it. Damage gives
-// an error that wraps ErrCorrupt. A torn write at the log's end is cut off.
+// Open opens or creates a data folder and returns the saved state. It returns
+// an error that wraps ErrCorrupt if the data is damaged. A torn write at the end
+// of the log is truncated.
 func Open(options Options) (*Storage, State, error) {
 	if options.SegmentBytes == 0 {
 		options.SegmentBytes = DefaultSegmentBytes
@@ -74,7 +78,7 @@
 	if err != nil {
 		return State{}, err
 	}
-	if err := s.removeTemporary(content.names); err != nil {
+	if err := s.removeTemporaryFiles(content.names); err != nil {
 		return State{}, err
 	}
 	if err := s.loadIdentity(content); err != nil {
@@ -83,19 +87,19 @@
 	s.hardState = content.state.HardState
 	s.snapshotIndex = content.state.Snapshot.Index
 	s.segments = content.segments
-	if err := s.openActive(); err != nil {
+	if err := s.openActiveSegment(); err != nil {
 		return State{}, err
 	}
-	return content.state, s.finishOpening(content)
+	return content.state, s.finishRecovery(content)
 }
 
-// finishOpening completes what a crash has cut short: the folder's entries are
-// synced, and a log that an installed snapshot replaces is reset.
-func (s *Storage) finishOpening(content *folder) error {
+// finishRecovery completes operations that a crash may have interrupted: it syncs
+// the directory, and resets the log if an installed snapshot replaces it.
+func (s *Storage) finishRecovery(content *folderContent) error {
 	if err := syncDirectory(s.options.FileSystem, s.options.Directory); err != nil {
 		return s.fail(err)
 	}
-	if !content.isReplaced {
+	if !content.isLogReplaced {
 		return nil
 	}
 	snapshot := content.state.Snapshot
@@ -106,7 +110,7 @@
 	return nil
 }
 
-func (s *Storage) loadIdentity(content *folder) error {
+func (s *Storage) loadIdentity(content *folderContent) error {
 	if content.identity == nil {
 		identity := newIdentity(s.options.Group, s.options.Random)
 		return s.InstallIdentity(identity)
@@ -118,7 +122,7 @@
 	return nil
 }
 
-func (s *Storage) removeTemporary(names []string) error {
+func (s *Storage) removeTemporaryFiles(names []string) error {
 	for _, name := range names {
 		if !strings.HasSuffix(name, temporarySuffix) {
 			continue
@@ -131,9 +135,9 @@
 	return nil
 }
 
-// openActive makes the last segment ready for appending; a segment whose
-// creation was cut short is created again.
-func (s *Storage) openActive() error {
+// openActiveSegment opens the last segment for appending. A segment without a
+// valid header is created again, as a crash interrupted its creation.
+func (s *Storage) openActiveSegment() error {
 	if len(s.segments) == 0 {
 		return s.addSegment(1)
 	}
@@ -142,7 +146,7 @@
 		s.segments = s.segments[:len(s.segments)-1]
 		return s.addSegment(last.sequence)
 	}
-	if err := s.rewrite(last); err != nil {
+	if err := s.rewriteSegment(last); err != nil {
 		return s.fail(err)
 	}
 	file, err := s.options.FileSystem.OpenAppend(last.path)
@@ -153,11 +157,11 @@
 	return nil
 }
 
-// rewrite replaces the last segment by a synced copy without its torn write.
-// What was read may never have reached the disk: the process may have been
-// killed before its sync, or have ended because the sync failed, after which
-// another sync of the same file succeeds although the data is lost.
-func (s *Storage) rewrite(last *segment) error {
+// rewriteSegment replaces the last segment with a synced copy without the torn
+// write. The data that was read may not be on disk: the process may have been
+// killed before the sync, or have exited because the sync failed. After a failed
+// sync, another sync of the same file succeeds although the data is lost.
+func (s *Storage) rewriteSegment(last *segment) error {
 	content, err := s.options.FileSystem.ReadFile(last.path)
 	if err != nil {
 		return &IOError{Operation: "read", Path: last.path, Err: err}
@@ -181,16 +185,16 @@
 	return nil
 }
 
-// Identity returns the identity in the folder.
+// Identity returns the identity stored in the folder.
 func (s *Storage) Identity() Identity { return s.identity }
 
-// Syncs returns the number of syncs of the log since Open.
+// Syncs returns the number of log syncs since Open.
 func (s *Storage) Syncs() uint64 { return s.syncs }
 
-// InstallIdentity makes a changed identity durable.
+// InstallIdentity durably replaces the identity.
 func (s *Storage) InstallIdentity(identity Identity) error {
 	if s.failure != nil {
-		return s.failed()
+		return s.earlierFailure()
 	}
 	if err := WriteIdentity(s.options.FileSystem, s.options.Directory, identity); err != nil {
 		return s.fail(err)
@@ -199,7 +203,7 @@
 	return nil
 }
 
-// Close closes the folder without writing to it.
+// Close releases the folder without writing to it.
 func (s *Storage) Close() error {
 	if s.active != nil {
 		_ = s.active.Close()
@@ -210,7 +214,7 @@
 	return s.lock.Close()
 }
 
-// fail ends the use of the storage, except after a refused write.
+// fail makes the storage unusable unless err is a refused write, and returns err.
 func (s *Storage) fail(err error) error {
 	if errors.Is(err, ErrNotWritten) {
 		return err
@@ -219,7 +223,7 @@
 	return err
 }
 
-func (s *Storage) failed() error {
+func (s *Storage) earlierFailure() error {
 	return &failedError{cause: s.failure}
 }
 
--- a/coordination/storage/storage_test.go
+++ b/coordination/storage/storage_test.go
@@ -41,8 +41,8 @@
 	return result
 }
 
-// threeBatches saves entries 1 to 3 with one sync each and returns the segment's content.
-func threeBatches(t *testing.T) (*memoryfs.FileSystem, []byte) {
+// saveThreeBatches saves entries 1 to 3 with one sync each and returns the segment's content.
+func saveThreeBatches(t *testing.T) (*memoryfs.FileSystem, []byte) {
 	disk := memoryfs.New()
 	opened, _ := open(t, disk)
 	for index := uint64(1); index <= 3; index++ {
@@ -54,7 +54,7 @@
 	return disk, content
 }
 
-func rewrite(t *testing.T, disk *memoryfs.FileSystem, name string, content []byte) {
+func replaceContent(t *testing.T, disk *memoryfs.FileSystem, name string, content []byte) {
 	file, err := disk.Create(name)
 	require.NoError(t, err)
 	_, err = file.Write(content)
@@ -62,7 +62,7 @@
 	require.NoError(t, file.Sync())
 }
 
-func TestFailedSyncEndsTheStorage(t *testing.T) {
+func TestStorageIsUnusableAfterFailedSync(t *testing.T) {
 	disk := memoryfs.New()
 	opened, _ := open(t, disk)
 	require.NoError(t, opened.Save(consensus.HardState{Term: 1}, entries(1, 1, 1), nil))
@@ -93,14 +93,14 @@
 	require.Len(t, state.Entries, 6)
 }
 
-// A save that the disk has refused, and left a part of, can be made again once there is
-// room, whatever loss of power follows.
+// A save that the disk has refused, and of which it may have kept a part, can be retried
+// once there is space, and survives a power loss afterwards.
 func TestARefusedSaveIsMadeAgain(t *testing.T) {
-	for room := range int64(100) {
+	for freeBytes := range int64(100) {
 		disk := memoryfs.New()
 		opened, _ := open(t, disk)
 		require.NoError(t, opened.Save(consensus.HardState{Term: 1}, entries(1, 1, 5), nil))
-		disk.SetCapacity(disk.UsedBytes() + room)
+		disk.SetCapacity(disk.UsedBytes() + freeBytes)
 		save := func() error { return opened.Save(consensus.HardState{Term: 1}, entries(1, 6, 20), nil) }
 		for range 2 {
 			require.ErrorIs(t, save(), storage.ErrNotWritten)
@@ -108,39 +108,39 @@
 		disk.SetCapacity(0)
 		require.NoError(t, save())
 		require.NoError(t, opened.Save(consensus.HardState{Term: 2}, entries(2, 21, 22), nil))
-		disk.Crash(rand.New(rand.NewPCG(1, uint64(room))))
+		disk.Crash(rand.New(rand.NewPCG(1, uint64(freeBytes))))
 		_, state := open(t, disk)
-		require.Len(t, state.Entries, 22, "room for %d bytes", room)
+		require.Len(t, state.Entries, 22, "%d bytes free", freeBytes)
 		require.EqualValues(t, 2, state.HardState.Term)
 	}
 }
 
-// A power loss while a full disk holds a part of a refused write loses nothing that was saved.
+// A power loss while a full disk holds part of a refused write must not lose saved entries.
 func TestPowerLossOnAFullDisk(t *testing.T) {
-	for room := range int64(400) {
+	for step := range int64(400) {
 		disk := memoryfs.New()
 		small := options(disk)
 		small.SegmentBytes = 300
 		opened, _, err := storage.Open(small)
 		require.NoError(t, err)
 		saved := 0
-		disk.SetCapacity(disk.UsedBytes() + 200 + 3*room)
+		disk.SetCapacity(disk.UsedBytes() + 200 + 3*step)
 		for range 40 {
 			if opened.Save(consensus.HardState{Term: 1}, entries(1, uint64(saved+1), uint64(saved+1)), nil) == nil {
 				saved++
 			}
 		}
 		require.Less(t, saved, 40)
-		disk.Crash(rand.New(rand.NewPCG(2, uint64(room))))
+		disk.Crash(rand.New(rand.NewPCG(2, uint64(step))))
 		disk.SetCapacity(0)
 		_, state, err := storage.Open(small)
-		require.NoError(t, err, "room %d", room)
-		require.GreaterOrEqual(t, len(state.Entries), saved, "room %d", room)
+		require.NoError(t, err, "step %d", step)
+		require.GreaterOrEqual(t, len(state.Entries), saved, "step %d", step)
 	}
 }
 
-// TestCrashAtEveryOperation crashes a replica at each single file operation of
-// a fixed course of saves. What was saved before must be there afterwards.
+// TestCrashAtEveryOperation crashes a replica at each file operation of a fixed
+// sequence of saves. Acknowledged saves must survive the crash.
 func TestCrashAtEveryOperation(t *testing.T) {
 	for operations := range 150 {
 		for seed := range uint64(8) {
@@ -165,8 +165,8 @@
 	}
 }
 
-// saveUntilCrash saves entry after entry, with local and installed snapshots
-// between, and returns the last position that was acknowledged.
+// saveUntilCrash saves entries one by one, with local and installed snapshots in
+// between, and returns the last acknowledged index.
 func saveUntilCrash(disk *memoryfs.FileSystem) uint64 {
 	opened, _, err := storage.Open(options(disk))
 	saved := uint64(0)
@@ -200,14 +200,14 @@
 	}
 	for name, system := range systems {
 		t.Run(name, func(t *testing.T) {
-			chosen := options(system.disk)
-			chosen.Directory = system.path
-			first, _, err := storage.Open(chosen)
+			systemOptions := options(system.disk)
+			systemOptions.Directory = system.path
+			first, _, err := storage.Open(systemOptions)
 			require.NoError(t, err)
-			_, _, err = storage.Open(chosen)
+			_, _, err = storage.Open(systemOptions)
 			require.ErrorIs(t, err, system.err)
 			require.NoError(t, first.Close())
-			second, _, err := storage.Open(chosen)
+			second, _, err := storage.Open(systemOptions)
 			require.NoError(t, err)
 			require.Equal(t, first.Identity(), second.Identity())
 			require.NoError(t, second.Close())
@@ -215,8 +215,8 @@
 	}
 }
 
-// TestStorageModel compares the storage with a plain slice over random saves,
-// truncations, snapshots, crashes and restarts.
+// TestStorageModel compares the storage with an in-memory model over random
+// saves, truncations, snapshots, crashes and restarts.
 func TestStorageModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		disk := memoryfs.New()
@@ -266,14 +266,14 @@
 				require.Equal(t, model.HardState, state.HardState)
 				require.Equal(t, model.Snapshot.Index, state.Snapshot.Index)
 				require.Equal(t, string(model.Snapshot.Data), string(state.Snapshot.Data))
-				kept := state.Entries
-				for len(kept) > 0 && kept[0].Index <= state.Snapshot.Index {
-					kept = kept[1:]
+				remaining := state.Entries
+				for len(remaining) > 0 && remaining[0].Index <= state.Snapshot.Index {
+					remaining = remaining[1:]
 				}
-				require.Equal(t, len(model.Entries), len(kept))
-				for position := range kept {
-					require.Equal(t, model.Entries[position].Term, kept[position].Term)
-					require.True(t, bytes.Equal(model.Entries[position].Data, kept[position].Data))
+				require.Equal(t, len(model.Entries), len(remaining))
+				for position := range remaining {
+					require.Equal(t, model.Entries[position].Term, remaining[position].Term)
+					require.True(t, bytes.Equal(model.Entries[position].Data, remaining[position].Data))
 				}
 			},
 		})
@@ -295,7 +295,7 @@
 		disk := memoryfs.New()
 		require.NoError(t, disk.MakeDirectory(directory))
 		require.NoError(t, storage.WriteIdentity(disk, directory, identity))
-		rewrite(t, disk, firstSegment, content)
+		replaceContent(t, disk, firstSegment, content)
 		opened, _, err := storage.Open(options(disk))
 		if err != nil {
 			require.ErrorIs(t, err, storage.ErrCorrupt)
@@ -306,9 +306,10 @@
 	})
 }
 
-// TestFailedSyncIsNotTrustedAfterRestart restarts only the process after a
-// failed sync: what it reads then must be on disk before it counts.
-func TestFailedSyncIsNotTrustedAfterRestart(t *testing.T) {
+// TestDataReadAfterFailedSyncIsMadeDurable restarts the process, but not the machine,
+// after a failed sync. The data that it reads then must be on disk before the
+// replica acts on it.
+func TestDataReadAfterFailedSyncIsMadeDurable(t *testing.T) {
 	disk := memoryfs.New()
 	opened, _ := open(t, disk)
 	require.NoError(t, opened.Save(consensus.HardState{Term: 1}, entries(1, 1, 1), nil))
@@ -324,9 +325,9 @@
 	require.EqualValues(t, 7, after.HardState.Vote)
 }
 
-// Only what may pass by itself counts as refused: waiting for a folder that is missing or
-// protected would hide a mistake.
-func TestOnlyPassingErrorsAreRefusals(t *testing.T) {
+// Only errors that may go away without intervention match ErrNotWritten. Retrying writes to
+// a missing or protected folder would hide a configuration error.
+func TestOnlyTransientWriteErrorsMatchErrNotWritten(t *testing.T) {
 	for number, refused := range map[syscall.Errno]bool{
 		syscall.ENOSPC: true, syscall.EDQUOT: true, syscall.EFBIG: true, syscall.EIO: true,
 		syscall.EACCES: false, syscall.ENOENT: false, syscall.EROFS: false,
--- a/coordination/storage/unidentified.go
+++ b/coordination/storage/unidentified.go
@@ -1,10 +1,10 @@
 package storage
 
-// Unidentified is a FileSystem whose files have no identity that lasts: on some
-// machines a file's number and time of creation change when it is restored after
-// a loss of power. A folder that is a copy is then not recognised, so it may only
-// be used where no data folder is ever restored from a copy.
+// Unidentified is a FileSystem without file identities, for machines on which a
+// file's inode number and creation time change when it is restored after a power
+// loss. Copied folders are then not detected, so that Unidentified may only be
+// used where no data folder is ever restored from a copy.
 type Unidentified struct{ FileSystem }
 
-// Identify implements FileSystem. The zero identity is equal to all others.
+// Identify implements FileSystem. It returns zero, which is accepted for any file.
 func (Unidentified) Identify(string) (FileIdentity, error) { return FileIdentity{}, nil }
--- a/coordination/storage/unidentified_test.go
+++ b/coordination/storage/unidentified_test.go
@@ -11,8 +11,8 @@
 	"github.com/pierhaven/pierhaven/coordination/storage"
 )
 
-// restoreInPlace gives every file of a folder a new number, as a machine does
-// that restores its files after a loss of power.
+// restoreInPlace gives every file of a directory a new inode number, as on a
+// machine that restores its files after a power loss.
 func restoreInPlace(t *testing.T, directory string) {
 	t.Helper()
 	entries, err := os.ReadDir(directory)
