--- a/coordination/onceonly/benchmark_test.go
+++ b/coordination/onceonly/benchmark_test.go
@@ -10,7 +10,7 @@
 
 const benchmarkAnswerBytes = 64
 
-// filledTable returns a table with answered claims.
+// filledTable returns a table with the given number of answered claims.
 func filledTable(t testing.TB, claims int) *Table {
 	table := New()
 	parameters := DefaultParameters()
@@ -24,7 +24,8 @@
 	return table
 }
 
-// claimAndCompletion returns the commands of one request with lengths as in use.
+// claimAndCompletion returns the commands of one request, with field lengths as
+// in use.
 func claimAndCompletion(number int) (claim, completion Command) {
 	key := fmt.Sprintf("01910b2e-8c00-7000-8000-%012d", number)
 	attempt := fmt.Sprintf("01910b2e-8c00-7000-8001-%012d", number)
@@ -39,7 +40,8 @@
 	return claim, completion
 }
 
-// BenchmarkClaim measures a claim with its completion in the table alone.
+// BenchmarkClaim measures a claim and its completion in the table, without log,
+// encoding or network.
 func BenchmarkClaim(b *testing.B) {
 	table := New()
 	parameters := DefaultParameters()
@@ -53,8 +55,8 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "claims/s")
 }
 
-// BenchmarkSnapshot measures the snapshot of a table, during which its replica
-// does nothing else, and its restoration.
+// BenchmarkSnapshot measures a synchronous snapshot of a table, which blocks its
+// replica, and checks that it can be restored.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, claims := range []int{10_000, 100_000, 1_000_000} {
 		b.Run(fmt.Sprintf("claims=%d", claims), func(b *testing.B) {
--- a/coordination/onceonly/command.go
+++ b/coordination/onceonly/command.go
@@ -5,33 +5,34 @@
 //go:generate go tool msgp -file command.go -o command_gen.go -tests=false -io=false
 //msgp:limit arrays:4194304 maps:65536
 
-// Kind names a command.
+// Kind selects what a command does.
 type Kind string
 
 // Kinds of commands.
 const (
 	// KindConfigure sets the parameters.
 	KindConfigure Kind = "configure"
-	// KindClaim asks for the right to dispatch.
+	// KindClaim requests the right to dispatch a request.
 	KindClaim Kind = "claim"
-	// KindComplete stores an answer.
+	// KindComplete stores the answer of a dispatched request.
 	KindComplete Kind = "complete"
-	// KindRelease gives a claim back or marks it unknown.
+	// KindRelease releases a claim or marks it unknown.
 	KindRelease Kind = "release"
-	// KindExpireHolder makes a holder's claims unknown.
+	// KindExpireHolder marks the claims of a holder unknown.
 	KindExpireHolder Kind = "expire_holder"
-	// KindAdvance lets the log time pass and forgets what is too old.
+	// KindAdvance advances the log time, marks overdue claims unknown and
+	// removes entries below the horizon.
 	KindAdvance Kind = "advance"
-	// KindRefound raises the horizon of a table whose predecessor was lost.
+	// KindRefound raises the horizon of a table that replaces a lost one.
 	KindRefound Kind = "refound"
 )
 
-// Command is one entry of the replicated log. The field that belongs to Kind is
-// set.
+// Command is one entry of the replicated log. Only the field that belongs to
+// Kind is set.
 type Command struct {
 	Kind Kind `msg:"kind"`
 	// TimeMillis is the proposer's clock in Unix milliseconds. The table's log
-	// time is the highest ever seen.
+	// time is the highest value of all commands.
 	TimeMillis int64       `msg:"time_ms"`
 	Parameters *Parameters `msg:"parameters,omitempty"`
 	Claim      *Claim      `msg:"claim,omitempty"`
@@ -40,26 +41,29 @@
 	Holder     string      `msg:"holder,omitempty"`
 }
 
-// Parameters are the table's bounds and times.
+// Parameters are the table's limits and durations.
 type Parameters struct {
-	// RetentionMillis is how long a claim is remembered at least.
+	// RetentionMillis is the minimum time for which a claim is stored.
 	RetentionMillis int64 `msg:"retention_ms"`
-	// ClaimMillis is the log time after which a claim in progress becomes
+	// ClaimMillis is the log time after which a claim in progress is marked
 	// unknown.
 	ClaimMillis int64 `msg:"claim_ms"`
-	// FutureMillis is how far ahead of the log time a key may be minted.
+	// FutureMillis is how far a key's minting time may be ahead of the log
+	// time.
 	FutureMillis int64 `msg:"future_ms"`
-	// DispatchMillis is how long after sending the claim its holder may
-	// dispatch; it is far below RetentionMillis.
+	// DispatchMillis is the time after sending the claim in which its holder
+	// may dispatch the request; at most a tenth of RetentionMillis.
 	DispatchMillis int64 `msg:"dispatch_ms"`
-	// Entries bounds the claims; at most 4,194,304.
+	// Entries is the maximum number of claims; at most 4,194,304.
 	Entries int `msg:"entries"`
-	// AnswerBytes bounds one stored answer, and TotalAnswerBytes all of them.
+	// AnswerBytes limits the size of one stored answer, TotalAnswerBytes that
+	// of all together.
 	AnswerBytes      int   `msg:"answer_bytes"`
 	TotalAnswerBytes int64 `msg:"total_answer_bytes"`
 }
 
-// DefaultParameters are in force until a KindConfigure command.
+// DefaultParameters returns the parameters that apply until a KindConfigure
+// command.
 func DefaultParameters() Parameters {
 	const (
 		second = 1000
@@ -77,22 +81,24 @@
 	}
 }
 
-// Claim asks for the right to dispatch a request once.
+// Claim requests the right to dispatch a request once.
 type Claim struct {
 	Tenant string `msg:"tenant"`
-	// Key is Key.Rest of the parsed key, MintedMillis and Opaque as there.
+	// Key, MintedMillis and Opaque are Rest, MintedMillis and Opaque of the
+	// parsed Key.
 	Key          string `msg:"key"`
 	MintedMillis int64  `msg:"minted_ms"`
 	Opaque       bool   `msg:"opaque,omitempty"`
-	// BodyHash tells another request under the same key apart.
+	// BodyHash distinguishes different requests with the same key.
 	BodyHash []byte `msg:"body_hash"`
-	// AttemptID is unique over all attempts ever made.
+	// AttemptID is unique among all attempts ever made.
 	AttemptID string `msg:"attempt_id"`
-	// Holder names the session whose end makes the claim unknown.
+	// Holder identifies the session; its end marks the claim unknown.
 	Holder string `msg:"holder"`
 }
 
-// Completion stores the answer of the run that AttemptID made.
+// Completion stores the answer to the request that attempt AttemptID
+// dispatched.
 type Completion struct {
 	Tenant    string `msg:"tenant"`
 	Key       string `msg:"key"`
@@ -100,7 +106,7 @@
 	Answer    Answer `msg:"answer"`
 }
 
-// Answer is what a run returned.
+// Answer is the back end's answer to a request.
 type Answer struct {
 	Status int    `msg:"status"`
 	Body   []byte `msg:"body,omitempty"`
@@ -111,33 +117,35 @@
 	Tenant    string `msg:"tenant"`
 	Key       string `msg:"key"`
 	AttemptID string `msg:"attempt_id"`
-	// NotRun is true if the attempt has not run and never will; the key may
-	// then be claimed by another attempt. False makes the claim unknown.
+	// NotRun is true if the attempt has not run and never will; another attempt
+	// may then claim the key. False marks the claim unknown.
 	NotRun bool `msg:"not_run"`
 }
 
-// Status says what a command found or did.
+// Status is the result of a command.
 type Status string
 
 // Statuses of claims.
 const (
-	// StatusGranted: the attempt may dispatch once.
+	// StatusGranted: the attempt may dispatch the request once.
 	StatusGranted Status = "granted"
 	// StatusInProgress: another attempt holds the claim.
 	StatusInProgress Status = "in_progress"
-	// StatusAnswered: the run ended and its answer is in the reply.
+	// StatusAnswered: the request has completed; the reply has its answer.
 	StatusAnswered Status = "answered"
-	// StatusUnknown: an attempt may have run, and its answer is not kept.
+	// StatusUnknown: an attempt may have run, but no answer is stored.
 	StatusUnknown Status = "unknown"
-	// StatusReused: the key was used with another body.
+	// StatusReused: the key was used with a different body.
 	StatusReused Status = "reused"
-	// StatusExpired: the key is older than the horizon.
+	// StatusExpired: the key is older than the horizon, or opaque and still
+	// blocked after a KindRefound command.
 	StatusExpired Status = "expired"
-	// StatusFull: the table is at its bound.
+	// StatusFull: the table has the maximum number of entries.
 	StatusFull Status = "full"
-	// StatusInvalid: the claim is incomplete or minted too far ahead.
+	// StatusInvalid: the command is malformed, or the key's minting time is
+	// too far ahead of the log time.
 	StatusInvalid Status = "invalid"
-	// StatusReleased: this attempt was given back before.
+	// StatusReleased: this attempt was released before.
 	StatusReleased Status = "released"
 )
 
@@ -145,16 +153,17 @@
 const (
 	// StatusDone: the command took effect, or had taken effect before.
 	StatusDone Status = "done"
-	// StatusRefused: the claim is not the attempt's, or is past changing.
+	// StatusRefused: the attempt does not hold the claim, or the claim's state
+	// no longer permits the change.
 	StatusRefused Status = "refused"
 )
 
 // Reply is the result of a command.
 type Reply struct {
 	Status Status `msg:"status"`
-	// DispatchMillis is set on StatusGranted.
+	// DispatchMillis is set with StatusGranted.
 	DispatchMillis int64 `msg:"dispatch_ms,omitempty"`
-	// Answer is set on StatusAnswered.
+	// Answer is set with StatusAnswered.
 	Answer *Answer `msg:"answer,omitempty"`
 }
 
@@ -167,7 +176,7 @@
 	return data, nil
 }
 
-// DecodeCommand reads what Encode wrote.
+// DecodeCommand decodes the output of Encode.
 func DecodeCommand(data []byte) (Command, error) {
 	var command Command
 	rest, err := command.UnmarshalMsg(data)
@@ -180,7 +189,7 @@
 	return command, nil
 }
 
-// DecodeReply reads the result that Table.Apply returned.
+// DecodeReply decodes the result of Table.Apply.
 func DecodeReply(data []byte) (Reply, error) {
 	var reply Reply
 	if _, err := reply.UnmarshalMsg(data); err != nil {
--- a/coordination/onceonly/entry.go
+++ b/coordination/onceonly/entry.go
@@ -11,9 +11,9 @@
 type entryState uint8
 
 const (
-	// stateInProgress: the attempt holds the claim and may dispatch.
+	// stateInProgress: the attempt holds the claim and may dispatch the request.
 	stateInProgress entryState = iota + 1
-	// stateAnswered: the attempt ran and its answer may be kept.
+	// stateAnswered: the attempt ran; its answer may be stored.
 	stateAnswered
 	// stateUnknown: the attempt may have run.
 	stateUnknown
@@ -21,7 +21,8 @@
 	stateReleased
 )
 
-// entry is the record of one key. It is changed only after Table.writable.
+// entry is the record of one key. Only entries that Table.writable returned may
+// be modified.
 type entry struct {
 	Tenant    string     `msg:"tenant"`
 	Key       string     `msg:"key"`
@@ -31,22 +32,25 @@
 	BodyHash  []byte     `msg:"body_hash"`
 	// ClaimedMillis is the log time of the claim.
 	ClaimedMillis int64 `msg:"claimed_ms"`
-	// AgeMillis is the time that the horizon is compared with: the minting
-	// time, or for an opaque key the log time of the last claim.
+	// AgeMillis is compared with the horizon: the minting time, or for an opaque
+	// key the log time of the last claim. If a release arrived before the claim,
+	// it is the log time of the release.
 	AgeMillis int64 `msg:"age_ms"`
-	// Answer is set in stateAnswered unless it was too large or dropped.
+	// Answer is set in stateAnswered unless it was too large or was dropped to
+	// stay within TotalAnswerBytes.
 	Answer *Answer `msg:"answer,omitempty"`
-	// GivenBack are other attempts that were given back, oldest first. Their
-	// claims may still be under way, and must not be granted.
-	GivenBack []string `msg:"given_back,omitempty"`
+	// ReleasedAttempts are other attempts that were released, oldest first. Their
+	// claims may still be in flight, and must not be granted.
+	ReleasedAttempts []string `msg:"given_back,omitempty"`
 	// AnsweredMillis is the log time of the completion.
 	AnsweredMillis int64 `msg:"answered_ms,omitempty"`
-	// captures is Table.captures at the time when the entry was made. An entry
-	// that a later capture refers to is replaced instead of changed.
+	// captures is the value of Table.captures when the entry was created. An
+	// entry that a later capture refers to is replaced by a copy instead of
+	// being modified.
 	captures uint64 `msg:"-"`
 }
 
-// tableSnapshot is the whole state.
+// tableSnapshot is the complete state of a Table.
 type tableSnapshot struct {
 	Format              int        `msg:"format"`
 	Parameters          Parameters `msg:"parameters"`
@@ -57,7 +61,7 @@
 	Entries []*entry `msg:"entries"`
 }
 
-// entryID names an entry.
+// entryID identifies an entry.
 type entryID struct {
 	Tenant string
 	Key    string
@@ -65,23 +69,24 @@
 
 func (e *entry) id() entryID { return entryID{Tenant: e.Tenant, Key: e.Key} }
 
-// givenBackLimit bounds the attempts that an entry remembers as given back. A
-// claim that is so late that more were given back since may be granted to
-// nobody; it then becomes unknown with its session.
-const givenBackLimit = 16
+// maximumReleasedAttempts limits the released attempts that an entry stores. If
+// a released attempt's claim arrives after that many later releases, it may be
+// granted although nobody will dispatch the request; the claim then becomes
+// unknown when its session ends.
+const maximumReleasedAttempts = 16
 
-// noteGivenBack remembers an attempt that was given back. The entry must be
+// recordReleased stores the id of a released attempt. The entry must be
 // writable.
-func (e *entry) noteGivenBack(attemptID string) {
-	if e.wasGivenBack(attemptID) {
+func (e *entry) recordReleased(attemptID string) {
+	if e.wasReleased(attemptID) {
 		return
 	}
-	if len(e.GivenBack) >= givenBackLimit {
-		e.GivenBack = e.GivenBack[1:]
+	if len(e.ReleasedAttempts) >= maximumReleasedAttempts {
+		e.ReleasedAttempts = e.ReleasedAttempts[1:]
 	}
-	e.GivenBack = append(e.GivenBack[:len(e.GivenBack):len(e.GivenBack)], attemptID)
+	e.ReleasedAttempts = append(e.ReleasedAttempts[:len(e.ReleasedAttempts):len(e.ReleasedAttempts)], attemptID)
 }
 
-func (e *entry) wasGivenBack(attemptID string) bool {
-	return slices.Contains(e.GivenBack, attemptID)
+func (e *entry) wasReleased(attemptID string) bool {
+	return slices.Contains(e.ReleasedAttempts, attemptID)
 }
--- a/coordination/onceonly/entry_gen.go
+++ b/coordination/onceonly/entry_gen.go
@@ -27,7 +27,7 @@
 		zb0001Len--
 		zb0001Mask |= 0x100
 	}
-	if z.GivenBack == nil {
+	if z.ReleasedAttempts == nil {
 		zb0001Len--
 		zb0001Mask |= 0x200
 	}
@@ -82,9 +82,9 @@
 		if (zb0001Mask & 0x200) == 0 { // if not omitted
 			// string "given_back"
 			o = append(o, 0xaa, 0x67, 0x69, 0x76, 0x65, 0x6e, 0x5f, 0x62, 0x61, 0x63, 0x6b)
-			o = msgp.AppendArrayHeader(o, uint32(len(z.GivenBack)))
-			for za0001 := range z.GivenBack {
-				o = msgp.AppendString(o, z.GivenBack[za0001])
+			o = msgp.AppendArrayHeader(o, uint32(len(z.ReleasedAttempts)))
+			for za0001 := range z.ReleasedAttempts {
+				o = msgp.AppendString(o, z.ReleasedAttempts[za0001])
 			}
 		}
 		if (zb0001Mask & 0x400) == 0 { // if not omitted
@@ -207,22 +207,22 @@
 			var zb0004 uint32
 			zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "GivenBack")
+				err = msgp.WrapError(err, "ReleasedAttempts")
 				return
 			}
 			if zb0004 > zd44b10b1limitArrays {
 				err = msgp.ErrLimitExceeded
 				return
 			}
-			if cap(z.GivenBack) >= int(zb0004) {
-				z.GivenBack = (z.GivenBack)[:zb0004]
+			if cap(z.ReleasedAttempts) >= int(zb0004) {
+				z.ReleasedAttempts = (z.ReleasedAttempts)[:zb0004]
 			} else {
-				z.GivenBack = make([]string, zb0004)
+				z.ReleasedAttempts = make([]string, zb0004)
 			}
-			for za0001 := range z.GivenBack {
-				z.GivenBack[za0001], bts, err = msgp.ReadStringBytes(bts)
+			for za0001 := range z.ReleasedAttempts {
+				z.ReleasedAttempts[za0001], bts, err = msgp.ReadStringBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "GivenBack", za0001)
+					err = msgp.WrapError(err, "ReleasedAttempts", za0001)
 					return
 				}
 			}
@@ -253,8 +253,8 @@
 		s += z.Answer.Msgsize()
 	}
 	s += 11 + msgp.ArrayHeaderSize
-	for za0001 := range z.GivenBack {
-		s += msgp.StringPrefixSize + len(z.GivenBack[za0001])
+	for za0001 := range z.ReleasedAttempts {
+		s += msgp.StringPrefixSize + len(z.ReleasedAttempts[za0001])
 	}
 	s += 12 + msgp.Int64Size
 	return
--- a/coordination/onceonly/example_test.go
+++ b/coordination/onceonly/example_test.go
@@ -6,7 +6,7 @@
 	"github.com/pierhaven/pierhaven/coordination/onceonly"
 )
 
-// A label is printed once, although its request comes twice.
+// A label is printed once, although its request is sent three times.
 func ExampleTable() {
 	table := onceonly.New()
 	claim := func(attempt string) onceonly.Reply {
--- a/coordination/onceonly/index.go
+++ b/coordination/onceonly/index.go
@@ -7,15 +7,15 @@
 	t.entries[id] = added
 	t.byAge.add(added.AgeMillis, id)
 	if added.State == stateInProgress {
-		t.enterProgress(added)
+		t.indexClaim(added)
 	}
 	if added.Answer != nil {
 		t.indexAnswer(added)
 	}
 }
 
-// writable returns an entry of the table that may be changed, which takes the
-// given one's place if a capture refers to that.
+// writable returns an entry that may be modified: the given one, or, if a
+// capture refers to that, a copy that replaces it in the table.
 func (t *Table) writable(current *entry) *entry {
 	if current.captures == t.captures || t.changeCaptured {
 		return current
@@ -26,48 +26,48 @@
 	return &changed
 }
 
-// remove forgets an entry.
+// remove deletes an entry from the table and its indexes.
 func (t *Table) remove(removed *entry) {
 	id := removed.id()
-	t.leaveProgress(removed)
+	t.unindexClaim(removed)
 	t.byAge.remove(removed.AgeMillis, id)
 	t.dropAnswer(removed)
 	delete(t.entries, id)
 }
 
-func (t *Table) enterProgress(claimed *entry) {
+func (t *Table) indexClaim(claimed *entry) {
 	id := claimed.id()
 	t.byClaim.add(claimed.ClaimedMillis, id)
-	held := t.byHolder[claimed.Holder]
-	if held == nil {
-		held = make(map[entryID]struct{})
-		t.byHolder[claimed.Holder] = held
+	claims := t.byHolder[claimed.Holder]
+	if claims == nil {
+		claims = make(map[entryID]struct{})
+		t.byHolder[claimed.Holder] = claims
 	}
-	held[id] = struct{}{}
+	claims[id] = struct{}{}
 }
 
-func (t *Table) leaveProgress(claimed *entry) {
+func (t *Table) unindexClaim(claimed *entry) {
 	if claimed.State != stateInProgress {
 		return
 	}
 	id := claimed.id()
 	t.byClaim.remove(claimed.ClaimedMillis, id)
-	held := t.byHolder[claimed.Holder]
-	delete(held, id)
-	if len(held) == 0 {
+	claims := t.byHolder[claimed.Holder]
+	delete(claims, id)
+	if len(claims) == 0 {
 		delete(t.byHolder, claimed.Holder)
 	}
 }
 
-func (t *Table) makeUnknown(claimed *entry) {
-	t.leaveProgress(claimed)
+func (t *Table) markUnknown(claimed *entry) {
+	t.unindexClaim(claimed)
 	t.writable(claimed).State = stateUnknown
 }
 
-// keepAnswer stores an answer in a writable entry and drops the oldest answers
-// over the bound. A
-// dropped answer leaves its entry answered: the key stays taken.
-func (t *Table) keepAnswer(answered *entry, answer Answer) {
+// storeAnswer stores an answer in a writable entry and drops the oldest answers
+// while their total size is over the limit. An entry whose answer was dropped
+// stays in stateAnswered, so its key can't be claimed again.
+func (t *Table) storeAnswer(answered *entry, answer Answer) {
 	if len(answer.Body) > t.parameters.AnswerBytes {
 		return
 	}
--- a/coordination/onceonly/key.go
+++ b/coordination/onceonly/key.go
@@ -7,40 +7,41 @@
 	"github.com/google/uuid"
 )
 
-// Limits of a key's text.
+// Limits in bytes of a key without its zone and of its whole text.
 const (
 	maximumRestBytes = 200
 	maximumTextBytes = 512
 	zoneSeparator    = "~"
 )
 
-// The errors of ParseKey.
+// Errors of ParseKey.
 var (
-	// ErrKeyEmpty says that there is no key.
+	// ErrKeyEmpty: the key, or its part after the zone, is empty.
 	ErrKeyEmpty = errors.New("key is empty")
-	// ErrKeyTooLong says that the key, without its zone, is over 200 bytes.
+	// ErrKeyTooLong: the key without its zone is longer than 200 bytes, or the
+	// whole text longer than 512 bytes.
 	ErrKeyTooLong = errors.New("key is longer than 200 bytes")
-	// ErrKeyCharacters says that the key has bytes other than visible ASCII.
+	// ErrKeyCharacters: the key contains bytes other than visible ASCII.
 	ErrKeyCharacters = errors.New("key has characters other than visible ASCII")
-	// ErrKeyZone says that the key's prefix names no known zone.
+	// ErrKeyZone: the key's prefix is not a known zone.
 	ErrKeyZone = errors.New("key's prefix before ~ names no known zone")
 )
 
 // Key is a parsed idempotency key. Its grammar is `[zone~]rest`.
 type Key struct {
-	// Zone is the home zone, whose group keeps the key's record.
+	// Zone is the home zone, whose group stores the key's record.
 	Zone string
 	// Rest is the key without its zone. A UUID is in lower case.
 	Rest string
 	// MintedMillis is the minting time in Unix milliseconds that a UUIDv7
 	// carries (RFC 9562 section 5.7); 0 for an opaque key.
 	MintedMillis int64
-	// Opaque says that the key carries no minting time.
+	// Opaque is true if the key carries no minting time.
 	Opaque bool
 }
 
-// ParseKey reads a key. A key without a zone belongs to homeZone. The errors
-// are those of this file.
+// ParseKey parses a key. A key without a zone belongs to homeZone. It returns
+// one of the ErrKey errors if the key is invalid.
 func ParseKey(text, homeZone string, isZone func(string) bool) (Key, error) {
 	if err := checkText(text); err != nil {
 		return Key{}, err
@@ -88,7 +89,8 @@
 	timestampBytes      = 6
 )
 
-// parseUUIDv7 returns the time of a UUIDv7 in its canonical form.
+// parseUUIDv7 returns the timestamp of a UUIDv7 and its canonical form. Only
+// text in the 36-character form is accepted.
 func parseUUIDv7(text string) (millis int64, canonical string, ok bool) {
 	if len(text) != canonicalUUIDLength {
 		return 0, "", false
--- a/coordination/onceonly/machine.go
+++ b/coordination/onceonly/machine.go
@@ -10,7 +10,7 @@
 // snapshotFormat is the version of the snapshot's layout.
 const snapshotFormat = 1
 
-// Apply implements replica.StateMachine: it carries out an encoded Command and
+// Apply implements replica.StateMachine: it executes an encoded Command and
 // returns an encoded Reply.
 func (t *Table) Apply(_ uint64, data []byte) []byte {
 	reply := Reply{Status: StatusInvalid}
@@ -38,13 +38,13 @@
 		OpaqueBlockedMillis: t.opaqueBlockedMillis,
 	}
 	snapshot.Entries = make([]*entry, 0, len(t.entries))
-	for _, kept := range t.entries {
-		snapshot.Entries = append(snapshot.Entries, kept)
+	for _, current := range t.entries {
+		snapshot.Entries = append(snapshot.Entries, current)
 	}
 	return snapshot.encode
 }
 
-// encode puts the entries in order and encodes the snapshot.
+// encode sorts the entries and encodes the snapshot.
 func (s *tableSnapshot) encode() ([]byte, error) {
 	slices.SortFunc(s.Entries, func(left, right *entry) int {
 		return cmp.Or(cmp.Compare(left.Tenant, right.Tenant), cmp.Compare(left.Key, right.Key))
@@ -74,11 +74,11 @@
 	t.logMillis = snapshot.LogMillis
 	t.horizonMillis = snapshot.HorizonMillis
 	t.opaqueBlockedMillis = snapshot.OpaqueBlockedMillis
-	for _, kept := range snapshot.Entries {
-		if kept == nil {
+	for _, restored := range snapshot.Entries {
+		if restored == nil {
 			return errors.New("decode snapshot: entry is missing")
 		}
-		t.insert(kept)
+		t.insert(restored)
 	}
 	return nil
 }
--- a/coordination/onceonly/model_test.go
+++ b/coordination/onceonly/model_test.go
@@ -8,31 +8,31 @@
 	"github.com/stretchr/testify/require"
 )
 
-// claimer is one attempt of a process, with the replies still on their way.
-type claimer struct {
+// modelAttempt is one attempt of a process to run the request of a key.
+type modelAttempt struct {
 	id         string
 	key        int
 	holder     string
 	dispatched bool
-	gaveUp     bool
+	abandoned  bool
 	ran        bool
 }
 
-// model drives a table by processes that lose replies, give up, die and send
-// commands late, and counts the runs of each key.
+// model simulates processes that lose replies, abandon attempts, end their
+// sessions and send commands late. It counts the runs of each key.
 type model struct {
 	random     *rand.Rand
 	table      *Table
 	millis     int64
-	attempts   []*claimer
-	late       []Command
+	attempts   []*modelAttempt
+	delayed    []Command
 	minted     []int64
 	runs       []int
 	answers    map[int]string
 	violations []string
 	granted    int
 	answered   int
-	forgotten  int
+	removed    int
 	captured   func() ([]byte, error)
 	expected   []byte
 }
@@ -64,7 +64,7 @@
 	return m
 }
 
-// apply goes through the encoding, as in the log.
+// apply executes a command in its encoded form, as the replicated log does.
 func (m *model) apply(command Command) Reply {
 	command.TimeMillis = m.millis
 	data, err := command.Encode()
@@ -76,7 +76,7 @@
 	if err != nil {
 		panic(err)
 	}
-	m.forgotten += max(0, before-m.table.Len())
+	m.removed += max(0, before-m.table.Len())
 	return reply
 }
 
@@ -93,20 +93,20 @@
 func (m *model) step() {
 	switch m.random.IntN(11) {
 	case 0, 1, 2:
-		m.claimNew()
+		m.claimWithNewAttempt()
 	case 3:
-		m.claimAgain()
+		m.resendClaim()
 	case 4:
-		m.applyLate()
+		m.applyDelayed()
 	case 5:
-		m.giveUp()
+		m.abandon()
 	case 6:
 		m.apply(Command{Kind: KindExpireHolder, Holder: fmt.Sprint(m.random.IntN(4))})
 	case 7:
 		m.millis += m.random.Int64N(12_000)
 		m.apply(Command{Kind: KindAdvance})
 	case 8:
-		m.millis -= m.random.Int64N(3_000) // another leader's clock
+		m.millis -= m.random.Int64N(3_000) // a new leader's clock is behind
 	case 9:
 		m.restore()
 	case 10:
@@ -114,21 +114,21 @@
 	}
 }
 
-// capture checks the last capture, which must not have seen later commands, and
-// takes another.
+// capture checks that commands applied since the previous capture have not
+// changed it, and takes a new one.
 func (m *model) capture() {
 	if m.captured != nil {
 		data, err := m.captured()
 		if err != nil || string(data) != string(m.expected) {
-			m.violations = append(m.violations, "a capture has changed")
+			m.violations = append(m.violations, "a capture changed after it was taken")
 		}
 	}
 	m.expected, _ = m.table.Snapshot()
 	m.captured = m.table.Capture()
 }
 
-func (m *model) claimNew() {
-	attempt := &claimer{
+func (m *model) claimWithNewAttempt() {
+	attempt := &modelAttempt{
 		id:     fmt.Sprint("attempt-", len(m.attempts)),
 		key:    m.random.IntN(modelKeys),
 		holder: fmt.Sprint(m.random.IntN(4)),
@@ -137,20 +137,20 @@
 	m.send(m.claimOf(attempt), attempt)
 }
 
-func (m *model) claimAgain() {
-	if attempt := m.pick(); attempt != nil {
+func (m *model) resendClaim() {
+	if attempt := m.pickAttempt(); attempt != nil {
 		m.send(m.claimOf(attempt), attempt)
 	}
 }
 
-func (m *model) pick() *claimer {
+func (m *model) pickAttempt() *modelAttempt {
 	if len(m.attempts) == 0 {
 		return nil
 	}
 	return m.attempts[m.random.IntN(len(m.attempts))]
 }
 
-func (m *model) claimOf(attempt *claimer) Command {
+func (m *model) claimOf(attempt *modelAttempt) Command {
 	return Command{Kind: KindClaim, Claim: &Claim{
 		Tenant:       "tenant",
 		Key:          fmt.Sprint(attempt.key),
@@ -161,35 +161,35 @@
 	}}
 }
 
-// send applies a claim now, or later when its reply reaches nobody.
-func (m *model) send(command Command, attempt *claimer) {
+// send applies a claim now, or delays it until nobody waits for its reply.
+func (m *model) send(command Command, attempt *modelAttempt) {
 	if m.random.IntN(5) == 0 {
-		m.late = append(m.late, command)
+		m.delayed = append(m.delayed, command)
 		return
 	}
 	reply := m.apply(command)
-	m.checkAnswer(attempt.key, reply)
+	m.checkStoredAnswer(attempt.key, reply)
 	lost := m.random.IntN(5) == 0
-	if reply.Status != StatusGranted || lost || attempt.gaveUp || attempt.dispatched {
+	if reply.Status != StatusGranted || lost || attempt.abandoned || attempt.dispatched {
 		return
 	}
 	m.granted++
 	m.dispatch(attempt)
 }
 
-// dispatch hands the request to a back end, which runs it or refuses.
-func (m *model) dispatch(attempt *claimer) {
+// dispatch sends the request to a back end, which runs or rejects it.
+func (m *model) dispatch(attempt *modelAttempt) {
 	attempt.dispatched = true
 	switch m.random.IntN(4) {
 	case 0:
-		m.finish(Command{Kind: KindRelease, Release: m.releaseOf(attempt, true)})
+		m.sendOutcome(Command{Kind: KindRelease, Release: m.releaseOf(attempt, true)})
 	case 1:
-		m.runOn(attempt)
-		m.finish(Command{Kind: KindRelease, Release: m.releaseOf(attempt, false)})
+		m.recordRun(attempt)
+		m.sendOutcome(Command{Kind: KindRelease, Release: m.releaseOf(attempt, false)})
 	default:
-		m.runOn(attempt)
+		m.recordRun(attempt)
 		m.answers[attempt.key] = attempt.id
-		m.finish(Command{Kind: KindComplete, Completion: &Completion{
+		m.sendOutcome(Command{Kind: KindComplete, Completion: &Completion{
 			Tenant:    "tenant",
 			Key:       fmt.Sprint(attempt.key),
 			AttemptID: attempt.id,
@@ -198,7 +198,7 @@
 	}
 }
 
-func (m *model) runOn(attempt *claimer) {
+func (m *model) recordRun(attempt *modelAttempt) {
 	attempt.ran = true
 	m.runs[attempt.key]++
 	if m.runs[attempt.key] > 1 {
@@ -206,43 +206,44 @@
 	}
 }
 
-func (m *model) releaseOf(attempt *claimer, notRun bool) *Release {
+func (m *model) releaseOf(attempt *modelAttempt, notRun bool) *Release {
 	return &Release{Tenant: "tenant", Key: fmt.Sprint(attempt.key), AttemptID: attempt.id, NotRun: notRun}
 }
 
-// finish sends the end of an attempt now, late or never.
-func (m *model) finish(command Command) {
+// sendOutcome applies the command that ends an attempt now, delays it or loses
+// it.
+func (m *model) sendOutcome(command Command) {
 	switch m.random.IntN(3) {
 	case 0:
-		m.late = append(m.late, command)
+		m.delayed = append(m.delayed, command)
 	case 1:
 		m.apply(command)
 	}
 }
 
-// giveUp releases an attempt that was never dispatched, and won't be.
-func (m *model) giveUp() {
-	attempt := m.pick()
+// abandon releases an attempt that has not been dispatched and will never be.
+func (m *model) abandon() {
+	attempt := m.pickAttempt()
 	if attempt == nil || attempt.dispatched {
 		return
 	}
-	attempt.gaveUp = true
-	m.finish(Command{Kind: KindRelease, Release: m.releaseOf(attempt, true)})
+	attempt.abandoned = true
+	m.sendOutcome(Command{Kind: KindRelease, Release: m.releaseOf(attempt, true)})
 }
 
-func (m *model) applyLate() {
-	if len(m.late) == 0 {
+func (m *model) applyDelayed() {
+	if len(m.delayed) == 0 {
 		return
 	}
-	i := m.random.IntN(len(m.late))
-	m.apply(m.late[i])
+	i := m.random.IntN(len(m.delayed))
+	m.apply(m.delayed[i])
 	if m.random.IntN(2) == 0 {
-		m.late = append(m.late[:i], m.late[i+1:]...)
+		m.delayed = append(m.delayed[:i], m.delayed[i+1:]...)
 	}
 }
 
-// checkAnswer holds a stored answer to being that of the run.
-func (m *model) checkAnswer(key int, reply Reply) {
+// checkStoredAnswer checks that a stored answer is that of the key's run.
+func (m *model) checkStoredAnswer(key int, reply Reply) {
 	if reply.Status != StatusAnswered {
 		return
 	}
@@ -268,37 +269,37 @@
 		panic(err)
 	}
 	if string(again) != string(data) || restored.answerBytes != m.table.answerBytes {
-		m.violations = append(m.violations, "a restored table differs")
+		m.violations = append(m.violations, "restored table differs from its snapshot")
 	}
 	m.table = restored
 }
 
 func TestKeysRunAtMostOnce(t *testing.T) {
-	granted, answered, forgotten := 0, 0, 0
+	granted, answered, removed := 0, 0, 0
 	for seed := range uint64(600) {
 		m := newModel(seed)
 		require.Empty(t, m.run(400), "seed %d", seed)
 		granted += m.granted
 		answered += m.answered
-		forgotten += m.forgotten
+		removed += m.removed
 	}
-	t.Logf("granted %d, answered %d, forgotten %d", granted, answered, forgotten)
+	t.Logf("granted %d, answered %d, removed %d", granted, answered, removed)
 	require.Positive(t, granted)
 	require.Positive(t, answered)
-	require.Positive(t, forgotten)
+	require.Positive(t, removed)
 }
 
 func TestModelCatchesPlantedFaults(t *testing.T) {
-	plants := map[string]func(*Table){
+	faults := map[string]func(*Table){
 		"release by the wrong attempt": func(table *Table) { table.releaseAnyAttempt = true },
 		"capture changed afterwards":   func(table *Table) { table.changeCaptured = true },
 	}
-	for name, plant := range plants {
+	for name, inject := range faults {
 		t.Run(name, func(t *testing.T) {
 			const limit = 100
 			for seed := range uint64(limit) {
 				m := newModel(seed)
-				plant(m.table)
+				inject(m.table)
 				if violations := m.run(400); len(violations) > 0 {
 					t.Logf("caught with seed %d: %s", seed, violations[0])
 					return
--- a/coordination/onceonly/table.go
+++ b/coordination/onceonly/table.go
@@ -4,26 +4,30 @@
 	"bytes"
 )
 
-// Longest texts of a command, in bytes.
+// Limits of commands and tables.
 const (
+	// maximumNameBytes limits the tenant, key, attempt id and holder of a claim.
 	maximumNameBytes = 256
+	// maximumHashBytes limits the body hash of a claim.
 	maximumHashBytes = 64
-	// maximumEntries is what a snapshot's decoder takes.
+	// maximumEntries is the limit of the snapshot decoder, and so the highest
+	// permitted value of Parameters.Entries.
 	maximumEntries = 1 << 22
 )
 
-// Table is the replicated state.
+// Table is the replicated table of claims.
 type Table struct {
 	parameters Parameters
-	// logMillis is the highest proposer's clock seen, in Unix milliseconds. It
-	// decides only what is told about old claims and what is forgotten, never
-	// who may run.
+	// logMillis is the highest proposer's clock of all commands, in Unix
+	// milliseconds. It determines only the status reported for old claims and
+	// which entries are removed, never which attempt may run.
 	logMillis int64
-	// horizonMillis only grows. Timed keys below it are refused, which is why
-	// they may be forgotten.
+	// horizonMillis never decreases. Keys minted before it are rejected, so
+	// their entries may be removed.
 	horizonMillis int64
-	// opaqueBlockedMillis is the log time until which opaque keys are refused,
-	// because claims of a lost predecessor can't be seen.
+	// opaqueBlockedMillis is the log time until which opaque keys are rejected
+	// after a KindRefound command, because the claims of the lost table are not
+	// known.
 	opaqueBlockedMillis int64
 
 	entries  map[entryID]*entry
@@ -31,12 +35,12 @@
 	byAge    timeline
 	byClaim  timeline
 	byAnswer timeline
-	// answerBytes is the size of all kept answers.
+	// answerBytes is the total size of the stored answers.
 	answerBytes int64
-	// captures counts the captures of this table.
+	// captures counts the calls of Capture.
 	captures uint64
-	// releaseAnyAttempt and changeCaptured are planted faults, which only a
-	// test of this package can switch on.
+	// releaseAnyAttempt and changeCaptured are planted faults that only tests
+	// of this package switch on, to check that the model test detects them.
 	releaseAnyAttempt bool
 	changeCaptured    bool
 }
@@ -59,19 +63,20 @@
 	}
 }
 
-// Parameters returns the parameters in force.
+// Parameters returns the current parameters.
 func (t *Table) Parameters() Parameters { return t.parameters }
 
-// Len is the number of remembered keys.
+// Len returns the number of stored keys.
 func (t *Table) Len() int { return len(t.entries) }
 
-// LogMillis is the log time in Unix milliseconds.
+// LogMillis returns the log time in Unix milliseconds.
 func (t *Table) LogMillis() int64 { return t.logMillis }
 
-// HorizonMillis is the minting time below which keys are refused.
+// HorizonMillis returns the minting time, in Unix milliseconds, before which
+// keys are rejected.
 func (t *Table) HorizonMillis() int64 { return t.horizonMillis }
 
-// Step carries out one command.
+// Step executes one command.
 func (t *Table) Step(command *Command) Reply {
 	t.logMillis = max(t.logMillis, command.TimeMillis)
 	switch {
@@ -102,21 +107,21 @@
 	return Reply{Status: StatusDone}
 }
 
-// valid reports whether all values are positive and the dispatch time is far
-// below the retention time.
+// valid reports whether all values are in range and the dispatch time is at most
+// a tenth of the retention time.
 func (p Parameters) valid() bool {
-	positive := p.RetentionMillis > 0 && p.ClaimMillis > 0 && p.FutureMillis >= 0 &&
+	inRange := p.RetentionMillis > 0 && p.ClaimMillis > 0 && p.FutureMillis >= 0 &&
 		p.DispatchMillis > 0 && p.Entries > 0 && p.AnswerBytes >= 0 && p.TotalAnswerBytes >= 0
-	const factor = 10
-	return positive && p.Entries <= maximumEntries && p.DispatchMillis <= p.RetentionMillis/factor
+	const minimumRatio = 10
+	return inRange && p.Entries <= maximumEntries && p.DispatchMillis <= p.RetentionMillis/minimumRatio
 }
 
 func (t *Table) claim(claim *Claim) Reply {
 	if !claim.wellFormed() {
 		return Reply{Status: StatusInvalid}
 	}
-	if refusal := t.refuseByAge(claim); refusal != "" {
-		return Reply{Status: refusal}
+	if rejection := t.checkKeyAge(claim); rejection != "" {
+		return Reply{Status: rejection}
 	}
 	id := entryID{Tenant: claim.Tenant, Key: claim.Key}
 	current, found := t.entries[id]
@@ -126,17 +131,17 @@
 		}
 		return t.grant(claim, id)
 	}
-	return t.claimAgain(claim, current)
+	return t.claimExisting(claim, current)
 }
 
 func (c *Claim) wellFormed() bool {
-	names := c.Tenant != "" && c.Key != "" && c.AttemptID != "" && c.Holder != ""
-	short := len(c.Tenant) <= maximumNameBytes && len(c.Key) <= maximumNameBytes &&
+	complete := c.Tenant != "" && c.Key != "" && c.AttemptID != "" && c.Holder != ""
+	withinLimits := len(c.Tenant) <= maximumNameBytes && len(c.Key) <= maximumNameBytes &&
 		len(c.AttemptID) <= maximumNameBytes && len(c.Holder) <= maximumNameBytes
-	return names && short && len(c.BodyHash) > 0 && len(c.BodyHash) <= maximumHashBytes
+	return complete && withinLimits && len(c.BodyHash) > 0 && len(c.BodyHash) <= maximumHashBytes
 }
 
-func (t *Table) refuseByAge(claim *Claim) Status {
+func (t *Table) checkKeyAge(claim *Claim) Status {
 	if claim.Opaque {
 		if t.logMillis < t.opaqueBlockedMillis {
 			return StatusExpired
@@ -152,10 +157,10 @@
 	return ""
 }
 
-// claimAgain answers a claim of a key that is remembered.
-func (t *Table) claimAgain(claim *Claim, current *entry) Reply {
+// claimExisting handles a claim of a key that the table has an entry for.
+func (t *Table) claimExisting(claim *Claim, current *entry) Reply {
 	if current.State == stateReleased {
-		if current.AttemptID == claim.AttemptID || current.wasGivenBack(claim.AttemptID) {
+		if current.AttemptID == claim.AttemptID || current.wasReleased(claim.AttemptID) {
 			return Reply{Status: StatusReleased}
 		}
 		return t.grantReleased(claim, current)
@@ -165,8 +170,8 @@
 	}
 	switch current.State {
 	case stateInProgress:
-		// The holder's own resend after a lost reply: it dispatches at most
-		// once for each attempt id, so granting again is safe.
+		// The holder has resent its claim after a lost reply. It dispatches at
+		// most once for each attempt id, so granting again is safe.
 		if current.AttemptID == claim.AttemptID {
 			return Reply{Status: StatusGranted, DispatchMillis: t.parameters.DispatchMillis}
 		}
@@ -181,14 +186,14 @@
 	}
 }
 
-// grantReleased grants a key that was given back. The attempts that gave it back
-// stay remembered.
+// grantReleased grants a key that was released. The new entry retains the
+// ids of all released attempts.
 func (t *Table) grantReleased(claim *Claim, released *entry) Reply {
 	released = t.writable(released)
-	released.noteGivenBack(released.AttemptID)
+	released.recordReleased(released.AttemptID)
 	t.remove(released)
 	reply := t.grant(claim, released.id())
-	t.entries[released.id()].GivenBack = released.GivenBack
+	t.entries[released.id()].ReleasedAttempts = released.ReleasedAttempts
 	return reply
 }
 
@@ -218,11 +223,11 @@
 	if current.State == stateAnswered {
 		return Reply{Status: StatusDone}
 	}
-	// From stateUnknown too: this is the true outcome of the only run.
-	t.leaveProgress(current)
+	// Also from stateUnknown: this is the actual outcome of the only run.
+	t.unindexClaim(current)
 	current = t.writable(current)
 	current.State = stateAnswered
-	t.keepAnswer(current, completion.Answer)
+	t.storeAnswer(current, completion.Answer)
 	return Reply{Status: StatusDone}
 }
 
@@ -233,15 +238,15 @@
 		return t.releaseUnclaimed(release, id)
 	}
 	if current.AttemptID != release.AttemptID && !t.releaseAnyAttempt {
-		return t.releaseOther(release, current)
+		return t.releaseByOtherAttempt(release, current)
 	}
 	switch {
 	case current.State == stateInProgress && release.NotRun:
-		t.leaveProgress(current)
+		t.unindexClaim(current)
 		t.writable(current).State = stateReleased
 		return Reply{Status: StatusDone}
 	case current.State == stateInProgress:
-		t.makeUnknown(current)
+		t.markUnknown(current)
 		return Reply{Status: StatusDone}
 	case current.State == stateReleased && release.NotRun, current.State == stateUnknown && !release.NotRun:
 		return Reply{Status: StatusDone}
@@ -250,22 +255,23 @@
 	}
 }
 
-// releaseOther notes the release of an attempt that does not hold the key: its
-// claim may still be under way, and must not be granted once the key is free.
-func (t *Table) releaseOther(release *Release, current *entry) Reply {
-	isName := release.AttemptID != "" && len(release.AttemptID) <= maximumNameBytes
-	if !release.NotRun || !isName || current.State == stateAnswered {
+// releaseByOtherAttempt records the release of an attempt that does not hold the
+// key: its claim may still be in flight, and must not be granted once the key can
+// be claimed again.
+func (t *Table) releaseByOtherAttempt(release *Release, current *entry) Reply {
+	validAttemptID := release.AttemptID != "" && len(release.AttemptID) <= maximumNameBytes
+	if !release.NotRun || !validAttemptID || current.State == stateAnswered {
 		return Reply{Status: StatusRefused}
 	}
-	t.writable(current).noteGivenBack(release.AttemptID)
+	t.writable(current).recordReleased(release.AttemptID)
 	if current.State == stateReleased {
 		return Reply{Status: StatusDone}
 	}
 	return Reply{Status: StatusRefused}
 }
 
-// releaseUnclaimed notes a release that overtook its claim, so that the claim
-// is refused when it comes.
+// releaseUnclaimed records a release that arrived before its claim, so that the
+// claim is rejected when it arrives.
 func (t *Table) releaseUnclaimed(release *Release, id entryID) Reply {
 	complete := id.Tenant != "" && id.Key != "" && release.AttemptID != ""
 	if !complete || !release.NotRun || len(t.entries) >= t.parameters.Entries {
@@ -282,17 +288,17 @@
 	return Reply{Status: StatusDone}
 }
 
-// expireHolder makes the claims of a lost holder unknown: it may have
-// dispatched them.
+// expireHolder marks the claims of a holder whose session has ended unknown: it
+// may have dispatched the requests.
 func (t *Table) expireHolder(holder string) Reply {
 	for id := range t.byHolder[holder] {
-		t.makeUnknown(t.entries[id])
+		t.markUnknown(t.entries[id])
 	}
 	return Reply{Status: StatusDone}
 }
 
-// advance makes claims that are too long in progress unknown, raises the
-// horizon and forgets what lies below it.
+// advance marks claims that have been in progress for longer than ClaimMillis
+// unknown, raises the horizon and removes the entries below it.
 func (t *Table) advance() Reply {
 	claimLimit := t.logMillis - t.parameters.ClaimMillis
 	for {
@@ -300,7 +306,7 @@
 		if !found {
 			break
 		}
-		t.makeUnknown(t.entries[id])
+		t.markUnknown(t.entries[id])
 	}
 	t.horizonMillis = max(t.horizonMillis, t.logMillis-t.parameters.RetentionMillis)
 	for {
@@ -312,8 +318,8 @@
 	}
 }
 
-// refound refuses every key that a lost predecessor may have granted: timed
-// keys minted up to now, and opaque keys for a retention time.
+// refound rejects every key that the lost table may have granted: keys minted
+// before the log time plus FutureMillis, and opaque keys for RetentionMillis.
 func (t *Table) refound() Reply {
 	t.horizonMillis = max(t.horizonMillis, t.logMillis+t.parameters.FutureMillis)
 	t.opaqueBlockedMillis = max(t.opaqueBlockedMillis, t.logMillis+t.parameters.RetentionMillis)
--- a/coordination/onceonly/table_test.go
+++ b/coordination/onceonly/table_test.go
@@ -40,24 +40,24 @@
 	}{
 		{"a first claim is granted", []*Command{claimFor("a")}, StatusGranted},
 		{"the holder's resend is granted again", []*Command{claimFor("a"), claimFor("a")}, StatusGranted},
-		{"another attempt waits", []*Command{claimFor("a"), claimFor("b")}, StatusInProgress},
-		{"another body is refused", []*Command{claimFor("a"), otherBody}, StatusReused},
-		{"an answer is kept", []*Command{claimFor("a"), completeFor("a"), claimFor("b")}, StatusAnswered},
+		{"another attempt finds the claim in progress", []*Command{claimFor("a"), claimFor("b")}, StatusInProgress},
+		{"another body is rejected", []*Command{claimFor("a"), otherBody}, StatusReused},
+		{"an answer is stored", []*Command{claimFor("a"), completeFor("a"), claimFor("b")}, StatusAnswered},
 		{"only the holder completes", []*Command{claimFor("a"), completeFor("b")}, StatusRefused},
 		{"only the holder releases", []*Command{claimFor("a"), releaseFor("b", true)}, StatusRefused},
-		{"a release frees the key", []*Command{claimFor("a"), releaseFor("a", true), claimFor("b")}, StatusGranted},
+		{"a released key can be claimed", []*Command{claimFor("a"), releaseFor("a", true), claimFor("b")}, StatusGranted},
 		{"a released attempt is not granted", []*Command{claimFor("a"), releaseFor("a", true), claimFor("a")}, StatusReleased},
 		{"a release before its claim", []*Command{releaseFor("a", true), claimFor("a")}, StatusReleased},
-		{"an earlier attempt's release is remembered", []*Command{releaseFor("a", true), claimFor("b"), releaseFor("b", true), claimFor("a")}, StatusReleased},
+		{"an earlier attempt's release is stored", []*Command{releaseFor("a", true), claimFor("b"), releaseFor("b", true), claimFor("a")}, StatusReleased},
 		{"a release beside another's before its claim", []*Command{releaseFor("a", true), releaseFor("b", true), claimFor("b")}, StatusReleased},
 		{"a release during another's claim", []*Command{claimFor("a"), releaseFor("b", true), releaseFor("a", true), claimFor("b")}, StatusReleased},
-		{"a lost holder's claim is unknown", []*Command{claimFor("a"), expire, claimFor("b")}, StatusUnknown},
+		{"an expired holder's claim is unknown", []*Command{claimFor("a"), expire, claimFor("b")}, StatusUnknown},
 		{"unknown is not released", []*Command{claimFor("a"), expire, releaseFor("a", true)}, StatusRefused},
-		{"a late answer of an unknown claim is kept", []*Command{claimFor("a"), expire, completeFor("a"), claimFor("b")}, StatusAnswered},
+		{"a late answer of an unknown claim is stored", []*Command{claimFor("a"), expire, completeFor("a"), claimFor("b")}, StatusAnswered},
 		{"a claim held for too long is unknown", []*Command{claimFor("a"), claimTimeout, claimFor("b")}, StatusUnknown},
-		{"an old key is refused", []*Command{claimFor("a"), advance, claimFor("b")}, StatusExpired},
-		{"a key from the future is refused", []*Command{tooEarly}, StatusInvalid},
-		{"a refounded table refuses earlier keys", []*Command{{Kind: KindRefound, TimeMillis: 1000}, claimFor("a")}, StatusExpired},
+		{"a key minted before the horizon is rejected", []*Command{claimFor("a"), advance, claimFor("b")}, StatusExpired},
+		{"a key minted too far ahead is rejected", []*Command{tooEarly}, StatusInvalid},
+		{"a refounded table rejects earlier keys", []*Command{{Kind: KindRefound, TimeMillis: 1000}, claimFor("a")}, StatusExpired},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -89,7 +89,7 @@
 	third.Claim.Key = "third"
 	require.Equal(t, StatusFull, table.Step(third).Status)
 
-	// The older answer was dropped, and its key is still taken.
+	// The older answer was dropped, but its key can't be claimed again.
 	again := claimFor("again")
 	again.Claim.Key = "first"
 	require.Equal(t, StatusUnknown, table.Step(again).Status)
--- a/coordination/onceonly/timeline.go
+++ b/coordination/onceonly/timeline.go
@@ -4,13 +4,13 @@
 
 const timelineDegree = 32
 
-// moment is an entry at a time.
-type moment struct {
+// timelineItem is an entry with the time that orders it.
+type timelineItem struct {
 	millis int64
 	id     entryID
 }
 
-func (m moment) less(other moment) bool {
+func (m timelineItem) less(other timelineItem) bool {
 	if m.millis != other.millis {
 		return m.millis < other.millis
 	}
@@ -20,30 +20,30 @@
 	return m.id.Key < other.id.Key
 }
 
-// timeline holds entries ordered by time.
+// timeline is an index of entries ordered by time.
 type timeline struct {
-	tree *btree.BTreeG[moment]
+	tree *btree.BTreeG[timelineItem]
 }
 
 func newTimeline() timeline {
-	return timeline{tree: btree.NewG(timelineDegree, moment.less)}
+	return timeline{tree: btree.NewG(timelineDegree, timelineItem.less)}
 }
 
 func (t timeline) add(millis int64, id entryID) {
-	t.tree.ReplaceOrInsert(moment{millis, id})
+	t.tree.ReplaceOrInsert(timelineItem{millis, id})
 }
 
 func (t timeline) remove(millis int64, id entryID) {
-	t.tree.Delete(moment{millis, id})
+	t.tree.Delete(timelineItem{millis, id})
 }
 
-// oldest returns the oldest entry.
+// oldest returns the oldest entry, and false if there is none.
 func (t timeline) oldest() (entryID, bool) {
 	first, found := t.tree.Min()
 	return first.id, found
 }
 
-// popBefore removes and returns the oldest entry if it is older than limit.
+// popBefore removes and returns the oldest entry if its time is before limit.
 func (t timeline) popBefore(limit int64) (entryID, bool) {
 	oldest, found := t.tree.Min()
 	if !found || oldest.millis >= limit {
