--- a/coordination/membership/decoder_test.go
+++ b/coordination/membership/decoder_test.go
@@ -6,8 +6,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestClaimedLengthsAreBounded decodes a session of a few bytes that claims to
-// hold billions of sets: it must be refused before room is made for them.
+// TestClaimedLengthsAreBounded decodes a session of a few bytes whose array
+// header announces billions of sets or targets. The decoder must reject it before
+// it allocates memory for them.
 func TestClaimedLengthsAreBounded(t *testing.T) {
 	for _, field := range []string{"sets", "targets"} {
 		data := append([]byte{0x81, 0xa0 | byte(len(field))}, field...)
@@ -21,7 +22,8 @@
 	}
 }
 
-// FuzzSession decodes sessions and asks them what they permit.
+// FuzzSession decodes arbitrary sessions, calls their methods, and passes them
+// through a table.
 func FuzzSession(f *testing.F) {
 	seed := Session{ID: 1, MemberID: "m", Sets: []IsolationSet{{AssignedAt: 3, Targets: []string{"a", "b"}}}}
 	encoded, err := seed.MarshalMsg(nil)
--- a/coordination/membership/doc.go
+++ b/coordination/membership/doc.go
@@ -1,16 +1,17 @@
-// Package membership keeps track of which processes may use a set of shared
-// targets, so that a target can be taken out of use without a conflict.
+// Package membership tracks which processes may use a set of shared targets, so
+// that a target can be taken out of use once no process uses it any more.
 //
-// It has three parts without clock, files or goroutines:
+// It has three parts, which use no clock, files or goroutines:
 //
 //   - Table is the replicated list of sessions, one for each process;
-//   - Liveness is the soft state of the leader: when it last heard of each
-//     session, and which view the process has acknowledged;
-//   - Lease is the process's own view of how long it may act on what it knows.
+//   - Liveness is the leader's soft state, which is not replicated: when the last
+//     heartbeat of each session arrived, and which view its process has
+//     acknowledged;
+//   - Lease is the process's own record of how long it may act on its view.
 //
-// A process that is cut off keeps a part of the targets for a long but bounded
-// time, its isolation set, which is recorded in its session. A target that is
-// in nobody's isolation set can be taken out of use within a lease's time.
-// Safety rests on each process's own monotonic clock running at nearly the true
-// rate, never on clocks agreeing.
+// A process that can't reach the leader may go on using some of the targets, its
+// isolation set, for a long but bounded time. The set is recorded in its session.
+// A target in no isolation set can be taken out of use within the duration of a
+// lease. Safety depends on each process's monotonic clock running at nearly the
+// true rate, but not on clocks being synchronised.
 package membership
--- a/coordination/membership/example_test.go
+++ b/coordination/membership/example_test.go
@@ -7,8 +7,9 @@
 	"github.com/pierhaven/pierhaven/coordination/membership"
 )
 
-// A process that is cut off goes on with its isolation set, then stops. The
-// leader, counting later and with a margin, knows when.
+// A process that is cut off from the leader continues with its isolation set,
+// then stops. The leader counts from a later moment and adds a margin, so it
+// considers the process stopped only after it has stopped.
 func Example() {
 	terms := membership.Terms{HeartbeatMillis: 1_000, LeaseMillis: 4_000, IsolationMillis: 60_000}
 	table := membership.NewTable(10)
--- a/coordination/membership/isolation.go
+++ b/coordination/membership/isolation.go
@@ -7,21 +7,24 @@
 )
 
 const (
-	// reservedMember is hashed in place of a member to find the targets that
-	// belong to nobody's isolation set.
+	// reservedMember is hashed in place of a member id to select the targets
+	// that are in no isolation set.
 	reservedMember = "\x00reserved"
-	// reservedDivisor: one target in this many, but at least one, is reserved.
+	// reservedDivisor: of a group of n targets, n/reservedDivisor, but at least
+	// one, are reserved: in no isolation set.
 	reservedDivisor = 4
-	// shareDivisor: a member may use one target in this many, but at least one.
-	shareDivisor = 2
+	// setSizeDivisor: of a group of n targets, a member's set has up to
+	// n/setSizeDivisor, but at least one.
+	setSizeDivisor = 2
 )
 
-// ChooseIsolationSet picks the targets that a member may use while it is cut
-// off. Each group holds the targets that can stand in for each other. Of each
-// group about a quarter is in nobody's set, so that it can always be changed
-// quickly; of the rest the member gets as many as half of the group by
-// rendezvous hashing (Thaler and Ravishankar, 1998), so that the load of many
-// cut-off members spreads. A group of one is in everybody's set.
+// ChooseIsolationSet selects the targets that a member may use while it is cut
+// off from the leader. Each group contains targets that can replace each other.
+// About a quarter of each group is in no member's set, so that these targets can
+// always be changed quickly. From the others the member gets up to half of the
+// group's size by rendezvous hashing (Thaler and Ravishankar, 1998), which spreads
+// the load of many isolated members. The target of a group of one is in every
+// member's set.
 func ChooseIsolationSet(memberID string, groups [][]string) []string {
 	var chosen []string
 	for _, group := range groups {
@@ -36,13 +39,13 @@
 		return group
 	}
 	reserved := max(1, len(group)/reservedDivisor)
-	share := max(1, len(group)/shareDivisor)
+	setSize := max(1, len(group)/setSizeDivisor)
 	usable := rankByHash(reservedMember, group)[reserved:]
-	return rankByHash(memberID, usable)[:min(share, len(usable))]
+	return rankByHash(memberID, usable)[:min(setSize, len(usable))]
 }
 
-// rankByHash returns the targets with the highest hash of member and target
-// first.
+// rankByHash returns the targets in descending order of the hash of member and
+// target.
 func rankByHash(memberID string, targets []string) []string {
 	hashes := make(map[string]uint64, len(targets))
 	for _, target := range targets {
--- a/coordination/membership/lease.go
+++ b/coordination/membership/lease.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// LeaseState says what a process may use.
+// LeaseState determines which targets a process may use.
 type LeaseState int
 
-// States of a lease, in the order in which they follow each other when nothing
-// is heard from the leader.
+// States of a lease. Without renewal, a lease passes from held to isolated to
+// expired.
 const (
 	// LeaseNone: there is no session; nothing may be used.
 	LeaseNone LeaseState = iota
-	// LeaseHeld: every target that the view permits may be used.
+	// LeaseHeld: all targets that the view permits may be used.
 	LeaseHeld
-	// LeaseIsolated: only the isolation set's part of these may be used.
+	// LeaseIsolated: of these, only targets in the isolation set may be used.
 	LeaseIsolated
 	// LeaseExpired: nothing may be used.
 	LeaseExpired
@@ -32,27 +32,28 @@
 	}
 }
 
-// maximumPending bounds the answers that wait for a view.
-const maximumPending = 16
+// maximumPendingRenewals limits the heartbeat replies that wait for a view.
+const maximumPendingRenewals = 16
 
-// Lease is a process's own account of its lease, after Gray and Cheriton,
+// Lease is a process's own record of its lease, after Gray and Cheriton,
 // "Leases" (1989), section 3: the holder counts from when it sent the request,
 // the granter from when it received it.
 //
 // An answered heartbeat renews the lease only once the process has applied a
 // view at least as new as the leader's at the time of the answer. Otherwise a
-// process that comes back from a silence, during which the leader counted it as
-// stopped, would act on a view from before the silence.
+// process whose heartbeats resume after a gap, in which the leader considered it
+// stopped, would act on a view from before the gap.
 type Lease struct {
-	held      bool
-	terms     Terms
-	renewedAt time.Duration
-	applied   uint64
-	pending   []renewal
+	held            bool
+	terms           Terms
+	renewedAt       time.Duration
+	appliedPosition uint64
+	pending         []pendingRenewal
 }
 
-// renewal is an answered heartbeat that waits for its view.
-type renewal struct {
+// pendingRenewal is an answered heartbeat that renews the lease once the view at
+// position has been applied.
+type pendingRenewal struct {
 	sentAt   time.Duration
 	position uint64
 }
@@ -60,42 +61,43 @@
 // Begin starts the lease of a new session, whose request was sent at sentAt and
 // whose view is at position applied.
 func (l *Lease) Begin(sentAt time.Duration, terms Terms, applied uint64) {
-	*l = Lease{held: true, terms: terms, renewedAt: sentAt, applied: applied}
+	*l = Lease{held: true, terms: terms, renewedAt: sentAt, appliedPosition: applied}
 }
 
-// End gives up the lease at once.
+// End ends the lease at once.
 func (l *Lease) End() { *l = Lease{} }
 
-// Answered notes that the heartbeat sent at sentAt was answered by a leader
+// Answered records that the heartbeat sent at sentAt was answered by a leader
 // whose view was at position.
 func (l *Lease) Answered(sentAt time.Duration, position uint64) {
-	l.pending = append(l.pending, renewal{sentAt, position})
-	if len(l.pending) > maximumPending {
+	l.pending = append(l.pending, pendingRenewal{sentAt, position})
+	if len(l.pending) > maximumPendingRenewals {
 		l.pending = l.pending[1:]
 	}
 	l.renew()
 }
 
-// Applied notes that the view at position is in force in this process.
+// Applied records that this process has applied the view at position.
 func (l *Lease) Applied(position uint64) {
-	l.applied = max(l.applied, position)
+	l.appliedPosition = max(l.appliedPosition, position)
 	l.renew()
 }
 
 func (l *Lease) renew() {
-	waiting := l.pending[:0]
-	for _, answered := range l.pending {
-		if answered.position <= l.applied {
-			l.renewedAt = max(l.renewedAt, answered.sentAt)
+	stillPending := l.pending[:0]
+	for _, reply := range l.pending {
+		if reply.position <= l.appliedPosition {
+			l.renewedAt = max(l.renewedAt, reply.sentAt)
 			continue
 		}
-		waiting = append(waiting, answered)
+		stillPending = append(stillPending, reply)
 	}
-	l.pending = waiting
+	l.pending = stillPending
 }
 
-// State returns what may be used at now. It must be asked at the moment of use,
-// since the process may have been paused since it last ran.
+// State returns the state of the lease at now. It must be called immediately
+// before each use, because the process may have been paused since an earlier
+// call.
 func (l *Lease) State(now time.Duration) LeaseState {
 	age := now - l.renewedAt
 	switch {
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -12,7 +12,7 @@
 
 var testTerms = Terms{HeartbeatMillis: 1000, LeaseMillis: 4000, IsolationMillis: 60_000}
 
-func openFor(incarnation, ticket uint64) OpenRequest {
+func openRequest(incarnation, ticket uint64) OpenRequest {
 	return OpenRequest{
 		MemberID:         "gateway",
 		Incarnation:      incarnation,
@@ -25,31 +25,31 @@
 
 func TestOpenSupersedes(t *testing.T) {
 	table := NewTable(2)
-	session, _, outcome := table.Open(10, 10, openFor(1, 9))
+	session, _, outcome := table.Open(10, 10, openRequest(1, 9))
 	require.Equal(t, OpenDone, outcome)
 	require.Equal(t, uint64(10), session.ID)
 
-	session, superseded, outcome := table.Open(11, 11, openFor(1, 9))
+	session, superseded, outcome := table.Open(11, 11, openRequest(1, 9))
 	require.Equal(t, OpenDone, outcome)
-	require.Equal(t, uint64(10), session.ID, "a resend finds its session")
+	require.Equal(t, uint64(10), session.ID, "a resent request must return its session")
 	require.Zero(t, superseded)
 
-	_, _, outcome = table.Open(12, 12, openFor(2, 9))
-	require.Equal(t, OpenStale, outcome, "a ticket from before the session")
+	_, _, outcome = table.Open(12, 12, openRequest(2, 9))
+	require.Equal(t, OpenStale, outcome, "the ticket is older than the session")
 
-	session, superseded, outcome = table.Open(13, 13, openFor(2, 10))
+	session, superseded, outcome = table.Open(13, 13, openRequest(2, 10))
 	require.Equal(t, OpenDone, outcome)
 	require.Equal(t, uint64(13), session.ID)
 	require.Equal(t, uint64(10), superseded)
 
-	// The first incarnation's open comes late: its process is dead.
-	_, _, outcome = table.Open(14, 14, openFor(1, 12))
+	// The first incarnation's request arrives late: its process has ended.
+	_, _, outcome = table.Open(14, 14, openRequest(1, 12))
 	require.Equal(t, OpenStale, outcome)
 
-	elsewhere := openFor(3, 14)
+	elsewhere := openRequest(3, 14)
 	elsewhere.Address = "10.0.0.2:80"
 	_, _, outcome = table.Open(15, 15, elsewhere)
-	require.Equal(t, OpenAddressInUse, outcome, "the other process may be alive")
+	require.Equal(t, OpenAddressInUse, outcome, "the process at the other address may still be running")
 
 	require.True(t, table.End(13))
 	require.False(t, table.End(13))
@@ -57,9 +57,9 @@
 	require.Equal(t, OpenDone, outcome)
 }
 
-func TestIsolationSetsUntilAcknowledged(t *testing.T) {
+func TestIsolationSetMayBeUsedUntilNextIsAcknowledged(t *testing.T) {
 	table := NewTable(1)
-	session, _, _ := table.Open(10, 10, openFor(1, 9))
+	session, _, _ := table.Open(10, 10, openRequest(1, 9))
 	require.True(t, table.Assign(20, 10, []string{"b"}, 10))
 	require.True(t, session.MayUseIsolated("a", 19), "the first set may still be in use")
 	require.True(t, session.MayUseIsolated("b", 19))
@@ -76,20 +76,20 @@
 	margin := Margin{Rate: 0.01, Constant: time.Second}
 	session := &Session{ID: 10, OpenedAt: 10, Terms: testTerms, Sets: []IsolationSet{{AssignedAt: 10, Targets: []string{"a"}}}}
 	liveness := NewLiveness(margin)
-	require.True(t, liveness.HasStopped(0, session, "a", 9), "opened after the withholding")
-	require.False(t, liveness.HasStopped(100*time.Second, session, "a", 20), "counting begins now")
+	require.True(t, liveness.HasStopped(0, session, "a", 9), "the session was opened after the target was withheld")
+	require.False(t, liveness.HasStopped(100*time.Second, session, "a", 20), "an unknown session counts as heard now")
 	liveness.Heard(200*time.Second, 10, 19)
 
 	leaseOver := 200*time.Second + margin.Stretch(4*time.Second) + 1
 	require.False(t, liveness.HasStopped(leaseOver-2, session, "b", 20))
 	require.True(t, liveness.HasStopped(leaseOver, session, "b", 20))
-	require.False(t, liveness.HasStopped(leaseOver, session, "a", 20), "in its isolation set")
+	require.False(t, liveness.HasStopped(leaseOver, session, "a", 20), "the target is in its isolation set")
 	isolationOver := 200*time.Second + margin.Stretch(60*time.Second) + 1
 	require.False(t, liveness.HasStopped(isolationOver-2, session, "a", 20))
 	require.True(t, liveness.HasStopped(isolationOver, session, "a", 20))
 
 	liveness.Heard(201*time.Second, 10, 20)
-	require.True(t, liveness.HasStopped(201*time.Second, session, "a", 20), "acknowledged")
+	require.True(t, liveness.HasStopped(201*time.Second, session, "a", 20), "the session has acknowledged the withholding view")
 }
 
 func TestLeaseIsRenewedOnlyWithTheLeadersView(t *testing.T) {
@@ -110,9 +110,9 @@
 	require.Equal(t, LeaseNone, lease.State(5*time.Second))
 }
 
-// TestGranterOutlastsHolder holds the two sides of a lease against each other:
-// with any delays and any drift within the margin, the granter never counts a
-// holder as stopped while it holds.
+// TestGranterOutlastsHolder checks that, with any delays and any clock drift
+// within the margin, the leader never considers a lease or isolation time over
+// while the process may still use its targets.
 func TestGranterOutlastsHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		margin := DefaultMargin()
@@ -129,13 +129,13 @@
 		})
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
 			sentAt := now
-			now += duration.Draw(t, "way there")
+			now += duration.Draw(t, "request delay")
 			liveness.Heard(now, 1, 1)
 			if rapid.Bool().Draw(t, "answered") {
-				now += duration.Draw(t, "way back")
+				now += duration.Draw(t, "reply delay")
 				lease.Answered(holderClock(sentAt), 1)
 			}
-			now += duration.Draw(t, "wait")
+			now += duration.Draw(t, "pause")
 			state := lease.State(holderClock(now))
 			if liveness.LeaseOver(now, session) {
 				require.NotEqual(t, LeaseHeld, state)
@@ -166,7 +166,7 @@
 		}
 		if size > 1 {
 			reserved := max(1, size/reservedDivisor)
-			require.LessOrEqual(t, len(union), size-reserved, "a part is in nobody's set")
+			require.LessOrEqual(t, len(union), size-reserved, "reserved targets must be in no set")
 		}
 	})
 }
--- a/coordination/membership/table.go
+++ b/coordination/membership/table.go
@@ -18,41 +18,42 @@
 	}
 }
 
-// OpenRequest asks for a session.
+// OpenRequest is a request to open a session.
 type OpenRequest struct {
 	MemberID    string
 	Incarnation uint64
 	Address     string
 	PeerAddress string
-	// Ticket is the log position that a leader told this incarnation of the
-	// process before it asked.
+	// Ticket is a log position that this incarnation of the process fetched
+	// from a leader before it sent the request.
 	Ticket uint64
 	Terms  Terms
 	// IsolationTargets is the first isolation set, sorted.
 	IsolationTargets []string
 }
 
-// OpenOutcome says what became of an OpenRequest.
+// OpenOutcome is the result of an OpenRequest.
 type OpenOutcome string
 
 // Outcomes of opening a session.
 const (
 	// OpenDone: the session is open, now or since an earlier equal request.
 	OpenDone OpenOutcome = "done"
-	// OpenStale: the ticket is older than the member's present session; fetch
-	// a new one.
+	// OpenStale: the ticket is older than the member's current session; the
+	// process must fetch a new one.
 	OpenStale OpenOutcome = "stale_ticket"
-	// OpenAddressInUse: the member has a session from another address, whose
+	// OpenAddressInUse: the member has a session with another address, whose
 	// process may still be running.
 	OpenAddressInUse OpenOutcome = "address_in_use"
-	// OpenFull: the table is at its bound.
+	// OpenFull: the table has the maximum number of sessions.
 	OpenFull OpenOutcome = "full"
-	// OpenInvalid: the request is incomplete.
+	// OpenInvalid: the request has no member id or address, or invalid terms.
 	OpenInvalid OpenOutcome = "invalid"
 )
 
 // Open adds a session with the given id at a log position. It returns the
-// session and, if the request ended an earlier one, that one's id.
+// session and, if this ended the member's earlier session, the id of that as
+// superseded.
 func (t *Table) Open(position, id uint64, request OpenRequest) (session *Session, superseded uint64, outcome OpenOutcome) {
 	if request.MemberID == "" || request.Address == "" || !request.Terms.Valid() {
 		return nil, 0, OpenInvalid
@@ -104,19 +105,19 @@
 	return true
 }
 
-// maximumSets bounds the isolation sets of a session that may be in use at the
+// maximumSets limits the isolation sets of a session that may be in use at the
 // same time.
 const maximumSets = 4
 
-// Assign gives a session a new isolation set at a log position. Sets that the
-// process can't be using any more, because it has acknowledged a later one, are
-// dropped. It reports whether the set was assigned.
+// Assign gives a session a new isolation set at a log position. It removes the
+// sets that the process no longer uses because it has acknowledged a later one.
+// It reports whether the set was assigned.
 func (t *Table) Assign(position, id uint64, targets []string, acknowledged uint64) bool {
 	session, found := t.sessions[id]
 	if !found {
 		return false
 	}
-	session.Sets = session.Sets[session.firstPossibleSet(acknowledged):]
+	session.Sets = session.Sets[session.firstSetInUse(acknowledged):]
 	if len(session.Sets) >= maximumSets {
 		return false
 	}
@@ -125,7 +126,7 @@
 	return true
 }
 
-// Get returns an open session. The caller must not change it.
+// Get returns an open session, which the caller must not modify.
 func (t *Table) Get(id uint64) (*Session, bool) {
 	session, found := t.sessions[id]
 	return session, found
@@ -140,7 +141,7 @@
 	return t.sessions[id], true
 }
 
-// List returns the open sessions in the order of their ids.
+// List returns the open sessions sorted by id.
 func (t *Table) List() []*Session {
 	list := make([]*Session, 0, len(t.sessions))
 	for _, session := range t.sessions {
@@ -150,7 +151,7 @@
 	return list
 }
 
-// Len is the number of open sessions.
+// Len returns the number of open sessions.
 func (t *Table) Len() int { return len(t.sessions) }
 
 // Export returns copies of all sessions for a snapshot.
@@ -163,7 +164,7 @@
 	return sessions
 }
 
-// Import replaces all sessions by those of a snapshot.
+// Import replaces all sessions with those of a snapshot.
 func (t *Table) Import(sessions []Session) {
 	t.sessions = make(map[uint64]*Session, len(sessions))
 	t.byMember = make(map[string]uint64, len(sessions))
