--- a/coordination/versioned/command.go
+++ b/coordination/versioned/command.go
@@ -5,27 +5,27 @@
 //go:generate go tool msgp -file command.go -o command_gen.go -tests=false -io=false
 //msgp:limit arrays:1048576 maps:65536
 
-// Operation names what a command does.
+// Operation selects what a command does.
 type Operation string
 
 // Operations.
 const (
-	// OperationPut creates a document that does not exist.
+	// OperationPut creates a document that does not exist or was deleted.
 	OperationPut Operation = "put"
-	// OperationReplace changes the body of a document.
+	// OperationReplace replaces the body of a document.
 	OperationReplace Operation = "replace"
 	// OperationDelete removes a document and leaves a tombstone.
 	OperationDelete Operation = "delete"
 	// OperationImport fills an empty store from a copy, after the group that
-	// owned the documents has lost the majority of its disks.
+	// stored the documents has lost the majority of its disks.
 	OperationImport Operation = "import"
 )
 
-// Command is one change, as it stands in the replicated log.
+// Command is one change in the replicated log.
 type Command struct {
 	Operation Operation `msg:"operation"`
-	// RequestID is the operator's name for the request; sending it again gives
-	// the first result.
+	// RequestID is the operator's id of the request; a resent request gets the
+	// first result.
 	RequestID string `msg:"request_id"`
 	Kind      string `msg:"kind"`
 	Name      string `msg:"name"`
@@ -34,8 +34,8 @@
 	// revision at which the earlier document was deleted.
 	ExpectedRevision uint64 `msg:"expected_revision"`
 	Body             []byte `msg:"body,omitempty"`
-	// Pinned is a property that no later change may alter, not even deletion
-	// and creation; empty means none.
+	// Pinned is a property that no later change may alter, not even by deleting
+	// and creating the document again; empty means none.
 	Pinned string `msg:"pinned,omitempty"`
 	// BaseRevision and Documents belong to an import: the store's revisions
 	// continue above BaseRevision.
@@ -55,38 +55,40 @@
 	Deleted bool `msg:"deleted,omitempty"`
 }
 
-// Outcome says what became of a command.
+// Outcome is the kind of result of a command.
 type Outcome string
 
 // Outcomes.
 const (
-	// OutcomeApplied: the change is in force.
+	// OutcomeApplied: the change was applied.
 	OutcomeApplied Outcome = "applied"
-	// OutcomeConflict: the document has another revision than expected.
+	// OutcomeConflict: the document's revision is not the expected one, the
+	// document to put exists, or the store to import into is not empty.
 	OutcomeConflict Outcome = "conflict"
 	// OutcomeNotFound: there is no such document to replace or delete.
 	OutcomeNotFound Outcome = "not_found"
 	// OutcomePinned: the change would alter a pinned property.
 	OutcomePinned Outcome = "pinned"
-	// OutcomeRequestReused: the request id was used for another change.
+	// OutcomeRequestReused: the request id was used for a different change.
 	OutcomeRequestReused Outcome = "request_reused"
-	// OutcomeFull: the store is at its bound.
+	// OutcomeFull: the change would exceed a limit of the store.
 	OutcomeFull Outcome = "full"
-	// OutcomeMalformed: the command can't be read or is incomplete.
+	// OutcomeMalformed: the command can't be decoded, is incomplete, or has a
+	// field over its limit.
 	OutcomeMalformed Outcome = "malformed"
 )
 
-// Result answers a command.
+// Result is the answer to a command.
 type Result struct {
 	Outcome Outcome `msg:"outcome"`
 	// DocumentRevision is the document's revision after the command, also when
-	// it was refused; 0 if the name has never been used.
+	// the command was rejected; 0 if the name has never been used.
 	DocumentRevision uint64 `msg:"document_revision"`
 	// Deleted is true if DocumentRevision is that of a tombstone.
 	Deleted bool `msg:"deleted,omitempty"`
 	// StoreRevision is the revision of the whole store after the command.
 	StoreRevision uint64 `msg:"store_revision"`
-	// Repeated is true if the result was remembered from an earlier command
+	// Repeated is true if the result is the stored one of an earlier command
 	// with the same request id.
 	Repeated bool `msg:"repeated,omitempty"`
 }
@@ -100,7 +102,7 @@
 	return data, nil
 }
 
-// DecodeCommand reads what Encode wrote.
+// DecodeCommand decodes the output of Encode.
 func DecodeCommand(data []byte) (Command, error) {
 	var command Command
 	rest, err := command.UnmarshalMsg(data)
@@ -113,7 +115,7 @@
 	return command, nil
 }
 
-// DecodeResult reads the result that Store.Apply returned.
+// DecodeResult decodes the result of Store.Apply.
 func DecodeResult(data []byte) (Result, error) {
 	var result Result
 	if _, err := result.UnmarshalMsg(data); err != nil {
--- a/coordination/versioned/example_test.go
+++ b/coordination/versioned/example_test.go
@@ -6,8 +6,8 @@
 	"github.com/pierhaven/pierhaven/coordination/versioned"
 )
 
-// Two operators change the same document with equal revisions; one of them
-// sends again after losing the answer.
+// Two operators change the same document based on the same revision; one of them
+// resends the change after its answer was lost.
 func ExampleStore() {
 	store := versioned.New(versioned.Limits{})
 	index := uint64(0)
--- a/coordination/versioned/requests.go
+++ b/coordination/versioned/requests.go
@@ -1,37 +1,37 @@
 package versioned
 
-// requestTable remembers the first results of the newest request ids, oldest
-// first.
+// requestTable stores the first results of the newest request ids. Its order is
+// oldest first.
 type requestTable struct {
 	limit   int
-	replies map[string]rememberedReply
+	results map[string]storedResult
 	order   []string
 }
 
 func newRequestTable(limit int) *requestTable {
-	return &requestTable{limit: limit, replies: make(map[string]rememberedReply)}
+	return &requestTable{limit: limit, results: make(map[string]storedResult)}
 }
 
-func (t *requestTable) find(requestID string) (rememberedReply, bool) {
-	reply, found := t.replies[requestID]
-	return reply, found
+func (t *requestTable) find(requestID string) (storedResult, bool) {
+	result, found := t.results[requestID]
+	return result, found
 }
 
-// remember adds a reply and forgets the oldest ones over the limit.
-func (t *requestTable) remember(reply rememberedReply) {
-	t.replies[reply.RequestID] = reply
-	t.order = append(t.order, reply.RequestID)
+// add stores a result and removes the oldest ones over the limit.
+func (t *requestTable) add(result storedResult) {
+	t.results[result.RequestID] = result
+	t.order = append(t.order, result.RequestID)
 	for len(t.order) > t.limit {
-		delete(t.replies, t.order[0])
+		delete(t.results, t.order[0])
 		t.order = t.order[1:]
 	}
 }
 
-// list returns the replies, oldest first.
-func (t *requestTable) list() []rememberedReply {
-	replies := make([]rememberedReply, 0, len(t.order))
+// list returns the results, oldest first.
+func (t *requestTable) list() []storedResult {
+	results := make([]storedResult, 0, len(t.order))
 	for _, requestID := range t.order {
-		replies = append(replies, t.replies[requestID])
+		results = append(results, t.results[requestID])
 	}
-	return replies
+	return results
 }
--- a/coordination/versioned/state.go
+++ b/coordination/versioned/state.go
@@ -6,20 +6,22 @@
 // snapshotFormat is the version of the snapshot's layout.
 const snapshotFormat = 1
 
-// storeSnapshot is the whole state, with all lists in a fixed order.
+// storeSnapshot is the complete state of a Store, with all lists in a fixed
+// order.
 type storeSnapshot struct {
-	Format    int               `msg:"format"`
-	Base      uint64            `msg:"base"`
-	Revision  uint64            `msg:"revision"`
-	Bytes     int64             `msg:"bytes"`
-	Documents []Document        `msg:"documents"`
-	Requests  []rememberedReply `msg:"requests"`
+	Format    int            `msg:"format"`
+	Base      uint64         `msg:"base"`
+	Revision  uint64         `msg:"revision"`
+	Bytes     int64          `msg:"bytes"`
+	Documents []Document     `msg:"documents"`
+	Requests  []storedResult `msg:"requests"`
 }
 
-// rememberedReply is the first result of a request id.
-type rememberedReply struct {
+// storedResult is the first result of a request, by its id.
+type storedResult struct {
 	RequestID string `msg:"request_id"`
-	// CommandHash tells a resend from another change under the same id.
+	// CommandHash distinguishes a resent change from a different one with the
+	// same id.
 	CommandHash uint64 `msg:"command_hash"`
 	Result      Result `msg:"result"`
 }
--- a/coordination/versioned/state_gen.go
+++ b/coordination/versioned/state_gen.go
@@ -12,84 +12,6 @@
 	ze2bed3a0limitMaps   = 65536
 )
 
-// MarshalMsg implements msgp.Marshaler
-func (z *rememberedReply) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 3
-	// string "request_id"
-	o = append(o, 0x83, 0xaa, 0x72, 0x65, 0x71, 0x75, 0x65, 0x73, 0x74, 0x5f, 0x69, 0x64)
-	o = msgp.AppendString(o, z.RequestID)
-	// string "command_hash"
-	o = append(o, 0xac, 0x63, 0x6f, 0x6d, 0x6d, 0x61, 0x6e, 0x64, 0x5f, 0x68, 0x61, 0x73, 0x68)
-	o = msgp.AppendUint64(o, z.CommandHash)
-	// string "result"
-	o = append(o, 0xa6, 0x72, 0x65, 0x73, 0x75, 0x6c, 0x74)
-	o, err = z.Result.MarshalMsg(o)
-	if err != nil {
-		err = msgp.WrapError(err, "Result")
-		return
-	}
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *rememberedReply) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 > ze2bed3a0limitMaps {
-		err = msgp.ErrLimitExceeded
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "request_id":
-			z.RequestID, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "RequestID")
-				return
-			}
-		case "command_hash":
-			z.CommandHash, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "CommandHash")
-				return
-			}
-		case "result":
-			bts, err = z.Result.UnmarshalMsg(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Result")
-				return
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *rememberedReply) Msgsize() (s int) {
-	s = 1 + 11 + msgp.StringPrefixSize + len(z.RequestID) + 13 + msgp.Uint64Size + 7 + z.Result.Msgsize()
-	return
-}
-
 // MarshalMsg implements msgp.Marshaler
 func (z *storeSnapshot) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
@@ -221,7 +143,7 @@
 			if cap(z.Requests) >= int(zb0003) {
 				z.Requests = (z.Requests)[:zb0003]
 			} else {
-				z.Requests = make([]rememberedReply, zb0003)
+				z.Requests = make([]storedResult, zb0003)
 			}
 			for za0002 := range z.Requests {
 				var zb0004 uint32
@@ -293,3 +215,81 @@
 	}
 	return
 }
+
+// MarshalMsg implements msgp.Marshaler
+func (z *storedResult) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 3
+	// string "request_id"
+	o = append(o, 0x83, 0xaa, 0x72, 0x65, 0x71, 0x75, 0x65, 0x73, 0x74, 0x5f, 0x69, 0x64)
+	o = msgp.AppendString(o, z.RequestID)
+	// string "command_hash"
+	o = append(o, 0xac, 0x63, 0x6f, 0x6d, 0x6d, 0x61, 0x6e, 0x64, 0x5f, 0x68, 0x61, 0x73, 0x68)
+	o = msgp.AppendUint64(o, z.CommandHash)
+	// string "result"
+	o = append(o, 0xa6, 0x72, 0x65, 0x73, 0x75, 0x6c, 0x74)
+	o, err = z.Result.MarshalMsg(o)
+	if err != nil {
+		err = msgp.WrapError(err, "Result")
+		return
+	}
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *storedResult) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 > ze2bed3a0limitMaps {
+		err = msgp.ErrLimitExceeded
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "request_id":
+			z.RequestID, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "RequestID")
+				return
+			}
+		case "command_hash":
+			z.CommandHash, bts, err = msgp.ReadUint64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "CommandHash")
+				return
+			}
+		case "result":
+			bts, err = z.Result.UnmarshalMsg(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Result")
+				return
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *storedResult) Msgsize() (s int) {
+	s = 1 + 11 + msgp.StringPrefixSize + len(z.RequestID) + 13 + msgp.Uint64Size + 7 + z.Result.Msgsize()
+	return
+}
--- a/coordination/versioned/store.go
+++ b/coordination/versioned/store.go
@@ -7,20 +7,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Limits bound the store. They are part of the replicated behaviour: all
-// replicas of a group must have the same.
+// Limits are the limits of a store. All replicas of a group must have the same,
+// because the results of commands depend on them.
 type Limits struct {
-	// Documents bounds the documents and tombstones, which are never
-	// forgotten. Default 20,000, at most 1,048,576.
+	// Documents limits the number of documents and tombstones; tombstones are
+	// never removed. Default 20,000, at most 1,048,576.
 	Documents int
-	// DocumentBytes bounds one body. Default 256 KiB, at most 1 MiB.
+	// DocumentBytes limits the size of one body. Default 256 KiB, at most 1 MiB.
 	DocumentBytes int
-	// TotalBytes bounds all bodies together. Default 64 MiB.
+	// TotalBytes limits the size of all bodies together. Default 64 MiB.
 	TotalBytes int64
-	// Requests bounds the remembered request ids. Default 16,384, at most
-	// 1,048,576. Forgetting
-	// is safe, because a change that was made has moved the revision that its
-	// resend expects: the resend is refused as a conflict.
+	// Requests limits the number of stored request ids. Default 16,384, at most
+	// 1,048,576. Removing an id is safe: the applied change has given the
+	// document a newer revision than its resend expects, so the resend is
+	// rejected as a conflict.
 	Requests int
 }
 
@@ -30,8 +30,8 @@
 	defaultTotalBytes    = 64 << 20
 	defaultRequests      = 16_384
 	maximumNameBytes     = 256
-	// maximumElements is what the decoders take of elements, and of bytes in
-	// one body.
+	// maximumElements is the decoders' limit for the elements of an array and
+	// for the bytes of a body.
 	maximumElements = 1 << 20
 )
 
@@ -59,16 +59,17 @@
 	name string
 }
 
-// Store is the replicated state.
+// Store is the replicated store of documents.
 type Store struct {
 	limits Limits
-	// base is added to log positions, so that revisions go on rising after an
-	// import into a new group whose log starts afresh.
-	base      uint64
-	revision  uint64
-	bytes     int64
-	documents map[documentKey]Document
-	requests  *requestTable
+	// baseRevision is added to log positions to form revisions, so that these
+	// keep increasing after an import into a new group, whose log starts at the
+	// beginning.
+	baseRevision uint64
+	revision     uint64
+	bytes        int64
+	documents    map[documentKey]Document
+	requests     *requestTable
 }
 
 // New returns an empty store.
@@ -79,18 +80,18 @@
 }
 
 func (s *Store) reset() {
-	s.base = 0
+	s.baseRevision = 0
 	s.revision = 0
 	s.bytes = 0
 	s.documents = make(map[documentKey]Document)
 	s.requests = newRequestTable(s.limits.Requests)
 }
 
-// Revision is the revision of the last change, 0 if there was none.
+// Revision returns the revision of the last change, 0 if there was none.
 func (s *Store) Revision() uint64 { return s.revision }
 
-// RevisionExcept is the revision of the last change of a document that is not of a kind, 0
-// if there was none.
+// RevisionExcept returns the revision of the last change of a document that is
+// not of the given kind, 0 if there was none.
 func (s *Store) RevisionExcept(kind string) uint64 {
 	last := uint64(0)
 	for key, document := range s.documents {
@@ -130,7 +131,7 @@
 	})
 }
 
-// Apply implements replica.StateMachine: it carries out an encoded Command and
+// Apply implements replica.StateMachine: it executes an encoded Command and
 // returns an encoded Result.
 func (s *Store) Apply(index uint64, data []byte) []byte {
 	result := s.apply(index, data)
@@ -156,17 +157,17 @@
 		return earlier.Result
 	}
 	result := s.execute(index, &command)
-	s.requests.remember(rememberedReply{RequestID: command.RequestID, CommandHash: hash, Result: result})
+	s.requests.add(storedResult{RequestID: command.RequestID, CommandHash: hash, Result: result})
 	return result
 }
 
-// hash covers what a change asks for, without the revision that it is based on:
-// who resends a change after its answer was lost may have read the document
-// again in between, and must get the first answer.
+// hash covers the requested change without the revision that it is based on: an
+// operator who resends a change after its answer was lost may have read the
+// document again in between, and must get the first answer.
 func (c *Command) hash() uint64 {
-	intent := *c
-	intent.ExpectedRevision = 0
-	data, err := intent.MarshalMsg(nil)
+	unconditional := *c
+	unconditional.ExpectedRevision = 0
+	data, err := unconditional.MarshalMsg(nil)
 	if err != nil {
 		return 0
 	}
@@ -204,13 +205,13 @@
 func (s *Store) put(index uint64, command *Command) Result {
 	current, found := s.Get(command.Kind, command.Name)
 	if found && !current.Deleted || current.Revision != command.ExpectedRevision {
-		return refuse(OutcomeConflict, current)
+		return rejected(OutcomeConflict, current)
 	}
 	if current.Pinned != "" && current.Pinned != command.Pinned {
-		return refuse(OutcomePinned, current)
+		return rejected(OutcomePinned, current)
 	}
 	if !found && len(s.documents) >= s.limits.Documents {
-		return refuse(OutcomeFull, current)
+		return rejected(OutcomeFull, current)
 	}
 	return s.store(index, command, current, command.Pinned)
 }
@@ -218,13 +219,13 @@
 func (s *Store) replace(index uint64, command *Command) Result {
 	current, found := s.Get(command.Kind, command.Name)
 	if !found || current.Deleted {
-		return refuse(OutcomeNotFound, current)
+		return rejected(OutcomeNotFound, current)
 	}
 	if current.Revision != command.ExpectedRevision {
-		return refuse(OutcomeConflict, current)
+		return rejected(OutcomeConflict, current)
 	}
 	if current.Pinned != command.Pinned {
-		return refuse(OutcomePinned, current)
+		return rejected(OutcomePinned, current)
 	}
 	return s.store(index, command, current, current.Pinned)
 }
@@ -232,10 +233,10 @@
 func (s *Store) delete(index uint64, command *Command) Result {
 	current, found := s.Get(command.Kind, command.Name)
 	if !found || current.Deleted {
-		return refuse(OutcomeNotFound, current)
+		return rejected(OutcomeNotFound, current)
 	}
 	if current.Revision != command.ExpectedRevision {
-		return refuse(OutcomeConflict, current)
+		return rejected(OutcomeConflict, current)
 	}
 	s.bytes -= int64(len(current.Body))
 	current.Body = nil
@@ -246,20 +247,20 @@
 func (s *Store) store(index uint64, command *Command, current Document, pinned string) Result {
 	bytes := s.bytes + int64(len(command.Body)) - int64(len(current.Body))
 	if bytes > s.limits.TotalBytes {
-		return refuse(OutcomeFull, current)
+		return rejected(OutcomeFull, current)
 	}
 	s.bytes = bytes
 	return s.commit(index, Document{Kind: command.Kind, Name: command.Name, Body: command.Body, Pinned: pinned})
 }
 
 func (s *Store) commit(index uint64, document Document) Result {
-	s.revision = s.base + index
+	s.revision = s.baseRevision + index
 	document.Revision = s.revision
 	s.documents[documentKey{document.Kind, document.Name}] = document
 	return Result{Outcome: OutcomeApplied, DocumentRevision: document.Revision, Deleted: document.Deleted}
 }
 
-func refuse(outcome Outcome, current Document) Result {
+func rejected(outcome Outcome, current Document) Result {
 	return Result{Outcome: outcome, DocumentRevision: current.Revision, Deleted: current.Deleted}
 }
 
@@ -270,8 +271,8 @@
 	if len(command.Documents) > s.limits.Documents {
 		return Result{Outcome: OutcomeFull}
 	}
-	s.base = command.BaseRevision
-	s.revision = s.base + index
+	s.baseRevision = command.BaseRevision
+	s.revision = s.baseRevision + index
 	for _, document := range command.Documents {
 		s.bytes += int64(len(document.Body))
 		s.documents[documentKey{document.Kind, document.Name}] = document
@@ -283,7 +284,7 @@
 func (s *Store) Snapshot() ([]byte, error) {
 	snapshot := storeSnapshot{
 		Format:   snapshotFormat,
-		Base:     s.base,
+		Base:     s.baseRevision,
 		Revision: s.revision,
 		Bytes:    s.bytes,
 		Requests: s.requests.list(),
@@ -313,14 +314,14 @@
 		return fmt.Errorf("snapshot has format %d, want %d", snapshot.Format, snapshotFormat)
 	}
 	s.reset()
-	s.base = snapshot.Base
+	s.baseRevision = snapshot.Base
 	s.revision = snapshot.Revision
 	s.bytes = snapshot.Bytes
 	for _, document := range snapshot.Documents {
 		s.documents[documentKey{document.Kind, document.Name}] = document
 	}
-	for _, reply := range snapshot.Requests {
-		s.requests.remember(reply)
+	for _, result := range snapshot.Requests {
+		s.requests.add(result)
 	}
 	return nil
 }
--- a/coordination/versioned/store_test.go
+++ b/coordination/versioned/store_test.go
@@ -16,7 +16,7 @@
 	return result
 }
 
-func TestOfTwoRacingOperatorsOneWins(t *testing.T) {
+func TestConcurrentChangesOfOneRevisionConflict(t *testing.T) {
 	store := New(Limits{})
 	first := apply(t, store, 5, Command{Operation: OperationPut, RequestID: "0", Kind: "policy", Name: "p"})
 	require.Equal(t, Result{Outcome: OutcomeApplied, DocumentRevision: 5, StoreRevision: 5}, first)
@@ -29,7 +29,7 @@
 	lost := apply(t, store, 7, right)
 	require.Equal(t, Result{Outcome: OutcomeConflict, DocumentRevision: 6, StoreRevision: 6}, lost)
 
-	// Resends get the first answers, also after other changes.
+	// Resent requests get the first answers, also after other changes.
 	right.ExpectedRevision = 5
 	require.Equal(t, OutcomeConflict, apply(t, store, 8, right).Outcome)
 	repeated := apply(t, store, 9, left)
@@ -37,14 +37,14 @@
 
 	left.ExpectedRevision = 6
 	repeated = apply(t, store, 10, left)
-	require.True(t, repeated.Repeated, "a resend may have read the document again")
+	require.True(t, repeated.Repeated, "a resent request may expect a newer revision")
 	require.Equal(t, uint64(6), repeated.DocumentRevision)
 
 	left.Body = []byte("something else")
 	require.Equal(t, OutcomeRequestReused, apply(t, store, 11, left).Outcome)
 }
 
-func TestPinnedOutlivesDeletion(t *testing.T) {
+func TestPinnedPropertySurvivesDeletion(t *testing.T) {
 	store := New(Limits{})
 	put := Command{Operation: OperationPut, Kind: "tenant", Name: "t", Pinned: "hal-noord"}
 	put.RequestID = "1"
@@ -55,7 +55,7 @@
 	require.Equal(t, Result{Outcome: OutcomeApplied, DocumentRevision: 3, Deleted: true, StoreRevision: 3}, apply(t, store, 3, removed))
 
 	put.RequestID = "4"
-	require.Equal(t, OutcomeConflict, apply(t, store, 4, put).Outcome, "a put must name the tombstone")
+	require.Equal(t, OutcomeConflict, apply(t, store, 4, put).Outcome, "a put must expect the revision of the tombstone")
 	put.RequestID, put.ExpectedRevision, put.Pinned = "5", 3, "hal-zuid"
 	require.Equal(t, OutcomePinned, apply(t, store, 5, put).Outcome)
 	put.RequestID, put.Pinned = "6", "hal-noord"
@@ -89,13 +89,14 @@
 	put.RequestID, put.Name = "3", "c"
 	require.Equal(t, OutcomeFull, apply(t, store, 4, put).Outcome)
 
-	// The first request is forgotten, but its resend can't be made twice.
+	// The first request id has been removed, but the resent change is not applied
+	// a second time.
 	put.RequestID, put.Name = "1", "a"
 	require.Equal(t, OutcomeConflict, apply(t, store, 5, put).Outcome)
 }
 
-// TestStoreAgainstModel compares the store with the obvious one, over restores
-// and resends.
+// TestStoreAgainstModel compares the store with a simple model, across restores
+// and resent requests.
 func TestStoreAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := New(Limits{})
