--- a/coordination/examples/counter/main.go
+++ b/coordination/examples/counter/main.go
@@ -1,5 +1,5 @@
-// Command counter embeds the coordination library: a counter that survives
-// kills and power failures. Each run adds the given number of steps.
+// Command counter embeds the coordination library in a counter that survives
+// process kills and power failures. Each run adds the given number of steps.
 //
 //	go run ./coordination/examples/counter -data /tmp/counter -steps 3
 package main
@@ -33,10 +33,10 @@
 	return nil
 }
 
-// alone is the transport of a group of one.
-type alone struct{}
+// noTransport is the transport of a group of one replica, which has no peers.
+type noTransport struct{}
 
-func (alone) Send([]consensus.Message) {}
+func (noTransport) Send([]consensus.Message) {}
 
 func main() {
 	directory := flag.String("data", "/tmp/counter", "data folder")
@@ -49,12 +49,13 @@
 	fmt.Println("counter:", value)
 }
 
-// count adds steps to the counter in a folder, which it creates if need be.
+// count adds steps to the counter in a directory, which it creates if necessary,
+// and returns the new value.
 func count(directory string, steps int) (uint64, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	state := &counter{}
-	runner, err := replica.NewRunner(replica.RunnerConfig{Transport: alone{}, Config: replica.Config{
+	runner, err := replica.NewRunner(replica.RunnerConfig{Transport: noTransport{}, Config: replica.Config{
 		Group: 1, Directory: directory, FileSystem: storage.OperatingSystem{}, StateMachine: state,
 		Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}})
--- a/coordination/examples/counter/main_test.go
+++ b/coordination/examples/counter/main_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestCounterGoesOnAfterRestart(t *testing.T) {
+func TestCounterContinuesAfterRestart(t *testing.T) {
 	directory := filepath.Join(t.TempDir(), "data")
 	for run := uint64(1); run <= 3; run++ {
 		value, err := count(directory, 4)
