--- a/coordination/replica/benchmark_test.go
+++ b/coordination/replica/benchmark_test.go
@@ -15,7 +15,7 @@
 	"github.com/pierhaven/pierhaven/coordination/storage"
 )
 
-// BenchmarkCommits measures proposals by many callers on a real disk.
+// BenchmarkCommits measures the throughput of concurrent proposals on a real disk.
 func BenchmarkCommits(b *testing.B) {
 	for _, replicas := range []int{1, 3} {
 		for _, callers := range []int{1, 64, 1024} {
@@ -27,8 +27,8 @@
 }
 
 func benchmarkCommits(b *testing.B, replicas, callers int) {
-	_, runners, _, _ := foundRunners(b, replicas)
-	leader := leaderOf(b, runners)
+	_, runners, _, _ := startGroup(b, replicas)
+	leader := awaitLeader(b, runners)
 	command := make([]byte, 128)
 	_, _, err := leader.Propose(testContext(b), command)
 	require.NoError(b, err)
@@ -57,8 +57,8 @@
 	}
 }
 
-// BenchmarkRestart measures opening a replica of one after 100,000 changes on
-// a real disk until it answers a linearizable read.
+// BenchmarkRestart measures the time from opening a single-replica group with
+// 100,000 committed commands on a real disk to its first linearizable read.
 func BenchmarkRestart(b *testing.B) {
 	for _, snapshots := range []bool{false, true} {
 		b.Run(fmt.Sprintf("snapshots=%v", snapshots), func(b *testing.B) {
@@ -76,7 +76,7 @@
 	}
 	node, err := OpenNode(config, 0)
 	require.NoError(b, err)
-	foundAlone(b, node)
+	foundSingleReplica(b, node)
 	proposals := make([]Proposal, 100)
 	for position := range proposals {
 		proposals[position] = Proposal{Command: make([]byte, 128)}
@@ -103,7 +103,7 @@
 	b.ReportMetric(b.Elapsed().Seconds()*1000/float64(b.N), "ms/restart")
 }
 
-func foundAlone(b testing.TB, node *Node) {
+func foundSingleReplica(b testing.TB, node *Node) {
 	request := FoundingRequest{Group: testGroup, Token: 5}
 	promise, err := node.PromiseFounding(request)
 	require.NoError(b, err)
@@ -115,10 +115,9 @@
 	require.NoError(b, err)
 }
 
-// BenchmarkFailover measures, in virtual time, how long after the leader's
-// death the next command is committed, in election timeouts. One iteration is
-// one seed with three machines; the network delay is up to 5 ms and the
-// timeout 200 ms.
+// BenchmarkFailover measures the virtual time from a leader's failure to the
+// next committed command, in election timeouts. One iteration is one seed with
+// three machines; the network delay is up to 5 ms and the election timeout 200 ms.
 func BenchmarkFailover(b *testing.B) {
 	times := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	for seed := range b.N {
@@ -133,21 +132,21 @@
 }
 
 func failover(b *testing.B, seed uint64) time.Duration {
-	c := newCluster(seed, 3, plant{})
+	c := newCluster(seed, 3, plantedBugs{})
 	c.clients.start()
 	c.runFor(2 * time.Second)
-	c.runFor(c.someTime(testElectionTime))
+	c.runFor(c.randomDuration(testElectionTime))
 	leader := c.leader()
 	require.NotNil(b, leader)
-	died := c.now
+	crashedAt := c.now
 	leader.stop()
-	before := len(c.checks.commands)
-	for len(c.checks.commands) == before {
-		require.Less(b, c.now, died+time.Minute)
+	before := len(c.checks.commandByIndex)
+	for len(c.checks.commandByIndex) == before {
+		require.Less(b, c.now, crashedAt+time.Minute)
 		c.runFor(time.Millisecond)
 	}
 	require.Empty(b, c.checks.violation)
-	return c.now - died
+	return c.now - crashedAt
 }
 
 func diskConfig(directory string) Config {
--- a/coordination/replica/bootstrap.go
+++ b/coordination/replica/bootstrap.go
@@ -7,26 +7,26 @@
 	"fmt"
 )
 
-// BootstrapOptions describes a founding.
+// BootstrapOptions describes a founding, which creates a group.
 type BootstrapOptions struct {
-	// Generation is one for the first founding of a group, and higher than
-	// ever before when the group's state was lost.
+	// Generation is one for the first founding of a group. After the group's
+	// state was lost, it must be higher than in any earlier founding.
 	Generation uint64
-	// SelfAddress and OtherAddresses are the initial voters.
+	// SelfAddress and OtherAddresses are the addresses of the initial voters.
 	SelfAddress    string
 	OtherAddresses []string
-	// Collect asks the replica at an address for its promise.
+	// Collect requests the promise of the replica at an address.
 	Collect func(ctx context.Context, address string, request FoundingRequest) (FoundingPromise, error)
 }
 
-// Bootstrap is the coordinator's part of a founding: it gets the promises of
-// this replica and, by Collect, of all others, and installs the initial
-// configuration here. The caller then hands the returned Founding to the
-// others' Found; those that miss it learn it from the group's leader.
+// Bootstrap coordinates a founding: it collects the promises of this replica
+// and, through Collect, of all others, and installs the initial configuration
+// on this replica. The caller then passes the returned Founding to Found of the
+// others; those that miss it learn the configuration from the group's leader.
 //
 // Only one replica, such as the first in the settings file, should bootstrap a
-// group. It may be repeated until it succeeds. A replica that is a member
-// already refuses, so that a group is founded once.
+// group. Bootstrap may be retried until it succeeds. A replica that is already
+// a member rejects it, so that a group is founded only once.
 func (r *Runner) Bootstrap(ctx context.Context, options BootstrapOptions) (Founding, error) {
 	request := FoundingRequest{Group: r.config.Group, Token: r.foundingToken()}
 	own, err := r.PromiseFounding(ctx, request)
@@ -51,7 +51,8 @@
 	return founding, r.Found(ctx, founding)
 }
 
-// foundingToken goes on with the token that was promised before a restart.
+// foundingToken returns the token that this replica promised before a restart,
+// or else a new random one, which is never zero.
 func (r *Runner) foundingToken() uint64 {
 	if token := r.Status().FoundingToken; token != 0 {
 		return token
--- a/coordination/replica/cluster_checks_test.go
+++ b/coordination/replica/cluster_checks_test.go
@@ -14,7 +14,7 @@
 	"github.com/pierhaven/pierhaven/coordination/storage/memoryfs"
 )
 
-// testCommand is a command of the replicated registers.
+// testCommand writes, or compares and swaps, one replicated register.
 type testCommand struct {
 	Number uint64
 	Key    int
@@ -23,7 +23,8 @@
 	New    int
 }
 
-// testMachine is a set of registers that reports to the checks what it applies.
+// testMachine is a state machine of registers that reports each applied command
+// to the checks.
 type testMachine struct {
 	checks *checks
 	name   string
@@ -57,24 +58,24 @@
 	return json.Unmarshal(data, m)
 }
 
-// checks holds the invariants over all machines of a run.
+// checks verifies invariants across all machines of a simulated run.
 type checks struct {
-	violation string
-	leaders   map[uint64]consensus.ReplicaID
-	// commands holds the command that was applied at each index.
-	commands map[uint64][]byte
-	// numbers holds the index at which each command number was applied.
-	numbers map[uint64]uint64
-	refused map[uint64]bool
-	history []porcupine.Operation
+	violation    string
+	leaderByTerm map[uint64]consensus.ReplicaID
+	// commandByIndex is the command that was applied at each log index.
+	commandByIndex map[uint64][]byte
+	// indexByNumber is the log index at which each command number was applied.
+	indexByNumber map[uint64]uint64
+	notRun        map[uint64]bool
+	history       []porcupine.Operation
 }
 
 func newChecks() *checks {
 	return &checks{
-		leaders:  map[uint64]consensus.ReplicaID{},
-		commands: map[uint64][]byte{},
-		numbers:  map[uint64]uint64{},
-		refused:  map[uint64]bool{},
+		leaderByTerm:   map[uint64]consensus.ReplicaID{},
+		commandByIndex: map[uint64][]byte{},
+		indexByNumber:  map[uint64]uint64{},
+		notRun:         map[uint64]bool{},
 	}
 }
 
@@ -90,69 +91,72 @@
 	}
 }
 
-func isInjected(err error) bool {
+func isInjectedFault(err error) bool {
 	return errors.Is(err, storage.ErrSyncFailed) || errors.Is(err, storage.ErrDiskFull) || errors.Is(err, memoryfs.ErrCrashed)
 }
 
-// openFailed accepts only the failures that were injected.
+// openFailed fails the run unless the error comes from an injected fault or a
+// planted bug.
 func (c *checks) openFailed(m *machine, err error) {
-	if isInjected(err) {
+	if isInjectedFault(err) {
 		return
 	}
-	if (m.cluster.plant.lyingDisk || m.cluster.plant.acceptedCopy) && errors.Is(err, ErrReplicaQuarantined) {
+	if (m.cluster.planted.ignoreSyncs || m.cluster.planted.acceptOldCopy) && errors.Is(err, ErrReplicaQuarantined) {
 		return
 	}
 	c.fail("%s does not open: %v", m.address(), err)
 }
 
-// quarantined checks that a replica with damaged data takes no part.
+// quarantined checks that a replica with damaged data does not open.
 func (c *checks) quarantined(m *machine, err error) {
 	if !errors.Is(err, ErrReplicaQuarantined) {
 		c.fail("%s opens with damaged data: %v", m.address(), err)
 	}
 }
 
-// leader checks election safety: one leader a term.
-func (c *checks) leader(status Status) {
+// electionSafety checks that there is at most one leader per term.
+func (c *checks) electionSafety(status Status) {
 	if status.Role != consensus.RoleLeader {
 		return
 	}
-	if other, found := c.leaders[status.Term]; found && other != status.ID {
+	if other, found := c.leaderByTerm[status.Term]; found && other != status.ID {
 		c.fail("two leaders in term %d", status.Term)
 	}
-	c.leaders[status.Term] = status.ID
+	c.leaderByTerm[status.Term] = status.ID
 }
 
-// applied checks state machine safety, and that nothing is applied twice by
-// one state machine or applied after it was refused.
+// applied checks state machine safety: all machines apply the same command at an
+// index, no command is applied twice, and none is applied after it was reported
+// as not executed.
 func (c *checks) applied(m *testMachine, index uint64, data []byte) {
 	if index <= m.Index {
 		c.fail("%s applies index %d after %d", m.name, index, m.Index)
 	}
-	if known, found := c.commands[index]; found && !bytes.Equal(known, data) {
+	if known, found := c.commandByIndex[index]; found && !bytes.Equal(known, data) {
 		c.fail("%s applies another command at index %d", m.name, index)
 	}
-	c.commands[index] = data
+	c.commandByIndex[index] = data
 	var command testCommand
 	c.noError("command", json.Unmarshal(data, &command))
-	if known, found := c.numbers[command.Number]; found && known != index {
+	if known, found := c.indexByNumber[command.Number]; found && known != index {
 		c.fail("command %d is applied at %d and %d", command.Number, known, index)
 	}
-	c.numbers[command.Number] = index
-	if c.refused[command.Number] {
+	c.indexByNumber[command.Number] = index
+	if c.notRun[command.Number] {
 		c.fail("command %d was refused as not run and is applied at %d", command.Number, index)
 	}
 }
 
-func (c *checks) refuse(number uint64) {
-	c.refused[number] = true
-	if index, found := c.numbers[number]; found {
+func (c *checks) recordNotRun(number uint64) {
+	c.notRun[number] = true
+	if index, found := c.indexByNumber[number]; found {
 		c.fail("command %d was applied at %d and then refused as not run", number, index)
 	}
 }
 
-// logs checks log matching between all pairs of disks.
-func (c *checks) logs(machines []*machine) {
+// logMatching checks the log matching property across all disks: entries with
+// the same index and term have the same data and the same preceding term.
+func (c *checks) logMatching(machines []*machine) {
 	terms := map[[2]uint64][]byte{}
 	for _, m := range machines {
 		state, err := storage.ReadState(m.disk, testDirectory)
@@ -207,23 +211,23 @@
 	},
 	Init: func() any { return 0 },
 	Step: func(state, input, output any) (bool, any) {
-		asked, answer := input.(registerInput), output.(registerOutput)
+		request, response := input.(registerInput), output.(registerOutput)
 		value := state.(int)
-		if asked.isRead {
-			return answer.value == value, value
+		if request.isRead {
+			return response.value == value, value
 		}
-		applies := !asked.isSwap || asked.old == value
-		if !answer.isUnknown && answer.swapped != applies {
+		applies := !request.isSwap || request.old == value
+		if !response.isUnknown && response.swapped != applies {
 			return false, value
 		}
 		if applies {
-			value = asked.new
+			value = request.new
 		}
 		return true, value
 	},
 }
 
-// linearizable checks the clients' history.
+// linearizable checks that the clients' history is linearizable.
 func (c *checks) linearizable() {
 	if c.violation != "" {
 		return
@@ -237,9 +241,10 @@
 	}
 }
 
-// acknowledged checks that a change that was answered stands where it was said to.
+// acknowledged checks that an acknowledged command was applied at the index that
+// its completion reports.
 func (c *checks) acknowledged(completion Completion) {
-	if index, found := c.numbers[completion.RequestID]; !found || index != completion.Index {
+	if index, found := c.indexByNumber[completion.RequestID]; !found || index != completion.Index {
 		c.fail("command %d was acknowledged at %d but applied at %d", completion.RequestID, completion.Index, index)
 	}
 }
--- a/coordination/replica/cluster_clients_test.go
+++ b/coordination/replica/cluster_clients_test.go
@@ -14,7 +14,7 @@
 	registerKeys = 6
 )
 
-// operation is one request of a client.
+// operation is one client request.
 type operation struct {
 	client   int
 	number   uint64
@@ -23,12 +23,14 @@
 	calledAt time.Duration
 }
 
-// clients ask machines at random, each one thing at a time.
+// clients send requests to random machines, mostly to the leader. Each client has
+// one request in progress at a time.
 type clients struct {
 	cluster *cluster
 	next    uint64
-	waiting map[uint64]*operation
-	// membership holds the numbers of the operator's changes.
+	pending map[uint64]*operation
+	// membership holds the request ids of membership changes and leadership
+	// transfers.
 	membership map[uint64]bool
 	stopped    bool
 	succeeded  int
@@ -36,20 +38,20 @@
 }
 
 func newClients(c *cluster) *clients {
-	return &clients{cluster: c, waiting: map[uint64]*operation{}, membership: map[uint64]bool{}}
+	return &clients{cluster: c, pending: map[uint64]*operation{}, membership: map[uint64]bool{}}
 }
 
 func (c *clients) start() {
 	for client := range clientCount {
-		c.later(client)
+		c.scheduleNext(client)
 	}
 }
 
-func (c *clients) later(client int) {
-	c.cluster.after(c.cluster.someTime(80*time.Millisecond), func() { c.ask(client) })
+func (c *clients) scheduleNext(client int) {
+	c.cluster.after(c.cluster.randomDuration(80*time.Millisecond), func() { c.issueRequest(client) })
 }
 
-func (c *clients) ask(client int) {
+func (c *clients) issueRequest(client int) {
 	if c.stopped {
 		return
 	}
@@ -59,120 +61,121 @@
 		m = leader
 	}
 	if m.node == nil {
-		c.later(client)
+		c.scheduleNext(client)
 		return
 	}
 	c.next++
-	asked := &operation{client: client, number: c.next, machine: m, calledAt: c.cluster.now}
-	asked.input = registerInput{
+	op := &operation{client: client, number: c.next, machine: m, calledAt: c.cluster.now}
+	op.input = registerInput{
 		key: random.IntN(registerKeys), isRead: random.IntN(3) == 0, isSwap: random.IntN(2) == 0,
 		old: random.IntN(5), new: random.IntN(5),
 	}
-	c.waiting[asked.number] = asked
-	c.cluster.after(2*time.Second, func() { c.giveUp(asked) })
-	if asked.input.isRead {
-		c.read(asked)
+	c.pending[op.number] = op
+	c.cluster.after(2*time.Second, func() { c.timeOut(op) })
+	if op.input.isRead {
+		c.read(op)
 		return
 	}
-	c.write(asked)
+	c.write(op)
 }
 
-func (c *clients) write(asked *operation) {
+func (c *clients) write(op *operation) {
 	data, err := json.Marshal(testCommand{
-		Number: asked.number, Key: asked.input.key, IsSwap: asked.input.isSwap, Old: asked.input.old, New: asked.input.new,
+		Number: op.number, Key: op.input.key, IsSwap: op.input.isSwap, Old: op.input.old, New: op.input.new,
 	})
 	c.cluster.checks.noError("command", err)
-	m := asked.machine
-	m.call(func() (Outputs, error) { return m.node.Propose(m.now(), asked.number, data) })
+	m := op.machine
+	m.call(func() (Outputs, error) { return m.node.Propose(m.now(), op.number, data) })
 }
 
-func (c *clients) read(asked *operation) {
-	m := asked.machine
-	if c.cluster.plant.localReads {
-		c.finishRead(asked)
+func (c *clients) read(op *operation) {
+	m := op.machine
+	if c.cluster.planted.readsWithoutBarrier {
+		c.finishRead(op)
 		return
 	}
-	m.call(func() (Outputs, error) { return m.node.ReadBarrier(m.now(), asked.number) })
+	m.call(func() (Outputs, error) { return m.node.ReadBarrier(m.now(), op.number) })
 }
 
-// complete takes in what a machine has answered.
+// complete handles the completions that a machine returned.
 func (c *clients) complete(m *machine, outputs Outputs) {
 	for _, completion := range outputs.Completed {
 		if c.membership[completion.RequestID] {
 			delete(c.membership, completion.RequestID)
 			continue
 		}
-		if asked := c.waiting[completion.RequestID]; asked != nil {
-			c.finishWrite(asked, completion)
+		if op := c.pending[completion.RequestID]; op != nil {
+			c.finishWrite(op, completion)
 		} else if completion.Err == nil {
 			c.cluster.checks.acknowledged(completion)
 		}
 	}
 	for _, read := range outputs.Reads {
-		asked := c.waiting[read.RequestID]
-		if asked == nil {
+		op := c.pending[read.RequestID]
+		if op == nil {
 			continue
 		}
 		if read.Err == nil {
-			c.finishRead(asked)
+			c.finishRead(op)
 		} else {
-			c.end(asked)
+			c.finish(op)
 		}
 	}
 }
 
-func (c *clients) finishWrite(asked *operation, completion Completion) {
+func (c *clients) finishWrite(op *operation, completion Completion) {
 	switch {
 	case completion.Err == nil:
 		c.succeeded++
 		c.cluster.checks.acknowledged(completion)
-		c.record(asked, registerOutput{swapped: string(completion.Result) == "yes"}, c.cluster.now)
-	case errors.Is(completion.Err, ErrOutcomeUnknown) && !c.cluster.plant.unknownIsRefused:
-		c.recordUnknown(asked)
+		c.record(op, registerOutput{swapped: string(completion.Result) == "yes"}, c.cluster.now)
+	case errors.Is(completion.Err, ErrOutcomeUnknown) && !c.cluster.planted.unknownReportedAsNotRun:
+		c.recordUnknown(op)
 	default:
-		c.cluster.checks.refuse(asked.number)
+		c.cluster.checks.recordNotRun(op.number)
 	}
-	c.end(asked)
+	c.finish(op)
 }
 
-func (c *clients) finishRead(asked *operation) {
+func (c *clients) finishRead(op *operation) {
 	c.succeeded++
-	c.record(asked, registerOutput{value: asked.machine.state.Values[asked.input.key]}, c.cluster.now)
-	c.end(asked)
+	c.record(op, registerOutput{value: op.machine.state.Values[op.input.key]}, c.cluster.now)
+	c.finish(op)
 }
 
-func (c *clients) recordUnknown(asked *operation) {
+func (c *clients) recordUnknown(op *operation) {
 	c.unknown++
-	c.record(asked, registerOutput{isUnknown: true}, math.MaxInt64)
+	c.record(op, registerOutput{isUnknown: true}, math.MaxInt64)
 }
 
-func (c *clients) record(asked *operation, output registerOutput, returnedAt time.Duration) {
+func (c *clients) record(op *operation, output registerOutput, returnedAt time.Duration) {
 	c.cluster.checks.history = append(c.cluster.checks.history, porcupine.Operation{
-		ClientId: int(asked.number), Input: asked.input, Call: int64(asked.calledAt), Output: output, Return: int64(returnedAt),
+		ClientId: int(op.number), Input: op.input, Call: int64(op.calledAt), Output: output, Return: int64(returnedAt),
 	})
 }
 
-func (c *clients) end(asked *operation) {
-	delete(c.waiting, asked.number)
-	c.later(asked.client)
+func (c *clients) finish(op *operation) {
+	delete(c.pending, op.number)
+	c.scheduleNext(op.client)
 }
 
-// giveUp ends an operation that has had no answer for long.
-func (c *clients) giveUp(asked *operation) {
-	if c.waiting[asked.number] != asked {
+// timeOut ends an operation if it is still pending; the outcome of a write is
+// recorded as unknown.
+func (c *clients) timeOut(op *operation) {
+	if c.pending[op.number] != op {
 		return
 	}
-	if !asked.input.isRead {
-		c.recordUnknown(asked)
+	if !op.input.isRead {
+		c.recordUnknown(op)
 	}
-	c.end(asked)
+	c.finish(op)
 }
 
-// lost ends the operations that wait on a process that is gone.
-func (c *clients) lost(m *machine) {
+// abandonPending ends the pending operations of a process that has stopped.
+func (c *clients) abandonPending(m *machine) {
 	for number := uint64(1); number <= c.next; number++ {
-		if asked := c.waiting[number]; asked != nil && asked.machine == m {
-			c.giveUp(asked)
+		if op := c.pending[number]; op != nil && op.machine == m {
+			c.timeOut(op)
 		}
 	}
 }
--- a/coordination/replica/cluster_faults_test.go
+++ b/coordination/replica/cluster_faults_test.go
@@ -6,7 +6,7 @@
 	"github.com/pierhaven/pierhaven/coordination/consensus"
 )
 
-// operator repairs the membership after a disk was lost, as the controllers do.
+// operator repairs the membership after a disk loss, as the controllers do.
 type operator struct {
 	cluster *cluster
 	next    uint64
@@ -30,19 +30,20 @@
 	if !needed {
 		return
 	}
-	number := o.request()
+	number := o.newRequestID()
 	leader.call(func() (Outputs, error) { return leader.node.ChangeMembership(leader.now(), number, change) })
 }
 
-// request returns the number of a new request that is no client's.
-func (o *operator) request() uint64 {
+// newRequestID returns a request id that no client uses.
+func (o *operator) newRequestID() uint64 {
 	o.next++
 	number := firstOperatorRequest + o.next
 	o.cluster.clients.membership[number] = true
 	return number
 }
 
-// nextChange follows Runner.Replace for a lost member.
+// nextChange returns the next step to replace a lost member, in the order of
+// Runner.Replace.
 func (o *operator) nextChange(status Status) (consensus.MembershipChange, bool) {
 	for _, m := range o.cluster.machines {
 		if m.node == nil {
@@ -57,19 +58,19 @@
 		if !member.Learner || member.MatchIndex < status.CommitIndex || !o.isCurrent(member.ID) {
 			continue
 		}
-		if stale, found := o.stale(status); found {
+		if stale, found := o.staleMember(status); found {
 			return consensus.MembershipChange{Kind: consensus.RemoveMember, Member: stale}, true
 		}
 		return consensus.MembershipChange{Kind: consensus.PromoteLearner, Member: member.Member}, true
 	}
 	// A learner may have been promoted before the lost member was removed.
-	if stale, found := o.stale(status); found && len(status.Members) > len(o.cluster.machines) {
+	if stale, found := o.staleMember(status); found && len(status.Members) > len(o.cluster.machines) {
 		return consensus.MembershipChange{Kind: consensus.RemoveMember, Member: stale}, true
 	}
 	return consensus.MembershipChange{}, false
 }
 
-func (o *operator) stale(status Status) (consensus.Member, bool) {
+func (o *operator) staleMember(status Status) (consensus.Member, bool) {
 	for _, member := range status.Members {
 		if !o.isCurrent(member.ID) {
 			return member.Member, true
@@ -78,15 +79,16 @@
 	return consensus.Member{}, false
 }
 
-// isCurrent reports whether the id lives on the disk of a machine.
+// isCurrent reports whether the replica with the id is on a machine's current
+// disk.
 func (o *operator) isCurrent(id consensus.ReplicaID) bool {
 	m := o.cluster.byID[id]
 	return m != nil && m.id == id
 }
 
-// isWhole reports whether every machine's replica is a voter of a committed
-// membership, so that one more disk may be lost.
-func (o *operator) isWhole() bool {
+// isFullyRepaired reports whether every machine's replica is a voter in a
+// committed membership, so that one more disk may be lost.
+func (o *operator) isFullyRepaired() bool {
 	leader := o.cluster.leader()
 	if leader == nil {
 		return false
@@ -103,19 +105,20 @@
 	return true
 }
 
-// faults injects faults of all kinds, one or more at a time.
+// faults injects random faults, one or two at a time, which may overlap with
+// earlier ones.
 type faults struct {
 	cluster     *cluster
 	operator    *operator
 	maintenance *maintenance
 	stopped     bool
-	lostDisk    int
+	lostDisks   int
 	flippedBits int
 	restored    int
 }
 
 func (f *faults) start() {
-	f.cluster.after(f.cluster.someTime(700*time.Millisecond), func() {
+	f.cluster.after(f.cluster.randomDuration(700*time.Millisecond), func() {
 		if f.stopped {
 			return
 		}
@@ -136,13 +139,13 @@
 	case 1:
 		m.kill()
 	case 2:
-		m.pause(c.someTime(1500 * time.Millisecond))
+		m.pause(c.randomDuration(1500 * time.Millisecond))
 	case 3:
 		f.isolate(m)
 	case 4:
-		f.cutOneWay(m)
+		f.blockSomeOutgoing(m)
 	case 5:
-		f.disturb()
+		f.degradeNetwork()
 	case 6:
 		m.disk.FailSyncs(1)
 	case 7:
@@ -164,57 +167,57 @@
 	}
 }
 
-// fillDisk leaves little or no room on a disk for some time.
+// fillDisk leaves little or no free space on a disk for a random time.
 func (f *faults) fillDisk(m *machine) {
 	disk := m.disk
 	disk.SetCapacity(disk.UsedBytes() + int64(f.cluster.random.IntN(2000)))
-	f.cluster.after(f.cluster.someTime(1500*time.Millisecond), func() { disk.SetCapacity(0) })
+	f.cluster.after(f.cluster.randomDuration(1500*time.Millisecond), func() { disk.SetCapacity(0) })
 }
 
 func (f *faults) isolate(m *machine) {
 	for _, other := range f.cluster.machines {
-		f.cut(m, other)
-		f.cut(other, m)
+		f.blockLink(m, other)
+		f.blockLink(other, m)
 	}
 }
 
-func (f *faults) cutOneWay(m *machine) {
+func (f *faults) blockSomeOutgoing(m *machine) {
 	for _, other := range f.cluster.machines {
 		if f.cluster.random.IntN(2) == 0 {
-			f.cut(m, other)
+			f.blockLink(m, other)
 		}
 	}
 }
 
-func (f *faults) cut(from, to *machine) {
+func (f *faults) blockLink(from, to *machine) {
 	pair := [2]int{from.number, to.number}
-	f.cluster.network.cut[pair] = true
-	f.cluster.after(f.cluster.someTime(2500*time.Millisecond), func() { delete(f.cluster.network.cut, pair) })
+	f.cluster.network.blockedLinks[pair] = true
+	f.cluster.after(f.cluster.randomDuration(2500*time.Millisecond), func() { delete(f.cluster.network.blockedLinks, pair) })
 }
 
-func (f *faults) disturb() {
+func (f *faults) degradeNetwork() {
 	f.cluster.network.lossPercent = f.cluster.random.IntN(40)
 	f.cluster.network.duplicatePercent = f.cluster.random.IntN(30)
-	f.cluster.network.maxDelay = f.cluster.someTime(150 * time.Millisecond)
-	f.cluster.after(f.cluster.someTime(2*time.Second), f.calm)
+	f.cluster.network.maxDelay = f.cluster.randomDuration(150 * time.Millisecond)
+	f.cluster.after(f.cluster.randomDuration(2*time.Second), f.restoreNetwork)
 }
 
-func (f *faults) calm() {
+func (f *faults) restoreNetwork() {
 	f.cluster.network.lossPercent = 0
 	f.cluster.network.duplicatePercent = 0
 	f.cluster.network.maxDelay = 5 * time.Millisecond
 }
 
-// loseDisk replaces a disk if the last repair is complete: a second machine is
-// so lost right after a repair.
+// loseDisk replaces a machine's disk if the previous repair is complete. Half the
+// time, a random machine's disk is lost as soon as that repair is complete.
 func (f *faults) loseDisk(m *machine) {
 	if !f.mayLoseDisk() {
 		return
 	}
-	f.lostDisk++
+	f.lostDisks++
 	m.loseDisk()
 	if f.cluster.random.IntN(2) == 0 {
-		f.loseNextWhenWhole()
+		f.loseDiskAfterRepair()
 	}
 }
 
@@ -232,31 +235,32 @@
 	}
 	f.restored++
 	m.restoreBackup()
-	if f.cluster.plant.acceptedCopy {
-		// Peers that still know what the replica had would notice.
-		f.cluster.after(f.cluster.someTime(testTick), f.crashLeader)
+	if f.cluster.planted.acceptOldCopy {
+		// Otherwise a leader that knows what the replica had acknowledged would
+		// detect that entries are missing.
+		f.cluster.after(f.cluster.randomDuration(testTick), f.crashLeader)
 	}
 }
 
-// mayLoseDisk reports whether one more disk may be lost, and keeps planned
-// removals away for a while if so.
+// mayLoseDisk reports whether one more disk may be lost. If so, it defers planned
+// removals and further disk losses by voterLossInterval.
 func (f *faults) mayLoseDisk() bool {
-	if len(f.cluster.machines) < 3 || !f.operator.isWhole() || f.cluster.now < f.maintenance.quietUntil {
+	if len(f.cluster.machines) < 3 || !f.operator.isFullyRepaired() || f.cluster.now < f.maintenance.noVoterLossUntil {
 		return false
 	}
-	f.maintenance.quietUntil = f.cluster.now + maintenanceQuiet
+	f.maintenance.noVoterLossUntil = f.cluster.now + voterLossInterval
 	return true
 }
 
-func (f *faults) loseNextWhenWhole() {
+func (f *faults) loseDiskAfterRepair() {
 	f.cluster.after(testTick, func() {
 		switch {
 		case f.stopped:
 		case f.mayLoseDisk():
-			f.lostDisk++
+			f.lostDisks++
 			f.cluster.machines[f.cluster.random.IntN(len(f.cluster.machines))].loseDisk()
 		default:
-			f.loseNextWhenWhole()
+			f.loseDiskAfterRepair()
 		}
 	})
 }
@@ -273,11 +277,12 @@
 	}
 }
 
-// heal ends all faults and brings all machines back.
+// heal stops the injection and ends the network and disk faults. Crashed machines
+// restart on their own.
 func (f *faults) heal() {
 	f.stopped = true
-	f.calm()
-	f.cluster.network.cut = map[[2]int]bool{}
+	f.restoreNetwork()
+	f.cluster.network.blockedLinks = map[[2]int]bool{}
 	for _, m := range f.cluster.machines {
 		m.disk.FailSyncs(0)
 		m.disk.SetCapacity(0)
--- a/coordination/replica/cluster_machine_test.go
+++ b/coordination/replica/cluster_machine_test.go
@@ -11,7 +11,7 @@
 	"github.com/pierhaven/pierhaven/coordination/storage/memoryfs"
 )
 
-// machine is one simulated machine with its disk, process and clock.
+// machine is a simulated machine with a disk, a process and a clock.
 type machine struct {
 	cluster *cluster
 	number  int
@@ -21,16 +21,19 @@
 	state   *testMachine
 	paused  bool
 	backlog []func()
-	// clockRate and clockOffset model drift and unrelated monotonic clocks.
+	// clockRate and clockOffset model clock drift and the unrelated origins of
+	// monotonic clocks.
 	clockRate   float64
 	clockOffset time.Duration
-	// incarnation numbers the processes, so that ticks of old ones end.
+	// incarnation is the number of the current process. Scheduled ticks of
+	// earlier processes are ignored.
 	incarnation int
-	// id is the replica on the disk, or zero before its first start.
+	// id is the id of the replica on the disk, or zero before its first start.
 	id consensus.ReplicaID
-	// isDamaged says that the disk was damaged on purpose and seen to be so.
+	// isDamaged reports whether a fault damaged the disk such that the replica
+	// must refuse to open.
 	isDamaged bool
-	// backup is an old copy of the disk, or nil.
+	// backup is an earlier copy of the disk, or nil.
 	backup *memoryfs.FileSystem
 }
 
@@ -44,7 +47,7 @@
 	m.disk = memoryfs.New()
 }
 
-// start opens the replica; a disk that still fails is tried again later.
+// start opens the replica. If the disk still fails, it is retried later.
 func (m *machine) start() {
 	if m.node != nil {
 		return
@@ -61,29 +64,29 @@
 		SegmentBytes:       m.cluster.segmentBytes(),
 		SnapshotChunkBytes: 16,
 	}, m.now())
-	if m.isDamaged && !isInjected(err) {
+	if m.isDamaged && !isInjectedFault(err) {
 		m.cluster.checks.quarantined(m, err)
 		m.discard()
 		return
 	}
 	if err != nil {
 		m.cluster.checks.openFailed(m, err)
-		m.end(err)
+		m.handleFailure(err)
 		return
 	}
 	m.node = node
 	m.incarnation++
-	node.background = m.inBackground(m.incarnation)
+	node.runInBackground = m.inBackground(m.incarnation)
 	m.id = node.Status().ID
 	m.cluster.byID[m.id] = m
 	m.scheduleTick(m.incarnation)
 }
 
-// inBackground runs the writing of snapshots some time later, if the process is
-// still there.
+// inBackground returns a function that runs its argument after a random delay,
+// unless the process has stopped by then.
 func (m *machine) inBackground(incarnation int) func(func()) {
 	return func(work func()) {
-		m.cluster.after(m.cluster.someTime(300*time.Millisecond), func() {
+		m.cluster.after(m.cluster.randomDuration(300*time.Millisecond), func() {
 			if m.node != nil && m.incarnation == incarnation {
 				work()
 			}
@@ -103,7 +106,8 @@
 	})
 }
 
-// call runs one input of the node; a paused process takes it in later.
+// call runs one input of the node. If the process is paused, the input is
+// deferred until it resumes.
 func (m *machine) call(input func() (Outputs, error)) {
 	if m.node == nil {
 		return
@@ -122,25 +126,26 @@
 	}
 	m.cluster.clients.complete(m, outputs)
 	if err != nil {
-		m.end(err)
+		m.handleFailure(err)
 		return
 	}
-	m.cluster.checks.leader(m.node.Status())
+	m.cluster.checks.electionSafety(m.node.Status())
 }
 
-// stop ends the process; what waits on it has an unknown outcome.
+// stop ends the process. The outcome of its pending writes is unknown.
 func (m *machine) stop() {
 	if m.node == nil {
 		return
 	}
-	m.cluster.clients.lost(m)
+	m.cluster.clients.abandonPending(m)
 	m.node = nil
 	m.paused = false
 	m.backlog = nil
 }
 
-// end is the end of a process after an error of its replica.
-func (m *machine) end(err error) {
+// handleFailure ends the process after its replica returned an error, by a power
+// failure or a process exit.
+func (m *machine) handleFailure(err error) {
 	if errors.Is(err, memoryfs.ErrCrashed) || m.cluster.random.IntN(2) == 0 {
 		m.crash()
 		return
@@ -149,19 +154,19 @@
 	m.kill()
 }
 
-// crash is a power failure: unsynced data is lost or torn.
+// crash simulates a power failure: unsynced data is lost or torn.
 func (m *machine) crash() {
 	m.stop()
 	m.disk.Crash(m.cluster.random)
 	m.disk.SetCapacity(0)
-	m.cluster.after(m.cluster.someTime(500*time.Millisecond), m.start)
+	m.cluster.after(m.cluster.randomDuration(500*time.Millisecond), m.start)
 }
 
-// kill ends the process; the operating system keeps unsynced data.
+// kill ends only the process: the operating system keeps unsynced data.
 func (m *machine) kill() {
 	m.stop()
 	m.disk.Kill()
-	m.cluster.after(m.cluster.someTime(500*time.Millisecond), m.start)
+	m.cluster.after(m.cluster.randomDuration(500*time.Millisecond), m.start)
 }
 
 func (m *machine) pause(duration time.Duration) {
@@ -186,20 +191,20 @@
 	}
 }
 
-// loseDisk replaces the disk by an empty one.
+// loseDisk replaces the disk with an empty one.
 func (m *machine) loseDisk() {
 	m.stop()
 	old, err := storage.Inspect(m.disk, testDirectory)
 	m.cluster.checks.noError("inspect", err)
 	m.replaceDisk()
 	m.id = 0
-	if m.cluster.plant.oldIdentity && old.Identity != nil {
-		m.plantIdentity(*old.Identity)
+	if m.cluster.planted.reuseOldIdentity && old.Identity != nil {
+		m.writeOldIdentity(*old.Identity)
 	}
-	m.cluster.after(m.cluster.someTime(300*time.Millisecond), m.start)
+	m.cluster.after(m.cluster.randomDuration(300*time.Millisecond), m.start)
 }
 
-func (m *machine) plantIdentity(identity storage.Identity) {
+func (m *machine) writeOldIdentity(identity storage.Identity) {
 	identity.Stage = storage.StageNew
 	m.cluster.checks.noError("plant", m.disk.MakeDirectory(testDirectory))
 	m.cluster.checks.noError("plant", storage.WriteIdentity(m.disk, testDirectory, identity))
--- a/coordination/replica/cluster_maintenance_test.go
+++ b/coordination/replica/cluster_maintenance_test.go
@@ -9,38 +9,38 @@
 	"github.com/pierhaven/pierhaven/coordination/storage"
 )
 
-// maintenance changes a healthy cluster on purpose, while faults happen: it
-// hands leadership over, promotes learners too early, and removes members,
-// the leader included, which the operator then adds again. Changes go to any
-// machine that believes that it leads, so that they race.
+// maintenance makes planned changes to the cluster while faults are injected: it
+// transfers leadership, promotes learners too early, and removes members,
+// including the leader, which the operator then adds again. Changes go to every
+// machine that believes it is the leader, so that they race.
 type maintenance struct {
 	cluster  *cluster
 	operator *operator
 	stopped  bool
-	// quietUntil keeps planned removals and lost disks apart: no algorithm
+	// noVoterLossUntil separates planned removals from disk losses: no algorithm
 	// survives the removal of one of three voters while another is lost.
-	quietUntil time.Duration
-	transfers  int
-	removals   int
+	noVoterLossUntil time.Duration
+	transfers        int
+	removals         int
 }
 
-const maintenanceQuiet = 1500 * time.Millisecond
+const voterLossInterval = 1500 * time.Millisecond
 
 func (m *maintenance) start() {
-	m.cluster.after(m.cluster.someTime(900*time.Millisecond), func() {
+	m.cluster.after(m.cluster.randomDuration(900*time.Millisecond), func() {
 		if m.stopped {
 			return
 		}
 		for _, leader := range m.cluster.machines {
 			if leader.node != nil && leader.node.Status().Role == consensus.RoleLeader {
-				m.act(leader)
+				m.runRandomAction(leader)
 			}
 		}
 		m.start()
 	})
 }
 
-func (m *maintenance) act(leader *machine) {
+func (m *maintenance) runRandomAction(leader *machine) {
 	switch m.cluster.random.IntN(4) {
 	case 0:
 		m.transfer(leader)
@@ -57,7 +57,7 @@
 		target = &machine{}
 	}
 	m.transfers++
-	number := m.operator.request()
+	number := m.operator.newRequestID()
 	leader.call(func() (Outputs, error) { return leader.node.Transfer(leader.now(), number, target.id) })
 }
 
@@ -69,27 +69,28 @@
 	}
 }
 
-// remove removes one or two members at once; at most one can succeed.
+// remove requests the removal of one or two members at the same time; at most one
+// removal can succeed.
 func (m *maintenance) remove(leader *machine) {
-	if len(m.cluster.machines) < 3 || !m.operator.isWhole() || m.cluster.now < m.quietUntil {
+	if len(m.cluster.machines) < 3 || !m.operator.isFullyRepaired() || m.cluster.now < m.noVoterLossUntil {
 		return
 	}
-	m.quietUntil = m.cluster.now + maintenanceQuiet
+	m.noVoterLossUntil = m.cluster.now + voterLossInterval
 	m.removals++
 	for range 1 + m.cluster.random.IntN(2) {
-		victim := m.cluster.machines[m.cluster.random.IntN(len(m.cluster.machines))]
-		m.change(leader, consensus.RemoveMember, victim.id)
+		removed := m.cluster.machines[m.cluster.random.IntN(len(m.cluster.machines))]
+		m.change(leader, consensus.RemoveMember, removed.id)
 	}
 }
 
 func (m *maintenance) change(leader *machine, kind consensus.MembershipChangeKind, id consensus.ReplicaID) {
-	number := m.operator.request()
+	number := m.operator.newRequestID()
 	change := consensus.MembershipChange{Kind: kind, Member: consensus.Member{ID: id}}
 	leader.call(func() (Outputs, error) { return leader.node.ChangeMembership(leader.now(), number, change) })
 }
 
-// flipBit damages a file of a machine whose process has ended. Damage that
-// looks like a torn write is undone: it can't be told from one.
+// flipBit ends a machine's process and damages one of its files. Damage that
+// cannot be distinguished from a torn write is undone.
 func (m *machine) flipBit() {
 	m.stop()
 	m.disk.Kill()
@@ -106,41 +107,42 @@
 			m.cluster.checks.noError("flip back", m.disk.Corrupt(name, offset))
 		}
 	}
-	m.cluster.after(m.cluster.someTime(300*time.Millisecond), m.start)
+	m.cluster.after(m.cluster.randomDuration(300*time.Millisecond), m.start)
 }
 
-// backUp makes a copy of the disk, of which an operator restores one later.
+// backUp copies the disk, for restoreBackup.
 func (m *machine) backUp() {
-	// An empty disk's copy is an empty disk, which may open.
+	// A copy of an empty disk is skipped: a replica may open on it, since it is
+	// itself an empty disk.
 	if m.node != nil {
 		m.backup = m.disk.Copy()
 	}
 }
 
-// restoreBackup puts an old copy of the data in the place of the disk.
+// restoreBackup replaces the disk with an earlier copy.
 func (m *machine) restoreBackup() {
 	m.stop()
 	m.disk = m.backup
 	m.backup = nil
 	m.isDamaged = true
-	if m.cluster.plant.acceptedCopy {
+	if m.cluster.planted.acceptOldCopy {
 		m.isDamaged = false
 		m.cluster.checks.noError("accept", storage.AcceptCopy(m.disk, testDirectory))
 	}
-	m.cluster.after(m.cluster.someTime(20*time.Millisecond), m.start)
+	m.cluster.after(m.cluster.randomDuration(20*time.Millisecond), m.start)
 }
 
-// discard is what an operator does with a quarantined replica. It is repeated
-// after a crash in the middle.
+// discard removes the data of a quarantined replica, as an operator would. It is
+// retried if a crash interrupts it.
 func (m *machine) discard() {
 	err := storage.Discard(m.disk, testDirectory)
 	if err != nil {
 		m.cluster.checks.openFailed(m, err)
 		m.disk.Crash(m.cluster.random)
-		m.cluster.after(m.cluster.someTime(300*time.Millisecond), m.discard)
+		m.cluster.after(m.cluster.randomDuration(300*time.Millisecond), m.discard)
 		return
 	}
 	m.isDamaged = false
 	m.id = 0
-	m.cluster.after(m.cluster.someTime(300*time.Millisecond), m.start)
+	m.cluster.after(m.cluster.randomDuration(300*time.Millisecond), m.start)
 }
--- a/coordination/replica/cluster_simulation_test.go
+++ b/coordination/replica/cluster_simulation_test.go
@@ -20,7 +20,7 @@
 	firstSeed = flag.Uint64("first-seed", 1, "seed of the first simulated run")
 )
 
-// runSummary is what a simulated run has come to.
+// runSummary is the result of a simulated run.
 type runSummary struct {
 	violation string
 	succeeded int
@@ -34,49 +34,50 @@
 	removals    int
 }
 
-// simulate lets faults of all kinds loose on a cluster, heals it and checks it.
-func simulate(seed uint64, size int, plant plant) runSummary {
-	c := newCluster(seed, size, plant)
+// simulate injects faults into a cluster, heals it and checks it.
+func simulate(seed uint64, size int, planted plantedBugs) runSummary {
+	c := newCluster(seed, size, planted)
 	repairer := &operator{cluster: c}
 	repairer.start()
-	planned := &maintenance{cluster: c, operator: repairer}
-	injector := &faults{cluster: c, operator: repairer, maintenance: planned}
+	maintainer := &maintenance{cluster: c, operator: repairer}
+	injector := &faults{cluster: c, operator: repairer, maintenance: maintainer}
 	c.clients.start()
 	c.runFor(2 * time.Second)
 	for _, m := range c.machines {
-		m.disk.IgnoreSyncs(plant.lyingDisk)
+		m.disk.IgnoreSyncs(planted.ignoreSyncs)
 	}
 	injector.start()
-	planned.start()
+	maintainer.start()
 	for range 12 {
 		c.runFor(time.Second)
-		c.checks.logs(c.machines)
+		c.checks.logMatching(c.machines)
 	}
-	planned.stopped = true
+	maintainer.stopped = true
 	injector.heal()
 	c.runFor(6 * time.Second)
 	c.clients.stopped = true
 	c.runFor(3 * time.Second)
 	c.checkHealed(repairer)
-	c.checks.logs(c.machines)
-	if !plant.lyingDisk {
-		// With many lost writes the search for an order takes too long.
+	c.checks.logMatching(c.machines)
+	if !planted.ignoreSyncs {
+		// With many lost writes the linearizability check takes too long.
 		c.checks.linearizable()
 	}
 	return runSummary{
 		violation:   c.checks.violation,
 		succeeded:   c.clients.succeeded,
 		unknown:     c.clients.unknown,
-		lostDisks:   injector.lostDisk,
-		applied:     len(c.checks.commands),
+		lostDisks:   injector.lostDisks,
+		applied:     len(c.checks.commandByIndex),
 		flippedBits: injector.flippedBits,
 		restored:    injector.restored,
-		transfers:   planned.transfers,
-		removals:    planned.removals,
+		transfers:   maintainer.transfers,
+		removals:    maintainer.removals,
 	}
 }
 
-// checkHealed checks that service came back and all replicas agree.
+// checkHealed checks that there is a leader, that the membership is repaired and
+// that all replicas have the leader's state.
 func (c *cluster) checkHealed(repairer *operator) {
 	if c.checks.violation != "" {
 		return
@@ -86,7 +87,7 @@
 		c.checks.fail("no leader after the faults have ended")
 		return
 	}
-	if !repairer.isWhole() {
+	if !repairer.isFullyRepaired() {
 		c.checks.fail("membership is not repaired: %+v", leader.node.Status().Members)
 	}
 	for _, m := range c.machines {
@@ -105,7 +106,7 @@
 	for offset := range uint64(*seedCount) {
 		seed := *firstSeed + offset
 		size := []int{3, 3, 5, 1}[seed%4]
-		summary := simulate(seed, size, plant{})
+		summary := simulate(seed, size, plantedBugs{})
 		require.Empty(t, summary.violation, "seed %d with %d machines", seed, size)
 		total.succeeded += summary.succeeded
 		total.unknown += summary.unknown
@@ -120,27 +121,27 @@
 	require.Greater(t, total.succeeded, 10**seedCount)
 }
 
-// TestPlantedBugsAreCaught proves that the checks can fail.
+// TestPlantedBugsAreCaught checks that the simulation detects each planted bug.
 func TestPlantedBugsAreCaught(t *testing.T) {
 	const enoughSeeds = 120
 	cases := []struct {
 		name      string
-		plant     plant
+		bugs      plantedBugs
 		violation string
-		// skipped is the number of seeds that are known not to show the bug.
+		// skipped is the number of initial seeds that are known not to expose the bug.
 		skipped uint64
 	}{
-		{"promises sent before the sync", plant{lyingDisk: true}, "two leaders in term|another command at index", 0},
-		{"old identity on an empty disk", plant{oldIdentity: true}, "two leaders in term|another command at index", 0},
-		{"old copy of a disk accepted", plant{acceptedCopy: true}, "two leaders in term|another command at index|not linearizable", 320},
-		{"read without confirmation of leadership", plant{localReads: true}, "history is not linearizable", 0},
-		{"unknown outcome reported as not run", plant{unknownIsRefused: true}, "refused as not run", 0},
+		{"promises sent before the sync", plantedBugs{ignoreSyncs: true}, "two leaders in term|another command at index", 0},
+		{"old identity on an empty disk", plantedBugs{reuseOldIdentity: true}, "two leaders in term|another command at index", 0},
+		{"old copy of a disk accepted", plantedBugs{acceptOldCopy: true}, "two leaders in term|another command at index|not linearizable", 320},
+		{"read without confirmation of leadership", plantedBugs{readsWithoutBarrier: true}, "history is not linearizable", 0},
+		{"unknown outcome reported as not run", plantedBugs{unknownReportedAsNotRun: true}, "refused as not run", 0},
 	}
 	for _, planted := range cases {
 		t.Run(planted.name, func(t *testing.T) {
 			expected := regexp.MustCompile(planted.violation)
 			for seed := planted.skipped + 1; seed <= planted.skipped+enoughSeeds; seed++ {
-				if summary := simulate(seed, 3, planted.plant); expected.MatchString(summary.violation) {
+				if summary := simulate(seed, 3, planted.bugs); expected.MatchString(summary.violation) {
 					t.Logf("caught at seed %d: %s", seed, summary.violation)
 					return
 				}
@@ -150,8 +151,9 @@
 	}
 }
 
-// TestLogCheckCanFail proves the check of log matching with two planted disks.
-func TestLogCheckCanFail(t *testing.T) {
+// TestLogMatchingCheckFindsDifferences checks that the log matching check fails
+// for two disks with contradicting logs.
+func TestLogMatchingCheckFindsDifferences(t *testing.T) {
 	first := []consensus.Entry{{Index: 1, Term: 1, Kind: consensus.EntryCommand}, {Index: 2, Term: 3, Kind: consensus.EntryCommand}}
 	cases := map[string][]consensus.Entry{
 		"other data at one position":     {{Index: 1, Term: 1, Kind: consensus.EntryCommand, Data: []byte("x")}},
@@ -160,9 +162,9 @@
 	for name, second := range cases {
 		t.Run(name, func(t *testing.T) {
 			checks := newChecks()
-			checks.logs([]*machine{machineWithLog(t, first), machineWithLog(t, first)})
+			checks.logMatching([]*machine{machineWithLog(t, first), machineWithLog(t, first)})
 			require.Empty(t, checks.violation)
-			checks.logs([]*machine{machineWithLog(t, first), machineWithLog(t, second)})
+			checks.logMatching([]*machine{machineWithLog(t, first), machineWithLog(t, second)})
 			require.Contains(t, checks.violation, "logs differ")
 		})
 	}
--- a/coordination/replica/cluster_test.go
+++ b/coordination/replica/cluster_test.go
@@ -15,11 +15,11 @@
 	testElectionTime = 200 * time.Millisecond
 )
 
-// event is something that happens at a moment of the virtual time.
+// event is a function that runs at a point in virtual time.
 type event struct {
-	at     time.Duration
-	number uint64
-	run    func()
+	at       time.Duration
+	sequence uint64
+	run      func()
 }
 
 type eventQueue []event
@@ -29,7 +29,7 @@
 	if q[i].at != q[j].at {
 		return q[i].at < q[j].at
 	}
-	return q[i].number < q[j].number
+	return q[i].sequence < q[j].sequence
 }
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
@@ -39,46 +39,47 @@
 	return last
 }
 
-// network holds the faults between machines.
+// network holds the current network faults.
 type network struct {
 	lossPercent      int
 	duplicatePercent int
 	maxDelay         time.Duration
-	// cut holds the directed pairs that can't talk.
-	cut map[[2]int]bool
+	// blockedLinks holds the pairs of sender and receiver whose messages are
+	// dropped.
+	blockedLinks map[[2]int]bool
 }
 
-// plant is a bug that is put in on purpose to prove the checks.
-type plant struct {
-	lyingDisk        bool
-	oldIdentity      bool
-	acceptedCopy     bool
-	localReads       bool
-	unknownIsRefused bool
+// plantedBugs selects bugs that are introduced on purpose to test the checks.
+type plantedBugs struct {
+	ignoreSyncs             bool
+	reuseOldIdentity        bool
+	acceptOldCopy           bool
+	readsWithoutBarrier     bool
+	unknownReportedAsNotRun bool
 }
 
 type cluster struct {
-	seed     uint64
-	random   *rand.Rand
-	now      time.Duration
-	events   eventQueue
-	number   uint64
-	machines []*machine
-	byID     map[consensus.ReplicaID]*machine
-	network  network
-	plant    plant
-	clients  *clients
-	checks   *checks
-	founding Founding
-}
-
-func newCluster(seed uint64, size int, planted plant) *cluster {
+	seed      uint64
+	random    *rand.Rand
+	now       time.Duration
+	events    eventQueue
+	lastEvent uint64
+	machines  []*machine
+	byID      map[consensus.ReplicaID]*machine
+	network   network
+	planted   plantedBugs
+	clients   *clients
+	checks    *checks
+	founding  Founding
+}
+
+func newCluster(seed uint64, size int, planted plantedBugs) *cluster {
 	c := &cluster{
 		seed:    seed,
 		random:  rand.New(rand.NewPCG(seed, 1)),
 		byID:    map[consensus.ReplicaID]*machine{},
-		network: network{maxDelay: 5 * time.Millisecond, cut: map[[2]int]bool{}},
-		plant:   planted,
+		network: network{maxDelay: 5 * time.Millisecond, blockedLinks: map[[2]int]bool{}},
+		planted: planted,
 		checks:  newChecks(),
 	}
 	c.clients = newClients(c)
@@ -88,7 +89,7 @@
 	for _, m := range c.machines {
 		m.start()
 	}
-	c.found()
+	c.foundGroup()
 	return c
 }
 
@@ -104,8 +105,8 @@
 	return m
 }
 
-// found carries out the founding as the controllers do.
-func (c *cluster) found() {
+// foundGroup founds the group as the controllers do.
+func (c *cluster) foundGroup() {
 	request := FoundingRequest{Group: testGroup, Token: 99}
 	var promises []FoundingPromise
 	var addresses []string
@@ -119,28 +120,30 @@
 	founding, err := NewFounding(request, 1, addresses, promises)
 	c.checks.noError("founding", err)
 	c.founding = founding
-	// The last machine learns of the founding from the leader only.
+	// The last of several machines learns of the founding only from the leader.
 	for _, m := range c.machines[:max(1, len(c.machines)-1)] {
 		outputs, err := m.node.Found(m.now(), founding)
 		m.handle(outputs, err)
 	}
 }
 
-// segmentBytes keeps one segment when the disk lies, as a torn write in an
-// earlier one is reported instead of being cut off.
+// segmentBytes returns the segment size. If the disk ignores syncs, there is only
+// one segment, since a torn write in an earlier segment is reported as damage
+// instead of being truncated.
 func (c *cluster) segmentBytes() int64 {
-	if c.plant.lyingDisk {
+	if c.planted.ignoreSyncs {
 		return 1 << 30
 	}
 	return 2000
 }
 
 func (c *cluster) after(delay time.Duration, run func()) {
-	c.number++
-	heap.Push(&c.events, event{c.now + delay, c.number, run})
+	c.lastEvent++
+	heap.Push(&c.events, event{c.now + delay, c.lastEvent, run})
 }
 
-// runFor lets the virtual time pass.
+// runFor advances the virtual time, running the events that are due. It stops
+// running events after a violation.
 func (c *cluster) runFor(duration time.Duration) {
 	end := c.now + duration
 	for len(c.events) > 0 && c.events[0].at <= end && c.checks.violation == "" {
@@ -167,7 +170,7 @@
 	delay := time.Duration(c.random.Int64N(int64(c.network.maxDelay)))
 	c.after(delay, func() {
 		to := c.byID[message.To]
-		if to == nil || c.network.cut[[2]int{from.number, to.number}] {
+		if to == nil || c.network.blockedLinks[[2]int{from.number, to.number}] {
 			return
 		}
 		var received consensus.Message
@@ -177,7 +180,7 @@
 	})
 }
 
-// leader returns the machine whose node leads with the highest term, or nil.
+// leader returns the running machine that leads in the highest term, or nil.
 func (c *cluster) leader() *machine {
 	var leader *machine
 	var term uint64
@@ -193,6 +196,6 @@
 	return leader
 }
 
-func (c *cluster) someTime(limit time.Duration) time.Duration {
+func (c *cluster) randomDuration(limit time.Duration) time.Duration {
 	return time.Duration(c.random.Int64N(int64(limit))) + time.Millisecond
 }
--- a/coordination/replica/config.go
+++ b/coordination/replica/config.go
@@ -7,7 +7,7 @@
 	"github.com/pierhaven/pierhaven/coordination/storage"
 )
 
-// The defaults of a Config.
+// Defaults of the fields of Config.
 const (
 	DefaultSnapshotEntries  = 10_000
 	DefaultSnapshotLogBytes = 32 << 20
--- a/coordination/replica/doc.go
+++ b/coordination/replica/doc.go
@@ -1,5 +1,5 @@
-// Package replica runs a caller's state machine on a group of replicas.
+// Package replica replicates a caller's state machine over a group of replicas.
 //
-// A Node joins the consensus core, the storage and the state machine without
-// goroutines, for simulation. A Runner wraps a Node for daemons.
+// A Node combines the consensus core, the storage and the state machine without
+// goroutines, for simulation. A Runner runs a Node in a goroutine, for daemons.
 package replica
--- a/coordination/replica/errors.go
+++ b/coordination/replica/errors.go
@@ -7,36 +7,39 @@
 	"github.com/pierhaven/pierhaven/coordination/consensus"
 )
 
-// The errors of proposals, reads and membership changes.
+// Errors of proposals, reads, membership changes and foundings.
 var (
-	// ErrNotLeader says that this replica does not lead. The request was not
-	// run. Errors that wrap it are *NotLeaderError and carry a hint.
+	// ErrNotLeader means that this replica is not the leader; the request was
+	// not executed. Errors that wrap it are *NotLeaderError and name the leader
+	// if it is known.
 	ErrNotLeader = errors.New("replica is not the leader")
-	// ErrOutcomeUnknown says that a proposal may or may not have been or be
-	// committed.
+	// ErrOutcomeUnknown means that a proposal may have been committed, may
+	// still be committed later, or may never be.
 	ErrOutcomeUnknown = errors.New("outcome of the proposal is unknown")
-	// ErrDropped says that a proposal was not committed and never will be.
+	// ErrDropped means that a proposal was not committed and never will be.
 	ErrDropped = errors.New("proposal was dropped")
-	// ErrOverloaded says that too many proposals wait; the request was not run.
+	// ErrOverloaded means that too many requests are pending; the request was
+	// not executed.
 	ErrOverloaded = errors.New("too many proposals wait")
-	// ErrTooLarge says that a command is over Config.MaxCommandBytes; the
-	// request was not run.
+	// ErrTooLarge means that a command exceeds Config.MaxCommandBytes; the
+	// request was not executed.
 	ErrTooLarge = errors.New("command is too large")
-	// ErrNotWritable says that the disk refuses writes at present; the request
-	// was not run.
+	// ErrNotWritable means that writes to the disk currently fail; the request
+	// was not executed.
 	ErrNotWritable = errors.New("disk refuses writes")
-	// ErrStopped says that the replica has stopped; the request was not run.
+	// ErrStopped means that the replica has stopped; the request was not executed.
 	ErrStopped = errors.New("replica has stopped")
-	// ErrReplicaQuarantined says that the replica's data is damaged; it takes
-	// no part in the group until it is replaced.
+	// ErrReplicaQuarantined means that the replica's data is damaged; it does
+	// not participate in the group until it is replaced.
 	ErrReplicaQuarantined = errors.New("replica is quarantined: its data is damaged")
-	// ErrFoundingRefused says that a replica may not take part in a founding.
+	// ErrFoundingRefused means that a founding lacks promises or is otherwise
+	// invalid, or that the replica may not take part in it.
 	ErrFoundingRefused = errors.New("founding refused")
 )
 
-// NotLeaderError is ErrNotLeader with what is known about the leader.
+// NotLeaderError wraps ErrNotLeader and names the current leader.
 type NotLeaderError struct {
-	// Leader is zero when no leader is known.
+	// Leader is zero if no leader is known.
 	Leader  consensus.ReplicaID
 	Address string
 }
--- a/coordination/replica/example_test.go
+++ b/coordination/replica/example_test.go
@@ -11,7 +11,7 @@
 	"github.com/pierhaven/pierhaven/coordination/storage/memoryfs"
 )
 
-// sum is a state machine that adds up its commands.
+// sum is a state machine that sums its commands.
 type sum struct{ total uint64 }
 
 func (s *sum) Apply(_ uint64, command []byte) []byte {
@@ -31,13 +31,13 @@
 
 func (s *sum) encode() []byte { return binary.BigEndian.AppendUint64(nil, s.total) }
 
-// noPeers is the transport of a group of one.
+// noPeers is the transport of a single-replica group.
 type noPeers struct{}
 
 func (noPeers) Send([]consensus.Message) {}
 
-// A group of one on a disk in memory. The program in examples/counter keeps its
-// state on a real disk.
+// This example runs a single-replica group on an in-memory file system. The
+// program in examples/counter stores its state on a real disk.
 func ExampleRunner() {
 	ctx := context.Background()
 	runner, err := replica.NewRunner(replica.RunnerConfig{
--- a/coordination/replica/flush.go
+++ b/coordination/replica/flush.go
@@ -9,16 +9,17 @@
 	"github.com/pierhaven/pierhaven/coordination/storage"
 )
 
-// flush carries out what the core has ready, in the order that Ready demands.
+// flush handles everything that the core has ready, completes reads, starts or
+// installs a snapshot, and seals the log if it has been idle.
 func (n *Node) flush() error {
-	if n.stalled.isOn() {
+	if n.stalled.isActive() {
 		return nil
 	}
 	if n.core.HasLostEntries() {
 		return n.quarantine()
 	}
 	for n.core.HasReady() {
-		err := n.carryOut(n.core.Ready())
+		err := n.handleReady(n.core.Ready())
 		if errors.Is(err, storage.ErrNotWritten) {
 			n.stall(err)
 			return nil
@@ -27,18 +28,18 @@
 			return n.fail(err)
 		}
 		n.core.Advance()
-		n.dropLostLeadership()
+		n.dropStaleRequests()
 	}
 	n.completeReads()
 	if err := n.maybeSnapshot(); err != nil {
 		return n.fail(err)
 	}
-	if n.now-n.lastSave < sealDelay {
+	if n.now-n.lastSaveTime < sealIdleTime {
 		return nil
 	}
 	err := n.storage.Seal()
 	if errors.Is(err, storage.ErrNotWritten) {
-		n.lastSave = n.now
+		n.lastSaveTime = n.now
 		return nil
 	}
 	if err != nil {
@@ -47,17 +48,19 @@
 	return nil
 }
 
-// sealDelay is the time without a save after which the log is sealed.
-const sealDelay = time.Second
+// sealIdleTime is the time without a save after which the log is sealed.
+const sealIdleTime = time.Second
 
-// quarantine ends a replica whose disk has lost what it acknowledged, and
-// keeps it from opening again.
+// quarantine stops a replica whose disk has lost acknowledged entries, and marks
+// its data as damaged so that it does not open again.
 func (n *Node) quarantine() error {
 	err := fmt.Errorf("%w: acknowledged entries are missing", ErrReplicaQuarantined)
 	return n.fail(errors.Join(err, n.storage.MarkDamaged()))
 }
 
-func (n *Node) carryOut(ready consensus.Ready) error {
+// handleReady performs the steps of a Ready in the order that consensus.Ready
+// requires.
+func (n *Node) handleReady(ready consensus.Ready) error {
 	if !n.stalled.isRetry {
 		n.sendMessages(ready.MessagesBeforeSync)
 	}
@@ -66,7 +69,7 @@
 		if err := n.storage.Save(*ready.HardState, ready.Entries, ready.Snapshot); err != nil {
 			return err
 		}
-		n.lastSave = n.now
+		n.lastSaveTime = n.now
 	}
 	if ready.Snapshot != nil {
 		if err := n.restore(*ready.Snapshot); err != nil {
@@ -92,8 +95,8 @@
 	n.outputs.Messages = append(n.outputs.Messages, messages...)
 }
 
-// apply brings one committed entry into the state machine and completes the
-// proposal that waits for it.
+// apply applies one committed entry to the state machine and completes its
+// pending proposal, if any.
 func (n *Node) apply(entry consensus.Entry) {
 	if entry.Index != n.applied+1 {
 		panic(fmt.Sprintf("replica: entry %d applied after %d", entry.Index, n.applied))
@@ -103,8 +106,8 @@
 		result = n.config.StateMachine.Apply(entry.Index, entry.Data)
 	}
 	n.applied = entry.Index
-	n.loggedBytes += int64(len(entry.Data)) + entryOverheadBytes
-	if completion, found := n.proposals.take(entry, result); found {
+	n.bytesSinceSnapshot += int64(len(entry.Data)) + entryOverheadBytes
+	if completion, found := n.proposals.complete(entry, result); found {
 		n.complete(completion)
 	}
 }
@@ -113,21 +116,22 @@
 	n.outputs.Completed = append(n.outputs.Completed, completion)
 }
 
-// dropLostLeadership ends what waits for a leadership that is over. The
-// entries of the proposals may still get committed by the next leader.
-func (n *Node) dropLostLeadership() {
+// dropStaleRequests completes the proposals and reads of a leadership that has
+// ended. The proposals' outcome is unknown: the next leader may still commit
+// their entries.
+func (n *Node) dropStaleRequests() {
 	state := n.core.SoftState()
 	isLeader := state.Role == consensus.RoleLeader
 	for _, requestID := range n.proposals.dropOtherTerms(state.Term, isLeader) {
 		n.complete(Completion{RequestID: requestID, Err: ErrOutcomeUnknown})
 	}
 	for _, requestID := range n.reads.dropOtherTerms(state.Term, isLeader) {
-		n.outputs.Reads = append(n.outputs.Reads, ReadCompletion{RequestID: requestID, Err: n.notLeader()})
+		n.outputs.Reads = append(n.outputs.Reads, ReadCompletion{RequestID: requestID, Err: n.notLeaderError()})
 	}
 }
 
 func (n *Node) completeReads() {
-	n.outputs.Reads = append(n.outputs.Reads, n.reads.takeApplied(n.applied)...)
+	n.outputs.Reads = append(n.outputs.Reads, n.reads.takeReady(n.applied)...)
 }
 
 func (n *Node) fail(err error) error {
--- a/coordination/replica/founding.go
+++ b/coordination/replica/founding.go
@@ -13,20 +13,21 @@
 //msgp:replace consensus.ReplicaID with:uint64
 //msgp:limit arrays:1024 maps:1024
 
-// FoundingRequest asks a new replica to promise to take part in one founding.
+// FoundingRequest asks a new replica to promise to take part in one founding,
+// the creation of a group.
 type FoundingRequest struct {
 	Group uint64 `msg:"group" json:"group"`
-	// Token is random, not zero, and names the founding.
+	// Token identifies the founding; it is random and not zero.
 	Token uint64 `msg:"token" json:"token"`
 }
 
 // FoundingPromise is a new replica's durable promise to take part in the
-// founding named by Token and in no other.
+// founding identified by Token and in no other.
 type FoundingPromise struct {
 	Group   uint64              `msg:"group" json:"group"`
 	Token   uint64              `msg:"token" json:"token"`
 	Replica consensus.ReplicaID `msg:"replica" json:"replica"`
-	// Address is filled in by the asker: where the promise came from.
+	// Address is the address of the promising replica, set by the requester.
 	Address string `msg:"address" json:"address"`
 }
 
@@ -34,15 +35,15 @@
 type Founding struct {
 	Group uint64 `msg:"group" json:"group"`
 	Token uint64 `msg:"token" json:"token"`
-	// Generation is one for a first founding and higher than ever before for a
-	// group whose state was lost.
+	// Generation is one for the first founding of a group. After the group's
+	// state was lost, it must be higher than in any earlier founding.
 	Generation uint64            `msg:"generation" json:"generation"`
 	Members    []FoundingPromise `msg:"members" json:"members"`
 }
 
-// NewFounding checks that every one of the addresses has promised the request
-// and returns the founding. The caller must not complete a founding in any
-// other way: with fewer promises two groups could come into being.
+// NewFounding returns the founding if every address has promised the request.
+// Callers must not construct a Founding in any other way: with fewer promises,
+// two groups could be created.
 func NewFounding(request FoundingRequest, generation uint64, addresses []string, promises []FoundingPromise) (Founding, error) {
 	founding := Founding{Group: request.Group, Token: request.Token, Generation: generation, Members: promises}
 	if err := founding.validate(); err != nil {
@@ -91,13 +92,13 @@
 }
 
 // PromiseFounding durably promises to take part in one founding. A replica
-// that has promised another one, or is a member already, refuses with an error
-// that wraps ErrFoundingRefused and goes on running.
+// that has promised another one, or is already a member, returns an error that
+// wraps ErrFoundingRefused and keeps running.
 func (n *Node) PromiseFounding(request FoundingRequest) (FoundingPromise, error) {
 	if n.failure != nil {
 		return FoundingPromise{}, n.failure
 	}
-	if n.stalled.isOn() {
+	if n.stalled.isActive() {
 		return FoundingPromise{}, ErrNotWritable
 	}
 	identity := n.storage.Identity()
@@ -105,7 +106,7 @@
 	if request.Group != n.config.Group || request.Token == 0 {
 		return FoundingPromise{}, fmt.Errorf("%w: group %d", ErrFoundingRefused, request.Group)
 	}
-	if identity.FoundingToken == request.Token && n.isWithoutMembership() {
+	if identity.FoundingToken == request.Token && n.hasNoMembers() {
 		return promise, nil
 	}
 	if identity.Stage != storage.StageNew {
@@ -124,27 +125,28 @@
 	return promise, nil
 }
 
-// isWithoutMembership reports whether the replica knows no members yet, as
-// before its founding and after a founding that a crash has cut short.
-func (n *Node) isWithoutMembership() bool { return len(n.core.Status().Configuration.Members) == 0 }
+// hasNoMembers reports whether the replica knows no members yet, as before its
+// founding or after a crash interrupted it.
+func (n *Node) hasNoMembers() bool { return len(n.core.Status().Configuration.Members) == 0 }
 
-// Found installs the initial configuration. It may be repeated; a replica that
-// has heard of its group in another way since its promise stays as it is. A
-// refusal wraps ErrFoundingRefused and leaves the replica running.
+// Found installs the initial configuration. It may be repeated: a replica that
+// has learned of its group in another way since its promise is left unchanged.
+// An error that wraps ErrFoundingRefused or ErrNotWritable leaves the replica
+// running.
 func (n *Node) Found(now time.Duration, founding Founding) (Outputs, error) {
 	if n.failure != nil {
 		return Outputs{}, n.failure
 	}
-	var refused error
-	outputs, err := n.run(now, func() { refused = n.found(now, founding) })
+	var rejection error
+	outputs, err := n.handleInput(now, func() { rejection = n.found(now, founding) })
 	if err != nil {
 		return outputs, err
 	}
-	return outputs, refused
+	return outputs, rejection
 }
 
 func (n *Node) found(now time.Duration, founding Founding) error {
-	if n.stalled.isOn() {
+	if n.stalled.isActive() {
 		return ErrNotWritable
 	}
 	if err := n.checkFounding(founding); err != nil {
--- a/coordination/replica/founding_test.go
+++ b/coordination/replica/founding_test.go
@@ -16,24 +16,26 @@
 	}
 }
 
-// TestFoundingSurvivesEveryCrash crashes a sole replica at each file operation
-// of its founding; it can always be founded afterwards, and only once.
+// TestFoundingSurvivesEveryCrash crashes a single replica at each file operation
+// of its founding. Afterwards the same founding must succeed, and any other must
+// be rejected.
 func TestFoundingSurvivesEveryCrash(t *testing.T) {
 	request := FoundingRequest{Group: testGroup, Token: 5}
 	for operations := range 40 {
 		for seed := range uint64(10) {
 			disk := memoryfs.New()
 			disk.CrashAfter(operations)
-			_ = found(disk, seed, request)
+			_ = openFoundAndPropose(disk, seed, request)
 			disk.Crash(rand.New(rand.NewPCG(seed, uint64(operations))))
-			require.NoError(t, found(disk, seed+100, request), "operations %d, seed %d", operations, seed)
-			require.ErrorIs(t, found(disk, seed, FoundingRequest{Group: testGroup, Token: 6}), ErrFoundingRefused)
+			require.NoError(t, openFoundAndPropose(disk, seed+100, request), "operations %d, seed %d", operations, seed)
+			require.ErrorIs(t, openFoundAndPropose(disk, seed, FoundingRequest{Group: testGroup, Token: 6}), ErrFoundingRefused)
 		}
 	}
 }
 
-// found opens a replica, founds its group of one and commits a command.
-func found(disk *memoryfs.FileSystem, seed uint64, request FoundingRequest) error {
+// openFoundAndPropose opens a replica, founds its single-replica group and commits
+// a command.
+func openFoundAndPropose(disk *memoryfs.FileSystem, seed uint64, request FoundingRequest) error {
 	node, err := OpenNode(memoryConfig(disk, seed), 0)
 	if err != nil {
 		return err
@@ -81,10 +83,10 @@
 		"another founding": {1, []FoundingPromise{first, otherToken}, false},
 		"no generation":    {0, []FoundingPromise{first, second}, false},
 	}
-	for name, tried := range cases {
+	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			_, err := NewFounding(request, tried.generation, []string{"a", "b"}, tried.promises)
-			if tried.accepted {
+			_, err := NewFounding(request, test.generation, []string{"a", "b"}, test.promises)
+			if test.accepted {
 				require.NoError(t, err)
 				return
 			}
--- a/coordination/replica/memory_test.go
+++ b/coordination/replica/memory_test.go
@@ -10,38 +10,38 @@
 	"github.com/pierhaven/pierhaven/coordination/storage/memoryfs"
 )
 
-// openAlone returns the leader of a group of one.
-func openAlone(t testing.TB, config Config) *Node {
+// openSingleReplica returns the leader of a single-replica group.
+func openSingleReplica(t testing.TB, config Config) *Node {
 	config.Group, config.Directory, config.FileSystem = testGroup, testDirectory, memoryfs.New()
 	config.Random = rand.New(rand.NewPCG(1, 1))
 	config.StateMachine = &counter{}
 	node, err := OpenNode(config, 0)
 	require.NoError(t, err)
-	foundAlone(t, node)
+	foundSingleReplica(t, node)
 	return node
 }
 
-// TestLogInMemoryIsBoundedInBytes proposes commands so large that the number
-// of entries alone bounds nothing. What the log keeps behind its snapshots
-// must not exceed the bytes after which a snapshot is due.
+// TestLogInMemoryIsBoundedInBytes proposes commands so large that the limit on
+// the number of entries never applies. The log in memory must nevertheless stay
+// within twice SnapshotLogBytes.
 func TestLogInMemoryIsBoundedInBytes(t *testing.T) {
 	const commandBytes = 10_000
 	const limit = 10 * commandBytes
-	node := openAlone(t, Config{SnapshotEntries: 1000, SnapshotLogBytes: limit})
+	node := openSingleReplica(t, Config{SnapshotEntries: 1000, SnapshotLogBytes: limit})
 	for number := range uint64(300) {
 		_, err := node.Propose(0, number, make([]byte, commandBytes))
 		require.NoError(t, err)
 		status := node.core.Status()
-		kept := (status.LastIndex - status.FirstIndex + 1) * commandBytes
-		require.LessOrEqual(t, kept, uint64(2*limit), "after %d commands", number+1)
+		logBytes := (status.LastIndex - status.FirstIndex + 1) * commandBytes
+		require.LessOrEqual(t, logBytes, uint64(2*limit), "after %d commands", number+1)
 	}
 	require.NotZero(t, node.Status().SnapshotIndex)
 }
 
-// TestOversizedCommandIsRefused keeps commands out of the log that no
-// transport could carry: one such entry would block the group for good.
+// TestOversizedCommandIsRefused guards against commands in the log that are too
+// large for the transport: one such entry would block the group permanently.
 func TestOversizedCommandIsRefused(t *testing.T) {
-	node := openAlone(t, Config{MaxCommandBytes: 100})
+	node := openSingleReplica(t, Config{MaxCommandBytes: 100})
 	outputs, err := node.ProposeBatch(0, []Proposal{
 		{RequestID: 1, Command: make([]byte, 100)},
 		{RequestID: 2, Command: make([]byte, 101)},
@@ -58,8 +58,9 @@
 	require.NoError(t, results[3])
 }
 
-// TestReadsShareRounds asks for many reads at once.
-func TestReadsShareRounds(t *testing.T) {
+// TestReadsAreConfirmedInAnyOrder queues many reads and confirms the first one
+// last.
+func TestReadsAreConfirmedInAnyOrder(t *testing.T) {
 	var queue readQueue
 	var states []consensus.ReadState
 	const count = 1000
@@ -68,9 +69,9 @@
 		states = append(states, consensus.ReadState{Context: id, Index: id % 2})
 	}
 	queue.confirm(states[1:])
-	require.Equal(t, []askedRead{{0, 1}}, queue.asked)
+	require.Equal(t, []unconfirmedRead{{0, 1}}, queue.unconfirmed)
 	queue.confirm(states[:1])
-	require.Empty(t, queue.asked)
-	require.Len(t, queue.takeApplied(0), count/2)
-	require.Len(t, queue.takeApplied(1), count/2)
+	require.Empty(t, queue.unconfirmed)
+	require.Len(t, queue.takeReady(0), count/2)
+	require.Len(t, queue.takeReady(1), count/2)
 }
--- a/coordination/replica/node.go
+++ b/coordination/replica/node.go
@@ -10,42 +10,46 @@
 )
 
 // Node runs one replica without goroutines. It is not safe for concurrent use.
-// Every method with a `now` takes the time of the process's monotonic clock.
+// The now parameter of its methods is the time of the process's monotonic clock.
 //
-// A non-nil error from a method has stopped the replica for good: the process
-// has to end, and OpenNode reads anew what is on disk. Outputs are valid also
-// then. Refusals of single requests are not such errors; they come as
-// completions in Outputs.
+// A non-nil error from a method means that the replica has stopped permanently:
+// the process must exit, and the next OpenNode recovers from what is on disk.
+// Outputs are valid even then. Rejections of single requests do not stop the
+// replica: they are returned as completions in Outputs, or, by PromiseFounding
+// and Found, as errors that wrap ErrFoundingRefused or ErrNotWritable.
 type Node struct {
 	config  Config
 	storage *storage.Storage
 	core    *consensus.Core
-	// applied is the last position in the state machine.
+	// applied is the index of the last entry applied to the state machine.
 	applied uint64
-	// snapshotIndex is the last position that a snapshot was taken of,
-	// snapshotBytes its size, and loggedBytes what was applied since. They
-	// decide on the next snapshot.
-	snapshotIndex uint64
-	snapshotBytes int64
-	loggedBytes   int64
-	// job is the snapshot that is being written, or nil.
-	job *snapshotJob
-	// background runs the writing of snapshots; at once unless it is replaced.
-	background func(func())
-	// lastSave is when the storage was last written to.
-	lastSave  time.Duration
-	now       time.Duration
-	proposals proposalQueue
-	reads     readQueue
-	outputs   Outputs
-	stalled   stall
-	// send takes messages at once instead of collecting them in outputs.
+	// snapshotIndex is the index of the last snapshot that was started or
+	// restored, snapshotBytes the size of the last one that was installed or
+	// restored, and bytesSinceSnapshot the size of the entries applied since
+	// snapshotIndex. They determine when the next snapshot is due.
+	snapshotIndex      uint64
+	snapshotBytes      int64
+	bytesSinceSnapshot int64
+	// runningSnapshot is the snapshot that is being encoded and written, or nil.
+	runningSnapshot *snapshotJob
+	// runInBackground runs the function that writes a snapshot; by default
+	// synchronously.
+	runInBackground func(func())
+	// lastSaveTime is when the log was last saved, or a seal last failed.
+	lastSaveTime time.Duration
+	now          time.Duration
+	proposals    proposalQueue
+	reads        readQueue
+	outputs      Outputs
+	stalled      stall
+	// send, if set, is called with messages immediately; otherwise they are
+	// collected in outputs.
 	send    func([]consensus.Message)
 	failure error
 }
 
-// OpenNode opens or creates the replica in config.Directory. A damaged folder
-// gives an error that wraps ErrReplicaQuarantined.
+// OpenNode opens or creates the replica in config.Directory. If the data is
+// damaged, it returns an error that wraps ErrReplicaQuarantined.
 func OpenNode(config Config, now time.Duration) (*Node, error) {
 	config.setDefaults()
 	disk, state, err := storage.Open(storage.Options{
@@ -61,7 +65,7 @@
 	if err != nil {
 		return nil, err
 	}
-	node := &Node{config: config, storage: disk, background: func(work func()) { work() }}
+	node := &Node{config: config, storage: disk, runInBackground: func(work func()) { work() }}
 	if err := node.start(state, now); err != nil {
 		_ = disk.Close()
 		return nil, err
@@ -69,7 +73,8 @@
 	return node, nil
 }
 
-// start restores the state machine and applies what is known to be committed.
+// start restores the state machine from the snapshot and applies the entries
+// that are known to be committed.
 func (n *Node) start(state storage.State, now time.Duration) error {
 	if state.Snapshot.Index > 0 {
 		if err := n.restore(state.Snapshot); err != nil {
@@ -91,11 +96,12 @@
 	n.applied = snapshot.Index
 	n.snapshotIndex = snapshot.Index
 	n.snapshotBytes = int64(len(snapshot.Data))
-	n.loggedBytes = 0
+	n.bytesSinceSnapshot = 0
 	return nil
 }
 
-// Close releases the folder without writing anything.
+// Close waits for a running snapshot to be written and closes the storage. It
+// does not save anything else.
 func (n *Node) Close() error {
 	if n.failure == nil {
 		n.failure = ErrStopped
@@ -104,71 +110,74 @@
 	return n.storage.Close()
 }
 
-// Tick lets the time pass; call it every tenth of a heartbeat interval or so.
+// Tick advances the time. It should be called about ten times per heartbeat
+// interval.
 func (n *Node) Tick(now time.Duration) (Outputs, error) {
-	return n.run(now, func() { n.tick(now) })
+	return n.handleInput(now, func() { n.tick(now) })
 }
 
 func (n *Node) tick(now time.Duration) {
-	if n.stalled.isOn() {
+	if n.stalled.isActive() {
 		return
 	}
 	n.core.Tick(now)
 }
 
-// step takes in a message. A stalled replica drops it.
+// step passes a message to the core. A stalled replica drops it.
 func (n *Node) step(now time.Duration, message consensus.Message) {
-	if n.stalled.isOn() {
+	if n.stalled.isActive() {
 		return
 	}
 	n.core.Step(now, message)
 }
 
-// Receive takes in a message from another replica.
+// Receive handles a message from another replica.
 func (n *Node) Receive(now time.Duration, message consensus.Message) (Outputs, error) {
-	return n.run(now, func() { n.step(now, message) })
+	return n.handleInput(now, func() { n.step(now, message) })
 }
 
-// Propose asks for one command to be committed and applied.
+// Propose proposes one command, to be committed and applied.
 func (n *Node) Propose(now time.Duration, requestID uint64, command []byte) (Outputs, error) {
 	return n.ProposeBatch(now, []Proposal{{RequestID: requestID, Command: command}})
 }
 
-// ProposeBatch asks for many commands to be committed with one sync.
+// ProposeBatch proposes several commands, which are written with one sync.
 func (n *Node) ProposeBatch(now time.Duration, proposals []Proposal) (Outputs, error) {
-	return n.run(now, func() { n.propose(now, proposals) })
+	return n.handleInput(now, func() { n.propose(now, proposals) })
 }
 
-// ReadBarrier asks to be told when the state machine is no older than this call.
+// ReadBarrier requests a ReadCompletion for the moment when the state machine
+// reflects every change that was complete before this call.
 func (n *Node) ReadBarrier(now time.Duration, requestID uint64) (Outputs, error) {
-	return n.run(now, func() { n.readBarrier(now, requestID) })
+	return n.handleInput(now, func() { n.readBarrier(now, requestID) })
 }
 
-// ChangeMembership asks for one membership change. It completes like a
-// proposal; besides the errors of proposals it may be refused with the
-// errors of consensus.Core.ProposeMembership.
+// ChangeMembership proposes one membership change. It completes like a
+// proposal; besides the errors of proposals its completion may carry those of
+// consensus.Core.ProposeMembership.
 func (n *Node) ChangeMembership(now time.Duration, requestID uint64, change consensus.MembershipChange) (Outputs, error) {
-	return n.run(now, func() { n.changeMembership(now, requestID, change) })
+	return n.handleInput(now, func() { n.changeMembership(now, requestID, change) })
 }
 
-// Transfer asks the leader to hand leadership to target, or to the active
-// voter with the longest log if target is zero. A refusal comes as a
-// completion of requestID; there is none when the transfer has begun.
+// Transfer starts a transfer of leadership from this replica to target, or to
+// the active voter with the longest log if target is zero. If the transfer is
+// rejected there is a completion of requestID; if it has begun there is none.
 func (n *Node) Transfer(now time.Duration, requestID uint64, target consensus.ReplicaID) (Outputs, error) {
-	return n.run(now, func() {
+	return n.handleInput(now, func() {
 		if err := n.transfer(now, target); err != nil {
 			n.complete(Completion{RequestID: requestID, Err: err})
 		}
 	})
 }
 
-// run carries out one input and all that follows from it.
-func (n *Node) run(now time.Duration, input func()) (Outputs, error) {
+// handleInput retries a stalled write if it is due, handles one input and
+// flushes the core.
+func (n *Node) handleInput(now time.Duration, input func()) (Outputs, error) {
 	if n.failure != nil {
 		return Outputs{}, n.failure
 	}
 	n.now = max(n.now, now)
-	err := n.endStall()
+	err := n.retryStalledWrite()
 	if err == nil {
 		input()
 		err = n.flush()
@@ -178,10 +187,10 @@
 	return outputs, err
 }
 
-// Applied returns the last position in the state machine.
+// Applied returns the index of the last entry applied to the state machine.
 func (n *Node) Applied() uint64 { return n.applied }
 
-// Err returns the error that has stopped the replica, or nil.
+// Err returns the error that stopped the replica, or nil.
 func (n *Node) Err() error { return n.failure }
 
 // Status returns the replica's view of itself and its group.
@@ -208,16 +217,16 @@
 		Err:             n.failure,
 		Stalled:         n.stalled.cause,
 	}
-	if n.stalled.isOn() {
+	if n.stalled.isActive() {
 		status.Role = consensus.RoleFollower
 		status.Leader = 0
 	}
 	for _, member := range core.Configuration.Members {
-		known := core.Progress[member.ID]
+		progress := core.Progress[member.ID]
 		if member.ID == identity.ReplicaID {
-			known = consensus.MemberProgress{Match: core.LastIndex, RecentlyActive: true}
+			progress = consensus.MemberProgress{Match: core.LastIndex, RecentlyActive: true}
 		}
-		status.Members = append(status.Members, MemberStatus{member, known.Match, known.RecentlyActive})
+		status.Members = append(status.Members, MemberStatus{member, progress.Match, progress.RecentlyActive})
 	}
 	return status
 }
--- a/coordination/replica/queues.go
+++ b/coordination/replica/queues.go
@@ -2,18 +2,18 @@
 
 import "github.com/pierhaven/pierhaven/coordination/consensus"
 
-// pendingProposal is a proposal in the log that is not applied yet.
+// pendingProposal is a proposal that is in the log but not yet applied.
 type pendingProposal struct {
 	position  consensus.Position
 	requestID uint64
-	// bytes is the size of the command.
+	// bytes is the size of the command, zero for a membership change.
 	bytes int
 }
 
-// proposalQueue holds a leader's proposals in the order of their positions.
+// proposalQueue holds a leader's pending proposals in log order.
 type proposalQueue struct {
 	pending []pendingProposal
-	// bytes is the size of all their commands.
+	// bytes is the total size of their commands.
 	bytes int
 }
 
@@ -24,9 +24,10 @@
 	q.bytes += bytes
 }
 
-// take returns the completion of the proposal at an applied entry's position.
-// If the entry is of another term, the proposal will never be committed.
-func (q *proposalQueue) take(entry consensus.Entry, result []byte) (Completion, bool) {
+// complete removes the proposal at an applied entry's index and returns its
+// completion. If the entry has another term, the proposal will never be
+// committed, and it completes with ErrDropped.
+func (q *proposalQueue) complete(entry consensus.Entry, result []byte) (Completion, bool) {
 	if len(q.pending) == 0 || q.pending[0].position.Index != entry.Index {
 		return Completion{}, false
 	}
@@ -39,7 +40,8 @@
 	return Completion{RequestID: head.requestID, Index: entry.Index, Result: result}, true
 }
 
-// dropOtherTerms removes the proposals that were not made by the leader of term.
+// dropOtherTerms removes the proposals that this replica did not make as leader
+// of the given term and returns their request ids.
 func (q *proposalQueue) dropOtherTerms(term uint64, isLeader bool) []uint64 {
 	var dropped []uint64
 	kept := q.pending[:0:0]
@@ -58,47 +60,49 @@
 	return dropped
 }
 
-// askedRead is a read barrier that waits for the leader's confirmation.
-type askedRead struct {
+// unconfirmedRead is a read barrier that waits until the core has confirmed
+// leadership.
+type unconfirmedRead struct {
 	requestID uint64
 	term      uint64
 }
 
-// readQueue holds read barriers in the order in which they were asked for,
-// which is also the order of their confirmation.
+// readQueue holds read barriers in the order of their requests, which is also
+// the order in which they are confirmed.
 type readQueue struct {
-	asked     []askedRead
-	confirmed []consensus.ReadState
+	unconfirmed []unconfirmedRead
+	confirmed   []consensus.ReadState
 }
 
 func (q *readQueue) add(requestID, term uint64) {
-	q.asked = append(q.asked, askedRead{requestID, term})
+	q.unconfirmed = append(q.unconfirmed, unconfirmedRead{requestID, term})
 }
 
 func (q *readQueue) confirm(states []consensus.ReadState) {
 	q.confirmed = append(q.confirmed, states...)
 	for _, state := range states {
-		q.removeAsked(state.Context)
+		q.removeUnconfirmed(state.Context)
 	}
 }
 
-// removeAsked removes a read. Confirmations come in the order of the reads, so
-// that it is the first one as a rule.
-func (q *readQueue) removeAsked(requestID uint64) {
-	if len(q.asked) > 0 && q.asked[0].requestID == requestID {
-		q.asked = q.asked[1:]
+// removeUnconfirmed removes a read. It is usually the first one, since reads are
+// confirmed in order.
+func (q *readQueue) removeUnconfirmed(requestID uint64) {
+	if len(q.unconfirmed) > 0 && q.unconfirmed[0].requestID == requestID {
+		q.unconfirmed = q.unconfirmed[1:]
 		return
 	}
-	for position, read := range q.asked {
+	for position, read := range q.unconfirmed {
 		if read.requestID == requestID {
-			q.asked = append(q.asked[:position:position], q.asked[position+1:]...)
+			q.unconfirmed = append(q.unconfirmed[:position:position], q.unconfirmed[position+1:]...)
 			return
 		}
 	}
 }
 
-// takeApplied returns the confirmed reads that the state machine can answer.
-func (q *readQueue) takeApplied(applied uint64) []ReadCompletion {
+// takeReady removes the confirmed reads whose index has been applied and returns
+// their completions.
+func (q *readQueue) takeReady(applied uint64) []ReadCompletion {
 	var ready []ReadCompletion
 	kept := q.confirmed[:0]
 	for _, state := range q.confirmed {
@@ -112,18 +116,18 @@
 	return ready
 }
 
-// dropOtherTerms removes the unconfirmed reads that were not asked of the
-// leader of term.
+// dropOtherTerms removes the unconfirmed reads that this replica did not accept
+// as leader of the given term and returns their request ids.
 func (q *readQueue) dropOtherTerms(term uint64, isLeader bool) []uint64 {
 	var dropped []uint64
-	kept := q.asked[:0:0]
-	for _, read := range q.asked {
+	kept := q.unconfirmed[:0:0]
+	for _, read := range q.unconfirmed {
 		if isLeader && read.term == term {
 			kept = append(kept, read)
 			continue
 		}
 		dropped = append(dropped, read.requestID)
 	}
-	q.asked = kept
+	q.unconfirmed = kept
 	return dropped
 }
--- a/coordination/replica/requests.go
+++ b/coordination/replica/requests.go
@@ -7,45 +7,48 @@
 	"github.com/pierhaven/pierhaven/coordination/consensus"
 )
 
-// propose puts proposals into the log as one batch.
+// propose appends proposals to the log as one batch and completes those that
+// are rejected.
 func (n *Node) propose(now time.Duration, proposals []Proposal) {
-	proposals = n.refuseTooLarge(proposals)
-	accepted := n.roomFor(proposals)
+	proposals = n.rejectTooLarge(proposals)
+	accepted := n.admissibleCount(proposals)
 	commands := make([][]byte, accepted)
 	for position := range commands {
 		commands[position] = proposals[position].Command
 	}
-	var refused error
-	if n.stalled.isOn() {
-		refused = ErrNotWritable
+	var rejection error
+	if n.stalled.isActive() {
+		rejection = ErrNotWritable
 	} else if accepted > 0 {
-		refused = n.proposeCommands(now, proposals[:accepted], commands)
+		rejection = n.proposeCommands(now, proposals[:accepted], commands)
 	}
-	if refused != nil {
+	if rejection != nil {
 		accepted = 0
 	} else {
-		refused = ErrOverloaded
+		rejection = ErrOverloaded
 	}
 	for _, proposal := range proposals[accepted:] {
-		n.complete(Completion{RequestID: proposal.RequestID, Err: refused})
+		n.complete(Completion{RequestID: proposal.RequestID, Err: rejection})
 	}
 }
 
-// refuseTooLarge completes the proposals over the bound and returns the others.
-func (n *Node) refuseTooLarge(proposals []Proposal) []Proposal {
-	fitting := proposals[:0:0]
+// rejectTooLarge completes the proposals over MaxCommandBytes with ErrTooLarge
+// and returns the others.
+func (n *Node) rejectTooLarge(proposals []Proposal) []Proposal {
+	withinLimit := proposals[:0:0]
 	for _, proposal := range proposals {
 		if len(proposal.Command) > n.config.MaxCommandBytes {
 			n.complete(Completion{RequestID: proposal.RequestID, Err: ErrTooLarge})
 			continue
 		}
-		fitting = append(fitting, proposal)
+		withinLimit = append(withinLimit, proposal)
 	}
-	return fitting
+	return withinLimit
 }
 
-// roomFor returns how many of the proposals may wait beside those that do.
-func (n *Node) roomFor(proposals []Proposal) int {
+// admissibleCount returns how many of the proposals fit within MaxPending and
+// MaxPendingBytes, in addition to the pending ones.
+func (n *Node) admissibleCount(proposals []Proposal) int {
 	bytes := n.proposals.bytes
 	limit := min(len(proposals), n.config.MaxPending-n.proposals.len())
 	for position, proposal := range proposals[:limit] {
@@ -60,7 +63,7 @@
 func (n *Node) proposeCommands(now time.Duration, proposals []Proposal, commands [][]byte) error {
 	first, err := n.core.Propose(now, commands)
 	if err != nil {
-		return n.refusal(err)
+		return n.translateError(err)
 	}
 	for offset, proposal := range proposals {
 		position := consensus.Position{Index: first.Index + uint64(offset), Term: first.Term}
@@ -70,13 +73,13 @@
 }
 
 func (n *Node) changeMembership(now time.Duration, requestID uint64, change consensus.MembershipChange) {
-	if n.stalled.isOn() {
+	if n.stalled.isActive() {
 		n.complete(Completion{RequestID: requestID, Err: ErrNotWritable})
 		return
 	}
 	position, err := n.core.ProposeMembership(now, change)
 	if err != nil {
-		n.complete(Completion{RequestID: requestID, Err: n.refusal(err)})
+		n.complete(Completion{RequestID: requestID, Err: n.translateError(err)})
 		return
 	}
 	n.proposals.add(position, requestID, 0)
@@ -91,29 +94,31 @@
 }
 
 func (n *Node) readIndex(now time.Duration, requestID uint64) error {
-	if n.stalled.isOn() {
+	if n.stalled.isActive() {
 		return ErrNotWritable
 	}
-	return n.refusal(n.core.ReadIndex(now, requestID))
+	return n.translateError(n.core.ReadIndex(now, requestID))
 }
 
 func (n *Node) transfer(now time.Duration, target consensus.ReplicaID) error {
-	if n.stalled.isOn() {
+	if n.stalled.isActive() {
 		return ErrNotWritable
 	}
-	return n.refusal(n.core.TransferLeadership(now, target))
+	return n.translateError(n.core.TransferLeadership(now, target))
 }
 
-// refusal turns the core's error into one of this package where there is one.
-func (n *Node) refusal(err error) error {
+// translateError returns a NotLeaderError if the core does not lead or is
+// transferring leadership, and all other errors unchanged.
+func (n *Node) translateError(err error) error {
 	if errors.Is(err, consensus.ErrNotLeader) || errors.Is(err, consensus.ErrTransferring) {
-		return n.notLeader()
+		return n.notLeaderError()
 	}
 	return err
 }
 
-// notLeader names the leader; one that is handing over names nobody.
-func (n *Node) notLeader() error {
+// notLeaderError returns a NotLeaderError that names the known leader. A leader
+// that is transferring its leadership names none.
+func (n *Node) notLeaderError() error {
 	status := n.core.Status()
 	if status.Role == consensus.RoleLeader {
 		return &NotLeaderError{}
--- a/coordination/replica/runner.go
+++ b/coordination/replica/runner.go
@@ -15,7 +15,8 @@
 const (
 	messageQueueLength = 4096
 	requestQueueLength = 1024
-	// maxInputsPerFlush bounds what is taken in before one sync.
+	// maxInputsPerFlush limits the number of messages and requests handled
+	// before one sync.
 	maxInputsPerFlush = 4096
 	minTickInterval   = time.Millisecond
 	ticksPerHeartbeat = 10
@@ -25,38 +26,39 @@
 type RunnerConfig struct {
 	Config
 	Transport Transport
-	// TickInterval is the time between ticks. Default a hundredth of
-	// ElectionTimeout but at least 1 ms.
+	// TickInterval is the time between ticks. Default one hundredth of
+	// ElectionTimeout, but at least 1 ms.
 	TickInterval time.Duration
-	// Logger gets changes of leadership and fatal errors. The zero value
-	// discards them.
+	// Logger receives votes, snapshots, stalls, leadership changes and fatal
+	// errors. The zero value discards them.
 	Logger logr.Logger
 }
 
-// Runner runs one replica with a goroutine of its own. All methods may be
-// called concurrently.
+// Runner runs one replica in its own goroutine. Its methods are safe for
+// concurrent use.
 type Runner struct {
 	config RunnerConfig
-	// node is nil when the replica is quarantined; only the goroutine uses it.
+	// node is nil if the replica is quarantined. Only the goroutine accesses
+	// it once started.
 	node        *Node
 	quarantined error
-	started     time.Time
+	startedAt   time.Time
 
-	messages   chan consensus.Message
-	requests   chan request
-	changes    chan LeadershipChange
-	stop       chan struct{}
-	stopOnce   sync.Once
-	startOnce  sync.Once
-	done       chan struct{}
-	status     atomic.Pointer[Status]
-	waiters    map[uint64]chan Completion
-	nextID     uint64
-	lastLeader LeadershipChange
+	messages          chan consensus.Message
+	requests          chan request
+	leadershipChanges chan LeadershipChange
+	stop              chan struct{}
+	stopOnce          sync.Once
+	startOnce         sync.Once
+	done              chan struct{}
+	status            atomic.Pointer[Status]
+	waiters           map[uint64]chan Completion
+	nextID            uint64
+	lastLeader        LeadershipChange
 }
 
-// NewRunner opens or creates the replica. With damaged data it returns a
-// Runner whose Status tells the reason and whose requests give
+// NewRunner opens or creates the replica. If its data is damaged, it returns a
+// Runner whose Status().Quarantined is the reason and whose requests fail with
 // ErrReplicaQuarantined.
 func NewRunner(config RunnerConfig) (*Runner, error) {
 	config.setDefaults()
@@ -64,14 +66,14 @@
 		config.TickInterval = max(minTickInterval, config.ElectionTimeout/(10*ticksPerHeartbeat))
 	}
 	runner := &Runner{
-		config:   config,
-		started:  time.Now(),
-		messages: make(chan consensus.Message, messageQueueLength),
-		requests: make(chan request, requestQueueLength),
-		changes:  make(chan LeadershipChange, 1),
-		stop:     make(chan struct{}),
-		done:     make(chan struct{}),
-		waiters:  map[uint64]chan Completion{},
+		config:            config,
+		startedAt:         time.Now(),
+		messages:          make(chan consensus.Message, messageQueueLength),
+		requests:          make(chan request, requestQueueLength),
+		leadershipChanges: make(chan LeadershipChange, 1),
+		stop:              make(chan struct{}),
+		done:              make(chan struct{}),
+		waiters:           map[uint64]chan Completion{},
 	}
 	node, err := OpenNode(config.Config, 0)
 	if errors.Is(err, ErrReplicaQuarantined) {
@@ -83,7 +85,7 @@
 		return nil, err
 	}
 	node.send = config.Transport.Send
-	node.background = func(work func()) { go work() }
+	node.runInBackground = func(work func()) { go work() }
 	runner.node = node
 	runner.publishStatus()
 	return runner, nil
@@ -98,8 +100,8 @@
 	return nil
 }
 
-// Stop ends the goroutine and closes the data folder. Waiting proposals end
-// with ErrOutcomeUnknown.
+// Stop stops the goroutine and closes the data directory. Requests in progress
+// complete with ErrOutcomeUnknown.
 func (r *Runner) Stop() {
 	r.stopOnce.Do(func() {
 		close(r.stop)
@@ -110,16 +112,17 @@
 	if r.quarantined != nil {
 		return
 	}
-	r.startOnce.Do(func() { r.finish(nil) })
+	r.startOnce.Do(func() { r.shutDown(nil) })
 	<-r.done
 }
 
-// Done is closed when the replica has stopped, by Stop or by a fatal error
-// that Status().Err then tells. The process has to end after a fatal error.
+// Done returns a channel that is closed when the replica has stopped, either
+// through Stop or through a fatal error, which Status().Err then returns. The
+// process must exit after a fatal error.
 func (r *Runner) Done() <-chan struct{} { return r.done }
 
-// Receive takes in a message from another replica. It does not block; when the
-// replica can't keep up the message is dropped, which the protocol allows.
+// Receive queues a message from another replica. It does not block: if the queue
+// is full the message is dropped, which the protocol allows.
 func (r *Runner) Receive(message consensus.Message) {
 	select {
 	case r.messages <- message:
@@ -127,18 +130,18 @@
 	}
 }
 
-func (r *Runner) now() time.Duration { return time.Since(r.started) }
+func (r *Runner) now() time.Duration { return time.Since(r.startedAt) }
 
-// loop is the goroutine: it gathers what has come in, carries it out with one
-// flush and hands the results back.
+// loop is the replica's goroutine. It collects queued messages and requests,
+// handles them with one flush and delivers the results.
 func (r *Runner) loop() {
 	ticker := time.NewTicker(r.config.TickInterval)
 	defer ticker.Stop()
-	var inputs inputs
+	var inputs inputBatch
 	for {
 		select {
 		case <-r.stop:
-			r.finish(nil)
+			r.shutDown(nil)
 			return
 		case <-ticker.C:
 			inputs.tick = true
@@ -147,30 +150,31 @@
 		case request := <-r.requests:
 			inputs.requests = append(inputs.requests, request)
 		}
-		r.gather(&inputs)
-		if err := r.carryOut(&inputs); err != nil {
-			r.finish(err)
+		r.drainQueues(&inputs)
+		if err := r.processInputs(&inputs); err != nil {
+			r.shutDown(err)
 			return
 		}
 		inputs.reset()
 	}
 }
 
-// inputs is what the loop takes in before one flush.
-type inputs struct {
+// inputBatch holds the inputs that are handled before one flush.
+type inputBatch struct {
 	tick     bool
 	messages []consensus.Message
 	requests []request
 }
 
-func (i *inputs) reset() {
+func (i *inputBatch) reset() {
 	i.tick = false
 	i.messages = i.messages[:0]
 	i.requests = i.requests[:0]
 }
 
-// gather takes in what waits already, without blocking.
-func (r *Runner) gather(inputs *inputs) {
+// drainQueues adds queued messages and requests to the batch, without blocking
+// and up to maxInputsPerFlush.
+func (r *Runner) drainQueues(inputs *inputBatch) {
 	for len(inputs.messages)+len(inputs.requests) < maxInputsPerFlush {
 		select {
 		case message := <-r.messages:
@@ -183,33 +187,33 @@
 	}
 }
 
-func (r *Runner) carryOut(inputs *inputs) error {
+func (r *Runner) processInputs(inputs *inputBatch) error {
 	now := r.now()
-	outputs, err := r.node.run(now, func() {
+	outputs, err := r.node.handleInput(now, func() {
 		for _, message := range inputs.messages {
 			r.node.step(now, message)
 		}
 		if inputs.tick {
 			r.node.tick(now)
 		}
-		r.takeRequests(now, inputs.requests)
+		r.processRequests(now, inputs.requests)
 	})
 	r.deliver(outputs)
 	r.publishStatus()
 	return err
 }
 
-// deliver hands completions to the callers that wait for them.
+// deliver passes completions to the callers that wait for them.
 func (r *Runner) deliver(outputs Outputs) {
 	for _, completion := range outputs.Completed {
-		r.answer(completion)
+		r.completeRequest(completion)
 	}
 	for _, read := range outputs.Reads {
-		r.answer(Completion{RequestID: read.RequestID, Index: read.Index, Err: read.Err})
+		r.completeRequest(Completion{RequestID: read.RequestID, Index: read.Index, Err: read.Err})
 	}
 }
 
-func (r *Runner) answer(completion Completion) {
+func (r *Runner) completeRequest(completion Completion) {
 	waiter, found := r.waiters[completion.RequestID]
 	if !found {
 		return
@@ -218,8 +222,10 @@
 	waiter <- completion
 }
 
-// finish ends the replica. What the core has taken in may still be committed.
-func (r *Runner) finish(failure error) {
+// shutDown closes the replica and publishes its final status. Requests in
+// progress complete with ErrOutcomeUnknown: entries that the core has accepted
+// may still be committed.
+func (r *Runner) shutDown(failure error) {
 	if failure != nil {
 		r.config.Logger.Error(failure, "replica stopped", "group", r.config.Group)
 	}
@@ -238,7 +244,7 @@
 	close(r.done)
 }
 
-// call hands a request to the goroutine and waits for its completion.
+// call sends a request to the goroutine and waits for its completion.
 func (r *Runner) call(ctx context.Context, request request) Completion {
 	if r.quarantined != nil {
 		return Completion{Err: r.quarantined}
@@ -261,8 +267,8 @@
 	}
 }
 
-// lastCompletion returns what the goroutine answered before it ended; without
-// an answer it never took the request in.
+// lastCompletion returns the completion that the goroutine sent before it
+// stopped. If there is none, the goroutine never received the request.
 func lastCompletion(completion chan Completion) Completion {
 	select {
 	case last := <-completion:
--- a/coordination/replica/runner_membership.go
+++ b/coordination/replica/runner_membership.go
@@ -7,29 +7,31 @@
 	"github.com/pierhaven/pierhaven/coordination/consensus"
 )
 
-// AddLearner adds a member without a vote. It may be repeated.
+// AddLearner adds a non-voting member. It may be repeated.
 func (r *Runner) AddLearner(ctx context.Context, member consensus.Member) error {
-	return r.change(ctx, consensus.MembershipChange{Kind: consensus.AddLearner, Member: member})
+	return r.changeMembership(ctx, consensus.MembershipChange{Kind: consensus.AddLearner, Member: member})
 }
 
-// Promote waits until a learner has caught up and gives it a vote. It may be
+// Promote waits until a learner has caught up and makes it a voter. It may be
 // repeated.
 func (r *Runner) Promote(ctx context.Context, id consensus.ReplicaID) error {
 	member := consensus.Member{ID: id}
-	return r.change(ctx, consensus.MembershipChange{Kind: consensus.PromoteLearner, Member: member})
+	return r.changeMembership(ctx, consensus.MembershipChange{Kind: consensus.PromoteLearner, Member: member})
 }
 
 // Remove removes a member. It may be repeated. A leader that removes itself
 // steps down afterwards.
 func (r *Runner) Remove(ctx context.Context, id consensus.ReplicaID) error {
 	member := consensus.Member{ID: id}
-	return r.change(ctx, consensus.MembershipChange{Kind: consensus.RemoveMember, Member: member})
+	return r.changeMembership(ctx, consensus.MembershipChange{Kind: consensus.RemoveMember, Member: member})
 }
 
-// change makes one membership change as soon as it is allowed.
-func (r *Runner) change(ctx context.Context, change consensus.MembershipChange) error {
+// changeMembership makes one membership change. It retries while another change
+// is in progress or the learner has not caught up, and returns nil if the
+// membership already is as requested.
+func (r *Runner) changeMembership(ctx context.Context, change consensus.MembershipChange) error {
 	for {
-		err := r.call(ctx, request{change: &change}).Err
+		err := r.call(ctx, request{membershipChange: &change}).Err
 		switch {
 		case errors.Is(err, consensus.ErrUnchanged):
 			return nil
@@ -38,19 +40,19 @@
 			return err
 		}
 		never := func() bool { return false }
-		if err := r.wait(ctx, r.config.ElectionTimeout/10, never); !errors.Is(err, errWaitedLong) {
+		if err := r.waitUntil(ctx, r.config.ElectionTimeout/10, never); !errors.Is(err, errWaitTimeout) {
 			return err
 		}
 	}
 }
 
-// Replace puts a new replica in the place of one whose data is lost or that is
-// to leave: the new one becomes a learner and catches up before the voters
-// change. It may be repeated after an error.
+// Replace replaces a member whose data is lost or that is to be removed. The new
+// member becomes a learner and catches up before the voters change. Replace may
+// be repeated after an error.
 //
-// Of the two steps that change the voters the safer comes first: an active old
-// member keeps its vote until the new one has its own; a lost one is removed
-// first, so that it does not count in the majority.
+// The order of the two changes of the voters depends on the old member: one that
+// is active keeps its vote until the new member is a voter; one that is lost is
+// removed first, so that it no longer counts towards the majority.
 func (r *Runner) Replace(ctx context.Context, old consensus.ReplicaID, member consensus.Member) error {
 	if err := r.AddLearner(ctx, member); err != nil {
 		return err
@@ -75,24 +77,25 @@
 	return found && member.RecentlyActive
 }
 
-// awaitCaughtUp waits until a member has what was committed when the wait began.
+// awaitCaughtUp waits until a member has all entries that were committed when
+// the call began.
 func (r *Runner) awaitCaughtUp(ctx context.Context, id consensus.ReplicaID) error {
-	goal := r.Status().CommitIndex
+	targetIndex := r.Status().CommitIndex
 	for {
 		if r.isNotLeader() {
-			return r.notLeader()
+			return r.notLeaderError()
 		}
-		err := r.wait(ctx, r.config.ElectionTimeout, func() bool {
+		err := r.waitUntil(ctx, r.config.ElectionTimeout, func() bool {
 			member, found := r.Status().Member(id)
-			return found && member.MatchIndex >= goal || r.isNotLeader()
+			return found && member.MatchIndex >= targetIndex || r.isNotLeader()
 		})
-		if err == nil && !r.isNotLeader() || err != nil && !errors.Is(err, errWaitedLong) {
+		if err == nil && !r.isNotLeader() || err != nil && !errors.Is(err, errWaitTimeout) {
 			return err
 		}
 	}
 }
 
-func (r *Runner) notLeader() error {
+func (r *Runner) notLeaderError() error {
 	status := r.Status()
 	leader, _ := status.Member(status.Leader)
 	return &NotLeaderError{Leader: status.Leader, Address: leader.Address}
--- a/coordination/replica/runner_requests.go
+++ b/coordination/replica/runner_requests.go
@@ -8,25 +8,27 @@
 	"github.com/pierhaven/pierhaven/coordination/consensus"
 )
 
-// request is one call for the runner's goroutine. Exactly one of its parts is set.
+// request is a request to the runner's goroutine. Exactly one of its fields
+// besides completion is set.
 type request struct {
-	completion chan Completion
-	proposal   *Proposal
-	isRead     bool
-	change     *consensus.MembershipChange
-	transfer   bool
-	promise    *promiseRequest
-	founding   *Founding
+	completion       chan Completion
+	proposal         *Proposal
+	isReadBarrier    bool
+	membershipChange *consensus.MembershipChange
+	isTransfer       bool
+	promise          *promiseRequest
+	founding         *Founding
 }
 
-// promiseRequest is a FoundingRequest with room for its answer.
+// promiseRequest is a FoundingRequest with the promise that the goroutine returns.
 type promiseRequest struct {
 	request FoundingRequest
 	promise FoundingPromise
 }
 
-// takeRequests hands requests to the core, the proposals as one batch.
-func (r *Runner) takeRequests(now time.Duration, requests []request) {
+// processRequests passes requests to the node, all proposals as one batch after
+// the other requests.
+func (r *Runner) processRequests(now time.Duration, requests []request) {
 	var proposals []Proposal
 	for _, request := range requests {
 		r.nextID++
@@ -36,20 +38,20 @@
 			proposals = append(proposals, Proposal{RequestID: id, Command: request.proposal.Command})
 			continue
 		}
-		r.takeRequest(now, id, request)
+		r.processRequest(now, id, request)
 	}
 	if len(proposals) > 0 {
 		r.node.propose(now, proposals)
 	}
 }
 
-func (r *Runner) takeRequest(now time.Duration, id uint64, request request) {
+func (r *Runner) processRequest(now time.Duration, id uint64, request request) {
 	switch {
-	case request.isRead:
+	case request.isReadBarrier:
 		r.node.readBarrier(now, id)
-	case request.change != nil:
-		r.node.changeMembership(now, id, *request.change)
-	case request.transfer:
+	case request.membershipChange != nil:
+		r.node.changeMembership(now, id, *request.membershipChange)
+	case request.isTransfer:
 		r.node.complete(Completion{RequestID: id, Err: r.node.transfer(now, 0)})
 	case request.promise != nil:
 		promise, err := r.node.PromiseFounding(request.promise.request)
@@ -62,27 +64,28 @@
 }
 
 // Propose commits a command and returns its index and the state machine's
-// result. The command must not be changed afterwards. After ErrOutcomeUnknown
-// the command may or may not take effect; after ErrNotLeader, ErrDropped,
-// ErrOverloaded, ErrTooLarge, ErrStopped or ErrReplicaQuarantined it will not.
+// result. The caller must not modify the command afterwards. After
+// ErrOutcomeUnknown the command may or may not take effect; after ErrNotLeader,
+// ErrDropped, ErrOverloaded, ErrTooLarge, ErrNotWritable, ErrStopped or
+// ErrReplicaQuarantined it will not.
 func (r *Runner) Propose(ctx context.Context, command []byte) (index uint64, result []byte, err error) {
 	completion := r.call(ctx, request{proposal: &Proposal{Command: command}})
 	return completion.Index, completion.Result, completion.Err
 }
 
-// ReadBarrier returns nil when the local state machine shows every change that
-// was complete before the call. Only the leader can do it.
+// ReadBarrier returns nil once the local state machine reflects every change
+// that was complete before the call. It succeeds only on the leader.
 func (r *Runner) ReadBarrier(ctx context.Context) error {
-	return r.call(ctx, request{isRead: true}).Err
+	return r.call(ctx, request{isReadBarrier: true}).Err
 }
 
 // PromiseFounding durably promises to take part in one founding.
 func (r *Runner) PromiseFounding(ctx context.Context, wanted FoundingRequest) (FoundingPromise, error) {
-	asked := &promiseRequest{request: wanted}
-	if err := r.call(ctx, request{promise: asked}).Err; err != nil {
+	pending := &promiseRequest{request: wanted}
+	if err := r.call(ctx, request{promise: pending}).Err; err != nil {
 		return FoundingPromise{}, err
 	}
-	return asked.promise, nil
+	return pending.promise, nil
 }
 
 // Found installs the initial configuration; it may be repeated.
@@ -90,33 +93,33 @@
 	return r.call(ctx, request{founding: &founding}).Err
 }
 
-// Transfer hands leadership to another voter and returns when this replica no
-// longer leads. Without another active voter it returns
+// Transfer transfers leadership to another voter and returns when this replica
+// is no longer the leader. If there is no other active voter, it returns
 // consensus.ErrUnknownMember.
 func (r *Runner) Transfer(ctx context.Context) error {
 	for {
-		err := r.call(ctx, request{transfer: true}).Err
+		err := r.call(ctx, request{isTransfer: true}).Err
 		if errors.Is(err, ErrNotLeader) && r.Status().Role != consensus.RoleLeader {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		if err := r.wait(ctx, r.config.ElectionTimeout, r.isNotLeader); err == nil || ctx.Err() != nil {
+		if err := r.waitUntil(ctx, r.config.ElectionTimeout, r.isNotLeader); err == nil || ctx.Err() != nil {
 			return err
 		}
 	}
 }
 
-// AwaitLeader returns when this replica knows a leader of its group, which may
-// be itself.
+// AwaitLeader returns when this replica knows the leader of its group, which may
+// be this replica.
 func (r *Runner) AwaitLeader(ctx context.Context) error {
 	if r.quarantined != nil {
 		return r.quarantined
 	}
 	for {
-		err := r.wait(ctx, r.config.ElectionTimeout, func() bool { return r.Status().Leader != 0 })
-		if !errors.Is(err, errWaitedLong) {
+		err := r.waitUntil(ctx, r.config.ElectionTimeout, func() bool { return r.Status().Leader != 0 })
+		if !errors.Is(err, errWaitTimeout) {
 			return err
 		}
 	}
@@ -124,12 +127,13 @@
 
 func (r *Runner) isNotLeader() bool { return r.Status().Role != consensus.RoleLeader }
 
-// errWaitedLong ends a wait that may be started again.
-var errWaitedLong = errors.New("replica: condition did not come about in time")
+// errWaitTimeout is returned by waitUntil after its timeout; callers may wait again.
+var errWaitTimeout = errors.New("replica: condition did not come about in time")
 
-// wait polls a condition of the status.
-func (r *Runner) wait(ctx context.Context, limit time.Duration, condition func() bool) error {
-	deadline := time.NewTimer(limit)
+// waitUntil polls a condition every TickInterval until it holds, and returns
+// errWaitTimeout after the timeout.
+func (r *Runner) waitUntil(ctx context.Context, timeout time.Duration, condition func() bool) error {
+	deadline := time.NewTimer(timeout)
 	defer deadline.Stop()
 	ticker := time.NewTicker(r.config.TickInterval)
 	defer ticker.Stop()
@@ -140,7 +144,7 @@
 		case <-r.done:
 			return ErrStopped
 		case <-deadline.C:
-			return errWaitedLong
+			return errWaitTimeout
 		case <-ticker.C:
 		}
 	}
--- a/coordination/replica/runner_status.go
+++ b/coordination/replica/runner_status.go
@@ -9,11 +9,11 @@
 // Status returns the replica's view of itself and its group.
 func (r *Runner) Status() Status { return *r.status.Load() }
 
-// LeadershipChanges returns a channel that holds the latest change of the
-// leader; a change that was not read is replaced by the next.
-func (r *Runner) LeadershipChanges() <-chan LeadershipChange { return r.changes }
+// LeadershipChanges returns a channel that holds the latest leadership change; a
+// change that has not been received is replaced by the next one.
+func (r *Runner) LeadershipChanges() <-chan LeadershipChange { return r.leadershipChanges }
 
-// Messages of log lines.
+// Log messages.
 const (
 	LogVoteCast      = "vote cast"
 	LogSnapshotTaken = "snapshot taken"
@@ -21,8 +21,8 @@
 	LogWriteAccepted = "disk takes writes again"
 )
 
-// logProgress writes a line for each vote, each snapshot and each stall since a
-// status.
+// logProgress logs the votes, snapshots and starts and ends of stalls between two
+// statuses.
 func (r *Runner) logProgress(before, status *Status) {
 	if before == nil {
 		return
@@ -61,14 +61,15 @@
 	r.lastLeader = change
 	r.config.Logger.V(1).Info("leadership changed", "group", r.config.Group, "term", change.Term,
 		"leader", fmt.Sprintf("%x", uint64(change.Leader)), "self", change.IsSelf)
-	r.announce(change)
+	r.publishLeadershipChange(change)
 }
 
-// announce puts the change into the channel in place of an unread one.
-func (r *Runner) announce(change LeadershipChange) {
+// publishLeadershipChange sends the change to the channel, replacing one that has
+// not been received.
+func (r *Runner) publishLeadershipChange(change LeadershipChange) {
 	select {
-	case <-r.changes:
+	case <-r.leadershipChanges:
 	default:
 	}
-	r.changes <- change
+	r.leadershipChanges <- change
 }
--- a/coordination/replica/runner_test.go
+++ b/coordination/replica/runner_test.go
@@ -18,7 +18,7 @@
 	"github.com/pierhaven/pierhaven/coordination/storage"
 )
 
-// counter counts its commands.
+// counter is a state machine that counts its commands.
 type counter struct{ value int64 }
 
 func (c *counter) Apply(uint64, []byte) []byte {
@@ -38,13 +38,13 @@
 	return nil
 }
 
-// exchange hands messages between the runners of one process.
-type exchange struct {
+// inMemoryTransport delivers messages between runners in the same process.
+type inMemoryTransport struct {
 	mutex   sync.Mutex
 	runners map[consensus.ReplicaID]*Runner
 }
 
-func (e *exchange) Send(messages []consensus.Message) {
+func (e *inMemoryTransport) Send(messages []consensus.Message) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	for _, message := range messages {
@@ -54,7 +54,7 @@
 	}
 }
 
-func (e *exchange) set(runner *Runner) {
+func (e *inMemoryTransport) register(runner *Runner) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.runners[runner.Status().ID] = runner
@@ -66,7 +66,7 @@
 	return ctx
 }
 
-func startRunner(t testing.TB, transport *exchange, directory string) (*Runner, *counter) {
+func startRunner(t testing.TB, transport *inMemoryTransport, directory string) (*Runner, *counter) {
 	state := &counter{}
 	runner, err := NewRunner(RunnerConfig{
 		Config: Config{
@@ -79,14 +79,14 @@
 	require.NoError(t, runner.Start())
 	t.Cleanup(runner.Stop)
 	if runner.quarantined == nil {
-		transport.set(runner)
+		transport.register(runner)
 	}
 	return runner, state
 }
 
-// foundRunners starts size runners and founds a group of them.
-func foundRunners(t testing.TB, size int) (*exchange, []*Runner, []*counter, []string) {
-	transport := &exchange{runners: map[consensus.ReplicaID]*Runner{}}
+// startGroup starts the given number of runners and founds a group with them.
+func startGroup(t testing.TB, size int) (*inMemoryTransport, []*Runner, []*counter, []string) {
+	transport := &inMemoryTransport{runners: map[consensus.ReplicaID]*Runner{}}
 	var runners []*Runner
 	var states []*counter
 	var directories []string
@@ -119,7 +119,7 @@
 	require.Eventually(t, condition, time.Minute, 2*time.Millisecond, what)
 }
 
-func leaderOf(t testing.TB, runners []*Runner) *Runner {
+func awaitLeader(t testing.TB, runners []*Runner) *Runner {
 	var leader *Runner
 	waitFor(t, "a leader", func() bool {
 		for _, runner := range runners {
@@ -133,10 +133,10 @@
 	return leader
 }
 
-func TestRunnerOfOne(t *testing.T) {
-	transport, runners, _, directories := foundRunners(t, 1)
+func TestSingleReplicaRunnerRecoversStateAfterRestart(t *testing.T) {
+	transport, runners, _, directories := startGroup(t, 1)
 	ctx := testContext(t)
-	leader := leaderOf(t, runners)
+	leader := awaitLeader(t, runners)
 	for range 5 {
 		_, _, err := leader.Propose(ctx, []byte("count"))
 		require.NoError(t, err)
@@ -147,18 +147,19 @@
 	_, _, err := leader.Propose(ctx, []byte("count"))
 	require.ErrorIs(t, err, ErrStopped)
 
-	again, state := startRunner(t, transport, directories[0])
-	waitFor(t, "the leader", func() bool { return again.ReadBarrier(ctx) == nil })
+	restarted, state := startRunner(t, transport, directories[0])
+	waitFor(t, "the leader", func() bool { return restarted.ReadBarrier(ctx) == nil })
 	require.EqualValues(t, 5, atomic.LoadInt64(&state.value))
-	require.EqualValues(t, 1, again.Status().Generation)
+	require.EqualValues(t, 1, restarted.Status().Generation)
 }
 
-// TestRunnersUnderLoad proposes concurrently while leadership moves and a
-// member's disk is lost and replaced; every acknowledged command counts once.
-func TestRunnersUnderLoad(t *testing.T) {
-	transport, runners, states, directories := foundRunners(t, 3)
+// TestAcknowledgedCommandsSurviveTransferAndReplacement proposes commands
+// concurrently while leadership is transferred and a member's disk is lost and
+// the member replaced. Every acknowledged command must be applied exactly once.
+func TestAcknowledgedCommandsSurviveTransferAndReplacement(t *testing.T) {
+	transport, runners, states, directories := startGroup(t, 3)
 	ctx := testContext(t)
-	leader := leaderOf(t, runners)
+	leader := awaitLeader(t, runners)
 	var acknowledged, unknown atomic.Int64
 	stop := make(chan struct{})
 	var proposers sync.WaitGroup
@@ -168,23 +169,23 @@
 	waitFor(t, "commits", func() bool { return acknowledged.Load() > 500 })
 	require.NoError(t, leader.Transfer(ctx))
 
-	leader = leaderOf(t, runners)
-	lost := 0
-	for runners[lost] == leader {
-		lost++
+	leader = awaitLeader(t, runners)
+	lostRunner := 0
+	for runners[lostRunner] == leader {
+		lostRunner++
 	}
-	oldID := runners[lost].Status().ID
-	runners[lost].Stop()
-	require.NoError(t, os.RemoveAll(directories[lost]))
-	runners[lost], states[lost] = startRunner(t, transport, directories[lost])
-	newID := runners[lost].Status().ID
+	oldID := runners[lostRunner].Status().ID
+	runners[lostRunner].Stop()
+	require.NoError(t, os.RemoveAll(directories[lostRunner]))
+	runners[lostRunner], states[lostRunner] = startRunner(t, transport, directories[lostRunner])
+	newID := runners[lostRunner].Status().ID
 	require.NotEqual(t, oldID, newID)
 	waitFor(t, "the replacement", func() bool {
-		member := consensus.Member{ID: newID, Address: fmt.Sprintf("address-%d", lost)}
-		return leaderOf(t, runners).Replace(ctx, oldID, member) == nil
+		member := consensus.Member{ID: newID, Address: fmt.Sprintf("address-%d", lostRunner)}
+		return awaitLeader(t, runners).Replace(ctx, oldID, member) == nil
 	})
-	goal := acknowledged.Load() + 500
-	waitFor(t, "commits", func() bool { return acknowledged.Load() > goal })
+	target := acknowledged.Load() + 500
+	waitFor(t, "commits", func() bool { return acknowledged.Load() > target })
 	close(stop)
 	proposers.Wait()
 
@@ -195,13 +196,13 @@
 	value := atomic.LoadInt64(&states[0].value)
 	require.GreaterOrEqual(t, value, acknowledged.Load())
 	require.LessOrEqual(t, value, acknowledged.Load()+unknown.Load())
-	status := leaderOf(t, runners).Status()
+	status := awaitLeader(t, runners).Status()
 	require.Len(t, status.Members, 3)
 	_, found := status.Member(oldID)
 	require.False(t, found)
 }
 
-func proposeUntil(ctx context.Context, stop chan struct{}, transport *exchange, acknowledged, unknown *atomic.Int64) {
+func proposeUntil(ctx context.Context, stop chan struct{}, transport *inMemoryTransport, acknowledged, unknown *atomic.Int64) {
 	for {
 		select {
 		case <-stop:
@@ -227,8 +228,8 @@
 }
 
 func TestProposalThatCannotCommitIsUnknown(t *testing.T) {
-	transport, runners, _, _ := foundRunners(t, 3)
-	leader := leaderOf(t, runners)
+	transport, runners, _, _ := startGroup(t, 3)
+	leader := awaitLeader(t, runners)
 	transport.mutex.Lock()
 	transport.runners = nil
 	transport.mutex.Unlock()
@@ -239,8 +240,8 @@
 }
 
 func TestDamagedDataQuarantinesTheReplica(t *testing.T) {
-	transport, runners, _, directories := foundRunners(t, 1)
-	leader := leaderOf(t, runners)
+	transport, runners, _, directories := startGroup(t, 1)
+	leader := awaitLeader(t, runners)
 	for range 3 {
 		_, _, err := leader.Propose(testContext(t), []byte("count"))
 		require.NoError(t, err)
@@ -266,7 +267,7 @@
 	config.MaxPending, config.MaxPendingBytes = 3, 10
 	node, err := OpenNode(config, 0)
 	require.NoError(t, err)
-	foundAlone(t, node)
+	foundSingleReplica(t, node)
 	cases := map[string]struct {
 		sizes   []int
 		refused int
--- a/coordination/replica/snapshot.go
+++ b/coordination/replica/snapshot.go
@@ -8,48 +8,50 @@
 	"github.com/pierhaven/pierhaven/coordination/storage"
 )
 
-// Capturer is a StateMachine whose state can be encoded while it goes on. It
-// should be implemented by all whose Snapshot takes long: the replica does
-// nothing else meanwhile, and a leader that is silent for an election timeout
-// loses its leadership.
+// Capturer is a StateMachine whose state can be encoded while it applies further
+// commands. State machines with a slow Snapshot should implement it: the replica
+// does nothing else during Snapshot, and a leader that sends nothing for an
+// election timeout loses its leadership.
 type Capturer interface {
-	// Capture returns a function that returns what Snapshot would return now.
-	// The function is called once, by another goroutine.
+	// Capture returns a function that returns what Snapshot would return at
+	// the time of the call to Capture. The function is called once, possibly
+	// by another goroutine.
 	Capture() func() ([]byte, error)
 }
 
 const (
-	// trailingFraction is the part of SnapshotEntries and of SnapshotLogBytes
-	// that the log keeps behind a snapshot, so that a follower that is a little
-	// late needs no snapshot.
-	trailingFraction = 2
-	// snapshotFraction is the part of the last snapshot's size that the log
-	// must have grown by: it bounds what snapshots add to the writing.
-	snapshotFraction = 4
-	// entryOverheadBytes is about what an entry takes beside its command.
+	// trailingDivisor determines how much of the log before a snapshot is kept:
+	// at most SnapshotEntries and SnapshotLogBytes divided by it. A follower that
+	// lags only slightly then needs no snapshot.
+	trailingDivisor = 2
+	// snapshotGrowthDivisor determines by how much the log must have grown
+	// before the next snapshot: the last snapshot's size divided by it. This
+	// limits the bytes written for snapshots in proportion to the log.
+	snapshotGrowthDivisor = 4
+	// entryOverheadBytes is the approximate size of an entry without its command.
 	entryOverheadBytes = 32
 )
 
 // snapshotJob is a snapshot that is being encoded and written.
 type snapshotJob struct {
-	// snapshot has its data once done has been received from.
+	// snapshot.Data is set once a value has been received from done.
 	snapshot consensus.Snapshot
 	done     chan error
 }
 
-// maybeSnapshot takes a snapshot when enough was applied since the last one,
-// and puts the one in force that has been written meanwhile.
+// maybeSnapshot starts a snapshot if one is due, and installs the running one if
+// it has been written.
 func (n *Node) maybeSnapshot() error {
-	if n.job == nil && n.isSnapshotDue() {
+	if n.runningSnapshot == nil && n.isSnapshotDue() {
 		n.startSnapshot()
 	}
-	if n.job == nil {
+	if n.runningSnapshot == nil {
 		return nil
 	}
 	select {
-	case err := <-n.job.done:
-		job := n.job
-		n.job = nil
+	case err := <-n.runningSnapshot.done:
+		job := n.runningSnapshot
+		n.runningSnapshot = nil
 		return n.finishSnapshot(job.snapshot, err)
 	default:
 		return nil
@@ -57,10 +59,10 @@
 }
 
 func (n *Node) isSnapshotDue() bool {
-	if n.applied == n.snapshotIndex || n.loggedBytes < n.snapshotBytes/snapshotFraction {
+	if n.applied == n.snapshotIndex || n.bytesSinceSnapshot < n.snapshotBytes/snapshotGrowthDivisor {
 		return false
 	}
-	return n.applied-n.snapshotIndex >= n.config.SnapshotEntries || n.loggedBytes >= n.config.SnapshotLogBytes
+	return n.applied-n.snapshotIndex >= n.config.SnapshotEntries || n.bytesSinceSnapshot >= n.config.SnapshotLogBytes
 }
 
 func (n *Node) startSnapshot() {
@@ -70,13 +72,13 @@
 		done:     make(chan error, 1),
 	}
 	encode := n.captureState()
-	n.job = job
+	n.runningSnapshot = job
 	n.snapshotIndex = n.applied
-	n.loggedBytes = 0
-	n.background(func() { job.done <- n.writeSnapshot(job, encode) })
+	n.bytesSinceSnapshot = 0
+	n.runInBackground(func() { job.done <- n.writeSnapshot(job, encode) })
 }
 
-// captureState returns a function that encodes the present state.
+// captureState returns a function that returns the current state encoded.
 func (n *Node) captureState() func() ([]byte, error) {
 	if capturer, canCapture := n.config.StateMachine.(Capturer); canCapture {
 		return capturer.Capture()
@@ -85,7 +87,8 @@
 	return func() ([]byte, error) { return data, err }
 }
 
-// writeSnapshot runs in the background: it uses nothing of the node that changes.
+// writeSnapshot encodes and writes a snapshot without installing it. It runs in
+// the background and must not access mutable fields of the node.
 func (n *Node) writeSnapshot(job *snapshotJob, encode func() ([]byte, error)) error {
 	data, err := encode()
 	if err != nil {
@@ -95,8 +98,8 @@
 	return n.storage.PrepareSnapshot(job.snapshot)
 }
 
-// finishSnapshot puts a written snapshot in force. A disk that refuses writes
-// only delays the next one.
+// finishSnapshot installs a written snapshot. If the disk rejected a write, the
+// snapshot is discarded; the replica goes on until the next one is due.
 func (n *Node) finishSnapshot(snapshot consensus.Snapshot, err error) error {
 	if err == nil {
 		err = n.installPrepared(snapshot)
@@ -110,7 +113,7 @@
 
 func (n *Node) installPrepared(snapshot consensus.Snapshot) error {
 	keepAfter := n.core.StartOfTail(snapshot.Index,
-		n.config.SnapshotEntries/trailingFraction, n.config.SnapshotLogBytes/trailingFraction)
+		n.config.SnapshotEntries/trailingDivisor, n.config.SnapshotLogBytes/trailingDivisor)
 	if err := n.storage.InstallPrepared(snapshot.Index, keepAfter); err != nil {
 		return err
 	}
@@ -119,10 +122,10 @@
 	return nil
 }
 
-// awaitSnapshot waits for the writing in the background to end.
+// awaitSnapshot waits until the running snapshot, if any, has been written.
 func (n *Node) awaitSnapshot() {
-	if n.job != nil {
-		<-n.job.done
-		n.job = nil
+	if n.runningSnapshot != nil {
+		<-n.runningSnapshot.done
+		n.runningSnapshot = nil
 	}
 }
--- a/coordination/replica/snapshot_test.go
+++ b/coordination/replica/snapshot_test.go
@@ -11,14 +11,15 @@
 	"github.com/pierhaven/pierhaven/coordination/storage/memoryfs"
 )
 
-// slowCounter is a counter whose snapshots are encoded when the test says so.
-type slowCounter struct {
+// blockingCounter is a counter whose snapshots are not encoded until release is
+// closed.
+type blockingCounter struct {
 	counter
 	captured chan struct{}
 	release  chan struct{}
 }
 
-func (c *slowCounter) Capture() func() ([]byte, error) {
+func (c *blockingCounter) Capture() func() ([]byte, error) {
 	data, err := c.Snapshot()
 	return func() ([]byte, error) {
 		c.captured <- struct{}{}
@@ -27,14 +28,15 @@
 	}
 }
 
-// TestReplicaGoesOnDuringSnapshot commits while a snapshot is being encoded.
-// The state after a restart is that of the snapshot and the commits after it.
-func TestReplicaGoesOnDuringSnapshot(t *testing.T) {
-	state := &slowCounter{captured: make(chan struct{}), release: make(chan struct{})}
+// TestCommitsContinueDuringSnapshot commits commands while a snapshot is being
+// encoded. After a restart the state must include the snapshot and the later
+// commits.
+func TestCommitsContinueDuringSnapshot(t *testing.T) {
+	state := &blockingCounter{captured: make(chan struct{}), release: make(chan struct{})}
 	config := diskConfig(filepath.Join(t.TempDir(), "data"))
 	config.StateMachine = state
 	config.SnapshotEntries = 10
-	runner, err := NewRunner(RunnerConfig{Config: config, Transport: &exchange{}})
+	runner, err := NewRunner(RunnerConfig{Config: config, Transport: &inMemoryTransport{}})
 	require.NoError(t, err)
 	require.NoError(t, runner.Start())
 	_, err = runner.Bootstrap(testContext(t), BootstrapOptions{Generation: 1, SelfAddress: "a"})
@@ -54,7 +56,7 @@
 	<-state.captured
 	propose(50)
 	<-first
-	require.Less(t, runner.Status().SnapshotIndex, uint64(10), "the snapshot is not in force yet")
+	require.Less(t, runner.Status().SnapshotIndex, uint64(10), "the snapshot is not installed yet")
 	close(state.release)
 	go func() {
 		for range state.captured {
@@ -74,23 +76,25 @@
 	require.NoError(t, node.Close())
 }
 
-// blob is a state machine whose state is as large as its last command says.
-type blob struct{ size uint64 }
+// sizedState is a state machine whose last command determines the size of its
+// state.
+type sizedState struct{ size uint64 }
 
-func (b *blob) Apply(_ uint64, command []byte) []byte {
+func (b *sizedState) Apply(_ uint64, command []byte) []byte {
 	b.size = binary.LittleEndian.Uint64(command)
 	return nil
 }
-func (b *blob) Snapshot() ([]byte, error) { return make([]byte, b.size), nil }
-func (b *blob) Restore(data []byte) error { b.size = uint64(len(data)); return nil }
+func (b *sizedState) Snapshot() ([]byte, error) { return make([]byte, b.size), nil }
+func (b *sizedState) Restore(data []byte) error { b.size = uint64(len(data)); return nil }
 
-// TestSnapshotsAreInProportionToTheLog writes no more for snapshots than a few
-// times what goes into the log, however large the state is.
-func TestSnapshotsAreInProportionToTheLog(t *testing.T) {
+// TestSnapshotBytesAreProportionalToLog checks that, however large the state is,
+// snapshots write at most snapshotGrowthDivisor times as many bytes as the log,
+// plus one snapshot.
+func TestSnapshotBytesAreProportionalToLog(t *testing.T) {
 	const stateBytes = 1 << 20
 	const commands = 20_000
-	node := openAlone(t, Config{SnapshotEntries: 100})
-	node.config.StateMachine = &blob{}
+	node := openSingleReplica(t, Config{SnapshotEntries: 100})
+	node.config.StateMachine = &sizedState{}
 	command := binary.LittleEndian.AppendUint64(nil, stateBytes)
 	snapshots := 0
 	for number := range uint64(commands) {
@@ -103,21 +107,22 @@
 	}
 	logged := commands * (len(command) + entryOverheadBytes)
 	require.Greater(t, snapshots, 1)
-	require.LessOrEqual(t, snapshots*stateBytes, stateBytes+snapshotFraction*logged)
+	require.LessOrEqual(t, snapshots*stateBytes, stateBytes+snapshotGrowthDivisor*logged)
 }
 
-// TestCloseAwaitsTheSnapshot closes a replica whose snapshot is being written:
-// the next process must have the folder for itself.
+// TestCloseAwaitsTheSnapshot closes a replica while its snapshot is being
+// written. Close must wait for it, since the next process needs exclusive access
+// to the data directory.
 func TestCloseAwaitsTheSnapshot(t *testing.T) {
 	disk := memoryfs.New()
 	config := memoryConfig(disk, 1)
 	config.SnapshotEntries = 5
 	node, err := OpenNode(config, 0)
 	require.NoError(t, err)
-	foundAlone(t, node)
+	foundSingleReplica(t, node)
 	finished := make(chan struct{})
 	proceed := make(chan struct{})
-	node.background = func(work func()) {
+	node.runInBackground = func(work func()) {
 		go func() {
 			<-proceed
 			work()
--- a/coordination/replica/stall.go
+++ b/coordination/replica/stall.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// writeRetryInterval is the time between attempts to write to a disk that has
-// refused it.
+// writeRetryInterval is the time between retries of a failed write.
 const writeRetryInterval = 100 * time.Millisecond
 
-// stall is the state of a replica whose disk refuses writes, as one that is full
-// does. The replica stands still, as if it were paused: it drops messages and
-// lets no time pass, so that the others elect another leader, and it refuses
-// requests. It goes on by itself once the write succeeds. The state machine can
-// be read all the while.
+// stall is the state of a replica whose disk rejects writes, for example because
+// it is full. The replica behaves as if it were paused: it drops messages and
+// does not advance the core's clock, so that the others elect another leader,
+// and it rejects requests. It resumes on its own once the write succeeds. The
+// state machine can be read throughout.
 type stall struct {
-	// cause is the error of the write, nil while the replica is not stalled.
+	// cause is the error of the failed write, or nil if the replica is not
+	// stalled.
 	cause error
-	// retryAt is when the write is tried again.
+	// retryAt is when the write is retried.
 	retryAt time.Duration
-	// isRetry says that the Ready that is carried out has been tried before, so
-	// that its first messages have been sent.
+	// isRetry reports whether the current Ready has been attempted before, in
+	// which case its MessagesBeforeSync have already been sent.
 	isRetry bool
 }
 
-func (s *stall) isOn() bool { return s.cause != nil }
+func (s *stall) isActive() bool { return s.cause != nil }
 
-// stall begins or prolongs a stall. What waits for a commit may still get it from
-// others, which have been sent the entries.
+// stall begins or prolongs a stall. The outcome of pending proposals is unknown:
+// their entries have been sent to other replicas, which may still commit them.
 func (n *Node) stall(cause error) {
 	n.stalled.cause = cause
 	n.stalled.retryAt = n.now + writeRetryInterval
@@ -37,9 +37,9 @@
 	}
 }
 
-// endStall tries the refused write again when it is time to.
-func (n *Node) endStall() error {
-	if !n.stalled.isOn() || n.now < n.stalled.retryAt {
+// retryStalledWrite retries the failed write if it is due.
+func (n *Node) retryStalledWrite() error {
+	if !n.stalled.isActive() || n.now < n.stalled.retryAt {
 		return nil
 	}
 	n.stalled = stall{isRetry: true}
--- a/coordination/replica/stall_test.go
+++ b/coordination/replica/stall_test.go
@@ -9,11 +9,12 @@
 	"github.com/pierhaven/pierhaven/coordination/storage"
 )
 
-// TestALeaderWithAFullDiskStandsStill proves that a full disk ends no process: another
-// replica leads meanwhile, and the stalled one takes part again by itself.
+// TestALeaderWithAFullDiskStandsStill checks that a full disk does not stop the
+// process: another replica takes over leadership, and the stalled replica resumes
+// on its own once there is space again.
 func TestALeaderWithAFullDiskStandsStill(t *testing.T) {
 	for seed := range uint64(20) {
-		c := newCluster(seed, 3, plant{})
+		c := newCluster(seed, 3, plantedBugs{})
 		c.clients.start()
 		c.runFor(2 * time.Second)
 		stalled := c.leader()
@@ -23,14 +24,14 @@
 		stalled.disk.SetCapacity(stalled.disk.UsedBytes() + int64(seed))
 		c.runFor(3 * time.Second)
 		require.Empty(t, c.checks.violation, "seed %d", seed)
-		require.Same(t, node, stalled.node, "the process has stayed up")
+		require.Same(t, node, stalled.node, "the process kept running")
 		status := node.Status()
 		require.ErrorIs(t, status.Stalled, storage.ErrDiskFull)
 		require.EqualValues(t, 0, status.Leader, "a stalled replica does not claim to lead")
 		leader := c.leader()
 		require.NotNil(t, leader)
 		require.NotSame(t, stalled, leader)
-		require.Greater(t, leader.node.Applied(), applied, "the others go on")
+		require.Greater(t, leader.node.Applied(), applied, "the others keep committing")
 
 		stalled.disk.SetCapacity(0)
 		c.runFor(3 * time.Second)
@@ -45,9 +46,10 @@
 	}
 }
 
-// TestAStalledReplicaRefusesRequests proves that nothing is taken that can't be written.
+// TestAStalledReplicaRefusesRequests checks that a replica rejects requests while
+// it cannot write.
 func TestAStalledReplicaRefusesRequests(t *testing.T) {
-	c := newCluster(1, 1, plant{})
+	c := newCluster(1, 1, plantedBugs{})
 	c.runFor(2 * time.Second)
 	m := c.leader()
 	m.disk.SetCapacity(m.disk.UsedBytes())
