--- a/coordination/replica/cluster_checks_test.go
+++ b/coordination/replica/cluster_checks_test.go
@@ -125,9 +125,9 @@
 	c.leaderByTerm[status.Term] = status.ID
 }
 
-// applied checks state machine safety: all machines apply the same command at an
-// index, no command is applied twice, and none is applied after it was reported
-// as not executed.
+// applied checks state machine safety: a state machine applies each index at most
+// once and in ascending order, all apply the same command at an index, and no
+// command is applied at two indexes or after it was reported as not executed.
 func (c *checks) applied(m *testMachine, index uint64, data []byte) {
 	if index <= m.Index {
 		c.fail("%s applies index %d after %d", m.name, index, m.Index)
--- a/coordination/replica/memory_test.go
+++ b/coordination/replica/memory_test.go
@@ -22,8 +22,9 @@
 }
 
 // TestLogInMemoryIsBoundedInBytes proposes commands so large that the limit on
-// the number of entries never applies. The log in memory must nevertheless stay
-// within twice SnapshotLogBytes.
+// the number of entries never applies. The part of the log that is kept before a
+// snapshot must not exceed SnapshotLogBytes, so that the log in memory stays
+// within twice that.
 func TestLogInMemoryIsBoundedInBytes(t *testing.T) {
 	const commandBytes = 10_000
 	const limit = 10 * commandBytes
--- a/coordination/replica/runner_membership.go
+++ b/coordination/replica/runner_membership.go
@@ -50,8 +50,8 @@
 // member becomes a learner and catches up before the voters change. Replace may
 // be repeated after an error.
 //
-// The order of the two changes of the voters depends on the old member: one that
-// is active keeps its vote until the new member is a voter; one that is lost is
+// The safer of the two changes of the voters comes first: an old member that is
+// active keeps its vote until the new member is a voter; one that is lost is
 // removed first, so that it no longer counts towards the majority.
 func (r *Runner) Replace(ctx context.Context, old consensus.ReplicaID, member consensus.Member) error {
 	if err := r.AddLearner(ctx, member); err != nil {
--- a/coordination/replica/runner_test.go
+++ b/coordination/replica/runner_test.go
@@ -170,18 +170,18 @@
 	require.NoError(t, leader.Transfer(ctx))
 
 	leader = awaitLeader(t, runners)
-	lostRunner := 0
-	for runners[lostRunner] == leader {
-		lostRunner++
+	lostIndex := 0
+	for runners[lostIndex] == leader {
+		lostIndex++
 	}
-	oldID := runners[lostRunner].Status().ID
-	runners[lostRunner].Stop()
-	require.NoError(t, os.RemoveAll(directories[lostRunner]))
-	runners[lostRunner], states[lostRunner] = startRunner(t, transport, directories[lostRunner])
-	newID := runners[lostRunner].Status().ID
+	oldID := runners[lostIndex].Status().ID
+	runners[lostIndex].Stop()
+	require.NoError(t, os.RemoveAll(directories[lostIndex]))
+	runners[lostIndex], states[lostIndex] = startRunner(t, transport, directories[lostIndex])
+	newID := runners[lostIndex].Status().ID
 	require.NotEqual(t, oldID, newID)
 	waitFor(t, "the replacement", func() bool {
-		member := consensus.Member{ID: newID, Address: fmt.Sprintf("address-%d", lostRunner)}
+		member := consensus.Member{ID: newID, Address: fmt.Sprintf("address-%d", lostIndex)}
 		return awaitLeader(t, runners).Replace(ctx, oldID, member) == nil
 	})
 	target := acknowledged.Load() + 500
