--- a/internal/cli/limit.go
+++ b/internal/cli/limit.go
@@ -37,7 +37,7 @@
 func limitTable(limits coordinator.ReplicaLimits) table {
 	content := table{header: []string{"replica", "takes", "named for", "sent", "refused", "room", "window", "counted by", "mode"}}
 	for _, each := range limits.Replicas {
-		content.add(each.Replica, fmt.Sprintf("%g/s", each.Rate), fmt.Sprintf("%.0fs", each.NamedForS), units(each.Sent), units(each.Refused),
+		content.add(each.Replica, fmt.Sprintf("%g/s", each.Rate), fmt.Sprintf("%.0fs", each.DeclaredForS), units(each.Sent), units(each.Refused),
 			fmt.Sprintf("%.1f", each.Room), fmt.Sprintf("%gs", each.WindowS), limits.Address, string(limits.Mode))
 	}
 	return content
--- a/internal/cli/regional.go
+++ b/internal/cli/regional.go
@@ -213,57 +213,57 @@
 	if len(unknown) > 0 {
 		process.logger.Info(event.DutyUnknown, "duties", unknown)
 	}
-	var terms coordinator.UsageTerms
+	var terms coordinator.UsageOptions
 	if duties.Usage {
-		terms = coordinator.UsageTerms{Window: settings.UsageWindow(), Late: settings.UsageLate()}
+		terms = coordinator.UsageOptions{Window: settings.UsageWindow(), Late: settings.UsageLate()}
 	}
 	gate := platform.NewGate(settings.LeaveTime(), process.logger)
 	engines := platform.NewEngines(gate)
 	created, err := coordinator.New(coordinator.Settings{
-		Name:       settings.Name,
-		Zone:       settings.Zone,
-		Address:    settings.InternalAddress(),
-		Listen:     settings.InternalListen,
-		Seeds:      process.seeds.Addresses,
-		Bootstrap:  settings.Bootstrap,
-		Voters:     settings.Voters(),
-		DataFolder: settings.DataFolder,
-		FileSystem: fileSystem,
-		Lister:     newLister(process),
-		Engines:    engines,
-		Prefixes:   engines,
-		Platform:   platform.NewCaller(settings.ReplicaList, process.logger),
-		Usage:      terms,
-		OrderFleet: duties.Fleet,
-		Lease:      settings.Lease(),
-		Contact:    settings.Contact(),
-		Hold:       settings.Hold(),
+		Name:              settings.Name,
+		Zone:              settings.Zone,
+		Address:           settings.InternalAddress(),
+		Listen:            settings.InternalListen,
+		Seeds:             process.seeds.Addresses,
+		Bootstrap:         settings.Bootstrap,
+		Voters:            settings.Voters(),
+		DataFolder:        settings.DataFolder,
+		FileSystem:        fileSystem,
+		Lister:            newLister(process),
+		Engines:           engines,
+		PrefixSource:      engines,
+		Platform:          platform.NewCaller(settings.ReplicaList, process.logger),
+		Usage:             terms,
+		EnableFleetOrders: duties.Fleet,
+		Lease:             settings.Lease(),
+		ContactTime:       settings.Contact(),
+		EvidenceHoldTime:  settings.Hold(),
 
 		Topology: settings.Topology(),
 		Quota:    settings.QuotaTerms(),
 
-		PlacesAbove:       settings.PlacesFrom(),
-		ActiveReplicas:    settings.ActiveReplicas,
-		ListInterval:      settings.ListInterval(),
-		LinkBitsPerSecond: settings.LinkMegabits * bitsPerMegabit,
-		OtherRegionsRate:  settings.OtherRegionsRate,
+		PlacementGatewayThreshold:  settings.PlacesFrom(),
+		MinimumActiveReplicas:      settings.ActiveReplicas,
+		ListInterval:               settings.ListInterval(),
+		LinkBitsPerSecond:          settings.LinkMegabits * bitsPerMegabit,
+		OtherRegionsBytesPerSecond: settings.OtherRegionsRate,
 
-		Without: settings.SwitchedOff(),
-		Policy:  stagePolicy.Program,
-		Codec:   platform.Codec{},
-		Metrics: process.metrics,
-		Logger:  process.logger,
+		DisabledMechanisms: settings.SwitchedOff(),
+		Policy:             stagePolicy.Program,
+		Codec:              platform.Codec{},
+		Metrics:            process.metrics,
+		Logger:             process.logger,
 	})
 	if err != nil {
 		return err
 	}
-	gate.OnChange(created.NoteStanding)
+	gate.OnChange(created.NotePeerState)
 	operators, err := net.Listen("tcp", settings.OperatorListen)
 	if err != nil {
 		return err
 	}
 	operatorServer := platform.NewOperatorServer(operators, created)
-	created.MountOperators(operatorServer)
+	created.MountOperatorRoutes(operatorServer)
 	go func() { _ = operatorServer.Run() }()
 	return runDaemon(process, created.Run)
 }
--- a/internal/cli/regions.go
+++ b/internal/cli/regions.go
@@ -51,9 +51,9 @@
 	switch {
 	case load.Own:
 		return "own"
-	case load.WordAgeMillis < 0:
+	case load.ReportAgeMillis < 0:
 		return "none"
 	default:
-		return fmt.Sprint(time.Duration(load.WordAgeMillis)*time.Millisecond, " old")
+		return fmt.Sprint(time.Duration(load.ReportAgeMillis)*time.Millisecond, " old")
 	}
 }
--- a/internal/coordinator/activity.go
+++ b/internal/coordinator/activity.go
@@ -17,15 +17,15 @@
 // callers have waited for as long as the prefill of a prompt takes.
 const activityInterval = 250 * time.Millisecond
 
-// activityKeeper plans at the leader which replicas are active. It is safe for concurrent use.
-type activityKeeper struct {
+// activityPlanner plans at the leader which replicas are active. It is safe for concurrent use.
+type activityPlanner struct {
 	mutex   sync.Mutex
 	term    uint64
 	planner *activeset.Planner
 }
 
-// keepActivity keeps as many replicas active as the demand needs while this coordinator leads.
-func (c *Coordinator) keepActivity(ctx context.Context) {
+// planActiveReplicas keeps as many replicas active as the demand needs while this coordinator leads.
+func (c *Coordinator) planActiveReplicas(ctx context.Context) {
 	for lifecycle.Sleep(ctx, activityInterval) {
 		if !c.group.Leads() {
 			continue
@@ -53,8 +53,8 @@
 		c.activity.term = term
 		c.activity.planner = &activeset.Planner{}
 	}
-	c.activity.planner.MinimumActive = c.settings.ActiveReplicas
-	if c.zones.anyEarlier(c.sortedMembers()) {
+	c.activity.planner.MinimumActive = c.settings.MinimumActiveReplicas
+	if c.zones.hasLegacyMember(c.sortedMembers()) {
 		// Such a coordinator sends gateways all replicas, so the others have to send them the change when
 		// any of these begins to leave.
 		c.activity.planner.MinimumActive = math.MaxInt
@@ -72,7 +72,7 @@
 // demandByGroup sums up the demand that gateways report of each service in each region.
 func (c *Coordinator) demandByGroup(now time.Duration) map[activeset.Group]region.ServiceDemand {
 	demands := map[activeset.Group]region.ServiceDemand{}
-	for _, each := range append(c.demand.sum(now), c.reported.sum(now)...) {
+	for _, each := range append(c.gatewayDemand.sum(now), c.coordinatorDemand.sum(now)...) {
 		group := activeset.Group{Service: each.Service, Region: each.Region}
 		sum := demands[group]
 		addTo(&sum, each)
--- a/internal/coordinator/activity_test.go
+++ b/internal/coordinator/activity_test.go
@@ -26,7 +26,7 @@
 func TestGatewaysReceiveOnlyActiveReplicas(t *testing.T) {
 	for seed := range uint64(8) {
 		random := rand.New(rand.NewPCG(seed, 2))
-		m := newTestMachine()
+		m := newTestStateMachine()
 		current := map[string]region.Replica{}
 		active := map[string]region.Replica{}
 		often, rarely := newFollower(), newFollower()
@@ -48,7 +48,7 @@
 				}
 			}
 			state, _ := m.read()
-			if command.List = listChange(state.Replicas, slices.Collect(maps.Values(current))); command.List != nil {
+			if command.List = diffLists(state.Replicas, slices.Collect(maps.Values(current))); command.List != nil {
 				command.List.Standby = true
 			}
 			for id, replica := range current {
@@ -75,7 +75,7 @@
 // Each of 1,000 gateways was woken for every change of 10,000 replicas, including replicas on standby, to which it sends
 // nothing.
 func TestStandbyChangesAreNotSentToGateways(t *testing.T) {
-	m := newTestMachine()
+	m := newTestStateMachine()
 	apply(t, m, 1, region.Command{
 		List:     listCommandWithStandby(region.Replica{ID: "a"}, region.Replica{ID: "b"}),
 		Activity: &region.ActivityCommand{Activate: []string{"a"}},
@@ -95,7 +95,7 @@
 // During an upgrade or a rollback the leader may run a version that activates no replicas. Replicas on standby would then
 // never take work, and in the end no active ones would be left.
 func TestLeaderWithoutStandbySupportActivatesAll(t *testing.T) {
-	m := newTestMachine()
+	m := newTestStateMachine()
 	apply(t, m, 1, region.Command{List: listCommandWithStandby(region.Replica{ID: "a"}, region.Replica{ID: "b"})})
 	apply(t, m, 2, listed(region.Replica{ID: "c"}))
 	gateway := newFollower()
@@ -122,9 +122,9 @@
 // A gateway's first view held all replicas, 1.5 MB for 10,000, and each process asked all of them what they have cached.
 func TestGatewayViewDoesNotGrowWithTheFleet(t *testing.T) {
 	for _, size := range []int{1_000, 3_000, 10_000} {
-		m := newTestMachine()
+		m := newTestStateMachine()
 		state, _ := m.read()
-		changeList(&state, 0, listCommandWithStandby(bigList(size)...))
+		applyListChange(&state, 0, listCommandWithStandby(bigList(size)...))
 		planner := &activeset.Planner{MinimumActive: activeset.DefaultMinimumActive}
 		change := planner.Step(0, activityInput(state, nil, nil, func(string) string { return "" }))
 		apply(t, m, 1, region.Command{
@@ -133,7 +133,7 @@
 		})
 		state, _ = m.read()
 		view := &region.View{}
-		shownSince(state, 0, view)
+		addListChanges(state, 0, view)
 		assert.Len(t, view.Replicas, activeset.DefaultMinimumActive, size)
 		assert.Less(t, view.Msgsize(), 100_000, size)
 	}
@@ -148,7 +148,7 @@
 		slices.Reverse(replicas)
 		allocated := testing.AllocsPerRun(3, func() {
 			state = region.State{}
-			changeList(&state, 1, listCommandWithStandby(replicas...))
+			applyListChange(&state, 1, listCommandWithStandby(replicas...))
 		})
 		assert.Less(t, allocated, 20.0, "%d: allocations grow with the replicas", size)
 		assert.True(t, slices.IsSortedFunc(state.Replicas, func(a, b region.ListedReplica) int {
@@ -160,22 +160,22 @@
 // The first pages of the list showed 153 of 1,000 replicas, of which 27 were ordered to change their stage before the
 // others were listed.
 func TestNoStageChangesWhileTheListIsIncomplete(t *testing.T) {
-	keeper := newKeeper(nil, newTestMachine())
-	assert.True(t, keeper.listIsSettling(0, "model", 153))
-	assert.True(t, keeper.listIsSettling(1300*time.Millisecond, "model", 407))
-	assert.True(t, keeper.listIsSettling(3200*time.Millisecond, "model", 407))
-	assert.False(t, keeper.listIsSettling(3300*time.Millisecond, "model", 407))
+	planner := newTestStagePlanner(nil, newTestStateMachine())
+	assert.True(t, planner.listIsSettling(0, "model", 153))
+	assert.True(t, planner.listIsSettling(1300*time.Millisecond, "model", 407))
+	assert.True(t, planner.listIsSettling(3200*time.Millisecond, "model", 407))
+	assert.False(t, planner.listIsSettling(3300*time.Millisecond, "model", 407))
 	for second := range 10 {
 		now := time.Duration(second) * time.Second
-		assert.Equal(t, second < 6, keeper.listIsSettling(now, "ordered", second), "the wait is bounded while replicas keep being added")
+		assert.Equal(t, second < 6, planner.listIsSettling(now, "ordered", second), "the wait is bounded while replicas keep being added")
 	}
-	keeper.demandFrom[stageGroup{service: "model"}] = 0
-	assert.False(t, keeper.listIsSettling(4*time.Second, "model", 1000), "reported demand ends the wait")
+	planner.demandSince[stageGroup{service: "model"}] = 0
+	assert.False(t, planner.listIsSettling(4*time.Second, "model", 1000), "reported demand ends the wait")
 }
 
 // Replicas on standby are counted but not planned.
 func TestOnlyActiveReplicasChangeStage(t *testing.T) {
-	m := newTestMachine()
+	m := newTestStateMachine()
 	apply(t, m, 1, region.Command{List: listCommandWithStandby(bigList(1000)...), Activity: &region.ActivityCommand{Activate: []string{"i-00000", "i-00002"}}})
 	state, _ := m.read()
 	services, spares := modelReplicas(state, func(string) string { return "" })
@@ -184,7 +184,7 @@
 	assert.Equal(t, 998, state.StandbyCount)
 	snapshot, err := m.Snapshot()
 	require.NoError(t, err)
-	restored := newTestMachine()
+	restored := newTestStateMachine()
 	require.NoError(t, restored.Restore(snapshot))
 	got, _ := restored.read()
 	assert.Equal(t, 998, got.StandbyCount)
@@ -193,7 +193,7 @@
 // Gateways of two coordinators report demand, and one replica as unreachable, which is not activated.
 func TestServiceDemandDeterminesActiveReplicas(t *testing.T) {
 	state := region.State{}
-	changeList(&state, 0, listCommandWithStandby(bigList(2000)...))
+	applyListChange(&state, 0, listCommandWithStandby(bigList(2000)...))
 	unreachable := state.Replicas[0].Replica.Life().Name()
 	demands := map[activeset.Group]region.ServiceDemand{
 		{Service: "model"}: {Reading: 100, Generating: 4, Expected: 5, Unreachable: []string{unreachable, unreachable}},
@@ -207,8 +207,8 @@
 }
 
 // For as long as a replica declares a rate limit, a replica on standby is activated for the load above that limit.
-func TestReplicasThatNameLimitsAreRelieved(t *testing.T) {
-	m := newTestMachine()
+func TestStandbyReplicasRelieveLimitedReplicas(t *testing.T) {
+	m := newTestStateMachine()
 	apply(t, m, 1, region.Command{List: listCommandWithStandby(bigList(1000)...)})
 	planner := &activeset.Planner{MinimumActive: activeset.DefaultMinimumActive}
 	index := uint64(1)
--- a/internal/coordinator/arrivals.go
+++ b/internal/coordinator/arrivals.go
@@ -18,7 +18,7 @@
 const maximumListSettleTime = 3 * listSettleTime
 
 // standbyCount returns the number of a service's replicas on standby.
-func (k *stageKeeper) standbyCount(service string) int {
+func (k *stagePlanner) standbyCount(service string) int {
 	sum := 0
 	for group, spare := range k.spares {
 		if group.service == service {
@@ -30,8 +30,8 @@
 
 // listIsSettling reports whether the number of a service's replicas has changed recently, and no demand for the service
 // has been reported yet.
-func (k *stageKeeper) listIsSettling(now time.Duration, service string, replicas int) bool {
-	for group := range k.demandFrom {
+func (k *stagePlanner) listIsSettling(now time.Duration, service string, replicas int) bool {
+	for group := range k.demandSince {
 		if group.service == service {
 			return false
 		}
--- a/internal/coordinator/configuration.go
+++ b/internal/coordinator/configuration.go
@@ -49,8 +49,8 @@
 	return err
 }
 
-// readConfiguration decompresses and decodes a configuration from the log.
-func readConfiguration(codec traffic.Codec, compressed []byte) (*traffic.Configuration, error) {
+// decodeConfiguration decompresses and decodes a configuration from the log.
+func decodeConfiguration(codec traffic.Codec, compressed []byte) (*traffic.Configuration, error) {
 	document, err := region.Inflate(compressed)
 	if err != nil {
 		return nil, err
@@ -111,7 +111,7 @@
 // there is none. It fails if this coordinator can't confirm that its copy is up to
 // date.
 func (c *Coordinator) Current(ctx context.Context) ([]byte, error) {
-	if err := c.confirmOnce(ctx); err != nil {
+	if err := c.confirmCopy(ctx); err != nil {
 		return nil, failure.Wrap(err, failure.NoQuorum)
 	}
 	state, _ := c.machine.read()
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -28,27 +28,27 @@
 	logger    logr.Logger
 	client    *rpc.Client
 	transport *replication.Transport
-	machine   *machine
+	machine   *stateMachine
 	group     *replication.Group
 	gateways  *gatewayList
-	// demand holds the demand that gateways report to this coordinator; reported
+	// gatewayDemand holds the demand that gateways report to this coordinator; coordinatorDemand
 	// holds the demand that the other coordinators report to the leader.
-	demand      *demandTable
-	reported    *demandTable
-	freshness   freshness
-	clock       func() time.Duration
-	members     memberWatch
-	zones       *memberZones
-	builds      *buildTable
-	cacheOwners cacheOwners
-	placement   *placementService
-	usage       *usageState
-	quotas      *quotaService
-	limits      *limitService
-	leaving     *leavingWords
-	permits     permits
-	outlooks    fleetOutlooks
-	activity    activityKeeper
+	gatewayDemand     *demandTable
+	coordinatorDemand *demandTable
+	freshness         freshness
+	clock             func() time.Duration
+	members           memberWatch
+	zones             *memberZones
+	builds            *buildTable
+	cacheOwners       cacheOwners
+	placement         *placementService
+	usage             *usageState
+	quotas            *quotaService
+	limits            *limitService
+	leaving           *leavingReports
+	permits           probationPermits
+	outlooks          fleetOutlooks
+	activity          activityPlanner
 }
 
 // New opens the data folder and waits while its disk refuses writes. Run starts the
@@ -60,18 +60,18 @@
 	if settings.ListInterval == 0 {
 		settings.ListInterval = defaultListInterval
 	}
-	if settings.Contact == 0 {
-		settings.Contact = DefaultContact
+	if settings.ContactTime == 0 {
+		settings.ContactTime = DefaultContactTime
 	}
-	if settings.Hold == 0 {
-		settings.Hold = poison.DefaultHold
+	if settings.EvidenceHoldTime == 0 {
+		settings.EvidenceHoldTime = poison.DefaultHold
 	}
 	client, err := rpc.NewClient(rpc.ClientOptions{DialTimeout: transportTimeout, CallTimeout: callTimeout})
 	if err != nil {
 		return nil, failure.Wrap(err, failure.Internal)
 	}
-	if settings.ActiveReplicas == 0 {
-		settings.ActiveReplicas = activeset.DefaultMinimumActive
+	if settings.MinimumActiveReplicas == 0 {
+		settings.MinimumActiveReplicas = activeset.DefaultMinimumActive
 	}
 	if settings.Now == nil {
 		settings.Now = uptime.Now
@@ -82,21 +82,21 @@
 		return nil, failure.Wrap(err, failure.Internal)
 	}
 	c := &Coordinator{
-		settings:  settings,
-		logger:    settings.Logger,
-		client:    client,
-		transport: transport,
-		machine:   newMachine(clock),
-		gateways:  newGatewayList(),
-		demand:    newDemandTable(),
-		reported:  newDemandTable(),
-		zones:     newMemberZones(),
-		builds:    newBuildTable(),
-		leaving:   newLeavingWords(),
-		clock:     clock,
-		members:   memberWatch{lastHeard: map[uint64]time.Duration{}},
-		permits:   permits{given: poison.NewPermits()},
-		usage:     newUsageState(uptime.SuspendedBy(settings.Now)),
+		settings:          settings,
+		logger:            settings.Logger,
+		client:            client,
+		transport:         transport,
+		machine:           newStateMachine(clock),
+		gateways:          newGatewayList(),
+		gatewayDemand:     newDemandTable(),
+		coordinatorDemand: newDemandTable(),
+		zones:             newMemberZones(),
+		builds:            newBuildTable(),
+		leaving:           newLeavingReports(),
+		clock:             clock,
+		members:           memberWatch{lastHeard: map[uint64]time.Duration{}},
+		permits:           probationPermits{issued: poison.NewPermits()},
+		usage:             newUsageState(uptime.SuspendedBy(settings.Now)),
 	}
 	c.group, err = replication.OpenPatiently(replication.Options{
 		Name:             groupName,
@@ -145,7 +145,7 @@
 	work, stop := context.WithCancel(context.Background())
 	defer stop()
 	var loops sync.WaitGroup
-	for _, loop := range []func(context.Context){c.joinGroup, c.keepFresh, c.manageMembers, c.syncReplicaList, c.keepActivity, c.keepStages, c.keepUsage, c.keepFleet, c.keepPoison, c.tellLeaving, c.logLeadership, c.listenForDatagrams, c.place, c.quotas.Run, c.limits.Run, c.limits.show} {
+	for _, loop := range []func(context.Context){c.joinGroup, c.keepFresh, c.manageMembers, c.syncReplicaList, c.planActiveReplicas, c.planStages, c.reportUsage, c.scaleFleet, c.holdPoisonedRequests, c.forwardLeaving, c.logLeadership, c.listenForDatagrams, c.placeForGateways, c.quotas.Run, c.limits.Run, c.limits.notifyLimitChanges} {
 		loops.Go(func() { loop(work) })
 	}
 	select {
--- a/internal/coordinator/demand.go
+++ b/internal/coordinator/demand.go
@@ -24,7 +24,7 @@
 
 func newDemandTable() *demandTable { return &demandTable{reports: map[string]demandReport{}} }
 
-func (d *demandTable) take(now time.Duration, source string, services []region.ServiceDemand) {
+func (d *demandTable) put(now time.Duration, source string, services []region.ServiceDemand) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.reports[source] = demandReport{services: services, at: now}
@@ -66,7 +66,7 @@
 // reportedDemand adds up the reported demand for which wanted returns true.
 func (c *Coordinator) reportedDemand(now time.Duration, wanted func(*region.ServiceDemand) bool) region.ServiceDemand {
 	var sum region.ServiceDemand
-	for _, each := range append(c.demand.sum(now), c.reported.sum(now)...) {
+	for _, each := range append(c.gatewayDemand.sum(now), c.coordinatorDemand.sum(now)...) {
 		if wanted(&each) {
 			addTo(&sum, each)
 		}
@@ -101,7 +101,7 @@
 	return min(float64(known)/float64(reporting), maximumExtrapolation)
 }
 
-// recentMaximum tracks the maximum of a number over a time between gatewayMemory and twice gatewayMemory.
+// recentMaximum tracks the maximum of a number over a time between gatewayRetention and twice gatewayRetention.
 type recentMaximum struct {
 	current, previous int
 	startedAt         time.Duration
@@ -109,7 +109,7 @@
 
 // update adds a number and returns the recent maximum.
 func (r *recentMaximum) update(now time.Duration, number int) int {
-	if now-r.startedAt >= gatewayMemory {
+	if now-r.startedAt >= gatewayRetention {
 		r.previous, r.current, r.startedAt = r.current, 0, now
 	}
 	r.current = max(r.current, number)
--- a/internal/coordinator/demand_test.go
+++ b/internal/coordinator/demand_test.go
@@ -10,7 +10,7 @@
 	"github.com/pierhaven/pierhaven/internal/region"
 )
 
-func TestGatewaysThatNoCoordinatorHearsOfCountLikeTheOthers(t *testing.T) {
+func TestDemandIsExtrapolatedToGatewaysWithoutReport(t *testing.T) {
 	for _, each := range []struct {
 		reporting, known int
 		want             float64
@@ -29,9 +29,9 @@
 func TestDemandSumCountsGateways(t *testing.T) {
 	table := newDemandTable()
 	for _, source := range []string{"a", "b"} {
-		table.take(time.Second, source, []region.ServiceDemand{{Service: "s", Generating: 3, Gateways: 1}})
+		table.put(time.Second, source, []region.ServiceDemand{{Service: "s", Generating: 3, Gateways: 1}})
 	}
-	table.take(time.Second, "other coordinator", []region.ServiceDemand{{Service: "s", Generating: 4, Gateways: 2}})
+	table.put(time.Second, "other coordinator", []region.ServiceDemand{{Service: "s", Generating: 4, Gateways: 2}})
 	sum := table.sum(2 * time.Second)
 	require.Len(t, sum, 1)
 	assert.Equal(t, 4, sum[0].Gateways)
--- a/internal/coordinator/duties_test.go
+++ b/internal/coordinator/duties_test.go
@@ -102,14 +102,14 @@
 // The leader is stopped repeatedly, and the platform loses a third of the calls and carries them out late, while each gateway
 // reports to one coordinator. No window is reported with two different counts, no fence is used twice, and the reported
 // counts are those of the gateways.
-func TestUsageIsReportedOnceWhoeverLeads(t *testing.T) {
+func TestUsageIsReportedOnceAcrossLeaderChanges(t *testing.T) {
 	duties := platformtest.NewDuties(1, dutyLease)
 	duties.Lose, duties.LateBy = 0.3, 700*time.Millisecond
 	server := httptest.NewServer(duties.Handler())
 	defer server.Close()
 	g := newGroupWith(t, func(settings *coordinator.Settings) {
 		settings.Platform = platform.NewCaller(server.Listener.Addr().String(), logr.Discard())
-		settings.Usage = coordinator.UsageTerms{Window: usageWindow, Late: usageLate}
+		settings.Usage = coordinator.UsageOptions{Window: usageWindow, Late: usageLate}
 		settings.Lease = dutyLease
 	})
 	// Requests are counted only once there is a leader: without one there is no configuration.
@@ -162,7 +162,7 @@
 	duties := platformtest.NewDuties(1, dutyLease)
 	var mutex sync.Mutex
 	ordered := map[platformtest.ScaleOrder]int{}
-	list := &fixedList{}
+	list := &settableLister{}
 	duties.Scale = func(order platformtest.ScaleOrder) bool {
 		mutex.Lock()
 		defer mutex.Unlock()
@@ -180,7 +180,7 @@
 	list.set(replicasOf(ordered)...)
 	g := newGroupWith(t, func(settings *coordinator.Settings) {
 		settings.Platform = platform.NewCaller(server.Listener.Addr().String(), logr.Discard())
-		settings.OrderFleet = true
+		settings.EnableFleetOrders = true
 		settings.Lease = dutyLease
 		settings.Lister = list
 	})
--- a/internal/coordinator/duty.go
+++ b/internal/coordinator/duty.go
@@ -23,10 +23,10 @@
 
 var duties = []duty{dutyStages, dutyUsage, dutyFleet}
 
-// callMark is the time, on this coordinator's own clock, at which it applied the command before the
+// lastCall is the time, on this coordinator's own clock, at which it applied the command before the
 // last call of a duty. A replica of the log applies a command no earlier than its leader has committed
 // it, so the time is never too early. A snapshot may hide a call, so restoring one counts as a call.
-type callMark struct {
+type lastCall struct {
 	known bool
 	at    time.Duration
 }
@@ -46,7 +46,7 @@
 // lease of the coordinator that made the last one has expired. The new leader must have applied
 // all that was committed before its term. Safety depends on the fencing tokens, not on this; the
 // lease keeps two holders from making calls in turn.
-func earliestCallTime(elected time.Duration, last callMark, lease time.Duration) time.Duration {
+func earliestCallTime(elected time.Duration, last lastCall, lease time.Duration) time.Duration {
 	if !last.known {
 		return elected
 	}
--- a/internal/coordinator/duty_test.go
+++ b/internal/coordinator/duty_test.go
@@ -15,13 +15,13 @@
 	elected := 100 * time.Second
 	cases := []struct {
 		name string
-		last callMark
+		last lastCall
 		want time.Duration
 	}{
-		{"no order was ever given", callMark{}, elected},
-		{"the last order is old", callMark{known: true, at: 80 * time.Second}, elected},
-		{"the last order is young", callMark{known: true, at: 99 * time.Second}, 99*time.Second + testLease + leaseMargin},
-		{"an order was applied while the leader was elected", callMark{known: true, at: elected}, elected + testLease + leaseMargin},
+		{"no order was ever given", lastCall{}, elected},
+		{"the last order is old", lastCall{known: true, at: 80 * time.Second}, elected},
+		{"the last order is young", lastCall{known: true, at: 99 * time.Second}, 99*time.Second + testLease + leaseMargin},
+		{"an order was applied while the leader was elected", lastCall{known: true, at: elected}, elected + testLease + leaseMargin},
 	}
 	for _, each := range cases {
 		t.Run(each.name, func(t *testing.T) {
@@ -33,18 +33,18 @@
 
 func TestLastCallIsRecordedByOrdersAndSnapshots(t *testing.T) {
 	now := time.Second
-	m := newMachine(func() time.Duration { return now })
+	m := newStateMachine(func() time.Duration { return now })
 	apply(t, m, 1, listed(region.Replica{ID: "a", Stage: region.StageDecode}))
 	assert.False(t, m.lastCall(dutyStages).known)
 
 	apply(t, m, 2, region.Command{Change: &region.ChangeCommand{Replica: "a", Stage: region.StagePrefill}})
-	assert.Equal(t, callMark{known: true, at: now}, m.lastCall(dutyStages))
+	assert.Equal(t, lastCall{known: true, at: now}, m.lastCall(dutyStages))
 
 	snapshot, err := m.Snapshot()
 	assert.NoError(t, err)
 	now = 5 * time.Second
-	restored := newMachine(func() time.Duration { return now })
+	restored := newStateMachine(func() time.Duration { return now })
 	assert.NoError(t, restored.Restore(snapshot))
-	assert.Equal(t, callMark{known: true, at: now}, restored.lastCall(dutyStages))
+	assert.Equal(t, lastCall{known: true, at: now}, restored.lastCall(dutyStages))
 	assert.NoError(t, restored.Restore(nil))
 }
--- a/internal/coordinator/dutystate.go
+++ b/internal/coordinator/dutystate.go
@@ -12,14 +12,14 @@
 
 // applyUsage applies the parts of a command that concern tenant usage. A window's counts are fixed
 // once: later proposals for it change nothing, so that all reports of a window are identical.
-func (m *machine) applyUsage(command *region.Command) {
+func (m *stateMachine) applyUsage(command *region.Command) {
 	if fixed := command.Usage; fixed != nil && fixed.Window >= m.state.NextWindow {
 		m.state.NextWindow = fixed.Window + 1
 		pending := append(slices.Clone(m.state.Usage), *fixed)
 		m.state.Usage = pending[max(len(pending)-maximumPendingWindows, 0):]
 	}
 	if command.UsageCall != nil {
-		m.noteCall(dutyUsage)
+		m.recordCall(dutyUsage)
 	}
 	if ended := command.UsageEnd; ended != nil {
 		m.state.Usage = slices.DeleteFunc(slices.Clone(m.state.Usage), func(each region.UsageWindow) bool {
@@ -34,7 +34,7 @@
 }
 
 // applyFleet records an order for a number of replicas, replacing the previous one for the same group.
-func (m *machine) applyFleet(order *region.FleetOrder) {
+func (m *stateMachine) applyFleet(order *region.FleetOrder) {
 	others := slices.DeleteFunc(slices.Clone(m.state.Fleet), func(each region.FleetOrder) bool {
 		return sameReplicaGroup(each, *order)
 	})
--- a/internal/coordinator/fleet.go
+++ b/internal/coordinator/fleet.go
@@ -15,8 +15,8 @@
 	"github.com/pierhaven/pierhaven/internal/traffic"
 )
 
-// ErrNoneToBeHad means that the platform has no further replicas of a kind in a zone.
-var ErrNoneToBeHad = errors.New("no further replicas are to be had")
+// ErrNoMoreReplicas means that the platform has no further replicas of a kind in a zone.
+var ErrNoMoreReplicas = errors.New("no further replicas are to be had")
 
 const fleetInterval = 250 * time.Millisecond
 
@@ -29,22 +29,22 @@
 	scaling map[string]traffic.Scaling
 }
 
-// keepFleet keeps the ordered number of replicas at the number wanted while this coordinator leads.
-func (c *Coordinator) keepFleet(ctx context.Context) {
-	if c.settings.Platform == nil || !c.settings.OrderFleet {
+// scaleFleet keeps the ordered number of replicas at the number wanted while this coordinator leads.
+func (c *Coordinator) scaleFleet(ctx context.Context) {
+	if c.settings.Platform == nil || !c.settings.EnableFleetOrders {
 		return
 	}
-	keeper := &fleetScaler{dutyHolder: dutyHolder{Coordinator: c, duty: dutyFleet}, scaling: map[string]traffic.Scaling{}}
+	scaler := &fleetScaler{dutyHolder: dutyHolder{Coordinator: c, duty: dutyFleet}, scaling: map[string]traffic.Scaling{}}
 	for lifecycle.Sleep(ctx, fleetInterval) {
-		begun, leads := keeper.leads(ctx)
+		begun, leads := scaler.leads(ctx)
 		if !leads {
 			continue
 		}
 		if begun {
-			keeper.planners = map[string]*fleetplan.Planner{}
+			scaler.planners = map[string]*fleetplan.Planner{}
 		}
-		if keeper.mayCall() {
-			keeper.step(ctx)
+		if scaler.mayCall() {
+			scaler.step(ctx)
 		}
 	}
 }
@@ -74,7 +74,7 @@
 // readScaling reads the services' scaling bounds from the configuration.
 func (k *fleetScaler) readScaling(state region.State) {
 	k.version = state.Version
-	configuration, err := readConfiguration(k.settings.Codec, state.Document)
+	configuration, err := decodeConfiguration(k.settings.Codec, state.Document)
 	if err != nil {
 		k.logger.Info(event.ConfigurationRefused, "version", state.Version, "reason", err.Error())
 		return
@@ -208,7 +208,7 @@
 	switch {
 	case err == nil:
 		planner.Ordered(k.now(), planned)
-	case errors.Is(err, ErrNoneToBeHad):
+	case errors.Is(err, ErrNoMoreReplicas):
 		planner.Refused(k.now(), planned)
 	default:
 		planner.Lost(planned)
--- a/internal/coordinator/freshness.go
+++ b/internal/coordinator/freshness.go
@@ -45,7 +45,7 @@
 func (c *Coordinator) keepFresh(ctx context.Context) {
 	wasFresh := false
 	for lifecycle.Sleep(ctx, freshnessInterval) {
-		err := c.confirmOnce(ctx)
+		err := c.confirmCopy(ctx)
 		if fresh := err == nil; fresh != wasFresh {
 			wasFresh = fresh
 			c.logger.Info(event.CopyFreshness, "fresh", fresh, "leader", c.group.LeaderAddress(),
@@ -54,25 +54,25 @@
 	}
 }
 
-// confirmOnce ensures that everything acknowledged before the call is applied here.
+// confirmCopy ensures that everything acknowledged before the call is applied here.
 // With the same message it sends the leader what this coordinator has collected:
 // gateways, demand, clocks, usage and builds.
-func (c *Coordinator) confirmOnce(ctx context.Context) error {
+func (c *Coordinator) confirmCopy(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, freshnessTimeout)
 	defer cancel()
 	start := c.now()
 	peersHash := c.gateways.known().hash
 	members := c.zones.withZones(c.sortedMembers())
 	leader := c.group.LeaderAddress()
-	usage, revision := c.usage.news(leader)
+	usage, revision := c.usage.unreported(leader)
 	request := &region.ReadIndexRequest{
 		From:        c.settings.Address,
 		Zone:        c.settings.Zone,
 		MembersHash: members.hash,
 		Gateways:    c.gateways.localGateways(start),
 		PeersHash:   peersHash,
-		Demand:      c.demand.sum(start),
-		Clocks:      append(c.usage.own.Read(), time.Now().UnixNano()),
+		Demand:      c.gatewayDemand.sum(start),
+		Clocks:      append(c.usage.ownClocks.Read(), time.Now().UnixNano()),
 		Usage:       usage,
 		Protocol:    build.Protocol,
 		Revision:    build.Revision(),
@@ -80,10 +80,10 @@
 	}
 	reply, err := c.requestReadIndex(ctx, request)
 	if err != nil {
-		c.usage.forgetTold()
+		c.usage.resetReported()
 		return err
 	}
-	c.usage.told(leader, revision)
+	c.usage.markReported(leader, revision)
 	c.zones.merge(reply.Members)
 	if reply.RegionNanos > 0 && !c.group.Leads() {
 		c.usage.clock.Set(time.Now(), time.Unix(0, reply.RegionNanos))
@@ -133,12 +133,12 @@
 	now := c.now()
 	c.gateways.recordReported(now, request.Gateways)
 	if request.From != c.settings.Address {
-		c.reported.take(now, request.From, request.Demand)
+		c.coordinatorDemand.put(now, request.From, request.Demand)
 	}
-	c.usage.takeClocks(request.From, request.Clocks)
+	c.usage.recordClocks(request.From, request.Clocks)
 	if request.From != c.settings.Address {
 		for index := range request.Usage {
-			c.takeUsage(&request.Usage[index])
+			c.recordUsage(&request.Usage[index])
 		}
 	}
 	c.zones.set(request.From, request.Zone)
--- a/internal/coordinator/gatewaylist.go
+++ b/internal/coordinator/gatewaylist.go
@@ -32,15 +32,15 @@
 }
 
 func newAddressList(sorted []string) addressList {
-	return addressList{addresses: sorted, hash: hashOf(sorted)}
+	return addressList{addresses: sorted, hash: hashAddresses(sorted)}
 }
 
 func newGatewayList() *gatewayList {
 	return &gatewayList{pollers: newRecentGateways(), reports: newRecentGateways(), merged: newAddressList(nil)}
 }
 
-// polled records a gateway's poll.
-func (g *gatewayList) polled(now time.Duration, address string) {
+// recordPoll records a gateway's poll.
+func (g *gatewayList) recordPoll(now time.Duration, address string) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.pollers.record(now, address)
@@ -77,9 +77,9 @@
 	return g.merged
 }
 
-// everyone returns the addresses of all gateways that are known from any source. A new leader has not
+// allKnown returns the addresses of all gateways that are known from any source. A new leader has not
 // received reports of all gateways yet, but has the list that the previous leader sent.
-func (g *gatewayList) everyone(now time.Duration) []string {
+func (g *gatewayList) allKnown(now time.Duration) []string {
 	all := g.all(now)
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -115,7 +115,7 @@
 }
 
 // expiryInterval is the minimum time between two searches for expired gateways.
-const expiryInterval = gatewayMemory / 20
+const expiryInterval = gatewayRetention / 20
 
 func newRecentGateways() *recentGateways {
 	return &recentGateways{lastSeen: map[string]time.Duration{}, sorted: newAddressList(nil)}
@@ -128,7 +128,7 @@
 	r.lastSeen[address] = now
 }
 
-// expire deletes the gateways that were last seen more than gatewayMemory ago. It searches for them at
+// expire deletes the gateways that were last seen more than gatewayRetention ago. It searches for them at
 // most once per expiryInterval.
 func (r *recentGateways) expire(now time.Duration) {
 	if now-r.expiredAt < expiryInterval {
@@ -136,7 +136,7 @@
 	}
 	r.expiredAt = now
 	for address, at := range r.lastSeen {
-		if now-at > gatewayMemory {
+		if now-at > gatewayRetention {
 			delete(r.lastSeen, address)
 			r.changes++
 		}
@@ -163,6 +163,6 @@
 	return slices.Compact(merged)
 }
 
-func hashOf(addresses []string) uint64 {
+func hashAddresses(addresses []string) uint64 {
 	return xxhash.Sum64String(strings.Join(addresses, ","))
 }
--- a/internal/coordinator/group_test.go
+++ b/internal/coordinator/group_test.go
@@ -38,19 +38,19 @@
 	return configuration, configuration.Validate()
 }
 
-// fixedList is a coordinator.Lister whose list tests set.
-type fixedList struct {
+// settableLister is a coordinator.Lister whose list tests set.
+type settableLister struct {
 	mutex    sync.Mutex
 	replicas []region.Replica
 }
 
-func (l *fixedList) List(context.Context) ([]region.Replica, error) {
+func (l *settableLister) List(context.Context) ([]region.Replica, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return append([]region.Replica(nil), l.replicas...), nil
 }
 
-func (l *fixedList) set(replicas ...region.Replica) {
+func (l *settableLister) set(replicas ...region.Replica) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.replicas = replicas
@@ -60,7 +60,7 @@
 type group struct {
 	t         *testing.T
 	folder    string
-	list      *fixedList
+	list      *settableLister
 	addresses []string
 	running   map[string]*process
 	// adapt modifies the settings of each coordinator; it may be nil.
@@ -80,7 +80,7 @@
 
 func newGroupWith(t *testing.T, adapt func(*coordinator.Settings)) *group {
 	t.Helper()
-	g := &group{t: t, folder: t.TempDir(), list: &fixedList{}, running: map[string]*process{}, adapt: adapt}
+	g := &group{t: t, folder: t.TempDir(), list: &settableLister{}, running: map[string]*process{}, adapt: adapt}
 	for range 3 {
 		g.addresses = append(g.addresses, testnet.Address(t))
 	}
@@ -212,7 +212,7 @@
 	})
 }
 
-func TestAMachineWithAnEmptyDiskTakesItsPlaceAgain(t *testing.T) {
+func TestMachineWithEmptyDiskReplacesItsVoter(t *testing.T) {
 	g := newGroup(t)
 	g.replace(g.addresses[0], 3)
 	g.stop(g.addresses[2])
@@ -259,7 +259,7 @@
 
 // A coordinator whose machine was suspended must not report its copy as fresh: the copy lacks what the other
 // coordinators acknowledged meanwhile.
-func TestACopyAgesWhileTheMachineIsSuspended(t *testing.T) {
+func TestSuspensionCountsTowardsAgeOfCopy(t *testing.T) {
 	var suspended atomic.Int64
 	g := newGroupWith(t, func(settings *coordinator.Settings) {
 		settings.Now = func() time.Duration { return uptime.Now() + time.Duration(suspended.Load()) }
--- a/internal/coordinator/kept.go
+++ b/internal/coordinator/kept.go
@@ -43,9 +43,9 @@
 	})
 }
 
-// asksKept reports whether this coordinator asks a replica which prefixes it has cached: it is the owner,
+// queriesCache reports whether this coordinator asks a replica which prefixes it has cached: it is the owner,
 // or the owner is unresponsive.
-func (c *Coordinator) asksKept(replica region.Replica) bool {
+func (c *Coordinator) queriesCache(replica region.Replica) bool {
 	members := c.group.MemberAddresses()
 	if len(members) == 0 {
 		return true
@@ -80,11 +80,11 @@
 	return reply, nil
 }
 
-// learnKept queries the other coordinators, for placement.WarmupTime after the start, for what the replicas
+// learnCached queries the other coordinators, for placement.WarmupTime after the start, for what the replicas
 // that they own have cached. Otherwise each coordinator would ask all replicas, which do no other work while
 // they answer.
-func (c *Coordinator) learnKept(ctx context.Context) {
-	if c.settings.Prefixes == nil {
+func (c *Coordinator) learnCached(ctx context.Context) {
+	if c.settings.PrefixSource == nil {
 		return
 	}
 	end := time.Now().Add(placement.WarmupTime)
--- a/internal/coordinator/leaving.go
+++ b/internal/coordinator/leaving.go
@@ -13,9 +13,9 @@
 	"github.com/pierhaven/pierhaven/internal/region"
 )
 
-// leavingWords collects the replicas that have declared in a response that they are leaving, and tracks which of
+// leavingReports collects the replicas that have declared in a response that they are leaving, and tracks which of
 // these were reported to the leader.
-type leavingWords struct {
+type leavingReports struct {
 	// received queues the names of incarnations that have declared it to this process itself.
 	received chan string
 
@@ -27,8 +27,8 @@
 // maximumQueuedLeaving bounds the replicas that wait to be reported.
 const maximumQueuedLeaving = 256
 
-func newLeavingWords() *leavingWords {
-	return &leavingWords{received: make(chan string, maximumQueuedLeaving), reportedAt: map[string]time.Duration{}}
+func newLeavingReports() *leavingReports {
+	return &leavingReports{received: make(chan string, maximumQueuedLeaving), reportedAt: map[string]time.Duration{}}
 }
 
 // leavingReportInterval is the time after which a replica that the list does not yet show as leaving is reported to the
@@ -36,7 +36,7 @@
 const leavingReportInterval = time.Second
 
 // due returns the replicas among names that were not reported within leavingReportInterval, and marks them as reported.
-func (w *leavingWords) due(now time.Duration, names []string) []string {
+func (w *leavingReports) due(now time.Duration, names []string) []string {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	for name, at := range w.reportedAt {
@@ -55,7 +55,7 @@
 }
 
 // forget makes replicas due again after a report to the leader has failed.
-func (w *leavingWords) forget(names []string) {
+func (w *leavingReports) forget(names []string) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	for _, name := range names {
@@ -120,13 +120,13 @@
 	if len(change.Changed) == 0 {
 		return nil
 	}
-	c.logChanges(state.Replicas, change)
+	c.logListChange(state.Replicas, change)
 	_, err := c.commit(ctx, &region.Command{List: change})
 	return err
 }
 
-// NoteStanding handles a change of the peer state of a replica. It does not block.
-func (c *Coordinator) NoteStanding(replica backpressure.Peer, state *backpressure.PeerState) {
+// NotePeerState handles a change of the peer state of a replica. It does not block.
+func (c *Coordinator) NotePeerState(replica backpressure.Peer, state *backpressure.PeerState) {
 	if !state.Leaving() {
 		return
 	}
@@ -137,8 +137,8 @@
 	}
 }
 
-// tellLeaving forwards what replicas have declared to this process itself, until the context ends.
-func (c *Coordinator) tellLeaving(ctx context.Context) {
+// forwardLeaving forwards what replicas have declared to this process itself, until the context ends.
+func (c *Coordinator) forwardLeaving(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
--- a/internal/coordinator/leaving_test.go
+++ b/internal/coordinator/leaving_test.go
@@ -12,13 +12,13 @@
 
 // A replica that has declared that it is leaving stays leaving whatever the platform's list shows, until its next incarnation.
 func TestLeavingReportOverridesThePlatformsList(t *testing.T) {
-	m := newTestMachine()
-	relist(t, m, 1, engineAt(5, region.StageDecode))
+	m := newTestStateMachine()
+	setOnlyReplica(t, m, 1, engineAt(5, region.StageDecode))
 	leaving := engineAt(5, region.StageDecode)
 	leaving.Leaving = true
 	apply(t, m, 2, region.Command{List: &region.ListCommand{Changed: []region.Replica{leaving}, Standby: true}})
 
-	assert.False(t, relist(t, m, 3, engineAt(5, region.StageDecode)), "the platform's list shows it as ready")
+	assert.False(t, setOnlyReplica(t, m, 3, engineAt(5, region.StageDecode)), "the platform's list shows it as ready")
 	gateway := newFollower()
 	gateway.follow(m)
 	shown := gateway.list["a"]
@@ -28,7 +28,7 @@
 	assert.Empty(t, services["model"], "the plan of stages does not count it")
 	assert.Empty(t, notYetListedAsLeaving(state.Replicas, []string{leaving.Life().Name()}), "it is reported once")
 
-	assert.True(t, relist(t, m, 4, engineAt(9, region.StageDecode)))
+	assert.True(t, setOnlyReplica(t, m, 4, engineAt(9, region.StageDecode)))
 	gateway.follow(m)
 	shown = gateway.list["a"]
 	assert.False(t, shown.Leaves(), "another incarnation")
@@ -38,7 +38,7 @@
 
 // A thousand gateways report that a replica is leaving; the report is forwarded to the leader once a second.
 func TestLeavingReportsToTheLeaderAreRateLimited(t *testing.T) {
-	reports := newLeavingWords()
+	reports := newLeavingReports()
 	require.Equal(t, []string{"a", "b"}, reports.due(0, []string{"a", "b"}))
 	for range 1000 {
 		require.Empty(t, reports.due(time.Second/2, []string{"a", "b"}))
--- a/internal/coordinator/life_test.go
+++ b/internal/coordinator/life_test.go
@@ -18,11 +18,11 @@
 	return region.Replica{ID: "a", Born: born, Service: "model", Stage: stage, Slots: 4}
 }
 
-// relist applies the change that makes one replica the whole list, and reports whether there was any.
-func relist(t *testing.T, m *machine, index uint64, replica region.Replica) bool {
+// setOnlyReplica applies the change that makes one replica the whole list, and reports whether there was any.
+func setOnlyReplica(t *testing.T, m *stateMachine, index uint64, replica region.Replica) bool {
 	t.Helper()
 	state, _ := m.read()
-	change := listChange(state.Replicas, []region.Replica{replica})
+	change := diffLists(state.Replicas, []region.Replica{replica})
 	if change == nil {
 		return false
 	}
@@ -30,31 +30,31 @@
 	return true
 }
 
-// TestAReplicaThatStartsAgainIsAnotherLife: a later or an earlier start time is another incarnation. An entry
+// TestRestartedReplicaIsAnotherIncarnation: a later or an earlier start time is another incarnation. An entry
 // without a start time is not.
-func TestAReplicaThatStartsAgainIsAnotherLife(t *testing.T) {
-	m := newTestMachine()
+func TestRestartedReplicaIsAnotherIncarnation(t *testing.T) {
+	m := newTestStateMachine()
 	gateway := newFollower()
 	for index, step := range []struct {
 		listed  int64
 		changes bool
 		born    int64
 	}{{0, true, 0}, {5, true, 5}, {5, false, 5}, {0, false, 5}, {9, true, 9}, {4, true, 4}, {0, false, 4}} {
-		assert.Equal(t, step.changes, relist(t, m, uint64(index+1), engineAt(step.listed, region.StageDecode)), index)
+		assert.Equal(t, step.changes, setOnlyReplica(t, m, uint64(index+1), engineAt(step.listed, region.StageDecode)), index)
 		gateway.follow(m)
 		assert.Equal(t, step.born, gateway.list["a"].Born, index)
 	}
 }
 
-// TestAStageChangeEndsWithTheLifeThatWasOrdered: a process that had started after the order was shown as
+// TestStageChangeEndsWithOrderedIncarnation: a process that had started after the order was shown as
 // changing, and received no work until the change counted as stuck.
-func TestAStageChangeEndsWithTheLifeThatWasOrdered(t *testing.T) {
-	m := newTestMachine()
-	relist(t, m, 1, engineAt(5, region.StageDecode))
+func TestStageChangeEndsWithOrderedIncarnation(t *testing.T) {
+	m := newTestStateMachine()
+	setOnlyReplica(t, m, 1, engineAt(5, region.StageDecode))
 	apply(t, m, 2, region.Command{Change: &region.ChangeCommand{Replica: "a", Born: 5, Stage: region.StagePrefill}})
 	state, _ := m.read()
 	require.Len(t, state.Changes, 1)
-	relist(t, m, 3, engineAt(9, region.StageDecode))
+	setOnlyReplica(t, m, 3, engineAt(9, region.StageDecode))
 	gateway := newFollower()
 	gateway.follow(m)
 	assert.Equal(t, region.StageDecode, gateway.list["a"].Stage)
@@ -67,8 +67,8 @@
 	assert.Equal(t, region.StageChanging, gateway.list["a"].Stage, "the order is from a coordinator that does not know start times")
 }
 
-// TestAStateWithoutLivesIsRead: snapshots and logs of an earlier version have no start times.
-func TestAStateWithoutLivesIsRead(t *testing.T) {
+// TestStateWithoutStartTimesIsRead: snapshots and logs of an earlier version have no start times.
+func TestStateWithoutStartTimesIsRead(t *testing.T) {
 	snapshot, err := msgp.AppendIntf(nil, map[string]any{
 		"list_revision": uint64(4),
 		"replicas": []any{map[string]any{
@@ -77,56 +77,56 @@
 		"changes": []any{map[string]any{"replica": "a", "stage": region.StagePrefill, "fence": uint64(4)}},
 	})
 	require.NoError(t, err)
-	m := newTestMachine()
+	m := newTestStateMachine()
 	require.NoError(t, m.Restore(snapshot))
-	assert.False(t, relist(t, m, 5, engineAt(0, region.StageDecode)))
+	assert.False(t, setOnlyReplica(t, m, 5, engineAt(0, region.StageDecode)))
 	gateway := newFollower()
 	gateway.follow(m)
 	assert.Equal(t, region.StageChanging, gateway.list["a"].Stage)
-	relist(t, m, 6, engineAt(0, region.StagePrefill))
+	setOnlyReplica(t, m, 6, engineAt(0, region.StagePrefill))
 	state, _ := m.read()
 	assert.Empty(t, state.Changes)
 }
 
-// newKeeper returns a leader's stage keeper that has not planned yet.
-func newKeeper(engines Engines, m *machine) *stageKeeper {
+// newTestStagePlanner returns a leader's stage planner that has not planned yet.
+func newTestStagePlanner(engines Engines, m *stateMachine) *stagePlanner {
 	c := &Coordinator{
 		settings: Settings{Engines: engines, Logger: logr.Discard()}, logger: logr.Discard(), machine: m,
-		gateways: newGatewayList(), demand: newDemandTable(), reported: newDemandTable(),
+		gateways: newGatewayList(), gatewayDemand: newDemandTable(), coordinatorDemand: newDemandTable(),
 		clock: func() time.Duration { return time.Minute },
 	}
-	keeper := &stageKeeper{dutyHolder: dutyHolder{Coordinator: c, duty: dutyStages}}
-	keeper.reset()
-	return keeper
+	planner := &stagePlanner{dutyHolder: dutyHolder{Coordinator: c, duty: dutyStages}}
+	planner.reset()
+	return planner
 }
 
-// TestWhatIsKeptOfALifeDoesNotHoldTheNext: a restarted replica was given no order for the 14 s in which an
+// TestHoldsEndWithTheirIncarnation: a restarted replica was given no order for the 14 s in which an
 // order to its previous process might have been carried out, and counted as unreachable.
-func TestWhatIsKeptOfALifeDoesNotHoldTheNext(t *testing.T) {
-	keeper := newKeeper(nil, newTestMachine())
-	now := keeper.now()
+func TestHoldsEndWithTheirIncarnation(t *testing.T) {
+	planner := newTestStagePlanner(nil, newTestStateMachine())
+	now := planner.now()
 	before, after := engineAt(5, region.StageDecode), engineAt(9, region.StageDecode)
-	keeper.holds[before.Life().Name()] = now + unclearHold
-	keeper.demand.take(now, "gateway", []region.ServiceDemand{{
+	planner.ordersHeldUntil[before.Life().Name()] = now + unansweredOrderHold
+	planner.gatewayDemand.put(now, "gateway", []region.ServiceDemand{{
 		Service: "model", Gateways: 2, Unreachable: []string{before.Life().Name(), before.Life().Name()},
 	}})
 	changes := []region.StageChange{{Replica: "a", Born: 5, Stage: region.StagePrefill}}
-	assert.Empty(t, keeper.inputsFor(now, "model", []region.Replica{before}, changes)[0].Replicas)
-	planned := keeper.inputsFor(now, "model", []region.Replica{after}, changes)[0].Replicas
+	assert.Empty(t, planner.inputsFor(now, "model", []region.Replica{before}, changes)[0].Replicas)
+	planned := planner.inputsFor(now, "model", []region.Replica{after}, changes)[0].Replicas
 	assert.Equal(t, []stageplan.Replica{{ID: after.Life().Name(), Slots: 4, Generates: true}}, planned)
 }
 
-// TestAReplicaThatStartsAgainMakesTheFleetRestless: a restart counts as the removal of one replica and the
+// TestReplicaRestartMakesFleetRestless: a restart counts as the removal of one replica and the
 // arrival of another.
-func TestAReplicaThatStartsAgainMakesTheFleetRestless(t *testing.T) {
-	keeper := newKeeper(nil, newTestMachine())
-	now := keeper.now()
-	keeper.demandFrom[stageGroup{service: "model"}] = now
+func TestReplicaRestartMakesFleetRestless(t *testing.T) {
+	planner := newTestStagePlanner(nil, newTestStateMachine())
+	now := planner.now()
+	planner.demandSince[stageGroup{service: "model"}] = now
 	for _, step := range []struct {
 		born     int64
 		restless bool
 	}{{5, false}, {5, false}, {9, true}} {
-		input := keeper.inputsFor(now, "model", []region.Replica{engineAt(step.born, region.StageDecode)}, nil)[0]
+		input := planner.inputsFor(now, "model", []region.Replica{engineAt(step.born, region.StageDecode)}, nil)[0]
 		assert.Equal(t, step.restless, input.Restless)
 	}
 }
@@ -146,29 +146,29 @@
 	return nil
 }
 
-// TestALifeThatTheListDoesNotShowIsNotOrdered: the order would expect the order count of another
+// TestUnlistedIncarnationReceivesNoOrder: the order would expect the order count of another
 // incarnation.
-func TestALifeThatTheListDoesNotShowIsNotOrdered(t *testing.T) {
-	keeper := newKeeper(reportingEngines{t, EngineReport{Born: 9}}, newTestMachine())
-	assert.ErrorIs(t, keeper.order(t.Context(), engineAt(5, region.StageDecode), region.StagePrefill), ErrOrderRefused)
+func TestUnlistedIncarnationReceivesNoOrder(t *testing.T) {
+	planner := newTestStagePlanner(reportingEngines{t, EngineReport{Born: 9}}, newTestStateMachine())
+	assert.ErrorIs(t, planner.order(t.Context(), engineAt(5, region.StageDecode), region.StagePrefill), ErrOrderRejected)
 }
 
-// TestAnOrderInDoubtIsNotWokenByALaterOne: an unanswered order to the previous incarnation expects a count of
+// TestUnansweredOrderIsNotEnabledByLaterOrder: an unanswered order to the previous incarnation expects a count of
 // one order. The first order to the new incarnation would bring its count to 1; the old order would then be
 // accepted and undo the new one.
-func TestAnOrderInDoubtIsNotWokenByALaterOne(t *testing.T) {
-	var doubts orderDoubts
+func TestUnansweredOrderIsNotEnabledByLaterOrder(t *testing.T) {
+	var doubts unansweredOrders
 	before, after := region.Life{ID: "a", Born: 5}, region.Life{ID: "a", Born: 9}
 	doubts.add(time.Second, before, 1)
-	assert.True(t, doubts.wouldWake(2*time.Second, after, 0))
-	assert.False(t, doubts.wouldWake(2*time.Second, after, 1), "the replica rejects the old order from now on")
-	assert.False(t, doubts.wouldWake(2*time.Second, region.Life{ID: "b", Born: 9}, 0))
-	assert.False(t, doubts.wouldWake(2*time.Second, before, 0), "that incarnation is given no orders anyway")
-	assert.False(t, doubts.wouldWake(time.Second+unclearHold, after, 0))
-	doubts.add(time.Second+unclearHold, after, 4)
+	assert.True(t, doubts.wouldEnableOlder(2*time.Second, after, 0))
+	assert.False(t, doubts.wouldEnableOlder(2*time.Second, after, 1), "the replica rejects the old order from now on")
+	assert.False(t, doubts.wouldEnableOlder(2*time.Second, region.Life{ID: "b", Born: 9}, 0))
+	assert.False(t, doubts.wouldEnableOlder(2*time.Second, before, 0), "that incarnation is given no orders anyway")
+	assert.False(t, doubts.wouldEnableOlder(time.Second+unansweredOrderHold, after, 0))
+	doubts.add(time.Second+unansweredOrderHold, after, 4)
 	assert.Len(t, doubts, 1, "expired doubts are deleted")
 
-	keeper := newKeeper(reportingEngines{t, EngineReport{Born: 9}}, newTestMachine())
-	keeper.doubts.add(keeper.now(), before, 1)
-	assert.ErrorIs(t, keeper.order(t.Context(), engineAt(9, region.StageDecode), region.StagePrefill), ErrOrderRefused)
+	planner := newTestStagePlanner(reportingEngines{t, EngineReport{Born: 9}}, newTestStateMachine())
+	planner.unanswered.add(planner.now(), before, 1)
+	assert.ErrorIs(t, planner.order(t.Context(), engineAt(9, region.StageDecode), region.StagePrefill), ErrOrderRejected)
 }
--- a/internal/coordinator/limitprojection_test.go
+++ b/internal/coordinator/limitprojection_test.go
@@ -17,7 +17,7 @@
 // A coordinator can receive a limit report of a replica before the replica is listed. The limit service
 // processed a new list before the placement directory did, and passed the limit to a directory that did not
 // have the replica yet and ignored it. Placement then treated the replica as unlimited until its limit changed.
-func TestChoicesKnowTheLimitOfAReplicaThatIsListedLater(t *testing.T) {
+func TestPlacementHasLimitReportedBeforeListing(t *testing.T) {
 	c, err := New(Settings{
 		Name: "a", Zone: "zone", Address: "127.0.0.1:1", Seeds: func() []string { return nil },
 		DataFolder: "/data", FileSystem: memoryfs.New(), Logger: testr.New(t),
@@ -28,12 +28,12 @@
 	c.limits.table.Merge(c.now(), ratelimit.Report{Replica: replica.Life().Name(), Declared: true, Rate: 1})
 	c.limits.mutex.Unlock()
 	apply(t, c.machine, 1, listed(replica))
-	c.limits.takeList()
+	c.limits.updateListed()
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		c.keepDirectory(ctx)
+		c.syncDirectory(ctx)
 	}()
 	defer func() {
 		stop()
--- a/internal/coordinator/list.go
+++ b/internal/coordinator/list.go
@@ -55,7 +55,7 @@
 		return err
 	}
 	state, _ := c.machine.read()
-	change := listChange(state.Replicas, listed)
+	change := diffLists(state.Replicas, listed)
 	if guard.suppresses(len(state.Replicas), change) {
 		c.logger.Info(event.ListDoubted, "replicas_before", len(state.Replicas), "listed", len(listed), "kept", len(change.Removed))
 		change.Removed = nil
@@ -67,10 +67,10 @@
 		return nil
 	}
 	change.Standby = true
-	c.logChanges(state.Replicas, change)
+	c.logListChange(state.Replicas, change)
 	// The activity is planned in the same command, so that gateways are never shown all replicas, and lose
 	// no replica that leaves without being shown another one.
-	changeList(&state, state.ListRevision, change)
+	applyListChange(&state, state.ListRevision, change)
 	_, err = c.commit(ctx, &region.Command{List: change, Activity: c.planActivity(state)})
 	return err
 }
@@ -79,8 +79,8 @@
 // counts stands for the rest.
 const maximumLoggedReplicas = 100
 
-// logChanges logs each replica that was added, removed, changed or restarted.
-func (c *Coordinator) logChanges(before []region.ListedReplica, change *region.ListCommand) {
+// logListChange logs each replica that was added, removed, changed or restarted.
+func (c *Coordinator) logListChange(before []region.ListedReplica, change *region.ListCommand) {
 	for index, replica := range change.Changed {
 		if index == maximumLoggedReplicas {
 			c.logger.Info(event.ListChanged, "changed", len(change.Changed), "removed", len(change.Removed), "replicas_before", len(before))
--- a/internal/coordinator/machine.go
+++ b/internal/coordinator/machine.go
@@ -7,24 +7,24 @@
 	"github.com/pierhaven/pierhaven/internal/region"
 )
 
-// machine is the replicated state machine. Only the replica's goroutine changes
+// stateMachine is the replicated state machine. Only the replica's goroutine changes
 // it; readers copy the state under the lock.
-type machine struct {
+type stateMachine struct {
 	mutex   sync.Mutex
 	clock   func() time.Duration
 	state   region.State
 	applied uint64
-	calls   map[duty]callMark
+	calls   map[duty]lastCall
 	changed chan struct{}
 }
 
-func newMachine(clock func() time.Duration) *machine {
-	return &machine{clock: clock, calls: map[duty]callMark{}, changed: make(chan struct{})}
+func newStateMachine(clock func() time.Duration) *stateMachine {
+	return &stateMachine{clock: clock, calls: map[duty]lastCall{}, changed: make(chan struct{})}
 }
 
 // Apply implements replica.StateMachine. The result is an encoded
 // region.ReplaceReply with the configuration version in force.
-func (m *machine) Apply(index uint64, encoded []byte) []byte {
+func (m *stateMachine) Apply(index uint64, encoded []byte) []byte {
 	var command region.Command
 	_, err := command.UnmarshalMsg(encoded)
 	m.mutex.Lock()
@@ -39,7 +39,7 @@
 	return reply
 }
 
-func (m *machine) apply(index uint64, command *region.Command) {
+func (m *stateMachine) apply(index uint64, command *region.Command) {
 	if change := command.Configuration; change != nil && change.Version > m.state.Version {
 		m.state.Version = change.Version
 		m.state.Document = change.Document
@@ -51,7 +51,7 @@
 		m.applyActivity(index, change)
 	}
 	if change := command.Change; change != nil {
-		m.noteCall(dutyStages)
+		m.recordCall(dutyStages)
 		m.beginChange(index, change)
 	}
 	if change := command.ChangeEnd; change != nil {
@@ -62,24 +62,24 @@
 		m.state.Poison.Apply(index, command.Poison)
 	}
 	if order := command.Fleet; order != nil {
-		m.noteCall(dutyFleet)
+		m.recordCall(dutyFleet)
 		m.applyFleet(order)
 	}
 }
 
-// noteCall records the current time as that of the duty's last call: the command that
+// recordCall records the current time as that of the duty's last call: the command that
 // precedes the call has been applied.
-func (m *machine) noteCall(of duty) { m.calls[of] = callMark{known: true, at: m.clock()} }
+func (m *stateMachine) recordCall(of duty) { m.calls[of] = lastCall{known: true, at: m.clock()} }
 
 // Snapshot implements replica.StateMachine.
-func (m *machine) Snapshot() ([]byte, error) {
+func (m *stateMachine) Snapshot() ([]byte, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.state.MarshalMsg(nil)
 }
 
 // Restore implements replica.StateMachine.
-func (m *machine) Restore(data []byte) error {
+func (m *stateMachine) Restore(data []byte) error {
 	var state region.State
 	if len(data) > 0 {
 		if _, err := state.UnmarshalMsg(data); err != nil {
@@ -92,7 +92,7 @@
 	countStandby(&m.state)
 	if len(data) > 0 {
 		for _, each := range duties {
-			m.noteCall(each)
+			m.recordCall(each)
 		}
 	}
 	close(m.changed)
@@ -102,14 +102,14 @@
 
 // read returns the state and a channel that is closed at the next change. Slices of
 // the state are never modified in place.
-func (m *machine) read() (region.State, <-chan struct{}) {
+func (m *stateMachine) read() (region.State, <-chan struct{}) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.state, m.changed
 }
 
 // lastCall returns the mark of a duty's last call that this coordinator knows of.
-func (m *machine) lastCall(of duty) callMark {
+func (m *stateMachine) lastCall(of duty) lastCall {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.calls[of]
--- a/internal/coordinator/machine_test.go
+++ b/internal/coordinator/machine_test.go
@@ -14,14 +14,14 @@
 	"github.com/pierhaven/pierhaven/internal/region"
 )
 
-func apply(t *testing.T, m *machine, index uint64, command region.Command) {
+func apply(t *testing.T, m *stateMachine, index uint64, command region.Command) {
 	t.Helper()
 	encoded, err := command.MarshalMsg(nil)
 	require.NoError(t, err)
 	m.Apply(index, encoded)
 }
 
-func newTestMachine() *machine { return newMachine(func() time.Duration { return 0 }) }
+func newTestStateMachine() *stateMachine { return newStateMachine(func() time.Duration { return 0 }) }
 
 func configuration(version uint64, document string) region.Command {
 	return region.Command{Configuration: &region.ConfigurationCommand{Version: version, Document: []byte(document)}}
@@ -40,13 +40,13 @@
 
 func newFollower() *follower { return &follower{list: map[string]region.Replica{}} }
 
-func (f *follower) follow(m *machine) {
+func (f *follower) follow(m *stateMachine) {
 	state, _ := m.read()
 	if state.ListRevision <= f.revision {
 		return
 	}
 	var view region.View
-	shownSince(state, f.revision, &view)
+	addListChanges(state, f.revision, &view)
 	if view.WholeList {
 		f.whole++
 		f.list = map[string]region.Replica{}
@@ -62,7 +62,7 @@
 
 func TestListChangesAddUpToTheWholeList(t *testing.T) {
 	random := rand.New(rand.NewPCG(7, 1))
-	m := newTestMachine()
+	m := newTestStateMachine()
 	current := map[string]region.Replica{}
 	often, rarely := newFollower(), newFollower()
 	for index := uint64(1); index < 5000; index++ {
@@ -76,7 +76,7 @@
 		}
 		after := slices.Collect(maps.Values(current))
 		state, _ := m.read()
-		if change := listChange(state.Replicas, after); change != nil {
+		if change := diffLists(state.Replicas, after); change != nil {
 			apply(t, m, index, region.Command{List: change})
 		}
 		often.follow(m)
@@ -91,7 +91,7 @@
 }
 
 func TestHighestConfigurationVersionWins(t *testing.T) {
-	m := newTestMachine()
+	m := newTestStateMachine()
 	apply(t, m, 1, configuration(5, "five"))
 	apply(t, m, 2, configuration(3, "three"))
 	apply(t, m, 3, configuration(5, "other content"))
@@ -104,14 +104,14 @@
 }
 
 func TestSnapshotRestoresState(t *testing.T) {
-	m := newTestMachine()
+	m := newTestStateMachine()
 	apply(t, m, 1, configuration(5, "five"))
 	apply(t, m, 2, listed(region.Replica{ID: "a", Stage: region.StageDecode}))
 	apply(t, m, 3, region.Command{Change: &region.ChangeCommand{Replica: "a", Stage: region.StagePrefill}})
 	snapshot, err := m.Snapshot()
 	require.NoError(t, err)
 
-	restored := newTestMachine()
+	restored := newTestStateMachine()
 	require.NoError(t, restored.Restore(snapshot))
 	want, _ := m.read()
 	got, _ := restored.read()
@@ -122,7 +122,7 @@
 }
 
 func TestReplicaIsShownAsChangingUntilItsChangeEnds(t *testing.T) {
-	m := newTestMachine()
+	m := newTestStateMachine()
 	list := func(stage string) region.Command { return listed(region.Replica{ID: "a", Stage: stage}) }
 	gateway := newFollower()
 	stage := func() string {
@@ -146,7 +146,7 @@
 }
 
 func TestStageChangeEndsWhenReplicaIsRemoved(t *testing.T) {
-	m := newTestMachine()
+	m := newTestStateMachine()
 	apply(t, m, 1, listed(region.Replica{ID: "a"}))
 	apply(t, m, 2, region.Command{Change: &region.ChangeCommand{Replica: "a", Stage: region.StagePrefill}})
 	apply(t, m, 3, region.Command{List: &region.ListCommand{Removed: []string{"a"}}})
@@ -162,7 +162,7 @@
 }
 
 func TestChangeClosesChannel(t *testing.T) {
-	m := newTestMachine()
+	m := newTestStateMachine()
 	_, changed := m.read()
 	apply(t, m, 1, configuration(1, "one"))
 	select {
--- a/internal/coordinator/memberchange_test.go
+++ b/internal/coordinator/memberchange_test.go
@@ -19,7 +19,7 @@
 
 // TestNextChange also guards against two voters at one address. A group of three, one
 // of which had restarted with an empty disk, permanently lost its leader once another
-// member was stopped (TestAMachineWithAnEmptyDiskTakesItsPlaceAgain failed in 2 of 72
+// member was stopped (TestMachineWithEmptyDiskReplacesItsVoter failed in 2 of 72
 // runs with 24 processes at a time). The new replica at the old address was promoted,
 // but the leader lost its leadership before it removed the old voter. The next leader
 // saw no learner and changed nothing, since nextChange only acted while there was one:
--- a/internal/coordinator/memberzones.go
+++ b/internal/coordinator/memberzones.go
@@ -41,8 +41,10 @@
 	m.zones[address] = zone
 }
 
-// anyEarlier reports whether one of the members ran an earlier version when it last reported.
-func (m *memberZones) anyEarlier(members []string) bool { return len(m.legacyMembers(members)) > 0 }
+// hasLegacyMember reports whether one of the members ran an earlier version when it last reported.
+func (m *memberZones) hasLegacyMember(members []string) bool {
+	return len(m.legacyMembers(members)) > 0
+}
 
 // legacyMembers returns the members that ran an earlier version when they last reported.
 func (m *memberZones) legacyMembers(members []string) []string {
@@ -73,7 +75,7 @@
 		zones[index] = m.zones[address]
 	}
 	if !slices.Equal(m.list.addresses, members) || !slices.Equal(m.list.zones, zones) {
-		m.list = memberList{addresses: members, zones: zones, hash: hashOf(append(slices.Clone(members), zones...))}
+		m.list = memberList{addresses: members, zones: zones, hash: hashAddresses(append(slices.Clone(members), zones...))}
 	}
 	return m.list
 }
--- a/internal/coordinator/metrics.go
+++ b/internal/coordinator/metrics.go
@@ -12,7 +12,7 @@
 	c.quotas.registerMetrics(registry, "quota", "a tenant")
 	c.limits.registerMetrics(registry, "limit", "a replica")
 	registry.GaugeFunc("limits_dropped", "Limits of replicas that were given up for lack of room, since the start.", func() float64 {
-		return float64(c.limits.dropped())
+		return float64(c.limits.droppedReports())
 	})
 	registry.GaugeFunc("messages_unreadable", "Messages of other processes that could not be read, since the start.", func() float64 {
 		return float64(c.placement.socket.Unreadable())
@@ -89,7 +89,7 @@
 	registry.GaugeFunc("word_bytes_other_regions", "Bytes told since the start to coordinators of other regions of the work at replicas.", func() float64 {
 		return float64(c.placement.peers.Counts().OtherRegions)
 	})
-	registry.GaugeFunc("regions_silent", "Other regions of whose work nothing is known.", func() float64 { return float64(c.silentRegions()) })
+	registry.GaugeFunc("regions_silent", "Other regions of whose work nothing is known.", func() float64 { return float64(c.regionsWithoutReport()) })
 	registry.GaugeFunc("gateways", "Gateways of the region.", func() float64 {
 		return float64(len(c.gateways.known().addresses))
 	})
--- a/internal/coordinator/operatorroutes.go
+++ b/internal/coordinator/operatorroutes.go
@@ -30,8 +30,8 @@
 	digestParameter = "digest"
 )
 
-// MountOperators adds the operator API to a server's routes.
-func (c *Coordinator) MountOperators(router route.IRouter) {
+// MountOperatorRoutes adds the operator API to a server's routes.
+func (c *Coordinator) MountOperatorRoutes(router route.IRouter) {
 	router.GET(PathHeldRequests, func(ctx context.Context, call *app.RequestContext) {
 		held, err := c.HeldRequests(ctx)
 		writeOperatorResponse(call, held, err)
--- a/internal/coordinator/operatorroutes_test.go
+++ b/internal/coordinator/operatorroutes_test.go
@@ -17,14 +17,14 @@
 	"github.com/pierhaven/pierhaven/internal/testnet"
 )
 
-func TestOperatorsSeeWhatIsHeldAndLetItGoAtAnyCoordinator(t *testing.T) {
+func TestOperatorsListAndReleaseHeldRequestsAtAnyCoordinator(t *testing.T) {
 	g := newGroup(t)
 	g.replace(g.addresses[0], 1)
 	digest := g.holdOne()
 	listener := testnet.Listen(t)
 	closing := rpc.NewClosingListener(listener)
 	engine := server.New(server.WithListener(closing), server.WithTransport(standard.NewTransporter), server.WithExitWaitTime(0))
-	g.running[g.addresses[1]].MountOperators(engine)
+	g.running[g.addresses[1]].MountOperatorRoutes(engine)
 	t.Cleanup(rpc.RunServer(engine, closing))
 	page := "http://" + listener.Addr().String() + coordinator.PathHeldRequests
 	var held []poison.Held
--- a/internal/coordinator/permit.go
+++ b/internal/coordinator/permit.go
@@ -8,11 +8,11 @@
 	"github.com/pierhaven/pierhaven/internal/region"
 )
 
-// permits are the probation permits that this coordinator has issued as leader. A new leader knows none
+// probationPermits are the probation permits that this coordinator has issued as leader. A new leader knows none
 // of its predecessor's, and may issue one again.
-type permits struct {
-	mutex sync.Mutex
-	given *poison.Permits
+type probationPermits struct {
+	mutex  sync.Mutex
+	issued *poison.Permits
 }
 
 // handlePermit decides at the leader whether a request on probation may be tried now. Other coordinators
@@ -21,7 +21,7 @@
 	if c.group.Leads() {
 		c.permits.mutex.Lock()
 		defer c.permits.mutex.Unlock()
-		wait := c.permits.given.Take(c.now(), c.settings.Contact, request.Digest)
+		wait := c.permits.issued.Take(c.now(), c.settings.ContactTime, request.Digest)
 		return &poison.PermitReply{WaitMillis: wait.Milliseconds()}, nil
 	}
 	bounded, cancel := context.WithTimeout(ctx, proposalTimeout)
--- a/internal/coordinator/place.go
+++ b/internal/coordinator/place.go
@@ -29,7 +29,7 @@
 	startedAt := time.Now().UnixNano()
 	socket := &datagram.Socket{Logger: settings.Logger}
 	directory := relay.NewDirectory(clock, settings.Zone, func(string, string) {}, settings.Logger)
-	directory.Disable(settings.Without)
+	directory.Disable(settings.DisabledMechanisms)
 	directory.SetRegions(settings.Topology)
 	server := placement.NewServer(directory, clock, startedAt, settings.Logger)
 	server.Serve(socket)
@@ -44,21 +44,21 @@
 			Zone:              settings.Zone,
 			Topology:          settings.Topology,
 			LinkBitsPerSecond: settings.LinkBitsPerSecond,
-			OtherRegionsRate:  settings.OtherRegionsRate,
+			OtherRegionsRate:  settings.OtherRegionsBytesPerSecond,
 			Directory:         directory,
 			Socket:            socket,
 		}),
-		warmup: &placement.Warmup{Source: settings.Prefixes, Directory: directory, Logger: settings.Logger},
+		warmup: &placement.Warmup{Source: settings.PrefixSource, Directory: directory, Logger: settings.Logger},
 	}
 }
 
-// places reports whether the region has so many gateways that coordinators select replicas
+// placementEnabled reports whether the region has so many gateways that coordinators select replicas
 // for them.
-func (c *Coordinator) places() bool {
-	if c.settings.PlacesAbove < 0 || c.settings.Without[mechanism.Placement] {
+func (c *Coordinator) placementEnabled() bool {
+	if c.settings.PlacementGatewayThreshold < 0 || c.settings.DisabledMechanisms[mechanism.Placement] {
 		return false
 	}
-	return len(c.gateways.known().addresses) > c.settings.PlacesAbove
+	return len(c.gateways.known().addresses) > c.settings.PlacementGatewayThreshold
 }
 
 const (
@@ -68,19 +68,19 @@
 	placementMembersInterval = 300 * time.Millisecond
 )
 
-// place waits until there are enough gateways, then selects replicas for them until the context ends.
-func (c *Coordinator) place(ctx context.Context) {
-	for !c.places() {
+// placeForGateways waits until there are enough gateways, then selects replicas for them until the context ends.
+func (c *Coordinator) placeForGateways(ctx context.Context) {
+	for !c.placementEnabled() {
 		if !lifecycle.Sleep(ctx, gatewayCountInterval) {
 			return
 		}
 	}
-	c.logger.Info(event.PlacementBegun, "above", c.settings.PlacesAbove)
-	c.placement.warmup.Owns = c.asksKept
+	c.logger.Info(event.PlacementBegun, "above", c.settings.PlacementGatewayThreshold)
+	c.placement.warmup.Owns = c.queriesCache
 	var loops sync.WaitGroup
 	for _, loop := range []func(context.Context){
-		c.keepDirectory, c.syncPlacementPeers,
-		c.placement.server.Sweep, c.placement.peers.Tell, c.placement.warmup.Run, c.learnKept, c.logRegionReports,
+		c.syncDirectory, c.syncPlacementPeers,
+		c.placement.server.Sweep, c.placement.peers.Tell, c.placement.warmup.Run, c.learnCached, c.logRegionReports,
 	} {
 		loops.Go(func() { loop(ctx) })
 	}
@@ -95,15 +95,15 @@
 	}
 }
 
-// keepDirectory keeps the directory's replicas and engine settings up to date.
-func (c *Coordinator) keepDirectory(ctx context.Context) {
+// syncDirectory keeps the directory's replicas and engine settings up to date.
+func (c *Coordinator) syncDirectory(ctx context.Context) {
 	var version, revision uint64
 	for ctx.Err() == nil {
 		state, changed := c.machine.read()
 		if state.ListRevision > revision {
 			revision = state.ListRevision
 			view := &region.View{}
-			shownSince(state, 0, view)
+			addListChanges(state, 0, view)
 			c.placement.directory.Replace(view.Replicas)
 			c.limits.updateDirectoryLimits()
 		}
@@ -120,7 +120,7 @@
 
 // applyEngines applies the configuration's engine settings to the directory.
 func (c *Coordinator) applyEngines(state region.State) {
-	configuration, err := readConfiguration(c.settings.Codec, state.Document)
+	configuration, err := decodeConfiguration(c.settings.Codec, state.Document)
 	if err != nil {
 		c.logger.Info(event.ConfigurationRefused, "version", state.Version, "reason", err.Error())
 		return
@@ -136,7 +136,7 @@
 func (c *Coordinator) syncPlacementPeers(ctx context.Context) {
 	for {
 		addresses := c.sortedMembers()
-		if hash := hashOf(addresses); hash != c.placement.peers.Known() {
+		if hash := hashAddresses(addresses); hash != c.placement.peers.Known() {
 			c.placement.peers.Take(hash, addresses)
 		}
 		if !lifecycle.Sleep(ctx, placementMembersInterval) {
--- a/internal/coordinator/poison.go
+++ b/internal/coordinator/poison.go
@@ -15,9 +15,9 @@
 const (
 	// poisonInterval is the interval at which the evidence is evaluated.
 	poisonInterval = 50 * time.Millisecond
-	// DefaultContact is the default of the contact time: how long information may take to spread
+	// DefaultContactTime is the default of the contact time: how long information may take to spread
 	// between processes that reach each other.
-	DefaultContact = 3 * time.Second
+	DefaultContactTime = 3 * time.Second
 )
 
 // handlePoison handles a gateway's evidence at the leader. Other coordinators forward it to the leader.
@@ -60,9 +60,9 @@
 	return reply, err
 }
 
-// keepPoison holds requests for which there is enough evidence, and deletes expired evidence and holds,
+// holdPoisonedRequests holds requests for which there is enough evidence, and deletes expired evidence and holds,
 // while this coordinator leads.
-func (c *Coordinator) keepPoison(ctx context.Context) {
+func (c *Coordinator) holdPoisonedRequests(ctx context.Context) {
 	dropped := uint64(0)
 	for lifecycle.Sleep(ctx, poisonInterval) {
 		if !c.group.Leads() {
@@ -74,7 +74,7 @@
 			dropped = state.Poison.Dropped
 		}
 		now := c.usage.clock.Now().UnixNano()
-		command := state.Poison.Next(now, poison.Settle(c.settings.Contact), c.settings.Hold)
+		command := state.Poison.Next(now, poison.Settle(c.settings.ContactTime), c.settings.EvidenceHoldTime)
 		if command == nil {
 			continue
 		}
@@ -100,7 +100,7 @@
 // HeldRequests lists the requests that are sent to no replica, the most recently held first. It
 // fails if this coordinator can't confirm that its state is complete.
 func (c *Coordinator) HeldRequests(ctx context.Context) ([]poison.Held, error) {
-	if err := c.confirmOnce(ctx); err != nil {
+	if err := c.confirmCopy(ctx); err != nil {
 		return nil, failure.Wrap(err, failure.NoQuorum)
 	}
 	state, _ := c.machine.read()
--- a/internal/coordinator/pool.go
+++ b/internal/coordinator/pool.go
@@ -54,7 +54,7 @@
 		pool: quota.NewPool(c.now(), quota.Options{
 			Address: c.settings.Address,
 			Life:    time.Now().UnixNano(),
-			Lease:   time.Duration(poolLeaseShare * float64(c.settings.Contact)),
+			Lease:   time.Duration(poolLeaseShare * float64(c.settings.ContactTime)),
 			Terms:   terms,
 		}),
 		wakeups: make(chan struct{}, 1),
--- a/internal/coordinator/powerloss_test.go
+++ b/internal/coordinator/powerloss_test.go
@@ -100,7 +100,7 @@
 }
 
 // The same right after a request was held: the remaining disks must have the hold.
-func TestHoldsOutliveALossOfPowerAndOfADisk(t *testing.T) {
+func TestHoldsSurvivePowerLossAndDiskLoss(t *testing.T) {
 	random := rand.New(rand.NewPCG(32, 7))
 	stored := &disks{of: map[string]*memoryfs.FileSystem{}}
 	g := newGroupWith(t, stored.adapt)
--- a/internal/coordinator/quota.go
+++ b/internal/coordinator/quota.go
@@ -30,7 +30,7 @@
 		return
 	}
 	q.version = state.Version
-	configuration, err := readConfiguration(q.settings.Codec, state.Document)
+	configuration, err := decodeConfiguration(q.settings.Codec, state.Document)
 	if err != nil {
 		q.logger.Info(event.ConfigurationRefused, "version", state.Version, "reason", err.Error())
 		return
--- a/internal/coordinator/regionload.go
+++ b/internal/coordinator/regionload.go
@@ -29,10 +29,10 @@
 	// has placed for its gateways.
 	Requests   int `json:"requests"`
 	PlacedHere int `json:"placed_here"`
-	// Own is set if the coordinator is in the region. For other regions, WordAgeMillis is the age of the
+	// Own is set if the coordinator is in the region. For other regions, ReportAgeMillis is the age of the
 	// newest report of the region's work, -1 if there is none that still counts.
-	Own           bool  `json:"own"`
-	WordAgeMillis int64 `json:"word_age_ms"`
+	Own             bool  `json:"own"`
+	ReportAgeMillis int64 `json:"word_age_ms"`
 }
 
 // RegionLoads returns the load of each service in each region, sorted by region and service.
@@ -84,7 +84,7 @@
 		own := group.region == regions.RegionOf(c.settings.Zone)
 		load = &RegionLoad{Region: group.region, Service: group.service, Own: own}
 		if !own {
-			load.WordAgeMillis = reportAgeMillis(c.placement.directory.RegionReportAge(group.region))
+			load.ReportAgeMillis = reportAgeMillis(c.placement.directory.RegionReportAge(group.region))
 		}
 		loads[group] = load
 	}
@@ -104,8 +104,8 @@
 	return slices.DeleteFunc(c.settings.Topology.Names(), func(name string) bool { return name == own })
 }
 
-// silentRegions counts the other regions without a report of their work that still counts.
-func (c *Coordinator) silentRegions() int {
+// regionsWithoutReport counts the other regions without a report of their work that still counts.
+func (c *Coordinator) regionsWithoutReport() int {
 	count := 0
 	for _, name := range c.otherRegions() {
 		if c.placement.directory.RegionReportAge(name) < 0 {
--- a/internal/coordinator/regionload_test.go
+++ b/internal/coordinator/regionload_test.go
@@ -15,7 +15,7 @@
 func TestRegionLoadsIncludeTheAgeOfReports(t *testing.T) {
 	now := time.Minute
 	clock := func() time.Duration { return now }
-	c := &Coordinator{settings: Settings{Zone: "north-a", Topology: twoRegions, Logger: logr.Discard()}, machine: newMachine(clock), clock: clock}
+	c := &Coordinator{settings: Settings{Zone: "north-a", Topology: twoRegions, Logger: logr.Discard()}, machine: newStateMachine(clock), clock: clock}
 	c.placement = newPlacementService(c.settings, c.now)
 	near := region.Replica{ID: "near", Service: "s", Zone: "north-b", Slots: 8, Stage: region.StageDecode}
 	prefill := region.Replica{ID: "reader", Service: "s", Zone: "north-a", Slots: 8, Stage: region.StagePrefill}
@@ -24,14 +24,14 @@
 	apply(t, c.machine, 2, region.Command{Change: &region.ChangeCommand{Replica: "reader", Stage: region.StageDecode}})
 	c.placement.directory.Replace([]region.Replica{near, prefill, far})
 	c.placement.directory.PickDecode("s", relay.Wanted{}, "north-b")
-	assert.Equal(t, 1, c.silentRegions())
+	assert.Equal(t, 1, c.regionsWithoutReport())
 	c.placement.directory.TakeRegionWork("south", "other", []region.OutstandingWork{{Replica: "far", Requests: 3}}, true, 400*time.Millisecond)
-	assert.Zero(t, c.silentRegions())
+	assert.Zero(t, c.regionsWithoutReport())
 
 	loads := c.RegionLoads()
 	require.Len(t, loads, 2)
 	assert.Equal(t, RegionLoad{Region: "north", Service: "s", Replicas: 2, Generating: 1, Changing: 1, Slots: 16, Requests: 1, PlacedHere: 1, Own: true}, loads[0])
-	assert.Equal(t, RegionLoad{Region: "south", Service: "s", Replicas: 1, Generating: 1, Slots: 4, Requests: 3, WordAgeMillis: 400}, loads[1])
+	assert.Equal(t, RegionLoad{Region: "south", Service: "s", Replicas: 1, Generating: 1, Slots: 4, Requests: 3, ReportAgeMillis: 400}, loads[1])
 	now += time.Minute
-	assert.EqualValues(t, -1, c.RegionLoads()[1].WordAgeMillis)
+	assert.EqualValues(t, -1, c.RegionLoads()[1].ReportAgeMillis)
 }
--- a/internal/coordinator/replicalimits.go
+++ b/internal/coordinator/replicalimits.go
@@ -53,15 +53,15 @@
 		viewChanged: make(chan struct{}),
 		sentAllAt:   map[netip.AddrPort]time.Duration{},
 	}
-	service.refresh = service.takeList
+	service.refresh = service.updateListed
 	service.onDecision = service.noteDecision
 	socket.Handle(datagram.KindLimitWord, service.receiveReports)
 	return service
 }
 
-// takeList updates the active replicas, and deletes the limits of replicas that have been removed, are on
+// updateListed updates the active replicas, and deletes the limits of replicas that have been removed, are on
 // standby or no longer declare one, once no report of them has come for the time that unlistedRetention sets.
-func (l *limitService) takeList() {
+func (l *limitService) updateListed() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	now := l.now()
@@ -78,9 +78,9 @@
 	if now < l.expireAt {
 		return
 	}
-	l.expireAt = now + l.settings.Contact
+	l.expireAt = now + l.settings.ContactTime
 	isListed := func(replica string) bool { return l.listed[replica] }
-	for _, replica := range l.table.Expire(isListed, now-unlistedRetention*l.settings.Contact) {
+	for _, replica := range l.table.Expire(isListed, now-unlistedRetention*l.settings.ContactTime) {
 		l.pool.RemoveLimit(replica)
 	}
 }
@@ -98,7 +98,7 @@
 func (l *limitService) applyReports(now time.Duration, reports []ratelimit.Report) {
 	for _, report := range reports {
 		if report.Declared {
-			l.pool.SetLimit(now, report.Replica, ratelimit.PoolLimit(report.Rate, l.settings.Contact))
+			l.pool.SetLimit(now, report.Replica, ratelimit.PoolLimit(report.Rate, l.settings.ContactTime))
 		} else {
 			l.pool.SetLimit(now, report.Replica, ratelimit.Unlimited())
 		}
@@ -174,9 +174,9 @@
 	}
 }
 
-// show notifies waiting gateways soon after the replicas that declare limits have changed, and compares the
+// notifyLimitChanges notifies waiting gateways soon after the replicas that declare limits have changed, and compares the
 // limits with those of other coordinators, until the context ends.
-func (l *limitService) show(ctx context.Context) {
+func (l *limitService) notifyLimitChanges(ctx context.Context) {
 	var compareAt time.Duration
 	for lifecycle.Sleep(ctx, limitViewInterval) {
 		l.mutex.Lock()
@@ -234,10 +234,10 @@
 type ReplicaLimitState struct {
 	// Replica is a region.Life.Name.
 	Replica string `json:"replica"`
-	// Rate is the limit in requests a second, and NamedForS the time in seconds for which the replica has
+	// Rate is the limit in requests a second, and DeclaredForS the time in seconds for which the replica has
 	// declared a limit.
-	Rate      float64 `json:"rate"`
-	NamedForS float64 `json:"named_for_s"`
+	Rate         float64 `json:"rate"`
+	DeclaredForS float64 `json:"named_for_s"`
 	// Sent and Refused are the requests that were allowed and denied in the last WindowS seconds, and Room
 	// the number that would be allowed at once; it is negative in debt.
 	Sent    float64 `json:"sent"`
@@ -258,13 +258,13 @@
 	for _, each := range c.limits.declared() {
 		usage := counted[each.Replica]
 		limits.Replicas = append(limits.Replicas, ReplicaLimitState{
-			Replica:   each.Replica,
-			Rate:      each.Rate,
-			NamedForS: (c.now() - each.Since).Seconds(),
-			Sent:      usage.Admitted,
-			Refused:   usage.Refused,
-			Room:      usage.Level,
-			WindowS:   usage.WindowS,
+			Replica:      each.Replica,
+			Rate:         each.Rate,
+			DeclaredForS: (c.now() - each.Since).Seconds(),
+			Sent:         usage.Admitted,
+			Refused:      usage.Refused,
+			Room:         usage.Level,
+			WindowS:      usage.WindowS,
 		})
 	}
 	return limits
@@ -277,8 +277,8 @@
 	return l.table.Limits()
 }
 
-// dropped returns the number of limit reports dropped because the table was full.
-func (l *limitService) dropped() uint64 {
+// droppedReports returns the number of limit reports dropped because the table was full.
+func (l *limitService) droppedReports() uint64 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.table.Dropped
--- a/internal/coordinator/replicalimits_test.go
+++ b/internal/coordinator/replicalimits_test.go
@@ -76,7 +76,7 @@
 // an incarnation of the replica that the coordinators did not know yet: they ignored its limit reports and permitted
 // requests for which they had no limit. In the logs: the gateway writes "replica's limit" with named=true, then 22 times
 // "prompt read apart" with limit=1; the coordinator writes "replica started again" with that incarnation 2.1 s later.
-func TestALimitCountsForAReplicaThatTheCoordinatorsDoNotKnowYet(t *testing.T) {
+func TestLimitAppliesToUnlistedReplica(t *testing.T) {
 	g := newGroup(t)
 	g.replace(g.addresses[0], 1)
 	a := newLimitClient(t)
--- a/internal/coordinator/replicalist.go
+++ b/internal/coordinator/replicalist.go
@@ -24,9 +24,9 @@
 	return replicas[at].Replica, true
 }
 
-// listChange returns the change that turns one list into another, or nil if they are
+// diffLists returns the change that turns one list into another, or nil if they are
 // the same. A replica that has restarted counts as changed.
-func listChange(before []region.ListedReplica, after []region.Replica) *region.ListCommand {
+func diffLists(before []region.ListedReplica, after []region.Replica) *region.ListCommand {
 	region.KeepLives(after, func(id string) (region.Life, bool) {
 		known, found := findListed(before, id)
 		return known.Life(), found
@@ -56,14 +56,14 @@
 }
 
 // applyList applies a list change, and ends the stage changes that are finished by it.
-func (m *machine) applyList(index uint64, change *region.ListCommand) {
-	changeList(&m.state, index, change)
+func (m *stateMachine) applyList(index uint64, change *region.ListCommand) {
+	applyListChange(&m.state, index, change)
 	replicas := m.state.Replicas
 	m.dropChanges(index, func(each region.StageChange) bool { return isFinished(each, replicas) })
 }
 
-// changeList applies a list change to a state. It replaces the state's slices, since readers hold them.
-func changeList(state *region.State, index uint64, change *region.ListCommand) {
+// applyListChange applies a list change to a state. It replaces the state's slices, since readers hold them.
+func applyListChange(state *region.State, index uint64, change *region.ListCommand) {
 	changed := slices.Clone(change.Changed)
 	slices.SortStableFunc(changed, func(a, b region.Replica) int { return strings.Compare(a.ID, b.ID) })
 	removed := make(map[string]bool, len(change.Removed))
@@ -146,7 +146,7 @@
 }
 
 // applyActivity activates and deactivates replicas.
-func (m *machine) applyActivity(index uint64, change *region.ActivityCommand) {
+func (m *stateMachine) applyActivity(index uint64, change *region.ActivityCommand) {
 	replicas := slices.Clone(m.state.Replicas)
 	for _, id := range change.Activate {
 		at, found := slices.BinarySearchFunc(replicas, id, compareReplica)
@@ -179,7 +179,7 @@
 }
 
 // dropChanges ends the stage changes that a function selects.
-func (m *machine) dropChanges(index uint64, ended func(region.StageChange) bool) {
+func (m *stateMachine) dropChanges(index uint64, ended func(region.StageChange) bool) {
 	for _, change := range m.state.Changes {
 		if ended(change) {
 			m.markChanged(index, change.Replica)
@@ -189,7 +189,7 @@
 }
 
 // markChanged records that a replica is shown differently from a log position on.
-func (m *machine) markChanged(index uint64, id string) {
+func (m *stateMachine) markChanged(index uint64, id string) {
 	m.state.ListRevision = index
 	at, found := slices.BinarySearchFunc(m.state.Replicas, id, compareReplica)
 	if !found {
@@ -201,7 +201,7 @@
 
 // beginChange records that a replica was ordered to change its stage. The order is for one incarnation: if
 // the list shows another one by now, that one has not received the order and goes on taking work.
-func (m *machine) beginChange(index uint64, change *region.ChangeCommand) {
+func (m *stateMachine) beginChange(index uint64, change *region.ChangeCommand) {
 	m.dropChanges(index, func(each region.StageChange) bool { return each.Replica == change.Replica })
 	started := region.StageChange{Replica: change.Replica, Born: change.Born, Stage: change.Stage, Fence: index}
 	replica, found := findListed(m.state.Replicas, change.Replica)
@@ -222,10 +222,10 @@
 	return !found || replica.Life() != change.Life() || replica.Stage == change.Stage
 }
 
-// shownSince adds to a view what has changed since a revision of the list, which the
+// addListChanges adds to a view what has changed since a revision of the list, which the
 // gateway has. Replicas that are changing their stage are shown with
 // region.StageChanging, and take no work.
-func shownSince(state region.State, revision uint64, view *region.View) {
+func addListChanges(state region.State, revision uint64, view *region.View) {
 	view.HasList = true
 	view.WholeList = revision == 0 || revision < state.RemovedSince
 	changing := changingReplicas(state)
--- a/internal/coordinator/settings.go
+++ b/internal/coordinator/settings.go
@@ -46,35 +46,35 @@
 	// Policy returns the policy for stage changes, or nil for the built-in rule
 	// alone. It is called each time the policy is needed. A nil function is no policy.
 	Policy func() *policy.Program
-	// Without is the set of disabled mechanisms.
-	Without mechanism.Set
-	// PlacesAbove is the number of gateways above which coordinators choose replicas for
+	// DisabledMechanisms is the set of disabled mechanisms.
+	DisabledMechanisms mechanism.Set
+	// PlacementGatewayThreshold is the number of gateways above which coordinators choose replicas for
 	// them. If it is negative, they never do.
-	PlacesAbove int
-	// ActiveReplicas is the minimum number of active replicas of a service in a region, 0 for the
+	PlacementGatewayThreshold int
+	// MinimumActiveReplicas is the minimum number of active replicas of a service in a region, 0 for the
 	// default.
-	ActiveReplicas int
+	MinimumActiveReplicas int
 	// LinkBitsPerSecond is the speed of the machine's network link, 0 if it is unknown.
 	LinkBitsPerSecond float64
-	// OtherRegionsRate bounds the reports of the work at replicas to the coordinators of other
+	// OtherRegionsBytesPerSecond bounds the reports of the work at replicas to the coordinators of other
 	// regions, in bytes a second; 0 for the default.
-	OtherRegionsRate float64
-	// Prefixes reports which prefixes replicas have cached. If it is nil, replicas are not asked for
+	OtherRegionsBytesPerSecond float64
+	// PrefixSource reports which prefixes replicas have cached. If it is nil, replicas are not asked for
 	// them.
-	Prefixes placement.PrefixSource
+	PrefixSource placement.PrefixSource
 	// Lease is the minimum time between calls of two different holders of a duty.
 	Lease time.Duration
 	// Platform receives the calls of the usage and fleet duties. If it is nil, none are made.
 	Platform Platform
 	// Usage sets how the usage of tenants is reported.
-	Usage UsageTerms
-	// OrderFleet enables orders for the number of replicas.
-	OrderFleet bool
-	Codec      traffic.Codec
-	// Contact is the maximum time until information that one process has reaches the processes
-	// connected with it. Hold is the time for which a request that replicas have crashed under is held.
-	Contact time.Duration
-	Hold    time.Duration
+	Usage UsageOptions
+	// EnableFleetOrders enables orders for the number of replicas.
+	EnableFleetOrders bool
+	Codec             traffic.Codec
+	// ContactTime is the maximum time until information that one process has reaches the processes
+	// connected with it. EvidenceHoldTime is the time for which a request that replicas have crashed under is held.
+	ContactTime      time.Duration
+	EvidenceHoldTime time.Duration
 	// Now returns the time of a clock that includes time for which the machine is suspended; nil for
 	// uptime.Now.
 	Now func() time.Duration
@@ -121,8 +121,8 @@
 	// removed from the group.
 	learnerSilence = 10 * time.Second
 
-	// gatewayMemory is the time for which a gateway counts after its last poll.
-	gatewayMemory = 10 * time.Second
+	// gatewayRetention is the time for which a gateway counts after its last poll.
+	gatewayRetention = 10 * time.Second
 
 	defaultListInterval = 500 * time.Millisecond
 )
--- a/internal/coordinator/stageinput.go
+++ b/internal/coordinator/stageinput.go
@@ -13,7 +13,7 @@
 // inputsFor returns the planner's inputs for a service's replicas and demand in each region, sorted by
 // region. If there are several regions, one from which no gateway reports is left out and keeps its
 // stages: it may be partitioned, and continues to serve with the replicas it has.
-func (k *stageKeeper) inputsFor(now time.Duration, service string, replicas []region.Replica, changes []region.StageChange) []*stageplan.RegionInput {
+func (k *stagePlanner) inputsFor(now time.Duration, service string, replicas []region.Replica, changes []region.StageChange) []*stageplan.RegionInput {
 	byRegion := map[string][]region.Replica{}
 	for _, replica := range replicas {
 		regionName := k.settings.Topology.Group(replica.Zone)
@@ -38,7 +38,7 @@
 // gatewayCount returns the number of gateways to which a region's demand is extrapolated. If there
 // are several regions, it is the recent maximum of the gateways that reported: the region of the
 // others is not known.
-func (k *stageKeeper) gatewayCount(now time.Duration, group stageGroup, reporting int) int {
+func (k *stagePlanner) gatewayCount(now time.Duration, group stageGroup, reporting int) int {
 	if !k.settings.Topology.Spans() {
 		return len(k.gateways.all(now).addresses)
 	}
@@ -67,7 +67,7 @@
 }
 
 // inputFor returns the planner's input for the replicas of a group and the demand for them.
-func (k *stageKeeper) inputFor(now time.Duration, group stageGroup, demand region.ServiceDemand, replicas []region.Replica, changes []region.StageChange) stageplan.Input {
+func (k *stagePlanner) inputFor(now time.Duration, group stageGroup, demand region.ServiceDemand, replicas []region.Replica, changes []region.StageChange) stageplan.Input {
 	input := stageplan.Input{
 		Generating: demand.Generating,
 		Expected:   demand.Expected,
@@ -82,16 +82,16 @@
 	changedAt, any := k.listChangedAt[group]
 	input.Restless = any && now-changedAt < listChangeHold
 	if input.Generating > 0 {
-		if _, reported := k.demandFrom[group]; !reported {
-			k.demandFrom[group] = now
+		if _, reported := k.demandSince[group]; !reported {
+			k.demandSince[group] = now
 		}
 	}
-	since, reported := k.demandFrom[group]
+	since, reported := k.demandSince[group]
 	input.Known = reported && now-since > demandSettleTime
 	for _, replica := range replicas {
 		incarnation := replica.Life()
 		name := incarnation.Name()
-		if now < k.holds[name] {
+		if now < k.ordersHeldUntil[name] {
 			continue
 		}
 		planned := stageplan.Replica{ID: name, Slots: replica.Slots, Generates: replica.Stage == region.StageDecode}
@@ -111,7 +111,7 @@
 
 // noteListChange records when the replicas of a group were last added or removed. Changes before
 // demand was first reported don't count, since the list is still incomplete then.
-func (k *stageKeeper) noteListChange(now time.Duration, group stageGroup, replicas []region.Replica) {
+func (k *stagePlanner) noteListChange(now time.Duration, group stageGroup, replicas []region.Replica) {
 	names := make([]string, 0, len(replicas))
 	for _, replica := range replicas {
 		names = append(names, replica.Life().Name())
@@ -120,7 +120,7 @@
 	current := strings.Join(names, ",")
 	previous, found := k.lastReplicas[group]
 	k.lastReplicas[group] = current
-	if _, reported := k.demandFrom[group]; found && reported && previous != current {
+	if _, reported := k.demandSince[group]; found && reported && previous != current {
 		k.listChangedAt[group] = now
 	}
 }
--- a/internal/coordinator/stageinput_test.go
+++ b/internal/coordinator/stageinput_test.go
@@ -12,39 +12,39 @@
 	"github.com/pierhaven/pierhaven/internal/topology"
 )
 
-// newStageKeeperWithReplicas returns a stageKeeper and decode replicas in the zones north-a, north-b and south-a. The
+// newStagePlannerWithReplicas returns a stagePlanner and decode replicas in the zones north-a, north-b and south-a. The
 // test sets the clock.
-func newStageKeeperWithReplicas(now *time.Duration, places topology.Map) (*stageKeeper, []region.Replica) {
+func newStagePlannerWithReplicas(now *time.Duration, places topology.Map) (*stagePlanner, []region.Replica) {
 	clock := func() time.Duration { return *now }
-	c := &Coordinator{settings: Settings{Topology: places}, demand: newDemandTable(), reported: newDemandTable(), gateways: newGatewayList(), clock: clock}
-	keeper := &stageKeeper{dutyHolder: dutyHolder{Coordinator: c, duty: dutyStages}}
-	keeper.reset()
+	c := &Coordinator{settings: Settings{Topology: places}, gatewayDemand: newDemandTable(), coordinatorDemand: newDemandTable(), gateways: newGatewayList(), clock: clock}
+	planner := &stagePlanner{dutyHolder: dutyHolder{Coordinator: c, duty: dutyStages}}
+	planner.reset()
 	var replicas []region.Replica
 	for _, zone := range []string{"north-a", "north-b", "south-a"} {
 		for index := range 4 {
 			replicas = append(replicas, region.Replica{ID: fmt.Sprint(zone, index), Service: "s", Zone: zone, Slots: 8, Stage: region.StageDecode})
 		}
 	}
-	return keeper, replicas
+	return planner, replicas
 }
 
 var twoRegions = topology.Map{Regions: map[string]string{"north-a": "north", "north-b": "north", "south-a": "south"}}
 
 // reportDemand records the same demand from each of a number of gateways of a region.
-func (k *stageKeeper) reportDemand(regionName string, gateways int, generating, reading float64) {
+func (k *stagePlanner) reportDemand(regionName string, gateways int, generating, reading float64) {
 	for number := range gateways {
 		name := fmt.Sprint(regionName, number)
-		k.gateways.polled(k.now(), name)
-		k.demand.take(k.now(), name, []region.ServiceDemand{{Service: "s", Region: regionName, Generating: generating, Reading: reading, Gateways: 1}})
+		k.gateways.recordPoll(k.now(), name)
+		k.gatewayDemand.put(k.now(), name, []region.ServiceDemand{{Service: "s", Region: regionName, Generating: generating, Reading: reading, Gateways: 1}})
 	}
 }
 
 func TestStageInputUsesDemandOfItsRegion(t *testing.T) {
 	now := time.Second
-	keeper, replicas := newStageKeeperWithReplicas(&now, twoRegions)
-	keeper.reportDemand("north", 3, 2, 1)
-	keeper.reportDemand("south", 1, 7, 0)
-	inputs := keeper.inputsFor(now, "s", replicas, nil)
+	planner, replicas := newStagePlannerWithReplicas(&now, twoRegions)
+	planner.reportDemand("north", 3, 2, 1)
+	planner.reportDemand("south", 1, 7, 0)
+	inputs := planner.inputsFor(now, "s", replicas, nil)
 	require.Len(t, inputs, 2)
 	assert.Equal(t, "north", inputs[0].Region)
 	assert.Len(t, inputs[0].Replicas, 8)
@@ -52,17 +52,17 @@
 	assert.InDelta(t, 3, inputs[0].Reading, 1e-9)
 	assert.Len(t, inputs[1].Replicas, 4)
 	assert.InDelta(t, 7, inputs[1].Generating, 1e-9)
-	assert.InDelta(t, 13, keeper.demandFor(now, "s").Generating, 1e-9, "the fleet is planned over all regions")
+	assert.InDelta(t, 13, planner.demandFor(now, "s").Generating, 1e-9, "the fleet is planned over all regions")
 }
 
 func TestSingleRegionIsPlannedAsOne(t *testing.T) {
 	now := time.Second
-	keeper, replicas := newStageKeeperWithReplicas(&now, topology.Map{Regions: map[string]string{"north-a": "one", "north-b": "one", "south-a": "one"}})
-	inputs := keeper.inputsFor(now, "s", replicas, nil)
+	planner, replicas := newStagePlannerWithReplicas(&now, topology.Map{Regions: map[string]string{"north-a": "one", "north-b": "one", "south-a": "one"}})
+	inputs := planner.inputsFor(now, "s", replicas, nil)
 	require.Len(t, inputs, 1, "also before any demand is reported")
 	assert.Len(t, inputs[0].Replicas, 12)
-	keeper.reportDemand("", 3, 2, 1)
-	assert.InDelta(t, 6, keeper.inputsFor(now, "s", replicas, nil)[0].Generating, 1e-9)
+	planner.reportDemand("", 3, 2, 1)
+	assert.InDelta(t, 6, planner.inputsFor(now, "s", replicas, nil)[0].Generating, 1e-9)
 }
 
 // When a region was partitioned from the leader and its gateways' reports expired, replicas in that
@@ -71,59 +71,59 @@
 // reported was extrapolated to the others.
 func TestPartitionedRegionKeepsItsStages(t *testing.T) {
 	now := time.Second
-	keeper, replicas := newStageKeeperWithReplicas(&now, twoRegions)
-	keeper.reportDemand("north", 3, 2, 1)
-	keeper.reportDemand("south", 3, 5, 1)
-	require.Len(t, keeper.inputsFor(now, "s", replicas, nil), 2)
+	planner, replicas := newStagePlannerWithReplicas(&now, twoRegions)
+	planner.reportDemand("north", 3, 2, 1)
+	planner.reportDemand("south", 3, 5, 1)
+	require.Len(t, planner.inputsFor(now, "s", replicas, nil), 2)
 	for range 20 {
 		now += demandReportLifetime / 2
-		keeper.reportDemand("north", 3, 2, 1)
+		planner.reportDemand("north", 3, 2, 1)
 	}
-	inputs := keeper.inputsFor(now, "s", replicas, nil)
+	inputs := planner.inputsFor(now, "s", replicas, nil)
 	require.Len(t, inputs, 1)
 	assert.Equal(t, "north", inputs[0].Region)
 	assert.InDelta(t, 6, inputs[0].Generating, 1e-9)
 
-	keeper.reportDemand("south", 1, 5, 1)
-	inputs = keeper.inputsFor(now, "s", replicas, nil)
+	planner.reportDemand("south", 1, 5, 1)
+	inputs = planner.inputsFor(now, "s", replicas, nil)
 	require.Len(t, inputs, 2, "it is planned again once its gateways report")
 }
 
 func TestDemandIsExtrapolatedToGatewaysThatStoppedReporting(t *testing.T) {
 	now := time.Second
-	keeper, replicas := newStageKeeperWithReplicas(&now, twoRegions)
-	keeper.reportDemand("north", 4, 2, 1)
-	keeper.reportDemand("south", 2, 5, 1)
-	require.Len(t, keeper.inputsFor(now, "s", replicas, nil), 2)
+	planner, replicas := newStagePlannerWithReplicas(&now, twoRegions)
+	planner.reportDemand("north", 4, 2, 1)
+	planner.reportDemand("south", 2, 5, 1)
+	require.Len(t, planner.inputsFor(now, "s", replicas, nil), 2)
 	now += 2 * demandReportLifetime
-	keeper.reportDemand("north", 2, 2, 1)
-	keeper.reportDemand("south", 2, 5, 1)
-	inputs := keeper.inputsFor(now, "s", replicas, nil)
+	planner.reportDemand("north", 2, 2, 1)
+	planner.reportDemand("south", 2, 5, 1)
+	inputs := planner.inputsFor(now, "s", replicas, nil)
 	assert.InDelta(t, 8, inputs[0].Generating, 1e-9)
 	assert.InDelta(t, 10, inputs[1].Generating, 1e-9)
-	now += 3 * gatewayMemory
+	now += 3 * gatewayRetention
 	for range 2 {
-		keeper.reportDemand("north", 2, 2, 1)
-		inputs = keeper.inputsFor(now, "s", replicas, nil)
-		now += gatewayMemory
+		planner.reportDemand("north", 2, 2, 1)
+		inputs = planner.inputsFor(now, "s", replicas, nil)
+		now += gatewayRetention
 	}
 	assert.InDelta(t, 4, inputs[0].Generating, 1e-9, "they have been removed")
 }
 
 func TestNewLeaderPlansOnlyRegionsThatReportDemand(t *testing.T) {
 	now := time.Second
-	keeper, replicas := newStageKeeperWithReplicas(&now, twoRegions)
-	keeper.reportDemand("south", 2, 5, 1)
-	inputs := keeper.inputsFor(now, "s", replicas, nil)
+	planner, replicas := newStagePlannerWithReplicas(&now, twoRegions)
+	planner.reportDemand("south", 2, 5, 1)
+	inputs := planner.inputsFor(now, "s", replicas, nil)
 	require.Len(t, inputs, 1, "a new leader has no reports from the north")
 	assert.Equal(t, "south", inputs[0].Region)
 }
 
 func TestReplicaInUnconfiguredZoneIsTolerated(t *testing.T) {
 	now := time.Second
-	keeper, replicas := newStageKeeperWithReplicas(&now, twoRegions)
+	planner, replicas := newStagePlannerWithReplicas(&now, twoRegions)
 	replicas = append(replicas, region.Replica{ID: "odd", Service: "s", Zone: "elsewhere", Slots: 8, Stage: region.StagePrefill})
-	keeper.reportDemand("north", 2, 5, 1)
-	keeper.reportDemand("south", 2, 5, 1)
-	assert.Len(t, keeper.inputsFor(now, "s", replicas, nil), 2, "it keeps its stage")
+	planner.reportDemand("north", 2, 5, 1)
+	planner.reportDemand("south", 2, 5, 1)
+	assert.Len(t, planner.inputsFor(now, "s", replicas, nil), 2, "it keeps its stage")
 }
--- a/internal/coordinator/stagepolicy.go
+++ b/internal/coordinator/stagepolicy.go
@@ -11,7 +11,7 @@
 // rulesFor returns the rules that the policy in force sets for stage changes of a service's replicas
 // in a region. In the policy's terms, the service is the model, and all regions together are the zone,
 // so that bounds on a zone's engines apply to all regions together.
-func (k *stageKeeper) rulesFor(now time.Duration, group stageGroup, input *stageplan.RegionInput, all []*stageplan.RegionInput) stageplan.Rules {
+func (k *stagePlanner) rulesFor(now time.Duration, group stageGroup, input *stageplan.RegionInput, all []*stageplan.RegionInput) stageplan.Rules {
 	if k.settings.Policy == nil {
 		return stageplan.Rules{}
 	}
@@ -38,7 +38,7 @@
 }
 
 // zoneFor describes the replicas of a service in all regions as one zone.
-func (k *stageKeeper) zoneFor(all []*stageplan.RegionInput) policy.Zone {
+func (k *stagePlanner) zoneFor(all []*stageplan.RegionInput) policy.Zone {
 	zone := policy.Zone{Name: k.settings.Zone, Gateways: len(k.gateways.all(k.now()).addresses)}
 	for _, input := range all {
 		for _, replica := range input.Replicas {
@@ -73,7 +73,7 @@
 
 // demandAge returns the time since a gateway last reported demand for a service in a region, or
 // since the start of this leader's term if none has yet.
-func (k *stageKeeper) demandAge(now time.Duration, group stageGroup) time.Duration {
+func (k *stagePlanner) demandAge(now time.Duration, group stageGroup) time.Duration {
 	reportedAt, reported := k.demandReportedAt[group]
 	if !reported {
 		return now - k.leaderSince
--- a/internal/coordinator/stages.go
+++ b/internal/coordinator/stages.go
@@ -21,7 +21,7 @@
 	// Report queries a replica's state.
 	Report(ctx context.Context, replica region.Replica) (EngineReport, error)
 	// Order sends an order to a replica. If the replica rejects it, the error wraps
-	// ErrOrderRefused; after any other error the order may have been or may yet be
+	// ErrOrderRejected; after any other error the order may have been or may yet be
 	// carried out.
 	Order(ctx context.Context, replica region.Replica, order EngineOrder) error
 }
@@ -48,8 +48,8 @@
 	Sequence uint64
 }
 
-// ErrOrderRefused means that a replica has not accepted an order and never will.
-var ErrOrderRefused = errors.New("the replica has refused the order")
+// ErrOrderRejected means that a replica has not accepted an order and never will.
+var ErrOrderRejected = errors.New("the replica has refused the order")
 
 const (
 	stageInterval = 300 * time.Millisecond
@@ -57,10 +57,10 @@
 	// changeTimeout is how long a change may take. After that the replica counts
 	// as having the stage that the list shows.
 	changeTimeout = 8 * time.Second
-	// unclearHold is how long a replica gets no order after one without a
+	// unansweredOrderHold is how long a replica gets no order after one without a
 	// response, which may be carried out late.
-	unclearHold      = 14 * time.Second
-	refusedOrderHold = 3 * time.Second
+	unansweredOrderHold = 14 * time.Second
+	refusedOrderHold    = 3 * time.Second
 	// changeShare is the share of a service's replicas that may begin a change in one step: with one
 	// change a step, changing a third of 300 replicas takes half a minute. With 210 replicas that come
 	// and go, it serves 0.023 more of the credit owed (mean of six days).
@@ -75,16 +75,16 @@
 	demandSettleTime = 3 * time.Second
 )
 
-// stageKeeper plans and orders the stages of replicas at the leader. Its maps of replicas, and those of the
+// stagePlanner plans and orders the stages of replicas at the leader. Its maps of replicas, and those of the
 // planners, are keyed by Life.Name.
-type stageKeeper struct {
+type stagePlanner struct {
 	dutyHolder
 	plans           map[string]*stageplan.Regions
 	changeStartedAt map[string]time.Duration
-	holds           map[string]time.Duration
-	doubts          orderDoubts
-	// demandFrom is when demand was first reported.
-	demandFrom map[stageGroup]time.Duration
+	ordersHeldUntil map[string]time.Duration
+	unanswered      unansweredOrders
+	// demandSince is when demand was first reported.
+	demandSince map[stageGroup]time.Duration
 	// leaderSince is the start of this coordinator's term as leader, and demandReportedAt is when demand was
 	// last reported.
 	leaderSince      time.Duration
@@ -104,12 +104,12 @@
 // stageGroup identifies the replicas of a service in a region. The region is empty if there is only one.
 type stageGroup struct{ service, region string }
 
-// keepStages plans and orders the stages of the model replicas while this coordinator leads.
-func (c *Coordinator) keepStages(ctx context.Context) {
-	if c.settings.Engines == nil || c.settings.Without[mechanism.StageChanges] {
+// planStages plans and orders the stages of the model replicas while this coordinator leads.
+func (c *Coordinator) planStages(ctx context.Context) {
+	if c.settings.Engines == nil || c.settings.DisabledMechanisms[mechanism.StageChanges] {
 		return
 	}
-	keeper := &stageKeeper{dutyHolder: dutyHolder{Coordinator: c, duty: dutyStages}}
+	keeper := &stagePlanner{dutyHolder: dutyHolder{Coordinator: c, duty: dutyStages}}
 	for lifecycle.Sleep(ctx, stageInterval) {
 		begun, leads := keeper.leads(ctx)
 		if !leads {
@@ -123,12 +123,12 @@
 }
 
 // reset discards the state of this coordinator's earlier term as leader.
-func (k *stageKeeper) reset() {
+func (k *stagePlanner) reset() {
 	k.plans = map[string]*stageplan.Regions{}
 	k.changeStartedAt = map[string]time.Duration{}
-	k.holds = map[string]time.Duration{}
-	k.doubts = nil
-	k.demandFrom = map[stageGroup]time.Duration{}
+	k.ordersHeldUntil = map[string]time.Duration{}
+	k.unanswered = nil
+	k.demandSince = map[stageGroup]time.Duration{}
 	k.leaderSince = k.now()
 	k.demandReportedAt = map[stageGroup]time.Duration{}
 	k.reportingGateways = map[stageGroup]*recentMaximum{}
@@ -142,7 +142,7 @@
 
 // step begins stage changes for each service. A new leader first waits until
 // the lease of the last order has expired.
-func (k *stageKeeper) step(ctx context.Context) {
+func (k *stagePlanner) step(ctx context.Context) {
 	now := k.now()
 	state, _ := k.machine.read()
 	k.endStuckChanges(ctx, now, state)
@@ -157,7 +157,7 @@
 }
 
 // stepService begins stage changes for a service, in all regions.
-func (k *stageKeeper) stepService(ctx context.Context, now time.Duration, service string, replicas []region.Replica, changes []region.StageChange) {
+func (k *stagePlanner) stepService(ctx context.Context, now time.Duration, service string, replicas []region.Replica, changes []region.StageChange) {
 	inputs := k.inputsFor(now, service, replicas, changes)
 	if k.listIsSettling(now, service, len(replicas)+k.standbyCount(service)) {
 		return
@@ -178,11 +178,11 @@
 	}
 }
 
-func (k *stageKeeper) planFor(service string) *stageplan.Regions {
+func (k *stagePlanner) planFor(service string) *stageplan.Regions {
 	plan, found := k.plans[service]
 	if !found {
 		plan = &stageplan.Regions{New: func() *stageplan.Planner {
-			return &stageplan.Planner{IgnoreForecast: k.settings.Without[mechanism.Forecast], UnevenShortage: k.settings.Without[mechanism.EvenShortage]}
+			return &stageplan.Planner{IgnoreForecast: k.settings.DisabledMechanisms[mechanism.Forecast], UnevenShortage: k.settings.DisabledMechanisms[mechanism.EvenShortage]}
 		}}
 		k.plans[service] = plan
 	}
@@ -215,7 +215,7 @@
 }
 
 // endStuckChanges ends changes that the list has not shown within changeTimeout.
-func (k *stageKeeper) endStuckChanges(ctx context.Context, now time.Duration, state region.State) {
+func (k *stagePlanner) endStuckChanges(ctx context.Context, now time.Duration, state region.State) {
 	changing := map[string]bool{}
 	for _, change := range state.Changes {
 		name := change.Life().Name()
@@ -227,7 +227,7 @@
 		}
 		if now-begun > changeTimeout {
 			k.logger.Info(event.ChangeStuck, "replica", change.Replica, "stage", change.Stage)
-			k.endChange(ctx, change.Life(), unclearHold)
+			k.endChange(ctx, change.Life(), unansweredOrderHold)
 		}
 	}
 	for replica := range k.changeStartedAt {
@@ -238,8 +238,8 @@
 }
 
 // endChange commits the end of a change, and holds back further orders to the replica for a time.
-func (k *stageKeeper) endChange(ctx context.Context, incarnation region.Life, hold time.Duration) {
-	k.holds[incarnation.Name()] = k.now() + hold
+func (k *stagePlanner) endChange(ctx context.Context, incarnation region.Life, hold time.Duration) {
+	k.ordersHeldUntil[incarnation.Name()] = k.now() + hold
 	delete(k.changeStartedAt, incarnation.Name())
 	command := &region.Command{ChangeEnd: &region.ChangeEndCommand{Replica: incarnation.ID}}
 	if _, err := k.commit(ctx, command); err != nil {
@@ -248,7 +248,7 @@
 }
 
 // orderStage orders the replica of a planned change to change its stage.
-func (k *stageKeeper) orderStage(ctx context.Context, regionName string, replicas []region.Replica, change *stageplan.Change) {
+func (k *stagePlanner) orderStage(ctx context.Context, regionName string, replicas []region.Replica, change *stageplan.Change) {
 	replica, found := findReplica(replicas, change.ReplicaID)
 	if !found {
 		return
@@ -263,13 +263,13 @@
 		"error", failure.Text(err))
 	switch {
 	case err == nil:
-	case errors.Is(err, ErrOrderRefused):
-		k.holds[change.ReplicaID] = k.now() + refusedOrderHold
+	case errors.Is(err, ErrOrderRejected):
+		k.ordersHeldUntil[change.ReplicaID] = k.now() + refusedOrderHold
 		if _, committed := k.changeStartedAt[change.ReplicaID]; committed {
 			k.endChange(ctx, replica.Life(), refusedOrderHold)
 		}
 	default:
-		k.holds[change.ReplicaID] = k.now() + unclearHold
+		k.ordersHeldUntil[change.ReplicaID] = k.now() + unansweredOrderHold
 	}
 }
 
@@ -278,7 +278,7 @@
 
 // leastBusy returns the candidate, by Life.Name, that reports the fewest requests, since these have to end
 // before its stage changes. A replica that does not answer counts as the busiest.
-func (k *stageKeeper) leastBusy(ctx context.Context, replicas []region.Replica, candidates []string) string {
+func (k *stagePlanner) leastBusy(ctx context.Context, replicas []region.Replica, candidates []string) string {
 	if len(candidates) == 1 {
 		return candidates[0]
 	}
@@ -309,19 +309,19 @@
 	return region.Replica{}, false
 }
 
-func (k *stageKeeper) order(ctx context.Context, replica region.Replica, stage string) error {
+func (k *stagePlanner) order(ctx context.Context, replica region.Replica, stage string) error {
 	ctx, cancel := context.WithTimeout(ctx, 2*orderTimeout)
 	defer cancel()
 	report, err := k.settings.Engines.Report(ctx, replica)
 	if err != nil {
-		return errors.Join(ErrOrderRefused, err)
+		return errors.Join(ErrOrderRejected, err)
 	}
 	incarnation := replica.Life()
-	if report.Changing || k.doubts.wouldWake(k.now(), incarnation, report.Sequence) {
-		return ErrOrderRefused
+	if report.Changing || k.unanswered.wouldEnableOlder(k.now(), incarnation, report.Sequence) {
+		return ErrOrderRejected
 	}
 	if report.Born != 0 && incarnation.Born != 0 && report.Born != incarnation.Born {
-		return errors.Join(ErrOrderRefused, errReplicaRestarted)
+		return errors.Join(ErrOrderRejected, errReplicaRestarted)
 	}
 	change := &region.ChangeCommand{Replica: incarnation.ID, Born: incarnation.Born, Stage: stage}
 	fence, err := k.commitCall(ctx, &region.Command{Change: change})
@@ -329,13 +329,13 @@
 		k.changeStartedAt[incarnation.Name()] = k.now()
 	}
 	if errors.Is(err, errSendDelayExceeded) {
-		return errors.Join(ErrOrderRefused, err)
+		return errors.Join(ErrOrderRejected, err)
 	}
 	if err != nil {
 		return err
 	}
 	if !k.isListed(incarnation) {
-		return errors.Join(ErrOrderRefused, errReplicaRestarted)
+		return errors.Join(ErrOrderRejected, errReplicaRestarted)
 	}
 	err = k.settings.Engines.Order(ctx, replica, EngineOrder{
 		Stage:    stage,
@@ -343,8 +343,8 @@
 		Fence:    fence,
 		Sequence: report.Sequence,
 	})
-	if err != nil && !errors.Is(err, ErrOrderRefused) {
-		k.doubts.add(k.now(), incarnation, report.Sequence)
+	if err != nil && !errors.Is(err, ErrOrderRejected) {
+		k.unanswered.add(k.now(), incarnation, report.Sequence)
 	}
 	return err
 }
@@ -353,7 +353,7 @@
 var errReplicaRestarted = errors.New("the replica has started again")
 
 // isListed reports whether the list still shows an incarnation.
-func (k *stageKeeper) isListed(incarnation region.Life) bool {
+func (k *stagePlanner) isListed(incarnation region.Life) bool {
 	state, _ := k.machine.read()
 	listed, found := findListed(state.Replicas, incarnation.ID)
 	return found && listed.Life() == incarnation
--- a/internal/coordinator/orderdoubt.go
+++ b/internal/coordinator/unansweredorders.go
@@ -7,12 +7,12 @@
 	"github.com/pierhaven/pierhaven/internal/region"
 )
 
-// orderDoubts are orders without a response. Such an order may be carried out late, also by an
+// unansweredOrders are orders without a response. Such an order may be carried out late, also by an
 // incarnation that has started since under the replica's id, once its count of orders is the one that
 // the order expects. The incarnation that was ordered gets no orders for a time. A new one need not be
 // excluded, since its count starts over, but it gets no order after which the old order would match
 // its count.
-type orderDoubts []unansweredOrder
+type unansweredOrders []unansweredOrder
 
 type unansweredOrder struct {
 	incarnation region.Life
@@ -21,14 +21,14 @@
 }
 
 // add records an order with the count of orders that it expects.
-func (d *orderDoubts) add(now time.Duration, incarnation region.Life, sequence uint64) {
+func (d *unansweredOrders) add(now time.Duration, incarnation region.Life, sequence uint64) {
 	unexpired := slices.DeleteFunc(*d, func(each unansweredOrder) bool { return now >= each.until })
-	*d = append(unexpired, unansweredOrder{incarnation: incarnation, sequence: sequence, until: now + unclearHold})
+	*d = append(unexpired, unansweredOrder{incarnation: incarnation, sequence: sequence, until: now + unansweredOrderHold})
 }
 
-// wouldWake reports whether an order to an incarnation whose count of orders is sequence would allow an
+// wouldEnableOlder reports whether an order to an incarnation whose count of orders is sequence would allow an
 // older order, sent to a previous incarnation, to be carried out.
-func (d orderDoubts) wouldWake(now time.Duration, incarnation region.Life, sequence uint64) bool {
+func (d unansweredOrders) wouldEnableOlder(now time.Duration, incarnation region.Life, sequence uint64) bool {
 	return slices.ContainsFunc(d, func(each unansweredOrder) bool {
 		return now < each.until && each.incarnation.ID == incarnation.ID && each.incarnation != incarnation && each.sequence == sequence+1
 	})
--- a/internal/coordinator/usage.go
+++ b/internal/coordinator/usage.go
@@ -14,8 +14,8 @@
 	"github.com/pierhaven/pierhaven/internal/usage"
 )
 
-// UsageTerms configures the reporting of tenant usage, which is disabled if Window is 0.
-type UsageTerms struct {
+// UsageOptions configures the reporting of tenant usage, which is disabled if Window is 0.
+type UsageOptions struct {
 	// Window is the length of the windows, and Late the time after the end of a window within which
 	// its report is due.
 	Window time.Duration
@@ -33,7 +33,7 @@
 	// ReportUsage reports a window's counts. After an error the report may have been or may yet be
 	// accepted.
 	ReportUsage(ctx context.Context, call DutyCall, window region.UsageWindow) error
-	// OrderFleet orders a number of replicas. ErrNoneToBeHad means that no further ones are
+	// OrderFleet orders a number of replicas. ErrNoMoreReplicas means that no further ones are
 	// available; after another error the order may have been or may yet be carried out.
 	OrderFleet(ctx context.Context, call DutyCall, order region.FleetOrder) error
 }
@@ -45,13 +45,13 @@
 	// reportRetryInterval is the time between two reports of a window that was not accepted: a tenth of
 	// the second in which the platform bounds the calls.
 	reportRetryInterval = 300 * time.Millisecond
-	// minimumWaitShare is the share of UsageTerms.Late that passes at least before a window's counts
+	// minimumWaitShare is the share of UsageOptions.Late that passes at least before a window's counts
 	// are fixed, even if all gateways have reported: responses in flight are counted when they arrive.
 	minimumWaitShare = 0.1
-	// maximumWaitShare is the share of UsageTerms.Late that passes at most, even if gateways have not
+	// maximumWaitShare is the share of UsageOptions.Late that passes at most, even if gateways have not
 	// reported: the remaining time is for the election of a leader and the lease of its predecessor.
 	maximumWaitShare = 0.45
-	// newLeaderWaitShare is the share of UsageTerms.Late that passes at least after the start of a
+	// newLeaderWaitShare is the share of UsageOptions.Late that passes at least after the start of a
 	// leader's term: by then it has learned of the gateways from the other coordinators, and has been
 	// sent again what its predecessor knew. Without this wait, windows that ended during a change of
 	// the leader lacked up to three quarters of their requests.
@@ -61,10 +61,10 @@
 // usageState holds a coordinator's counts of tenant usage and its clock of the region's time.
 type usageState struct {
 	clock *regionclock.Clock
-	// own holds the clocks of the gateways that poll this coordinator; all holds, at the leader, those of
+	// ownClocks holds the clocks of the gateways that poll this coordinator; all holds, at the leader, those of
 	// the region.
-	own, all *regionclock.Samples
-	book     *usage.Book
+	ownClocks, regionClocks *regionclock.Samples
+	book                    *usage.Book
 
 	mutex sync.Mutex
 	// reportedTo is the leader that knows the book up to reportedRevision.
@@ -74,15 +74,15 @@
 
 func newUsageState(suspended func() time.Duration) *usageState {
 	return &usageState{
-		clock: regionclock.New(suspended),
-		own:   regionclock.NewSamples(suspended),
-		all:   regionclock.NewSamples(suspended),
-		book:  usage.NewBook(),
+		clock:        regionclock.New(suspended),
+		ownClocks:    regionclock.NewSamples(suspended),
+		regionClocks: regionclock.NewSamples(suspended),
+		book:         usage.NewBook(),
 	}
 }
 
-// takeUsage records a gateway's counts.
-func (c *Coordinator) takeUsage(report *region.GatewayUsage) {
+// recordUsage records a gateway's counts.
+func (c *Coordinator) recordUsage(report *region.GatewayUsage) {
 	if report == nil {
 		return
 	}
@@ -91,8 +91,8 @@
 	}
 }
 
-// news returns the counts that the leader may not know yet, and the revision of the book that they include.
-func (u *usageState) news(leader string) ([]region.GatewayUsage, uint64) {
+// unreported returns the counts that the leader may not know yet, and the revision of the book that they include.
+func (u *usageState) unreported(leader string) ([]region.GatewayUsage, uint64) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 	if leader != u.reportedTo {
@@ -101,8 +101,8 @@
 	return u.book.Since(u.reportedRevision)
 }
 
-// told records that the leader knows the book up to a revision.
-func (u *usageState) told(leader string, revision uint64) {
+// markReported records that the leader knows the book up to a revision.
+func (u *usageState) markReported(leader string, revision uint64) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 	if leader == u.reportedTo {
@@ -110,20 +110,20 @@
 	}
 }
 
-// forgetTold makes the next report to the leader complete, since the leader may have restarted.
-func (u *usageState) forgetTold() {
+// resetReported makes the next report to the leader complete, since the leader may have restarted.
+func (u *usageState) resetReported() {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 	u.reportedTo = ""
 }
 
-// takeClocks records, at the leader, the clocks that a coordinator reports, and sets the region's time
+// recordClocks records, at the leader, the clocks that a coordinator reports, and sets the region's time
 // to the median of all clocks.
-func (u *usageState) takeClocks(from string, clocks []int64) {
+func (u *usageState) recordClocks(from string, clocks []int64) {
 	for index, each := range clocks {
-		u.all.Take(fmt.Sprint(from, " ", index), each)
+		u.regionClocks.Take(fmt.Sprint(from, " ", index), each)
 	}
-	if median := regionclock.Median(u.all.Read()); median > 0 {
+	if median := regionclock.Median(u.regionClocks.Read()); median > 0 {
 		u.clock.Set(time.Now(), time.Unix(0, median))
 	}
 }
@@ -139,15 +139,15 @@
 	reportFrom time.Duration
 }
 
-// keepUsage fixes and reports the usage of tenants while this coordinator leads.
-func (c *Coordinator) keepUsage(ctx context.Context) {
+// reportUsage fixes and reports the usage of tenants while this coordinator leads.
+func (c *Coordinator) reportUsage(ctx context.Context) {
 	if c.settings.Platform == nil || c.settings.Usage.Window <= 0 {
 		return
 	}
 	keeper := &usageReporter{dutyHolder: dutyHolder{Coordinator: c, duty: dutyUsage}}
 	for lifecycle.Sleep(ctx, usageInterval) {
 		state, _ := c.machine.read()
-		c.usage.book.Fixed(state.NextWindow, c.usage.clock.Now().Add(-gatewayMemory))
+		c.usage.book.Fixed(state.NextWindow, c.usage.clock.Now().Add(-gatewayRetention))
 		begun, leads := keeper.leads(ctx)
 		if !leads {
 			continue
@@ -182,7 +182,7 @@
 	if elapsed < time.Duration(minimumWaitShare*float64(terms.Late)) || k.now() < k.fixFrom {
 		return
 	}
-	missing := k.usage.book.Missing(k.gateways.everyone(k.now()), end)
+	missing := k.usage.book.Missing(k.gateways.allKnown(k.now()), end)
 	if len(missing) > 0 && elapsed < time.Duration(maximumWaitShare*float64(terms.Late)) {
 		return
 	}
--- a/internal/coordinator/view.go
+++ b/internal/coordinator/view.go
@@ -13,11 +13,11 @@
 // handleView answers a gateway's poll once there is something that the gateway does
 // not have, or when its wait has ended.
 func (c *Coordinator) handleView(ctx context.Context, request *region.ViewRequest) (*region.View, error) {
-	c.gateways.polled(c.now(), request.Address)
+	c.gateways.recordPoll(c.now(), request.Address)
 	c.builds.recordGateway(request.Address, region.Build{Protocol: request.Protocol, Revision: request.Revision})
-	c.demand.take(c.now(), request.Address, request.Demand)
-	c.usage.own.Take(request.Address, request.WallNanos)
-	c.takeUsage(request.Usage)
+	c.gatewayDemand.put(c.now(), request.Address, request.Demand)
+	c.usage.ownClocks.Take(request.Address, request.WallNanos)
+	c.recordUsage(request.Usage)
 	wait := min(time.Duration(request.WaitMillis)*time.Millisecond, maximumViewWait)
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -63,7 +63,7 @@
 		ListRevision: state.ListRevision,
 		Standby:      state.StandbyCount,
 		Gateways:     c.reportedGatewayCount(len(peers.addresses)),
-		Places:       c.places(),
+		Places:       c.placementEnabled(),
 		PeersHash:    peers.hash,
 		MembersHash:  members.hash,
 		RegionNanos:  c.usage.clock.Now().UnixNano(),
@@ -84,7 +84,7 @@
 		view.Document = state.Document
 	}
 	if state.ListRevision > request.ListRevision {
-		shownSince(state, request.ListRevision, view)
+		addListChanges(state, request.ListRevision, view)
 	}
 	return view
 }
--- a/internal/relay/daemon/daemon.go
+++ b/internal/relay/daemon/daemon.go
@@ -59,7 +59,7 @@
 		settings.Now = uptime.Now
 	}
 	if settings.ContactTime == 0 {
-		settings.ContactTime = coordinator.DefaultContact
+		settings.ContactTime = coordinator.DefaultContactTime
 	}
 	suspended := uptime.SuspendedBy(settings.Now)
 	started := time.Now()
--- a/internal/relay/daemon/endingrequests_test.go
+++ b/internal/relay/daemon/endingrequests_test.go
@@ -220,7 +220,7 @@
 	created, err := coordinator.New(coordinator.Settings{
 		Name: "coordinator", Zone: "zone", Address: r.coordinator, Seeds: func() []string { return []string{r.coordinator} },
 		Bootstrap: true, Voters: 1, DataFolder: filepath.Join(r.folder, "data"), FileSystem: storage.OperatingSystem{},
-		Lister: r.replicas, Codec: jsonCodec{}, ListInterval: 50 * time.Millisecond, PlacesAbove: -1, Quota: toleratedOverrun, Contact: r.contact(), Logger: logr.Discard(),
+		Lister: r.replicas, Codec: jsonCodec{}, ListInterval: 50 * time.Millisecond, PlacementGatewayThreshold: -1, Quota: toleratedOverrun, ContactTime: r.contact(), Logger: logr.Discard(),
 	})
 	require.NoError(r.t, err)
 	r.running = created
--- a/internal/relay/daemon/evidence.go
+++ b/internal/relay/daemon/evidence.go
@@ -23,7 +23,7 @@
 
 func newEvidenceReporter(settings Settings, client *rpc.Client) *evidenceReporter {
 	if settings.ContactTime == 0 {
-		settings.ContactTime = coordinator.DefaultContact
+		settings.ContactTime = coordinator.DefaultContactTime
 	}
 	if settings.EvidenceHoldTime == 0 {
 		settings.EvidenceHoldTime = poison.DefaultHold
