--- a/internal/region/doc.go
+++ b/internal/region/doc.go
@@ -1,8 +1,8 @@
-// Package region holds what the coordinators of a region replicate and hand to
-// its gateways: the traffic configuration in force and the list of replicas, and
-// the messages that carry them.
+// Package region defines the state that the coordinators of a region replicate and
+// serve to its gateways, the traffic configuration in effect and the list of
+// replicas, and the messages between these processes.
 //
-// A coordinator says with every view how old its knowledge is at most: the time
-// since a majority of the coordinators confirmed it. A gateway that is shown an
-// old view turns to another coordinator.
+// Every view contains an upper bound of its age: the time since a majority of the
+// coordinators confirmed it. A gateway that receives a view which is too old turns
+// to another coordinator.
 package region
--- a/internal/region/document.go
+++ b/internal/region/document.go
@@ -6,7 +6,7 @@
 	"io"
 )
 
-// Deflate makes a document small for the log and the network.
+// Deflate compresses a document for the log and the network.
 func Deflate(document []byte) []byte {
 	var buffer bytes.Buffer
 	writer, err := flate.NewWriter(&buffer, flate.BestSpeed)
@@ -18,10 +18,10 @@
 	return buffer.Bytes()
 }
 
-// maximumDocument bounds a document that is inflated, in bytes.
-const maximumDocument = 64 << 20
+// maximumDocumentBytes bounds the size of a decompressed document.
+const maximumDocumentBytes = 64 << 20
 
-// Inflate undoes Deflate.
+// Inflate decompresses what Deflate returned, and truncates it at maximumDocumentBytes.
 func Inflate(compressed []byte) ([]byte, error) {
-	return io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(compressed)), maximumDocument))
+	return io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(compressed)), maximumDocumentBytes))
 }
--- a/internal/region/life.go
+++ b/internal/region/life.go
@@ -2,40 +2,41 @@
 
 import "strconv"
 
-// Life is one process of a replica: a replica that starts again under its id is another life, which
-// knows nothing of the one before. What is kept by replica is kept by life.
+// Life identifies an incarnation of a replica, which is one run of its process. A replica that restarts
+// under the same id is another incarnation, and has lost the state of the one before. Data about
+// replicas is therefore stored by incarnation.
 type Life struct {
 	ID string
-	// Born is the moment of its start in milliseconds since 1970, 0 if it is not told.
+	// Born is the start time of the process in milliseconds since 1970, 0 if it is not reported.
 	Born int64
 }
 
 const (
-	// nameModulus bounds the moment in a life's name to five digits of base nameBase: the name is
-	// told with each change of work, and need not hold more than tells one id's lives apart. Two of
-	// them have the same name if they began an exact multiple of 16.8 hours apart.
+	// nameModulus limits the start time in an incarnation's name to five digits of base nameBase. The
+	// name is sent with each change of work, and only has to distinguish the incarnations of one id.
+	// Two of them have the same name if they started an exact multiple of 16.8 hours apart.
 	nameModulus = 36 * 36 * 36 * 36 * 36
 	nameBase    = 36
-	// nameMark parts an id from the moment.
-	nameMark = "@"
+	// nameSeparator separates the id from the start time.
+	nameSeparator = "@"
 )
 
-// Name names the life in a few bytes more than the replica's id.
+// Name returns a name of the incarnation that is a few bytes longer than the replica's id.
 func (l Life) Name() string {
 	if l.Born == 0 {
 		return l.ID
 	}
-	return l.ID + nameMark + strconv.FormatInt(l.Born%nameModulus, nameBase)
+	return l.ID + nameSeparator + strconv.FormatInt(l.Born%nameModulus, nameBase)
 }
 
-// Life returns the replica's life.
+// Life returns the replica's incarnation.
 func (r *Replica) Life() Life { return Life{ID: r.ID, Born: r.Born} }
 
-// Life returns the life that was ordered to change its stage.
+// Life returns the incarnation that was ordered to change its stage.
 func (c *StageChange) Life() Life { return Life{ID: c.Replica, Born: c.Born} }
 
-// KeepLives fills in the lives that a list does not tell: an entry without the moment of its start
-// says nothing of a new one.
+// KeepLives fills in the start times that a list lacks with the known ones. An entry without a start
+// time does not mean that the replica has restarted.
 func KeepLives(list []Replica, known func(id string) (Life, bool)) {
 	for index := range list {
 		replica := &list[index]
--- a/internal/region/messages.go
+++ b/internal/region/messages.go
@@ -9,7 +9,7 @@
 //msgp:limit arrays:65536 maps:65536
 //msgp:tuple Outstanding OutstandingWork PlacedPrompt PlacedPart EngineCost UsageCount
 
-// Paths of the calls between coordinators and of gateways to them.
+// Paths of the requests that coordinators and gateways send to coordinators.
 const (
 	PathView          = "/internal/v1/region/view"
 	PathReadIndex     = "/internal/v1/region/read-index"
@@ -29,109 +29,109 @@
 const (
 	StagePrefill = "prefill"
 	StageDecode  = "decode"
-	// StageChanging replicas take no new work until their change has ended.
+	// StageChanging marks replicas that take no new work until their stage change has ended.
 	StageChanging = "changing"
 )
 
-// Replica is one incarnation of a back end of a service.
+// Replica is an incarnation of a replica of a service.
 type Replica struct {
 	ID string `msg:"id"`
-	// Born is the moment of its process's start in milliseconds since 1970, 0 if it is not told.
+	// Born is the start time of its process in milliseconds since 1970, 0 if it is not reported.
 	Born    int64  `msg:"born"`
 	Service string `msg:"service"`
 	// Address is an IP:port.
 	Address string `msg:"address"`
 	Zone    string `msg:"zone"`
-	// Slots is the number of requests that it works on at once.
+	// Slots is the number of requests that it processes concurrently.
 	Slots int `msg:"slots"`
-	// Draining replicas take no new work, as the platform's list says.
+	// Draining replicas take no new work, according to the platform's list.
 	Draining bool `msg:"draining"`
 	// Stage is empty for replicas that are not model engines.
 	Stage string `msg:"stage"`
-	// Preemptible replicas cost less and may be taken away, all of a zone at once.
+	// Preemptible replicas cost less and may be preempted, all of a zone at once.
 	Preemptible bool `msg:"preemptible"`
-	// Leaving replicas have said in an answer that they take no new work, which the list may not show.
+	// Leaving replicas have declared in a response that they take no new work, which the list may not show.
 	Leaving bool `msg:"leaving,omitempty"`
 }
 
-// Leaves reports whether the replica takes no new work until its life ends.
+// Leaves reports whether the replica takes no new work until its incarnation ends.
 func (r *Replica) Leaves() bool { return r.Draining || r.Leaving }
 
-// State is what the coordinators replicate.
+// State is the state that the coordinators replicate.
 type State struct {
-	// Version is that of the configuration; 0 while there is none.
+	// Version is the configuration's version, 0 while there is none.
 	Version uint64 `msg:"version"`
 	// Document is the configuration as the operator sent it.
 	Document []byte `msg:"document,limit=67108864"`
-	// ListRevision is the log position of the last change of those Replicas that don't stand by.
+	// ListRevision is the log index of the last change of those Replicas that are not on standby.
 	ListRevision uint64 `msg:"list_revision"`
-	// Replicas are sorted by their ids, of each its newest life.
+	// Replicas is sorted by id and contains the newest incarnation of each.
 	Replicas []ListedReplica `msg:"replicas"`
-	// StandbyCount is the number of Replicas that stand by. Each coordinator counts them itself.
+	// StandbyCount is the number of Replicas that are on standby. Each coordinator counts them itself.
 	StandbyCount int `msg:"-"`
-	// Removed are the replicas that have gone, oldest first, after RemovedSince.
+	// Removed are the replicas that were removed after RemovedSince, oldest first.
 	Removed      []RemovedReplica `msg:"removed"`
 	RemovedSince uint64           `msg:"removed_since"`
-	// Changes are the stage changes under way.
+	// Changes are the stage changes in progress.
 	Changes []StageChange `msg:"changes"`
-	// NextWindow is the first window of usage whose counts are not fixed, 0 while none is; Usage
-	// are the windows whose counts are fixed and have not been reported yet, oldest first.
+	// NextWindow is the first usage window whose counts are not final, 0 while those of no window are.
+	// Usage are the windows whose counts are final and have not been reported yet, oldest first.
 	NextWindow uint64        `msg:"next_window"`
 	Usage      []UsageWindow `msg:"usage"`
-	// Fleet are the numbers of replicas that were ordered.
+	// Fleet are the ordered numbers of replicas.
 	Fleet []FleetOrder `msg:"fleet"`
-	// Poison is what is known of requests under which replicas have ended.
+	// Poison is what is known about requests that were running when replicas crashed.
 	Poison poison.State `msg:"poison"`
 }
 
-// UsageWindow is what the tenants have used in a window of time.
+// UsageWindow is the tenants' usage in a time window.
 type UsageWindow struct {
 	Window uint64       `msg:"window"`
 	Counts []UsageCount `msg:"counts"`
 }
 
-// UsageCount is the number of a tenant's requests that began to run in a window.
+// UsageCount is the number of a tenant's requests that started to run in a window.
 type UsageCount struct {
 	Window uint64
 	Tenant string
 	Count  uint32
 }
 
-// FleetOrder is the number of replicas of a kind that a service is to have in a zone.
+// FleetOrder is the ordered number of replicas, preemptible or not, of a service in a zone.
 type FleetOrder struct {
 	Service     string `msg:"service"`
 	Zone        string `msg:"zone"`
 	Preemptible bool   `msg:"preemptible"`
 	Count       int    `msg:"count"`
-	// Base is the number of replicas of the service that there were before any was ordered.
+	// Base is the number of replicas that the service had before any were ordered.
 	Base int `msg:"base"`
 }
 
-// ListedReplica is a replica with the log position at which it last changed.
+// ListedReplica is a replica with the log index of its last change.
 type ListedReplica struct {
 	Replica  Replica `msg:"replica"`
 	Revision uint64  `msg:"revision"`
-	// Standby replicas take no work, and gateways are not told of them.
+	// Standby replicas take no work, and views do not show them to gateways.
 	Standby bool `msg:"standby,omitempty"`
 }
 
-// RemovedReplica is a replica that has gone or stands by, with the log position from which on it does.
+// RemovedReplica is a replica that was removed or put on standby, with the log index of that change.
 type RemovedReplica struct {
 	ID       string `msg:"id"`
 	Revision uint64 `msg:"revision"`
 }
 
-// StageChange is an order to a replica to take another stage.
+// StageChange is an order to a replica to change to another stage.
 type StageChange struct {
 	Replica string `msg:"replica"`
-	// Born is that of the life which was ordered.
+	// Born is the start time of the incarnation that received the order.
 	Born  int64  `msg:"born"`
 	Stage string `msg:"stage"`
-	// Fence is the log position of the order; it grows over all leaders.
+	// Fence is the order's fencing token: its log index, which grows across leaders.
 	Fence uint64 `msg:"fence"`
 }
 
-// Command is a change of State. One of its fields is set, or List and Activity are.
+// Command is a change of State. Either one of its fields is set, or both List and Activity are.
 type Command struct {
 	Configuration *ConfigurationCommand `msg:"configuration"`
 	List          *ListCommand          `msg:"list"`
@@ -145,21 +145,22 @@
 	Activity      *ActivityCommand      `msg:"activity,omitempty"`
 }
 
-// UsageCallCommand precedes each report of a window's usage. Its log position is the fence.
+// UsageCallCommand precedes each report of a window's usage to the platform. Its log index is the fencing
+// token of the report.
 type UsageCallCommand struct {
 	Window uint64 `msg:"window"`
 }
 
-// UsageEndCommand says that the platform has taken a window's usage.
+// UsageEndCommand records that the platform has accepted a window's usage.
 type UsageEndCommand struct {
 	Window uint64 `msg:"window"`
 }
 
-// ChangeCommand begins a stage change. Its log position is the order's fence.
+// ChangeCommand starts a stage change. Its log index is the fencing token of the order.
 type ChangeCommand struct {
 	Replica string `msg:"replica"`
-	// Born is that of the life which is ordered, 0 if it is not told. A change of a life that the
-	// list does not show is none.
+	// Born is the start time of the incarnation that receives the order, 0 if it is not reported. The
+	// command has no effect if the list does not contain this incarnation.
 	Born  int64  `msg:"born"`
 	Stage string `msg:"stage"`
 }
@@ -169,8 +170,8 @@
 	Replica string `msg:"replica"`
 }
 
-// ConfigurationCommand puts a configuration in force if its version is above
-// the one in force.
+// ConfigurationCommand puts a configuration into effect if its version is above
+// that of the one in effect.
 type ConfigurationCommand struct {
 	Version  uint64 `msg:"version"`
 	Document []byte `msg:"document,limit=67108864"`
@@ -178,52 +179,52 @@
 
 // ListCommand changes the list of replicas.
 type ListCommand struct {
-	// Changed are replicas that have come or changed, Removed those that have
-	// gone.
+	// Changed are the replicas that were added or changed, Removed the ids of those that
+	// were removed.
 	Changed []Replica `msg:"changed"`
 	Removed []string  `msg:"removed"`
-	// Standby says that replicas which come stand by until they are activated. A leader that says
-	// nothing of it knows of no replicas that stand by: then all are active.
+	// Standby puts added replicas on standby until they are activated. Leaders of earlier builds, which
+	// know no standby replicas, do not set it: then all replicas are active.
 	Standby bool `msg:"standby,omitempty"`
 }
 
-// ActivityCommand says which replicas take work from now on, and which stand by, by their ids.
+// ActivityCommand activates replicas and puts others on standby, by their ids.
 type ActivityCommand struct {
 	Activate []string `msg:"activate"`
 	Rest     []string `msg:"rest"`
 }
 
-// ViewRequest is a gateway's long poll.
+// ViewRequest is a gateway's long poll for a View.
 type ViewRequest struct {
 	Gateway string `msg:"gateway"`
-	// Address is where the gateway takes messages of its peers.
+	// Address is the address at which the gateway receives messages from its peers.
 	Address string `msg:"address"`
-	// PeersHash is that of the peers that the gateway knows, and MembersHash that of the coordinators.
+	// PeersHash is the hash of the peers that the gateway knows, and MembersHash that of the coordinators.
 	PeersHash   uint64 `msg:"peers_hash"`
 	MembersHash uint64 `msg:"members_hash,omitempty"`
-	// Version and ListRevision are what the gateway has.
+	// Version and ListRevision are those that the gateway has.
 	Version      uint64 `msg:"version"`
 	ListRevision uint64 `msg:"list_revision"`
-	// Demand is what the gateway sees of each service of model engines.
+	// Demand is the demand that the gateway measures, by service of model engines.
 	Demand []ServiceDemand `msg:"demand"`
-	// WaitMillis bounds the wait for something newer.
+	// WaitMillis bounds the wait for newer data.
 	WaitMillis int `msg:"wait"`
-	// WallNanos is the gateway's time of day, since 1970.
+	// WallNanos is the gateway's time of day in nanoseconds since 1970.
 	WallNanos int64 `msg:"wall"`
-	// Usage is what the gateway has counted, nil if nothing is to be told.
+	// Usage is the usage that the gateway has counted, nil if there is nothing to report.
 	Usage *GatewayUsage `msg:"usage"`
-	// PoisonRevision is what the gateway knows of requests that end replicas.
+	// PoisonRevision is the revision of what the gateway knows about requests that crash replicas.
 	PoisonRevision uint64 `msg:"poison_revision"`
 	// LimitNames is ratelimit.Table.ReplicasHash of the gateway.
 	LimitNames uint64 `msg:"limit_names,omitempty"`
-	// Protocol and Revision are the gateway's, see Build.
+	// Protocol and Revision identify the gateway's build, see Build.
 	Protocol int    `msg:"protocol,omitempty"`
 	Revision string `msg:"revision,omitempty"`
 }
 
 // Build identifies the build that a process runs.
 type Build struct {
-	// Protocol is build.Protocol of the process, 0 if it tells none, and Revision its build.Revision.
+	// Protocol is build.Protocol of the process, 0 if it reports none, and Revision its build.Revision.
 	Protocol int    `msg:"protocol"`
 	Revision string `msg:"revision"`
 }
@@ -237,93 +238,94 @@
 // BuildsRequest asks the leader for the builds of all processes.
 type BuildsRequest struct{}
 
-// Builds are the builds of all processes of a region, as its leader knows them.
+// Builds are the builds of all processes of a region, as known to its leader.
 type Builds struct {
 	Leader       string         `msg:"leader"`
 	Coordinators []ProcessBuild `msg:"coordinators"`
 	Gateways     []ProcessBuild `msg:"gateways"`
-	// Earlier are the coordinators that know of no replicas which stand by.
+	// Earlier are the coordinators of earlier builds, which know no standby replicas.
 	Earlier []string `msg:"earlier"`
 }
 
-// GatewayUsage is what a gateway has counted in one life.
+// GatewayUsage is the usage that one incarnation of a gateway has counted.
 type GatewayUsage struct {
-	// Gateway is its address, and Life the start of its process.
+	// Gateway is the gateway's address, and Life the start time of its process.
 	Gateway string `msg:"gateway"`
 	Life    int64  `msg:"life"`
-	// ToldAt is the region's time up to which it has told all, in nanoseconds since 1970.
+	// ToldAt is the region's time, in nanoseconds since 1970, up to which the report is complete.
 	ToldAt int64 `msg:"told_at"`
-	// Counts are sums since the start of each window: a later one replaces an earlier one.
+	// Counts are totals since the start of each window: a later one replaces an earlier one.
 	Counts []UsageCount `msg:"counts"`
 }
 
 // View is the answer to a ViewRequest.
 type View struct {
-	// AgeMillis is the time since a majority confirmed what the coordinator
-	// knows; negative if it never did.
+	// AgeMillis is the time since a majority confirmed the coordinator's state,
+	// negative if none ever did.
 	AgeMillis int64  `msg:"age"`
 	Zone      string `msg:"zone"`
-	// Version is in force; Document is set only if the gateway has an older one.
+	// Version is that of the configuration in effect; Document is set only if the gateway has an
+	// older one.
 	Version  uint64 `msg:"version"`
 	Document []byte `msg:"document,limit=67108864"`
-	// ListRevision is that of the list. HasList says that something has changed
-	// since the request's: Replicas are those that have come or changed and
-	// Removed those that have gone, or, if WholeList is set, Replicas are all.
+	// ListRevision is the revision of the list of replicas. HasList says that the list has
+	// changed since the request's revision: Replicas are those that were added or changed
+	// and Removed those that were removed or, if WholeList is set, Replicas are all.
 	ListRevision uint64    `msg:"list_revision"`
 	HasList      bool      `msg:"has_list"`
 	WholeList    bool      `msg:"whole_list"`
 	Replicas     []Replica `msg:"replicas"`
 	Removed      []string  `msg:"removed"`
-	// Standby is the number of replicas that the gateway is not told of.
+	// Standby is the number of standby replicas, which the view omits.
 	Standby int `msg:"standby,omitempty"`
 	// Gateways is the number of gateways of the region, 0 if it is not known yet.
 	Gateways int `msg:"gateways"`
-	// Places says that there are so many gateways that the coordinators choose replicas for
-	// them; these don't tell each other of their work.
+	// Places says that there are so many gateways that the coordinators choose replicas for them. The
+	// gateways then don't report their work to each other.
 	Places bool `msg:"places"`
-	// PeersHash is that of the region's gateways; Peers are their addresses, set
-	// only if the hash is not the request's.
+	// PeersHash is the hash of the region's gateways. Peers are their addresses, set
+	// only if the request's hash differs.
 	PeersHash uint64   `msg:"peers_hash"`
 	Peers     []string `msg:"peers"`
-	// MembersHash is that of the coordinators with their zones. Coordinators are their internal
-	// addresses and CoordinatorZones their zones, empty where one is not known; they are set only if
-	// the hash is not the request's.
+	// MembersHash is the hash of the coordinators with their zones. Coordinators are their internal
+	// addresses and CoordinatorZones their zones, empty where one is not known. They are set only if
+	// the request's hash differs.
 	MembersHash      uint64   `msg:"members_hash,omitempty"`
 	Coordinators     []string `msg:"coordinators"`
 	CoordinatorZones []string `msg:"coordinator_zones,omitempty"`
-	// RegionNanos is the region's time, since 1970.
+	// RegionNanos is the region's time in nanoseconds since 1970.
 	RegionNanos int64 `msg:"region"`
-	// NextWindow is the first window of usage whose counts are not fixed.
+	// NextWindow is the first usage window whose counts are not final.
 	NextWindow uint64 `msg:"next_window"`
-	// Poison is what is new on requests that end replicas, nil if nothing is.
+	// Poison is the news about requests that crash replicas, nil if there is none.
 	Poison *poison.News `msg:"poison"`
-	// LimitNames is ratelimit.Table.ReplicasHash of the coordinator, and Limits what it knows of the limits
-	// that replicas name, set only if the names are not the request's.
+	// LimitNames is ratelimit.Table.ReplicasHash of the coordinator. Limits are the rate limits, declared by
+	// replicas, that it knows; they are set only if the request's LimitNames differs.
 	LimitNames uint64             `msg:"limit_names,omitempty"`
 	Limits     []ratelimit.Report `msg:"limits,omitempty"`
 }
 
-// ReadIndexRequest asks the leader to confirm its leadership.
+// ReadIndexRequest asks the leader to confirm its leadership, and carries reports of a coordinator to it.
 type ReadIndexRequest struct {
-	// From is the asking coordinator's address, and Zone its zone.
+	// From is the requesting coordinator's address, and Zone its zone.
 	From string `msg:"from"`
 	Zone string `msg:"zone,omitempty"`
-	// MembersHash is that of the coordinators with their zones as the asker knows them.
+	// MembersHash is the hash of the coordinators with their zones as the requester knows them.
 	MembersHash uint64 `msg:"members_hash,omitempty"`
-	// Gateways are the addresses of the gateways that poll the asking
+	// Gateways are the addresses of the gateways that poll the requesting
 	// coordinator.
 	Gateways []string `msg:"gateways"`
-	// PeersHash is that of the region's gateways as the asker knows them.
+	// PeersHash is the hash of the region's gateways as the requester knows them.
 	PeersHash uint64 `msg:"peers_hash"`
-	// Demand is the sum over these gateways.
+	// Demand is the sum of these gateways' demand.
 	Demand []ServiceDemand `msg:"demand"`
-	// Clocks are the times of day, in nanoseconds since 1970, by the clocks of the asking
+	// Clocks are the times of day, in nanoseconds since 1970, on the clocks of the requesting
 	// coordinator and of the gateways that poll it.
 	Clocks []int64 `msg:"clocks"`
-	// Usage is what the gateways have counted and the leader may not know yet.
+	// Usage is the usage that the gateways have counted and the leader may not know yet.
 	Usage []GatewayUsage `msg:"usage"`
-	// Protocol and Revision are the asker's, see Build. OtherBuilds are those of its gateways that run
-	// another one.
+	// Protocol and Revision identify the requester's build, see Build. OtherBuilds lists those of its
+	// gateways that run another build.
 	Protocol    int            `msg:"protocol,omitempty"`
 	Revision    string         `msg:"revision,omitempty"`
 	OtherBuilds []ProcessBuild `msg:"other_builds,omitempty"`
@@ -332,50 +334,50 @@
 // ServiceDemand is the demand for a service of model engines.
 type ServiceDemand struct {
 	Service string `msg:"service"`
-	// Region is where the replicas of this work are, and the gateways whose prompts these are;
-	// empty where there is one region.
+	// Region is the region of the replicas that do this work, and of the gateways that received these
+	// prompts; empty where there is one region.
 	Region string `msg:"region,omitempty"`
-	// Generating is the number of answers that are being generated.
+	// Generating is the number of answers that are being decoded.
 	Generating float64 `msg:"generating"`
-	// Expected is the number of answers that will be generated once a replica could have
-	// changed its stage, if they go on to come as of late.
+	// Expected is the number of answers that will be decoded at the time when a replica could have
+	// changed its stage, if they continue to arrive at the recent rate.
 	Expected float64 `msg:"expected"`
-	// Reading is the number of replicas that the prompts to be read keep busy.
+	// Reading is the number of replicas that the prefills keep busy.
 	Reading float64 `msg:"reading"`
-	// Kept is the number of replicas that reading would keep busy beyond Reading if replicas
-	// had kept nothing of the prompts.
+	// Kept is the number of replicas that prefills would keep busy beyond Reading if replicas
+	// had nothing of the prompts cached.
 	Kept float64 `msg:"kept"`
-	// Prompts is the number of prompts a second; Slack the sum a second of the times, in
-	// seconds, that they may wait before they are read, and Squares that of the squares of
-	// the times for which they are read.
+	// Prompts is the number of prompts per second. Slack is the sum per second of the times, in
+	// seconds, that they may wait before their prefill, and Squares that of the squares of their
+	// prefill times.
 	Prompts float64 `msg:"prompts"`
 	Slack   float64 `msg:"slack"`
 	Squares float64 `msg:"squares"`
-	// Delayed is the number of prompts a second that are late since they have to wait.
+	// Delayed is the number of prompts per second that are late because they have to wait.
 	Delayed float64 `msg:"delayed"`
-	// Unreachable are the replicas that did not answer, or have refused everything, for some time, by
+	// Unreachable are the replicas that did not respond, or have rejected everything, for some time, by
 	// Life.Name.
 	Unreachable []string `msg:"unreachable"`
-	// Refusing are those that have refused several requests of late, or want to be left alone.
+	// Refusing are those that have recently rejected several requests, or have requested a backoff.
 	Refusing []string `msg:"refusing,omitempty"`
-	// Gateways is the number of gateways whose demand is summed up here.
+	// Gateways is the number of gateways in this sum.
 	Gateways int `msg:"gateways"`
-	// Running is the number of requests at replicas that are not model engines.
+	// Running is the number of requests running at replicas that are not model engines.
 	Running float64 `msg:"running,omitempty"`
 }
 
-// ReadIndexReply tells the log position that the asker has to have applied to
+// ReadIndexReply contains the log index that the requester must have applied to
 // know everything that was acknowledged before the request.
 type ReadIndexReply struct {
 	Index uint64 `msg:"index"`
-	// PeersHash is that of the region's gateways; Peers are their addresses, set
-	// only if the hash is not the request's.
+	// PeersHash is the hash of the region's gateways. Peers are their addresses, set
+	// only if the request's hash differs.
 	PeersHash uint64   `msg:"peers_hash"`
 	Peers     []string `msg:"peers"`
-	// Members are the coordinators whose zones the leader knows, set only if the asker may not know
+	// Members are the coordinators whose zones the leader knows, set only if the requester may not know
 	// them all.
 	Members []CoordinatorZone `msg:"members,omitempty"`
-	// RegionNanos is the region's time, since 1970.
+	// RegionNanos is the region's time in nanoseconds since 1970.
 	RegionNanos int64 `msg:"region"`
 }
 
@@ -385,74 +387,74 @@
 	Zone    string `msg:"zone"`
 }
 
-// ReplaceRequest hands an operator's configuration to the leader.
+// ReplaceRequest forwards an operator's configuration to the leader.
 type ReplaceRequest struct {
 	Version  uint64 `msg:"version"`
 	Document []byte `msg:"document,limit=67108864"`
 }
 
-// ReplaceReply says that a configuration is durable, or that one of the same or
+// ReplaceReply confirms that a configuration is durable, or that one of the same or
 // a higher version is.
 type ReplaceReply struct {
-	// Version is in force.
+	// Version is that of the configuration in effect.
 	Version uint64 `msg:"version"`
-	// Index is the log position of the command.
+	// Index is the log index of the command.
 	Index uint64 `msg:"index"`
 }
 
-// JoinRequest asks the leader to make a replica a member.
+// JoinRequest asks the leader to add a consensus replica to the group.
 type JoinRequest struct {
 	Address string `msg:"address"`
 	Replica uint64 `msg:"replica"`
 }
 
-// Outstanding is what a gateway tells its peers: the work that it has placed at
-// replicas and that is not done yet. Newer ones replace older ones.
+// Outstanding is a gateway's report to its peers of the work that it has placed at
+// replicas and that is not completed. A newer one replaces an older one.
 type Outstanding struct {
 	Gateway string `msg:"gateway"`
-	// Sequence grows within a life of the gateway, whose start is Life.
+	// Life is the start time of the gateway's process. Sequence grows within it.
 	Life     int64             `msg:"life"`
 	Sequence uint64            `msg:"sequence"`
 	Replicas []OutstandingWork `msg:"replicas"`
-	// Prompts are those that the gateway has lately sent to be read; some were
-	// told before.
+	// Prompts are the gateway's recent prefills. Some of them were in earlier
+	// messages.
 	Prompts []PlacedPrompt `msg:"prompts"`
-	// Unreachable are the replicas, by Life.Name, that take no connection from the gateway, or
-	// have fallen silent.
+	// Unreachable are the replicas, by Life.Name, that accept no connection from the gateway, or
+	// have stopped responding.
 	Unreachable []string `msg:"unreachable"`
-	// Whole says that Replicas holds all of the gateway's work. Else it holds what has
-	// changed since the message before; work that has ended is told as none.
+	// Whole says that Replicas contains all of the gateway's work. Otherwise it contains what has
+	// changed since the previous message; a replica whose work has ended is listed with none.
 	Whole bool `msg:"whole"`
-	// Costs are what the gateway has learned of the engines of services.
+	// Costs are the engine costs that the gateway has learned for services.
 	Costs []EngineCost `msg:"costs"`
-	// Zone is the teller's, empty where there is one region, and WallNanos its time of day when
-	// it told a process that may be in another region, since 1970; else 0.
+	// Zone is the sender's, empty where there is one region. WallNanos is the sender's time of day in
+	// nanoseconds since 1970 if the receiver may be in another region, else 0.
 	Zone      string `msg:"zone"`
 	WallNanos int64  `msg:"wall"`
 }
 
-// KeptRequest asks a coordinator what those replicas keep that it asks for all.
+// KeptRequest asks a coordinator for the cached prefixes of the replicas of which it is the cache owner.
 type KeptRequest struct {
-	// From is the asking coordinator's address.
+	// From is the requesting coordinator's address.
 	From string `msg:"from"`
 }
 
-// KeptReply answers it.
+// KeptReply is the reply to a KeptRequest.
 type KeptReply struct {
 	Kept []KeptParts `msg:"kept"`
-	// Whole says that the coordinator knows of all its replicas what they keep.
+	// Whole says that the coordinator knows what each of these replicas has cached.
 	Whole bool `msg:"whole"`
 }
 
-// KeptParts are the parts of prompts that a replica keeps, the one longest unused first.
+// KeptParts are the parts of prompts that a replica has cached, the least recently used first.
 type KeptParts struct {
 	// Replica is a Life.Name.
 	Replica string       `msg:"replica"`
 	Parts   []PlacedPart `msg:"parts"`
 }
 
-// EngineCost is what a gateway has learned of a service's engines from a number of
-// prompts: the weights of costmodel.Weights, in seconds.
+// EngineCost is the cost of prefills that a gateway has learned for a service's engines
+// from a number of prompts: the weights of costmodel.Weights, in seconds.
 type EngineCost struct {
 	Service string  `msg:"service"`
 	Samples int     `msg:"samples"`
@@ -461,14 +463,14 @@
 	Pair    float64 `msg:"pair"`
 }
 
-// PlacedPrompt is a prompt that a replica reads and keeps.
+// PlacedPrompt is a prompt that a replica prefills and caches.
 type PlacedPrompt struct {
 	// Sequence grows with each prompt that the gateway places.
 	Sequence uint64 `msg:"sequence"`
 	// Replica is a Life.Name.
 	Replica string       `msg:"replica"`
 	Parts   []PlacedPart `msg:"parts"`
-	// ReadyMillis is in how long the replica is expected to have read it.
+	// ReadyMillis is the expected time until the prefill is complete.
 	ReadyMillis int `msg:"ready_ms"`
 }
 
@@ -478,22 +480,22 @@
 	Tokens int    `msg:"tokens"`
 }
 
-// Resting tells of the replicas that turn a process's requests away: others avoid them, if they can. It is
-// a message of its own, since earlier builds read no field more in an Outstanding.
+// Resting reports the replicas that reject a process's requests; other processes avoid them if they can. It
+// is a separate message because earlier builds can't decode an Outstanding with an additional field.
 type Resting struct {
 	Gateway  string           `msg:"gateway"`
 	Replicas []RestingReplica `msg:"replicas"`
 }
 
-// RestingReplica is a replica that turns a process's requests away.
+// RestingReplica is a replica that rejects a process's requests.
 type RestingReplica struct {
 	// Replica is a Life.Name.
 	Replica string `msg:"replica"`
-	// LeftMillis is for how much longer the process leaves it alone, in milliseconds.
+	// LeftMillis is the remaining backoff, in milliseconds, during which the process sends it no requests.
 	LeftMillis int `msg:"left_ms"`
 }
 
-// LeavingReport tells of replicas that have said in an answer that they leave.
+// LeavingReport lists replicas that have declared in a response that they are leaving.
 type LeavingReport struct {
 	// Replicas are Life.Names.
 	Replicas []string `msg:"replicas"`
@@ -504,15 +506,15 @@
 	// Replica is a Life.Name.
 	Replica  string `msg:"replica"`
 	Requests int    `msg:"requests"`
-	// InTimeMicros and LateMicros are for how long prompts keep the replica busy that
-	// it has yet to read, in microseconds: those that are expected to be answered
-	// within their objectives, and the others, which it reads after these.
+	// InTimeMicros and LateMicros are the remaining prefill times in microseconds: of the
+	// prompts that are expected to meet their objectives, and of the others, which the
+	// replica prefills after these.
 	InTimeMicros int64 `msg:"in_time_us"`
 	LateMicros   int64 `msg:"late_us"`
 }
 
-// PoisonReply answers a command on requests that end replicas: it is durable.
+// PoisonReply confirms that a command about requests that crash replicas is durable.
 type PoisonReply struct {
-	// Known says that the requests of a release were held.
+	// Known says that requests which were to be released were held.
 	Known bool `msg:"known"`
 }
--- a/internal/region/placement.go
+++ b/internal/region/placement.go
@@ -4,133 +4,134 @@
 //msgp:limit arrays:4096 maps:4096
 //msgp:tuple PlacementMessage PlacementQuestion LeaseEvent PlacementReply PlacementAnswer
 
-// PlacementMessage is what a gateway tells the coordinator that places prompts for it. A
-// whole one repairs what earlier ones may have lost.
+// PlacementMessage is sent by a gateway to the coordinator that places prompts for it. A full
+// message repairs the effects of lost ones.
 type PlacementMessage struct {
 	Gateway string `msg:"gateway"`
-	// Sequence grows within a life of the gateway, whose start is Life.
+	// Life is the start time of the gateway's process. Sequence grows within it.
 	Life     int64  `msg:"life"`
 	Sequence uint64 `msg:"sequence"`
-	// Whole says that Open and Work are complete; other messages leave them out.
+	// Whole marks a full message, in which Open and Work are complete; other messages omit them.
 	Whole bool `msg:"whole"`
-	// Open are the leases that the gateway holds of the coordinator, and those that it has
-	// asked for.
+	// Open lists the leases that the gateway holds from the coordinator, and those that it has
+	// requested.
 	Open []uint64 `msg:"open"`
-	// Question is nil if nothing is asked.
+	// Question is nil if the message contains no placement query.
 	Question *PlacementQuestion `msg:"question"`
 	Events   []LeaseEvent       `msg:"events"`
-	// Work is what the gateway has placed by itself, or with another coordinator.
+	// Work is the work that the gateway has placed locally, or through another coordinator.
 	Work []OutstandingWork `msg:"work"`
 }
 
-// PlacementKind says what is asked for.
+// PlacementKind is the kind of a placement query.
 type PlacementKind uint8
 
-// Kinds of questions.
+// Kinds of placement queries.
 const (
-	// PlaceRead: the replica that is to read a prompt, or to read it and to generate.
+	// PlaceRead asks for a replica to prefill a prompt, or to prefill it and to decode.
 	PlaceRead PlacementKind = iota + 1
-	// PlaceDirect: the replica that is to read a prompt and to generate.
+	// PlaceDirect asks for a replica to prefill a prompt and to decode.
 	PlaceDirect
-	// PlaceGenerate: the replica that is to generate for a prompt that has been read.
+	// PlaceGenerate asks for a replica to decode after the prefill.
 	PlaceGenerate
-	// PlaceRoom: a replica with room for a stream that another one has to give up.
+	// PlaceRoom asks for a replica with capacity for a stream that has to move away from another one.
 	PlaceRoom
-	// AskIdle: for how long the replica of a lease has read nothing.
+	// AskIdle asks for how long the replica of a lease has had no known prefill work.
 	AskIdle
 )
 
-// PlacementQuestion asks for a lease on a replica.
+// PlacementQuestion is a placement query: it asks for a lease on a replica.
 type PlacementQuestion struct {
-	// Lease is the gateway's name for the lease that it asks for, or asks about. A question
-	// that comes again has the same name and gets the same answer.
+	// Lease is the gateway's id of the lease that it asks for, or asks about. A query that is sent
+	// again has the same id and gets the same answer.
 	Lease   uint64        `msg:"lease"`
 	Kind    PlacementKind `msg:"kind"`
 	Service string        `msg:"service"`
-	// Zone is the gateway's; Near is where the prompt's memory, or the stream, is.
+	// Zone is the gateway's; Near is the zone of the prompt's KV cache, or of the stream.
 	Zone string `msg:"zone"`
 	Near string `msg:"near"`
-	// Tokens of the whole prompt; Parts are its parts in order.
+	// Tokens is the length of the whole prompt; Parts are its parts in order.
 	Tokens int          `msg:"tokens"`
 	Parts  []PlacedPart `msg:"parts"`
-	// ObjectiveMicros and GapMicros are the route's; AimLeftMicros is the time until the
-	// objective is missed and LeftMicros that until the caller's deadline.
+	// ObjectiveMicros and GapMicros are the route's objectives for the first token and the
+	// inter-token gap; AimLeftMicros is the time until the former is missed and LeftMicros that
+	// until the caller's deadline.
 	ObjectiveMicros int64 `msg:"objective_us"`
 	GapMicros       int64 `msg:"gap_us"`
 	AimLeftMicros   int64 `msg:"aim_left_us"`
 	LeftMicros      int64 `msg:"left_us"`
-	// Rank is the route's; replicas read the prompts of lower ones first.
+	// Rank is the route's; replicas prefill the prompts of lower ranks first.
 	Rank int `msg:"rank"`
-	// Tenant stands for the caller's tenant, 0 for none.
+	// Tenant identifies the caller's tenant, 0 if there is none.
 	Tenant uint64 `msg:"tenant"`
-	// Excluded are replicas, by Life.Name, that must not be chosen.
+	// Excluded lists replicas, by Life.Name, that must not be chosen.
 	Excluded []string `msg:"excluded"`
 }
 
-// LeaseEventKind is what has happened at the replica of a lease.
+// LeaseEventKind is the kind of an event at the replica of a lease.
 type LeaseEventKind uint8
 
 // Kinds of events.
 const (
-	// LeaseReleased: the place is free again. Micros is the longest pause between two
-	// events of the stream that ran there.
+	// LeaseReleased: the lease has ended. Micros is the longest inter-token gap of the stream that ran
+	// there.
 	LeaseReleased LeaseEventKind = iota + 1
-	// LeaseRead: the prompt has been read.
+	// LeaseRead: the prefill is complete.
 	LeaseRead
-	// LeaseKept: the replica keeps the prompt.
+	// LeaseKept: the replica has the prompt cached.
 	LeaseKept
-	// LeaseBegun: the stream has begun. HandedOver says that another replica had read the
-	// prompt.
+	// LeaseBegun: the stream has started. HandedOver says that another replica did the
+	// prefill.
 	LeaseBegun
-	// LeasePaused: the stream made a pause of Micros.
+	// LeasePaused: the stream had an inter-token gap of Micros.
 	LeasePaused
-	// LeaseAnswered: the replica has answered, with a failure of its own if Failed is set;
-	// Load is its account of its work.
+	// LeaseAnswered: the replica has responded, with a failure of its own if Failed is set.
+	// Running, Waiting and Slots are the load that it reported.
 	LeaseAnswered
-	// LeaseFull: the replica refused the request. Micros is for how long it wants to be left alone by the
-	// gateway, 0 if it asks for nothing.
+	// LeaseFull: the replica rejected the request. Micros is the backoff that it requested from the
+	// gateway, 0 if it requested none.
 	LeaseFull
-	// LeaseUnreachable: the replica did not answer. HandedOver says that it had taken the
+	// LeaseUnreachable: the replica did not respond. HandedOver says that it had accepted the
 	// request.
 	LeaseUnreachable
-	// LeaseMisdirected: another incarnation answers at the replica's address.
+	// LeaseMisdirected: another incarnation responds at the replica's address.
 	LeaseMisdirected
 )
 
-// LeaseEvent is what has happened at the replica of a lease.
+// LeaseEvent is an event at the replica of a lease.
 type LeaseEvent struct {
 	Lease      uint64         `msg:"lease"`
 	Kind       LeaseEventKind `msg:"kind"`
 	HandedOver bool           `msg:"handed_over"`
 	Failed     bool           `msg:"failed"`
 	Micros     int64          `msg:"us"`
-	// Running, Waiting and Slots are the replica's account; Slots is 0 if there is none.
+	// Running, Waiting and Slots are the load that the replica reported; Slots is 0 if it reported none.
 	Running int `msg:"running"`
 	Waiting int `msg:"waiting"`
 	Slots   int `msg:"slots"`
 }
 
-// PlacementReply is a coordinator's answer to a PlacementMessage.
+// PlacementReply is a coordinator's reply to a PlacementMessage.
 type PlacementReply struct {
-	// Life is the start of the coordinator's process: what it knew before is lost.
+	// Life is the start time of the coordinator's process. A new one has lost all earlier state.
 	Life int64 `msg:"life"`
-	// Answer is nil if nothing was asked.
+	// Answer is nil if the message contained no query.
 	Answer *PlacementAnswer `msg:"answer"`
-	// Costs are what the coordinator has learned of the engines of services, told once in a
-	// while.
+	// Costs are the engine costs that the coordinator has learned for services. They are sent only
+	// from time to time.
 	Costs []EngineCost `msg:"costs"`
 }
 
-// PlacementOutcome is what a question has led to.
+// PlacementOutcome is the outcome of a placement query.
 type PlacementOutcome uint8
 
-// Outcomes of questions.
+// Outcomes of placement queries.
 const (
-	// PlacementGranted: the lease is on Replica.
+	// PlacementGranted: the lease on Replica is granted.
 	PlacementGranted PlacementOutcome = iota + 1
-	// PlacementNoRoom: no replica has room for the prompt before UntilMicros have passed.
+	// PlacementNoRoom: no replica has capacity for the prompt before UntilMicros have passed.
 	PlacementNoRoom
-	// PlacementNoReplica: no replica is left to choose.
+	// PlacementNoReplica: no replica can be chosen.
 	PlacementNoReplica
 )
 
@@ -138,27 +139,28 @@
 type PlacementAnswer struct {
 	Lease   uint64           `msg:"lease"`
 	Outcome PlacementOutcome `msg:"outcome"`
-	// Replica and Fetch are Life.Names: of another life than the gateway knows nothing may be used.
+	// Replica and Fetch are Life.Names. A gateway must not use an answer about an incarnation that it
+	// does not know.
 	Replica string `msg:"replica"`
-	// Fetch is the replica from which the prompt's beginning is to be fetched, empty if
+	// Fetch is the replica from which the cached prefix of the prompt is to be fetched, empty if
 	// there is none.
 	Fetch string `msg:"fetch"`
-	// Late says that the prompt is not expected to be answered within its objective.
+	// Late says that the prompt is not expected to meet its objective.
 	Late bool `msg:"late"`
-	// Missing are the tokens that the replica has to read. WaitMicros is for how long others
-	// are read before, MoveMicros and BusyMicros for how long the prompt is moved and read,
-	// and WholeMicros for how long it would be read if the replica kept nothing of it.
+	// Missing is the number of tokens that the replica has to prefill. WaitMicros is the expected
+	// time of the prefills before it, MoveMicros that of the prefix's transfer, BusyMicros that of
+	// the prefill, and WholeMicros that of the prefill if the replica had nothing of it cached.
 	Missing     int   `msg:"missing"`
 	WaitMicros  int64 `msg:"wait_us"`
 	MoveMicros  int64 `msg:"move_us"`
 	BusyMicros  int64 `msg:"busy_us"`
 	WholeMicros int64 `msg:"whole_us"`
-	// UntilMicros is in how long there should be room.
+	// UntilMicros is the time until a replica is expected to have capacity.
 	UntilMicros int64 `msg:"until_us"`
 	// IdleMicros is the answer to AskIdle.
 	IdleMicros int64 `msg:"idle_us"`
-	// Candidates, InFlight, OccupancyPercent and PeersAgeMillis are what the choice was
-	// made on.
+	// Candidates, InFlight, OccupancyPercent and PeersAgeMillis describe the data on which the choice
+	// was based.
 	Candidates       int   `msg:"candidates"`
 	InFlight         int   `msg:"in_flight"`
 	OccupancyPercent int   `msg:"occupancy"`
--- a/internal/region/versions_test.go
+++ b/internal/region/versions_test.go
@@ -10,7 +10,8 @@
 	return Replica{ID: id, Born: 5, Service: "model", Address: "10.0.0.1:80", Zone: "z", Slots: 64, Stage: StageDecode}
 }
 
-// samples are the messages as that build knew them: one of each kind that processes send each other or keep.
+// samples returns one message of each kind that processes exchange or store, with the fields that it had in
+// the build whose messages were recorded.
 func samples() recorded.Samples {
 	demand := []ServiceDemand{{Service: "model", Generating: 3, Expected: 4, Reading: 2, Prompts: 9, Unreachable: []string{"a@5"}, Gateways: 1}}
 	return recorded.Samples{
--- a/internal/regionclock/clock.go
+++ b/internal/regionclock/clock.go
@@ -1,6 +1,7 @@
-// Package regionclock agrees on the time of day in a region whose machines' clocks differ, and
-// jump now and then: the median of all clocks, which is right as long as more than half of them
-// are. It is carried on by each process's steady clock, and by how long its machine was suspended.
+// Package regionclock keeps a common time of day in a region whose machines' clocks differ and
+// occasionally jump. The region's time is the median of all clocks, which is right as long as more
+// than half of them are. Between updates each process advances it by its monotonic clock and by the
+// time for which its machine was suspended.
 package regionclock
 
 import (
@@ -9,7 +10,7 @@
 	"time"
 )
 
-// Clock tells the region's time. It may be used concurrently.
+// Clock holds the region's time. It is safe for concurrent use.
 type Clock struct {
 	mutex     sync.Mutex
 	started   time.Time
@@ -18,84 +19,88 @@
 	origin time.Time
 }
 
-// New returns a clock that tells the machine's time of day until it is set. suspended is for how
-// long the machine was suspended, which the steady clock does not count.
+// New returns a clock that shows the machine's time of day until it is set. suspended returns for
+// how long the machine was suspended, which the monotonic clock does not count.
 func New(suspended func() time.Duration) *Clock {
 	now := time.Now()
 	return &Clock{started: now, suspended: suspended, origin: now.Round(0)}
 }
 
-// Set takes over the region's time, as it was at a moment of this process.
+// Set sets the clock: region is the region's time at the local time at.
 func (c *Clock) Set(at, region time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.origin = region.Add(-at.Sub(c.started) - c.suspended())
 }
 
-// At is the region's time at a moment of this process, which lies after the last suspension.
+// At returns the region's time at a local time, which must lie after the last suspension.
 func (c *Clock) At(moment time.Time) time.Time {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.origin.Add(moment.Sub(c.started) + c.suspended())
 }
 
-// Now is the region's time.
+// Now returns the region's present time.
 func (c *Clock) Now() time.Time { return c.At(time.Now()) }
 
-// Samples are the clocks of other machines, as they were read last. They may be used concurrently.
+// Samples holds the newest reading of each other machine's clock. It is safe for concurrent use.
 type Samples struct {
 	mutex     sync.Mutex
 	started   time.Time
 	suspended func() time.Duration
-	read      map[string]sample
+	newest    map[string]sample
 }
 
-// sample is by how much a clock is ahead of the process's own.
+// sample is one reading of a machine's clock.
 type sample struct {
+	// ahead is the reading minus the time since the Samples were created, in nanoseconds; at is that
+	// time at the reading.
 	ahead int64
 	at    time.Duration
 }
 
-// sampleMemory is how long a clock counts after it was read last: longer than the time in which
-// a gateway finds another coordinator.
-const sampleMemory = 5 * time.Second
+// sampleLifetime is for how long a reading is used. It is longer than the time that a gateway takes
+// to find another coordinator.
+const sampleLifetime = 5 * time.Second
 
-// NewSamples returns no samples. suspended is as for New.
+// NewSamples returns an empty set of samples. suspended is as for New.
 func NewSamples(suspended func() time.Duration) *Samples {
-	return &Samples{started: time.Now(), suspended: suspended, read: map[string]sample{}}
+	return &Samples{started: time.Now(), suspended: suspended, newest: map[string]sample{}}
 }
 
-// passed is the time since the samples were made, suspensions included.
-func (s *Samples) passed() time.Duration { return time.Since(s.started) + s.suspended() }
+// elapsed returns the time since s was created, including suspensions.
+func (s *Samples) elapsed() time.Duration { return time.Since(s.started) + s.suspended() }
 
-// Take notes the time of day, in nanoseconds since 1970, on the clock of a machine.
+// Take records the reading of a machine's clock, in nanoseconds since 1970. A reading of 0 or less is
+// ignored: the machine has reported none.
 func (s *Samples) Take(name string, wallNanos int64) {
 	if wallNanos <= 0 {
 		return
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	passed := s.passed()
-	s.read[name] = sample{ahead: wallNanos - passed.Nanoseconds(), at: passed}
+	elapsed := s.elapsed()
+	s.newest[name] = sample{ahead: wallNanos - elapsed.Nanoseconds(), at: elapsed}
 }
 
-// Read returns what the clocks show now, in nanoseconds since 1970.
+// Read returns the present times of the clocks, in nanoseconds since 1970. It extrapolates each reading
+// and drops those that are too old.
 func (s *Samples) Read() []int64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	passed := s.passed()
-	clocks := make([]int64, 0, len(s.read))
-	for name, each := range s.read {
-		if passed-each.at > sampleMemory {
-			delete(s.read, name)
+	elapsed := s.elapsed()
+	clocks := make([]int64, 0, len(s.newest))
+	for name, taken := range s.newest {
+		if elapsed-taken.at > sampleLifetime {
+			delete(s.newest, name)
 			continue
 		}
-		clocks = append(clocks, each.ahead+passed.Nanoseconds())
+		clocks = append(clocks, taken.ahead+elapsed.Nanoseconds())
 	}
 	return clocks
 }
 
-// Median returns the clock in the middle, 0 if there are none.
+// Median returns the median, the upper one of an even number, or 0 if there are no clocks.
 func Median(clocks []int64) int64 {
 	if len(clocks) == 0 {
 		return 0
--- a/internal/regionclock/clock_test.go
+++ b/internal/regionclock/clock_test.go
@@ -10,8 +10,8 @@
 	"github.com/pierhaven/pierhaven/internal/regionclock"
 )
 
-// never is how long a machine was suspended that never was.
-func never() time.Duration { return 0 }
+// neverSuspended is the suspended function of a machine that was never suspended.
+func neverSuspended() time.Duration { return 0 }
 
 func TestAClockAndItsSamplesGoOnWhileTheMachineIsSuspended(t *testing.T) {
 	var suspended time.Duration
@@ -24,13 +24,13 @@
 	assert.Equal(t, region.Add(3*time.Second), clock.At(at))
 	assert.GreaterOrEqual(t, samples.Read()[0], region.Add(3*time.Second).UnixNano())
 	clock.Set(at, region)
-	assert.Equal(t, region, clock.At(at), "set again after it")
+	assert.Equal(t, region, clock.At(at), "set again after the suspension")
 	suspended = 9 * time.Second
-	assert.Empty(t, samples.Read(), "too long ago")
+	assert.Empty(t, samples.Read(), "the reading is too old")
 }
 
-func TestAClockGoesOnFromWhatItWasSetTo(t *testing.T) {
-	clock := regionclock.New(never)
+func TestClockAdvancesFromTheTimeItWasSetTo(t *testing.T) {
+	clock := regionclock.New(neverSuspended)
 	at := time.Now()
 	region := time.Unix(1_000_000, 0)
 	clock.Set(at, region)
@@ -39,7 +39,7 @@
 	assert.Equal(t, region.Add(-time.Second), clock.At(at.Add(-time.Second)))
 }
 
-func TestTheMedianIsRightWhileMostClocksAre(t *testing.T) {
+func TestMedianIsRightWhileMostClocksAre(t *testing.T) {
 	assert.Zero(t, regionclock.Median(nil))
 	const right = int64(1_000_000)
 	clocks := make([]int64, 0, 10)
@@ -55,10 +55,10 @@
 	}
 }
 
-func TestSamplesAreReadAsOfNow(t *testing.T) {
-	samples := regionclock.NewSamples(never)
+func TestSamplesAreExtrapolatedToThePresent(t *testing.T) {
+	samples := regionclock.NewSamples(neverSuspended)
 	samples.Take("none", 0)
-	assert.Empty(t, samples.Read(), "a machine that tells no time")
+	assert.Empty(t, samples.Read(), "a machine that reports no time")
 	wall := time.Now().UnixNano()
 	for number := range 3 {
 		samples.Take(fmt.Sprint(number), wall)
