--- a/internal/zonestate/apply.go
+++ b/internal/zonestate/apply.go
@@ -6,7 +6,7 @@
 	"github.com/pierhaven/pierhaven/coordination/onceonly"
 )
 
-// Apply implements replica.StateMachine: it carries out an encoded Command and
+// Apply implements replica.StateMachine: it executes an encoded Command and
 // returns an encoded Result.
 func (s *State) Apply(index uint64, data []byte) []byte {
 	s.applied = index
@@ -18,7 +18,8 @@
 	return encoded
 }
 
-// applyOnce answers a repeated operator's request with its first result.
+// applyOnce executes a command. An operator's request that is sent again is not executed again, and gets
+// its first result.
 func (s *State) applyOnce(index uint64, data []byte) Result {
 	command, err := DecodeCommand(data)
 	if err != nil {
@@ -40,14 +41,14 @@
 	}
 	result := s.execute(index, &command)
 	if result.Outcome == OutcomeNotReady {
-		// It says to try again later, which must then be worth something.
+		// The outcome asks the operator to retry. If it were remembered, every retry would get it again.
 		return result
 	}
-	s.requests.remember(requestRecord{RequestID: command.RequestID, CommandHash: hash, Result: result})
+	s.requests.add(requestRecord{RequestID: command.RequestID, CommandHash: hash, Result: result})
 	return result
 }
 
-// hash covers the command without its time, which differs in a resend.
+// hash returns a hash of the command without its time, which differs when a request is sent again.
 func (c *Command) hash() uint64 {
 	timeless := *c
 	timeless.TimeMillis = 0
@@ -67,8 +68,8 @@
 	return result
 }
 
-// dispatch finds the handler of a command. A command without the part that its
-// kind needs is invalid.
+// dispatch calls the handler of a command. A command without the field that its
+// kind requires is invalid.
 func (s *State) dispatch(index uint64, command *Command) Result {
 	switch {
 	case command.Engine != nil:
@@ -140,8 +141,8 @@
 	s.onceOnly.Step(&onceonly.Command{Kind: onceonly.KindConfigure, Parameters: &parameters})
 }
 
-// adoptConfig takes a configuration that is newer than the present one. What
-// the zone has adopted never goes back.
+// adoptConfig replaces the present configuration by a newer one. The adopted
+// revision never decreases.
 func (s *State) adoptConfig(index uint64, command *Command) Result {
 	if command.Config.Revision <= s.ConfigRevision() {
 		return Result{Outcome: OutcomeStale, Detail: "the adopted configuration is as new"}
--- a/internal/zonestate/backends.go
+++ b/internal/zonestate/backends.go
@@ -1,6 +1,6 @@
 package zonestate
 
-// applyBackEnd carries out a command about an application back end.
+// applyBackEnd executes a command about an application back end.
 func (s *State) applyBackEnd(index uint64, command *Command) Result {
 	part := command.BackEnd
 	if part.ID == "" || len(part.ID) > maximumNameBytes {
--- a/internal/zonestate/command.go
+++ b/internal/zonestate/command.go
@@ -12,14 +12,14 @@
 //go:generate go tool msgp -file command.go -o command_gen.go -tests=false -io=false
 //msgp:limit arrays:65536 maps:65536
 
-// Kind names a command. The list is closed.
+// Kind is the kind of a command. Other kinds than those below are invalid.
 type Kind string
 
 // Kinds of commands.
 const (
-	// KindFound is the first command of a group.
+	// KindFound bootstraps a group's state. It is the first command of a group.
 	KindFound Kind = "found"
-	// KindEndPriorSessions notes that no gateway acts on a session of an
+	// KindEndPriorSessions records that no gateway acts on a session of an
 	// earlier generation any more.
 	KindEndPriorSessions Kind = "end_prior_sessions"
 	// KindConfigure replaces the parameters.
@@ -31,43 +31,43 @@
 	KindRegisterEngine Kind = "register_engine"
 	// KindRemoveEngine removes an engine.
 	KindRemoveEngine Kind = "remove_engine"
-	// KindVerifyEngine records what an engine was seen to run.
+	// KindVerifyEngine records the configuration that an engine was observed to run.
 	KindVerifyEngine Kind = "verify_engine"
-	// KindDoubtEngine withdraws what was recorded.
+	// KindDoubtEngine marks what an engine runs as unverified.
 	KindDoubtEngine Kind = "doubt_engine"
-	// KindSetEngineLeaving records that an engine announced its leaving, or
-	// came back.
+	// KindSetEngineLeaving records that an engine has declared that it is
+	// leaving, or no longer is.
 	KindSetEngineLeaving Kind = "set_engine_leaving"
-	// KindSetDesired records what engines should run.
+	// KindSetDesired sets the desired configurations of engines.
 	KindSetDesired Kind = "set_desired"
-	// KindDrainEngine and KindUndrainEngine are an operator's.
+	// KindDrainEngine and KindUndrainEngine are requests of an operator.
 	KindDrainEngine   Kind = "drain_engine"
 	KindUndrainEngine Kind = "undrain_engine"
-	// KindBeginChange withholds an engine from the gateways for a change.
+	// KindBeginChange withholds an engine for a change: gateways must not use it.
 	KindBeginChange Kind = "begin_change"
-	// KindCancelChange gives up a change whose order was not issued.
+	// KindCancelChange cancels a change whose order was not issued.
 	KindCancelChange Kind = "cancel_change"
-	// KindIssueOrder issues the order to an engine that has been withheld and
-	// is idle.
+	// KindIssueOrder issues the order to an engine that is withheld and
+	// idle.
 	KindIssueOrder Kind = "issue_order"
 	// KindCompleteOrder records that the engine runs the order's target.
 	KindCompleteOrder Kind = "complete_order"
-	// KindFailOrder records that the engine could not carry out the order.
+	// KindFailOrder records that the engine could not execute the order.
 	KindFailOrder Kind = "fail_order"
-	// KindAbandonChange makes what the engine runs its desired configuration.
+	// KindAbandonChange abandons a change: what the engine runs becomes its desired configuration.
 	KindAbandonChange Kind = "abandon_change"
 
-	// KindBeginRollout begins the change of a model's version.
+	// KindBeginRollout starts the rollout of a model's version.
 	KindBeginRollout Kind = "begin_rollout"
-	// KindHaltRollout is the leader's or an operator's.
+	// KindHaltRollout is proposed by the leader or an operator.
 	KindHaltRollout Kind = "halt_rollout"
-	// KindResumeRollout and KindRevertRollout are an operator's.
+	// KindResumeRollout and KindRevertRollout are requests of an operator.
 	KindResumeRollout Kind = "resume_rollout"
 	KindRevertRollout Kind = "revert_rollout"
-	// KindEndRollout records that all engines run the wanted version.
+	// KindEndRollout records that all engines run the intended version.
 	KindEndRollout Kind = "end_rollout"
 
-	// KindRegisterBackEnd adds an application back end or changes it.
+	// KindRegisterBackEnd adds or changes an application back end.
 	KindRegisterBackEnd Kind = "register_back_end"
 	// KindRemoveBackEnd removes an application back end.
 	KindRemoveBackEnd Kind = "remove_back_end"
@@ -78,10 +78,10 @@
 	KindOpenSession Kind = "open_session"
 	// KindEndSession ends a session.
 	KindEndSession Kind = "end_session"
-	// KindForgetGateway is an operator's attestation that a gateway's process
-	// is dead.
+	// KindForgetGateway is an operator's confirmation that a gateway's process
+	// no longer runs. It ends the gateway's session.
 	KindForgetGateway Kind = "forget_gateway"
-	// KindAssignIsolation gives sessions isolation sets that fit the
+	// KindAssignIsolation assigns isolation sets to sessions according to the
 	// engines' present roles.
 	KindAssignIsolation Kind = "assign_isolation"
 
@@ -89,20 +89,20 @@
 	KindClaim    Kind = "claim"
 	KindComplete Kind = "complete"
 	KindRelease  Kind = "release"
-	// KindPoison changes what is known of requests that end engines.
+	// KindPoison changes what is known about requests that crash engines.
 	KindPoison Kind = "poison"
-	// KindAdvanceTime lets the log time pass and forgets old claims.
+	// KindAdvanceTime advances the log time, and removes old claims.
 	KindAdvanceTime Kind = "advance_time"
 )
 
-// Command is one entry of the zone group's log. The fields that belong to Kind
-// are set.
+// Command is an entry of the zone group's log. Only the fields that belong to
+// Kind are set.
 type Command struct {
 	Kind Kind `msg:"kind"`
-	// TimeMillis is the proposer's clock, in Unix milliseconds.
+	// TimeMillis is the time of the proposer's clock, in Unix milliseconds.
 	TimeMillis int64 `msg:"time_ms"`
-	// RequestID names an operator's request; sending it again gives the first
-	// result. Empty for commands of the system itself.
+	// RequestID identifies an operator's request. Sending it again returns the
+	// first result. It is empty for commands of the system itself.
 	RequestID string `msg:"request_id,omitempty"`
 
 	Found      *Found            `msg:"found,omitempty"`
@@ -119,17 +119,17 @@
 	Poison   *poison.Command  `msg:"poison,omitempty"`
 }
 
-// Found starts a group's state.
+// Found contains the initial state of a group.
 type Found struct {
 	Zone string `msg:"zone"`
 	// Generation is 1 for a zone's first group, and higher for each group
-	// that an operator creates after the loss of the one before.
+	// that an operator creates after the previous one was lost.
 	Generation uint64     `msg:"generation"`
 	Parameters Parameters `msg:"parameters"`
 }
 
-// EngineCommand is about one engine. The guards must match the state, or the
-// command is refused as stale.
+// EngineCommand contains the fields of commands about one engine. Guards are
+// fields that must match the state: otherwise the command is rejected as stale.
 type EngineCommand struct {
 	ID      string `msg:"id"`
 	Address string `msg:"address,omitempty"`
@@ -138,33 +138,35 @@
 	// DesiredAt guards KindBeginChange, KindCancelChange, KindIssueOrder and
 	// KindAbandonChange.
 	DesiredAt uint64 `msg:"desired_at,omitempty"`
-	// Fence guards KindCompleteOrder and KindFailOrder; with KindVerifyEngine
-	// it is the highest fence that the engine reported.
+	// Fence is the order's fencing token. It guards KindCompleteOrder and
+	// KindFailOrder; with KindVerifyEngine it is the highest fencing token that
+	// the engine reported.
 	Fence engineapi.Fence `msg:"fence"`
 	// OperatorAt guards KindDrainEngine and KindUndrainEngine if Guarded.
 	OperatorAt uint64 `msg:"operator_at,omitempty"`
 	Guarded    bool   `msg:"guarded,omitempty"`
 	Leaving    bool   `msg:"leaving,omitempty"`
-	// Observed is what the engine reported to run.
+	// Observed is the configuration that the engine reported.
 	Observed    *engineapi.Configuration `msg:"observed,omitempty"`
 	Incarnation uint64                   `msg:"incarnation,omitempty"`
 	Detail      string                   `msg:"detail,omitempty"`
 }
 
-// DesiredEntry says what one engine should run.
+// DesiredEntry sets the desired configuration of one engine.
 type DesiredEntry struct {
 	EngineID string                  `msg:"engine_id"`
 	Target   engineapi.Configuration `msg:"target"`
-	// DesiredAt guards the entry if Guarded: the position of the earlier wish.
+	// DesiredAt guards the entry if Guarded: the log index at which the present
+	// desired configuration was set.
 	DesiredAt uint64 `msg:"desired_at,omitempty"`
 	Guarded   bool   `msg:"guarded,omitempty"`
-	// Partial says that empty fields of Target keep what the engine should
-	// run. An operator's request sent again is then the same command, also
-	// after the engine's wish has changed.
+	// Partial says that empty fields of Target are filled from the present
+	// desired configuration. An operator's request that is sent again is then
+	// the same command even if the desired configuration has changed meanwhile.
 	Partial bool `msg:"partial,omitempty"`
 }
 
-// BackEndCommand is about one application back end.
+// BackEndCommand contains the fields of commands about one application back end.
 type BackEndCommand struct {
 	ID           string   `msg:"id"`
 	Address      string   `msg:"address,omitempty"`
@@ -172,9 +174,9 @@
 	Serving      bool     `msg:"serving,omitempty"`
 }
 
-// SessionCommand is about one gateway.
+// SessionCommand contains the fields of commands about one gateway's session.
 type SessionCommand struct {
-	// SessionID belongs to all kinds but KindOpenSession and
+	// SessionID belongs to all kinds except KindOpenSession and
 	// KindForgetGateway.
 	SessionID   uint64 `msg:"session_id,omitempty"`
 	GatewayID   string `msg:"gateway_id,omitempty"`
@@ -182,12 +184,12 @@
 	Address     string `msg:"address,omitempty"`
 	PeerAddress string `msg:"peer_address,omitempty"`
 	Ticket      uint64 `msg:"ticket,omitempty"`
-	// Acknowledged is the highest view that the gateway has acknowledged; it
-	// belongs to KindAssignIsolation.
+	// Acknowledged is the highest view revision that the gateway has
+	// acknowledged; it belongs to KindAssignIsolation.
 	Acknowledged uint64 `msg:"acknowledged,omitempty"`
 }
 
-// OnceOnlyCommand is one of the once-only calls.
+// OnceOnlyCommand contains the fields of the once-only calls.
 type OnceOnlyCommand struct {
 	Tenant    string `msg:"tenant"`
 	Key       string `msg:"key"`
@@ -203,7 +205,7 @@
 	NotRun bool `msg:"not_run,omitempty"`
 }
 
-// Outcome says what became of a command.
+// Outcome is the outcome of a command.
 type Outcome string
 
 // Outcomes of commands.
@@ -214,12 +216,13 @@
 	OutcomeStale Outcome = "stale"
 	// OutcomeNotFound: there is no such engine, back end or session.
 	OutcomeNotFound Outcome = "not_found"
-	// OutcomeFull: a bound was reached.
+	// OutcomeFull: a bound of the state was reached.
 	OutcomeFull Outcome = "full"
-	// OutcomeInvalid: the command can't be read or is incomplete.
+	// OutcomeInvalid: the command can't be decoded, is incomplete, or has a field
+	// that is out of bounds.
 	OutcomeInvalid Outcome = "invalid"
-	// OutcomeNotReady: the group must first be founded, or gateways of an
-	// earlier generation may still act.
+	// OutcomeNotReady: the group is not bootstrapped yet, gateways of an earlier
+	// generation may still act, or a claim's tenant or session is not known.
 	OutcomeNotReady Outcome = "not_ready"
 	// OutcomeAddressInUse: the gateway's id has a session from another
 	// address.
@@ -228,13 +231,14 @@
 	OutcomeRequestReused Outcome = "request_reused"
 )
 
-// Result answers a command.
+// Result is the result of a command.
 type Result struct {
 	Outcome Outcome `msg:"outcome"`
-	// Index is the command's log position, or that of the first command with
+	// Index is the command's log index, or that of the first command with
 	// the same request id.
 	Index uint64 `msg:"index"`
-	// Repeated is true if the result was remembered.
+	// Repeated says that this is the result of an earlier command with the same
+	// request id.
 	Repeated bool `msg:"repeated,omitempty"`
 	// SessionID is set by KindOpenSession.
 	SessionID uint64 `msg:"session_id,omitempty"`
@@ -243,7 +247,7 @@
 	Detail   string          `msg:"detail,omitempty"`
 }
 
-// Encode returns the command's bytes for the replicated log.
+// Encode returns the command's encoding for the replicated log.
 func (c *Command) Encode() ([]byte, error) {
 	data, err := c.MarshalMsg(nil)
 	if err != nil {
@@ -252,7 +256,7 @@
 	return data, nil
 }
 
-// DecodeCommand reads what Encode wrote.
+// DecodeCommand decodes a command that Encode encoded.
 func DecodeCommand(data []byte) (Command, error) {
 	var command Command
 	rest, err := command.UnmarshalMsg(data)
@@ -265,7 +269,7 @@
 	return command, nil
 }
 
-// DecodeResult reads the result that State.Apply returned.
+// DecodeResult decodes the result that State.Apply returned.
 func DecodeResult(data []byte) (Result, error) {
 	var result Result
 	if _, err := result.UnmarshalMsg(data); err != nil {
--- a/internal/zonestate/desired.go
+++ b/internal/zonestate/desired.go
@@ -5,16 +5,17 @@
 	"github.com/pierhaven/pierhaven/internal/api/engineapi"
 )
 
-// setDesired records wishes. Entries whose engine is unknown or whose guard does
-// not match are left out.
+// setDesired sets desired configurations. Entries whose engine is unknown, whose
+// guard does not match, or whose target is invalid are skipped, and the result is
+// then stale.
 func (s *State) setDesired(index uint64, entries []DesiredEntry) Result {
-	taken := 0
+	accepted := 0
 	for i := range entries {
 		if s.setOneDesired(index, &entries[i]) {
-			taken++
+			accepted++
 		}
 	}
-	if taken < len(entries) {
+	if accepted < len(entries) {
 		return stale("some wishes were refused")
 	}
 	return done()
@@ -27,7 +28,7 @@
 	}
 	target := entry.Target
 	if entry.Partial {
-		target = engine.complete(target)
+		target = engine.completeTarget(target)
 	}
 	if !validConfiguration(&target) || target.Model == "" || target.Version == "" {
 		return false
@@ -42,8 +43,8 @@
 	return true
 }
 
-// complete fills the empty fields of a target with what the engine should run.
-func (e *Engine) complete(target engineapi.Configuration) engineapi.Configuration {
+// completeTarget fills the empty fields of a target from the desired configuration.
+func (e *Engine) completeTarget(target engineapi.Configuration) engineapi.Configuration {
 	if e.Desired == nil {
 		return target
 	}
--- a/internal/zonestate/engines.go
+++ b/internal/zonestate/engines.go
@@ -1,6 +1,6 @@
 package zonestate
 
-// applyEngine carries out a command about one engine.
+// applyEngine executes a command about one engine.
 func (s *State) applyEngine(index uint64, command *Command) Result {
 	part := command.Engine
 	if part.ID == "" || len(part.ID) > maximumNameBytes {
@@ -25,14 +25,14 @@
 	return result
 }
 
-// changeEngine changes one engine. Whether it must be withheld is worked out
+// changeEngine changes one engine. The caller updates WithheldAt
 // afterwards.
 func (s *State) changeEngine(index uint64, kind Kind, engine *Engine, part *EngineCommand) Result {
 	switch kind {
 	case KindVerifyEngine:
 		return engine.verify(index, part)
 	case KindDoubtEngine:
-		return engine.doubt()
+		return engine.clearVerified()
 	case KindSetEngineLeaving:
 		engine.Leaving = part.Leaving
 		return done()
@@ -70,9 +70,9 @@
 		engine = &Engine{ID: part.ID, LastFence: s.retired.take(part.ID)}
 		s.engines[part.ID] = engine
 	}
-	s.doubtFormerHolders(index, part.Address)
+	s.clearVerifiedAt(index, part.Address)
 	engine.Address = part.Address
-	// Another address may be another machine: nothing is known of it yet.
+	// Another address may be another machine, which has not been verified yet.
 	engine.Verified = nil
 	engine.updateWithheld(index)
 	engine.ChangedAt = index
@@ -80,9 +80,10 @@
 	return done()
 }
 
-// doubtFormerHolders withholds the engines that were at an address before: work
-// for them would reach the machine that is there now.
-func (s *State) doubtFormerHolders(index uint64, address string) {
+// clearVerifiedAt marks as unverified, and so withholds, the engines that are
+// registered at an address which another engine takes over: requests to them would
+// reach the machine that is there now.
+func (s *State) clearVerifiedAt(index uint64, address string) {
 	for _, former := range s.engines {
 		if former.Address != address {
 			continue
@@ -101,8 +102,9 @@
 	return done()
 }
 
-// verify records what an engine runs. The first observation also becomes what
-// it should run. An engine that has lost its record of orders stays in doubt.
+// verify records the configuration that an engine runs. The first one observed also
+// becomes the desired configuration. An engine that has lost its record of orders
+// stays unverified.
 func (e *Engine) verify(index uint64, part *EngineCommand) Result {
 	if part.Observed == nil || !validConfiguration(part.Observed) {
 		return invalid("observed configuration is missing or out of bounds")
@@ -122,8 +124,8 @@
 	return done()
 }
 
-// doubt withdraws the verified configuration, as after a crash in mid-change.
-func (e *Engine) doubt() Result {
+// clearVerified removes the verified configuration, for example after a crash during a change.
+func (e *Engine) clearVerified() Result {
 	if e.Order != nil {
 		return stale("engine has an order")
 	}
--- a/internal/zonestate/machine.go
+++ b/internal/zonestate/machine.go
@@ -13,7 +13,7 @@
 	state *State
 }
 
-// NewMachine returns a machine with the state of a group that is not founded.
+// NewMachine returns a machine with the state of a group that is not bootstrapped.
 func NewMachine() *Machine { return &Machine{state: New()} }
 
 // Apply implements replica.StateMachine.
@@ -28,7 +28,7 @@
 
 // Capture implements replica.Capturer.
 func (m *Machine) Capture() func() ([]byte, error) {
-	// A capture counts itself in the state.
+	// A capture increments a counter of the table of claims, so the read lock is not enough.
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.state.Capture()
@@ -41,21 +41,21 @@
 	return m.state.Restore(data)
 }
 
-// Read calls read with the state, which it must neither change nor keep.
+// Read calls read with the state, which read must neither change nor retain.
 func (m *Machine) Read(read func(*State)) {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
 	read(m.state)
 }
 
-// ViewFor returns what a gateway has not seen yet.
+// ViewFor returns the changes that a gateway has not received yet, see State.ViewFor.
 func (m *Machine) ViewFor(request *wire.WatchRequest) wire.View {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
 	return m.state.ViewFor(request)
 }
 
-// Revision is the position of the last change that gateways see.
+// Revision returns the log index of the last change that is visible to gateways.
 func (m *Machine) Revision() uint64 {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
--- a/internal/zonestate/onceonly.go
+++ b/internal/zonestate/onceonly.go
@@ -4,18 +4,18 @@
 	"github.com/pierhaven/pierhaven/coordination/onceonly"
 )
 
-// stepOnceOnly hands a command to the table of claims with the log time.
+// stepOnceOnly passes a command to the table of claims, with the time of the log entry.
 func (s *State) stepOnceOnly(command *Command, step onceonly.Command) Result {
 	step.TimeMillis = command.TimeMillis
 	reply := s.onceOnly.Step(&step)
 	return Result{Outcome: OutcomeDone, OnceOnly: &reply}
 }
 
-func refusal(status onceonly.Status) Result {
+func onceOnlyResult(status onceonly.Status) Result {
 	return Result{Outcome: OutcomeDone, OnceOnly: &onceonly.Reply{Status: status}}
 }
 
-// applyOnceOnly carries out one of the once-only calls.
+// applyOnceOnly executes one of the once-only calls.
 func (s *State) applyOnceOnly(command *Command) Result {
 	switch command.Kind {
 	case KindClaim:
@@ -37,7 +37,7 @@
 	}
 	key, err := onceonly.ParseKey(part.Key, tenant.HomeZone, s.parameters.IsZone)
 	if err != nil || key.Zone != s.zone || (key.Opaque && !tenant.OpaqueKeys) {
-		return refusal(onceonly.StatusInvalid)
+		return onceOnlyResult(onceonly.StatusInvalid)
 	}
 	if part.Zone == s.zone && !s.holdsSession(part) {
 		return Result{Outcome: OutcomeNotReady, Detail: "the gateway's session has ended"}
@@ -61,18 +61,19 @@
 	return open && session.MemberID == part.GatewayID
 }
 
-// keyRest parses the key of a call that follows a granted claim. The tenant may
-// have been withdrawn since, so its home zone is not asked for.
-func (s *State) keyRest(part *OnceOnlyCommand) (string, bool) {
+// localKey parses the key of a call that follows a granted claim, and returns it
+// without its zone. It does not look up the tenant's home zone, since the tenant
+// may have been removed since the claim.
+func (s *State) localKey(part *OnceOnlyCommand) (string, bool) {
 	key, err := onceonly.ParseKey(part.Key, s.zone, s.parameters.IsZone)
 	return key.Rest, err == nil && key.Zone == s.zone
 }
 
 func (s *State) complete(command *Command) Result {
 	part := command.OnceOnly
-	rest, valid := s.keyRest(part)
+	rest, valid := s.localKey(part)
 	if !valid || part.Answer == nil {
-		return refusal(onceonly.StatusInvalid)
+		return onceOnlyResult(onceonly.StatusInvalid)
 	}
 	return s.stepOnceOnly(command, onceonly.Command{
 		Kind: onceonly.KindComplete,
@@ -87,9 +88,9 @@
 
 func (s *State) release(command *Command) Result {
 	part := command.OnceOnly
-	rest, valid := s.keyRest(part)
+	rest, valid := s.localKey(part)
 	if !valid {
-		return refusal(onceonly.StatusInvalid)
+		return onceOnlyResult(onceonly.StatusInvalid)
 	}
 	return s.stepOnceOnly(command, onceonly.Command{
 		Kind: onceonly.KindRelease,
--- a/internal/zonestate/orders.go
+++ b/internal/zonestate/orders.go
@@ -12,8 +12,8 @@
 	return done()
 }
 
-// cancelChange puts the engine back into service as it is. The wish stays, so
-// the change may begin again.
+// cancelChange ends a change without an order, so that the engine may go back into
+// service as it is. The desired configuration stays, so the change may begin again.
 func (e *Engine) cancelChange(part *EngineCommand) Result {
 	if e.Order != nil || e.DesiredAt != part.DesiredAt || !e.Changing {
 		return stale("there is no change, or its order was issued")
@@ -22,8 +22,9 @@
 	return done()
 }
 
-// issueOrder puts an order in flight. WithheldAt ties it to the very withholding
-// that all gateways were seen to follow.
+// issueOrder issues an order. The guard WithheldAt ensures that the engine is still
+// withheld without interruption since the log index from which on all gateways were
+// observed not to use it.
 func (s *State) issueOrder(index uint64, engine *Engine, part *EngineCommand) Result {
 	if s.priorSessions {
 		return Result{Outcome: OutcomeNotReady, Detail: "gateways of an earlier generation may still act"}
@@ -58,8 +59,8 @@
 	return done()
 }
 
-// failOrder ends an order that the engine gave up. What it runs now is in doubt
-// unless it said so.
+// failOrder ends an order that the engine could not execute. The engine is then
+// unverified, unless it reported what it runs.
 func (e *Engine) failOrder(part *EngineCommand) Result {
 	if e.Order == nil || e.Order.Fence != part.Fence {
 		return stale("that order is not in flight")
@@ -74,7 +75,7 @@
 	return done()
 }
 
-// endOrder also ends the change, unless the wish has moved on.
+// endOrder also ends the change, unless the engine still needs one.
 func (e *Engine) endOrder() {
 	e.Order = nil
 	e.Changing = e.NeedsChange()
--- a/internal/zonestate/parameters.go
+++ b/internal/zonestate/parameters.go
@@ -11,12 +11,12 @@
 //msgp:limit arrays:65536 maps:65536
 
 // Parameters are the group's replicated settings. The leader proposes those of
-// its settings file when they differ.
+// its own settings file when they differ.
 type Parameters struct {
-	// Zones lists all zones of the deployment, sorted; a once-only key may
-	// name one of them.
+	// Zones lists all zones of the deployment, sorted. A once-only key may
+	// contain the name of one of them.
 	Zones []string `msg:"zones"`
-	// Terms are given to new sessions; open sessions keep theirs.
+	// Terms apply to new sessions; open sessions keep theirs.
 	Terms    membership.Terms    `msg:"terms"`
 	OnceOnly onceonly.Parameters `msg:"once_only"`
 }
--- a/internal/zonestate/removals.go
+++ b/internal/zonestate/removals.go
@@ -3,7 +3,7 @@
 //go:generate go tool msgp -file removals.go -o removals_gen.go -tests=false -io=false -unexported
 //msgp:limit arrays:65536 maps:65536
 
-// removedKind says what was removed.
+// removedKind is the kind of a removed object.
 type removedKind uint8
 
 const (
@@ -11,15 +11,15 @@
 	removedBackEnd
 )
 
-// removal is a row that gateways must drop.
+// removal is the removal of an object, which gateways must remove from their view.
 type removal struct {
 	Kind      removedKind `msg:"kind"`
 	ID        string      `msg:"id"`
 	RemovedAt uint64      `msg:"removed_at"`
 }
 
-// removalList holds the newest removals, oldest first. A watcher that is older
-// than CompleteSince gets a full view.
+// removalList contains the newest removals, oldest first. A gateway whose revision is
+// below CompleteSince gets a full view.
 type removalList struct {
 	CompleteSince uint64    `msg:"complete_since"`
 	Removals      []removal `msg:"removals"`
--- a/internal/zonestate/requests.go
+++ b/internal/zonestate/requests.go
@@ -11,9 +11,9 @@
 	Result      Result `msg:"result"`
 }
 
-// requestTable remembers the newest operators' requests, oldest first. A request
-// that was forgotten and is sent again is run again; draining and undraining are
-// idempotent, and a guarded request is then refused as stale.
+// requestTable contains the newest requests of operators, oldest first. A request
+// that is no longer in the table and is sent again is executed again: draining and
+// undraining are idempotent, and a guarded request is then rejected as stale.
 type requestTable struct {
 	limit   int
 	records map[string]requestRecord
@@ -24,7 +24,7 @@
 	return &requestTable{limit: limit, records: make(map[string]requestRecord)}
 }
 
-func (t *requestTable) remember(record requestRecord) {
+func (t *requestTable) add(record requestRecord) {
 	t.records[record.RequestID] = record
 	t.order = append(t.order, record.RequestID)
 	for len(t.order) > t.limit {
--- a/internal/zonestate/requests_test.go
+++ b/internal/zonestate/requests_test.go
@@ -6,55 +6,56 @@
 	"testing"
 )
 
-// An operator's request sent again gets its first answer, also when the engine's
-// wish has changed meanwhile.
-func TestAResentAssignmentIsTheSameCommand(t *testing.T) {
-	j := newJournal(t, 1)
-	engine := j.servingEngine()
+// An operator's request that is sent again gets its first result, even if the engine's
+// desired configuration has changed meanwhile.
+func TestRepeatedPartialAssignmentIsTheSameCommand(t *testing.T) {
+	log := newCommandLog(t, 1)
+	engine := log.servingEngine()
 	target := engineapi.Configuration{Version: "2"}
 	assign := Command{
 		Kind: KindSetDesired, RequestID: "r",
 		Desired: []DesiredEntry{{EngineID: "engine", Target: target, Partial: true}},
 	}
-	first := j.done(assign)
+	first := log.mustApply(assign)
 	require.Equal(t, engineapi.Configuration{Role: engineapi.RoleMixed, Model: "model", Version: "2"}, *engine.Desired)
-	j.wish(engineapi.RoleDecode)
-	again := j.apply(assign)
+	log.setDesiredRole(engineapi.RoleDecode)
+	again := log.apply(assign)
 	require.Equal(t, OutcomeDone, again.Outcome)
 	require.True(t, again.Repeated)
 	require.Equal(t, first, again.Index)
-	require.Equal(t, engineapi.RoleDecode, engine.Desired.Role, "it is not carried out again")
+	require.Equal(t, engineapi.RoleDecode, engine.Desired.Role, "it is not executed again")
 }
 
-func TestOperatorsRequestsAreRemembered(t *testing.T) {
-	j := newJournal(t, 1)
-	engine := j.servingEngine()
+func TestRepeatedOperatorRequestGetsFirstResult(t *testing.T) {
+	log := newCommandLog(t, 1)
+	engine := log.servingEngine()
 	drain := Command{Kind: KindDrainEngine, RequestID: "request", Engine: &EngineCommand{ID: "engine", Guarded: true}}
-	first := j.apply(drain)
+	first := log.apply(drain)
 	require.Equal(t, OutcomeDone, first.Outcome)
-	j.done(Command{Kind: KindUndrainEngine, Engine: &EngineCommand{ID: "engine"}})
+	log.mustApply(Command{Kind: KindUndrainEngine, Engine: &EngineCommand{ID: "engine"}})
 
 	drain.TimeMillis = 5000
-	repeated := j.apply(drain)
+	repeated := log.apply(drain)
 	require.True(t, repeated.Repeated)
 	require.Equal(t, first.Index, repeated.Index)
-	require.False(t, engine.Drained, "a resend is not run again")
+	require.False(t, engine.Drained, "a repeated request is not executed again")
 
-	racing := Command{Kind: KindDrainEngine, RequestID: "other", Engine: &EngineCommand{ID: "engine", Guarded: true}}
-	require.Equal(t, OutcomeStale, j.apply(racing).Outcome)
+	concurrent := Command{Kind: KindDrainEngine, RequestID: "other", Engine: &EngineCommand{ID: "engine", Guarded: true}}
+	require.Equal(t, OutcomeStale, log.apply(concurrent).Outcome)
 	drain.Engine.ID = "another"
-	require.Equal(t, OutcomeRequestReused, j.apply(drain).Outcome)
+	require.Equal(t, OutcomeRequestReused, log.apply(drain).Outcome)
 }
 
-// A command that came before its time is no answer for good.
-func TestARequestBeforeTheFoundingMayBeSentAgain(t *testing.T) {
-	j := &journal{t: t, state: New()}
+// The outcome of a request that arrived before the group's bootstrap must not be recorded:
+// otherwise retries would get it too.
+func TestRequestBeforeBootstrapMayBeSentAgain(t *testing.T) {
+	log := &commandLog{t: t, state: New()}
 	drain := Command{Kind: KindDrainEngine, RequestID: "r", Engine: &EngineCommand{ID: "engine"}}
-	require.Equal(t, OutcomeNotReady, j.apply(drain).Outcome)
+	require.Equal(t, OutcomeNotReady, log.apply(drain).Outcome)
 	parameters := DefaultParameters([]string{"hal-noord"})
-	j.done(Command{Kind: KindFound, Found: &Found{Zone: "hal-noord", Generation: 1, Parameters: parameters}})
-	j.servingEngine()
-	result := j.apply(drain)
+	log.mustApply(Command{Kind: KindFound, Found: &Found{Zone: "hal-noord", Generation: 1, Parameters: parameters}})
+	log.servingEngine()
+	result := log.apply(drain)
 	require.Equal(t, OutcomeDone, result.Outcome)
 	require.False(t, result.Repeated)
 }
--- a/internal/zonestate/retired.go
+++ b/internal/zonestate/retired.go
@@ -9,15 +9,16 @@
 //go:generate go tool msgp -file retired.go -o retired_gen.go -tests=false -io=false -unexported
 //msgp:limit arrays:65536 maps:65536
 
-// retiredFence is the newest order to an engine that was removed.
+// retiredFence is the fencing token of the newest order to an engine that was removed.
 type retiredFence struct {
 	EngineID string          `msg:"engine_id"`
 	Fence    engineapi.Fence `msg:"fence"`
 }
 
-// retiredFences remembers the newest orders to removed engines, oldest removal
-// first, since such an order may still be under way when the engine returns.
-// Floor is at least as high as each fence that was forgotten for space.
+// retiredFences contains the fencing tokens of the newest orders to removed engines,
+// oldest removal first, since such an order may still be in flight when the engine is
+// registered again. Floor is at least as high as each token that was evicted when the
+// list was full.
 type retiredFences struct {
 	Floor  engineapi.Fence `msg:"floor"`
 	Fences []retiredFence  `msg:"fences"`
@@ -36,7 +37,8 @@
 	}
 }
 
-// take returns the fence that an engine must have obeyed, and forgets it.
+// take removes and returns the fencing token of an engine's newest order, or returns Floor if it is not
+// in the list.
 func (r *retiredFences) take(engineID string) engineapi.Fence {
 	at := slices.IndexFunc(r.Fences, func(retired retiredFence) bool { return retired.EngineID == engineID })
 	if at < 0 {
--- a/internal/zonestate/rollout.go
+++ b/internal/zonestate/rollout.go
@@ -5,55 +5,57 @@
 //go:generate go tool msgp -file rollout.go -o rollout_gen.go -tests=false -io=false
 //msgp:limit arrays:65536 maps:65536
 
-// RolloutPhase says how far a change of a model's version has come.
+// RolloutPhase is the phase of a rollout.
 type RolloutPhase string
 
 // Phases of a rollout.
 const (
-	// RolloutRunning: engines are changed step by step.
+	// RolloutRunning: engines are changed to the new version step by step.
 	RolloutRunning RolloutPhase = "running"
-	// RolloutHalted: it went wrong, or an operator halted it. No further engine
-	// is changed.
+	// RolloutHalted: the rollout failed, or an operator halted it. No further
+	// engine is changed.
 	RolloutHalted RolloutPhase = "halted"
-	// RolloutReverting: an operator had the changed engines taken back.
+	// RolloutReverting: at an operator's request the changed engines are reverted
+	// to the old version.
 	RolloutReverting RolloutPhase = "reverting"
-	// RolloutReverted: all engines are back. The version that the policy names
-	// is not tried again until an operator resumes or another one is named.
+	// RolloutReverted: all engines are reverted. The version that the policy
+	// specifies is not tried again until an operator resumes the rollout or the
+	// policy specifies another version.
 	RolloutReverted RolloutPhase = "reverted"
 	// RolloutDone: all engines run the new version.
 	RolloutDone RolloutPhase = "done"
 )
 
-// Rollout is the change of a model's version in a zone: the one under way, or
-// the last.
+// Rollout is the change of a model's version in a zone: the one in progress, or
+// the last one.
 type Rollout struct {
 	Model string       `msg:"model"`
 	From  string       `msg:"from"`
 	To    string       `msg:"to"`
 	Phase RolloutPhase `msg:"phase"`
-	// Reason is why it was halted.
+	// Reason is the reason of the last change of phase, such as why it was halted.
 	Reason string `msg:"reason,omitempty"`
-	// BeganAt and ChangedAt are the positions of its beginning and of the last
+	// BeganAt and ChangedAt are the log indexes of its start and of the last
 	// change of its phase.
 	BeganAt   uint64 `msg:"began_at"`
 	ChangedAt uint64 `msg:"changed_at"`
 }
 
-// RolloutCommand is about the rollout of one model.
+// RolloutCommand contains the fields of commands about the rollout of one model.
 type RolloutCommand struct {
 	Model string `msg:"model"`
 	// From and To belong to KindBeginRollout.
 	From   string `msg:"from,omitempty"`
 	To     string `msg:"to,omitempty"`
 	Reason string `msg:"reason,omitempty"`
-	// ChangedAt guards the command if Guarded: 0 means that there is no
-	// rollout yet.
+	// ChangedAt guards the command if Guarded; 0 means that the model must have
+	// no rollout yet.
 	ChangedAt uint64 `msg:"changed_at,omitempty"`
 	Guarded   bool   `msg:"guarded,omitempty"`
 }
 
-// allowedFrom lists the phases in which a command may come, and phaseAfter the
-// phase that it leads to.
+// allowedFrom lists the phases in which a command is allowed, and phaseAfter the
+// phase that follows it. KindEndRollout ends the present phase, see Rollout.change.
 var (
 	allowedFrom = map[Kind][]RolloutPhase{
 		KindHaltRollout:   {RolloutRunning, RolloutReverting},
@@ -68,7 +70,7 @@
 	}
 )
 
-// applyRollout carries out a command about a rollout.
+// applyRollout executes a command about a rollout.
 func (s *State) applyRollout(index uint64, command *Command) Result {
 	part := command.Rollout
 	for _, text := range []string{part.Model, part.From, part.To} {
@@ -110,9 +112,9 @@
 	if !allowed {
 		return stale("the rollout is " + string(r.Phase))
 	}
-	next, fixed := phaseAfter[kind]
+	next, found := phaseAfter[kind]
 	switch {
-	case fixed:
+	case found:
 	case r.Phase == RolloutReverting:
 		next = RolloutReverted
 	default:
--- a/internal/zonestate/sessions.go
+++ b/internal/zonestate/sessions.go
@@ -9,7 +9,7 @@
 	"github.com/pierhaven/pierhaven/internal/api/engineapi"
 )
 
-// applySession carries out a command about a gateway's session.
+// applySession executes a command about a gateway's session.
 func (s *State) applySession(index uint64, command *Command) Result {
 	part := command.Session
 	switch command.Kind {
@@ -34,7 +34,7 @@
 	}
 }
 
-// sessionID makes ids that are unique over all generations of the group.
+// sessionID returns a session id that is unique across all generations of the group.
 func (s *State) sessionID(index uint64) uint64 {
 	return (s.generation-firstGeneration)<<generationShift | index
 }
@@ -65,22 +65,22 @@
 		s.expireClaims(command, superseded)
 	}
 	if session.OpenedAt == index {
-		s.changeGateways(index)
+		s.markGatewaysChanged(index)
 	}
 	return Result{Outcome: OutcomeDone, SessionID: session.ID}
 }
 
-func (s *State) changeGateways(index uint64) {
+func (s *State) markGatewaysChanged(index uint64) {
 	s.revision = index
 }
 
 func (s *State) endSession(index uint64, command *Command, id uint64) {
 	s.sessions.End(id)
 	s.expireClaims(command, id)
-	s.changeGateways(index)
+	s.markGatewaysChanged(index)
 }
 
-// expireClaims makes the claims that a session has in progress unknown.
+// expireClaims sets the outcome of the claims that a session has in progress to unknown.
 func (s *State) expireClaims(command *Command, sessionID uint64) {
 	s.stepOnceOnly(command, onceonly.Command{
 		Kind:   onceonly.KindExpireHolder,
@@ -88,14 +88,14 @@
 	})
 }
 
-// holderName names a session over all zones.
+// holderName returns a name of a session that is unique across all zones.
 func holderName(zone string, sessionID uint64) string {
 	return fmt.Sprintf("%s/%d", zone, sessionID)
 }
 
-// assignIsolation gives sessions new isolation sets. All of them become one
-// revision, so that gateways are told once. A session that has not acknowledged
-// its earlier sets is left out.
+// assignIsolation assigns new isolation sets to sessions. All of them are part of
+// one revision, so that gateways are updated only once. A session that has not
+// acknowledged its earlier sets is skipped.
 func (s *State) assignIsolation(index uint64, parts []SessionCommand) Result {
 	groups := s.isolationGroups()
 	assigned := 0
@@ -112,34 +112,34 @@
 	if assigned == 0 {
 		return stale("no session, or earlier isolation sets are not acknowledged")
 	}
-	s.changeGateways(index)
+	s.markGatewaysChanged(index)
 	return done()
 }
 
-// IsolationTargets is the isolation set that a gateway would get now.
+// IsolationTargets returns the isolation set that a gateway would be assigned now.
 func (s *State) IsolationTargets(gatewayID string) []string {
 	return membership.ChooseIsolationSet(gatewayID, s.isolationGroups())
 }
 
-type isolationGroup struct {
+type isolationKey struct {
 	model string
 	role  engineapi.Role
 }
 
-// isolationGroups groups the engines that can stand in for each other by what
-// they should run. Engines that an operator drained or that are leaving are
+// isolationGroups groups interchangeable engines by the model and role that they
+// should run. Engines that an operator has drained or that are leaving are
 // left out.
 func (s *State) isolationGroups() [][]string {
-	members := make(map[isolationGroup][]string)
+	engineIDs := make(map[isolationKey][]string)
 	for _, engine := range s.Engines() {
 		if engine.Desired == nil || engine.Drained || engine.Leaving {
 			continue
 		}
-		key := isolationGroup{model: engine.Desired.Model, role: engine.Desired.Role}
-		members[key] = append(members[key], engine.ID)
+		key := isolationKey{model: engine.Desired.Model, role: engine.Desired.Role}
+		engineIDs[key] = append(engineIDs[key], engine.ID)
 	}
-	keys := make([]isolationGroup, 0, len(members))
-	for key := range members {
+	keys := make([]isolationKey, 0, len(engineIDs))
+	for key := range engineIDs {
 		keys = append(keys, key)
 	}
 	sort.Slice(keys, func(i, j int) bool {
@@ -150,7 +150,7 @@
 	})
 	groups := make([][]string, len(keys))
 	for i, key := range keys {
-		groups[i] = members[key]
+		groups[i] = engineIDs[key]
 	}
 	return groups
 }
--- a/internal/zonestate/snapshot.go
+++ b/internal/zonestate/snapshot.go
@@ -11,11 +11,11 @@
 //go:generate go tool msgp -file snapshot.go -o snapshot_gen.go -tests=false -io=false -unexported
 //msgp:limit arrays:65536 maps:65536
 
-// snapshotFormat is the version of the snapshot's layout.
+// snapshotFormat is the version of the snapshot's format.
 const snapshotFormat = 2
 
-// stateSnapshot is the whole state but for the once-only claims, whose snapshot
-// follows it. All lists have a fixed order.
+// stateSnapshot contains the whole state except the once-only claims, whose snapshot
+// follows it. The order of all lists is deterministic.
 type stateSnapshot struct {
 	Format        int                  `msg:"format"`
 	Zone          string               `msg:"zone"`
@@ -38,25 +38,25 @@
 // Snapshot implements replica.StateMachine.
 func (s *State) Snapshot() ([]byte, error) { return s.Capture()() }
 
-// Capture implements replica.Capturer. The claims, which alone are many, are
-// encoded later.
+// Capture implements replica.Capturer. Only the claims are numerous, so they are encoded
+// later, when the returned function is called.
 func (s *State) Capture() func() ([]byte, error) {
-	claimsOf := s.onceOnly.Capture()
-	rest, err := s.encodeRest()
+	encodeClaims := s.onceOnly.Capture()
+	encoded, err := s.encodeWithoutClaims()
 	return func() ([]byte, error) {
 		if err != nil {
 			return nil, fmt.Errorf("encode snapshot: %w", err)
 		}
-		claims, err := claimsOf()
+		claims, err := encodeClaims()
 		if err != nil {
 			return nil, fmt.Errorf("snapshot claims: %w", err)
 		}
-		return append(rest, claims...), nil
+		return append(encoded, claims...), nil
 	}
 }
 
-// encodeRest encodes all but the claims.
-func (s *State) encodeRest() ([]byte, error) {
+// encodeWithoutClaims encodes the state without the claims.
+func (s *State) encodeWithoutClaims() ([]byte, error) {
 	snapshot := stateSnapshot{
 		Format:        snapshotFormat,
 		Zone:          s.zone,
@@ -102,11 +102,11 @@
 	if err := s.onceOnly.Restore(claims); err != nil {
 		return fmt.Errorf("restore claims: %w", err)
 	}
-	s.fill(&snapshot)
+	s.importSnapshot(&snapshot)
 	return nil
 }
 
-func (s *State) fill(snapshot *stateSnapshot) {
+func (s *State) importSnapshot(snapshot *stateSnapshot) {
 	s.zone = snapshot.Zone
 	s.generation = snapshot.Generation
 	s.parameters = snapshot.Parameters
@@ -128,6 +128,6 @@
 		s.rollouts[snapshot.Rollouts[i].Model] = &snapshot.Rollouts[i]
 	}
 	for _, record := range snapshot.Requests {
-		s.requests.remember(record)
+		s.requests.add(record)
 	}
 }
--- a/internal/zonestate/snapshot_test.go
+++ b/internal/zonestate/snapshot_test.go
@@ -10,36 +10,36 @@
 	"testing"
 )
 
-// TestSnapshotIsWhole holds a state that is restored before each command to
-// answering like one that never is.
-func TestSnapshotIsWhole(t *testing.T) {
+// TestSnapshotIsComplete checks that a state which is restored from a snapshot before
+// each command returns the same results as one that never is.
+func TestSnapshotIsComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		j := newJournal(t, 1)
+		log := newCommandLog(t, 1)
 		for range rapid.IntRange(1, 60).Draw(t, "commands") {
-			data, err := j.state.Snapshot()
+			data, err := log.state.Snapshot()
 			require.NoError(t, err)
 			restored := New()
 			require.NoError(t, restored.Restore(data))
-			command := drawCommand(t, j)
-			want := j.apply(command)
+			command := drawCommand(t, log)
+			want := log.apply(command)
 			encoded, err := command.Encode()
 			require.NoError(t, err)
-			got, err := DecodeResult(restored.Apply(j.index, encoded))
+			got, err := DecodeResult(restored.Apply(log.index, encoded))
 			require.NoError(t, err)
 			require.Equal(t, want, got)
-			after, err := j.state.Snapshot()
+			after, err := log.state.Snapshot()
 			require.NoError(t, err)
 			afterRestored, err := restored.Snapshot()
 			require.NoError(t, err)
 			require.Equal(t, after, afterRestored)
-			request := wire.WatchRequest{Revision: rapid.Uint64Range(0, j.index).Draw(t, "since")}
-			require.Equal(t, j.state.ViewFor(&request), restored.ViewFor(&request))
+			request := wire.WatchRequest{Revision: rapid.Uint64Range(0, log.index).Draw(t, "since")}
+			require.Equal(t, log.state.ViewFor(&request), restored.ViewFor(&request))
 		}
 	})
 }
 
-// drawCommand makes commands whose guards mostly match.
-func drawCommand(t *rapid.T, j *journal) Command {
+// drawCommand generates commands whose guards mostly match.
+func drawCommand(t *rapid.T, log *commandLog) Command {
 	command := Command{TimeMillis: rapid.Int64Range(0, 5000).Draw(t, "time")}
 	command.Kind = rapid.SampledFrom([]Kind{
 		KindRegisterEngine, KindRemoveEngine, KindVerifyEngine, KindDoubtEngine, KindSetEngineLeaving,
@@ -59,13 +59,13 @@
 			Tenants:  []dynamic.Tenant{{Name: "tenant", HomeZone: "hal-noord", OpaqueKeys: true}},
 		}
 	case KindAssignIsolation:
-		command.Sessions = []SessionCommand{*drawSessionCommand(t, j, id), *drawSessionCommand(t, j, "other")}
+		command.Sessions = []SessionCommand{*drawSessionCommand(t, log, id), *drawSessionCommand(t, log, "other")}
 	case KindOpenSession, KindForgetGateway:
-		command.Session = drawSessionCommand(t, j, id)
+		command.Session = drawSessionCommand(t, log, id)
 	case KindBeginRollout, KindHaltRollout, KindResumeRollout, KindRevertRollout, KindEndRollout:
 		command.Rollout = &RolloutCommand{
 			Model: id, From: "1", To: string(role), Reason: "it fails",
-			Guarded: rapid.Bool().Draw(t, "guarded"), ChangedAt: rapid.Uint64Range(0, j.index).Draw(t, "changed at"),
+			Guarded: rapid.Bool().Draw(t, "guarded"), ChangedAt: rapid.Uint64Range(0, log.index).Draw(t, "changed at"),
 		}
 	case KindClaim, KindComplete, KindRelease:
 		command.OnceOnly = &OnceOnlyCommand{
@@ -74,7 +74,7 @@
 			NotRun: rapid.Bool().Draw(t, "not run"),
 		}
 	default:
-		command.Engine = drawEngineCommand(t, j, id, role)
+		command.Engine = drawEngineCommand(t, log, id, role)
 		if command.Kind == KindDrainEngine {
 			command.RequestID = rapid.SampledFrom([]string{"", "1", "2"}).Draw(t, "request")
 		}
@@ -82,23 +82,23 @@
 	return command
 }
 
-func drawSessionCommand(t *rapid.T, j *journal, gatewayID string) *SessionCommand {
+func drawSessionCommand(t *rapid.T, log *commandLog, gatewayID string) *SessionCommand {
 	part := &SessionCommand{
 		GatewayID:    gatewayID,
 		Incarnation:  rapid.Uint64Range(1, 3).Draw(t, "incarnation"),
 		Address:      "10.0.0.9:1",
-		Ticket:       j.index,
-		Acknowledged: rapid.Uint64Range(0, j.index).Draw(t, "acknowledged"),
+		Ticket:       log.index,
+		Acknowledged: rapid.Uint64Range(0, log.index).Draw(t, "acknowledged"),
 	}
-	if session, found := j.state.Sessions().ByMember(gatewayID); found {
+	if session, found := log.state.Sessions().ByMember(gatewayID); found {
 		part.SessionID = session.ID
 	}
 	return part
 }
 
-func drawEngineCommand(t *rapid.T, j *journal, id string, role engineapi.Role) *EngineCommand {
+func drawEngineCommand(t *rapid.T, log *commandLog, id string, role engineapi.Role) *EngineCommand {
 	part := &EngineCommand{ID: id, Address: "10.0.0.1:1", Observed: configuration(role)}
-	engine, found := j.state.Engine(id)
+	engine, found := log.state.Engine(id)
 	if !found {
 		return part
 	}
@@ -125,11 +125,11 @@
 		f.Add(data)
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		j := newJournal(t, 1)
-		j.servingEngine()
-		_, err := DecodeResult(j.state.Apply(j.index+1, data))
+		log := newCommandLog(t, 1)
+		log.servingEngine()
+		_, err := DecodeResult(log.state.Apply(log.index+1, data))
 		require.NoError(t, err)
-		snapshot, err := j.state.Snapshot()
+		snapshot, err := log.state.Snapshot()
 		require.NoError(t, err)
 		require.NoError(t, New().Restore(snapshot))
 		_ = New().Restore(data)
--- a/internal/zonestate/state.go
+++ b/internal/zonestate/state.go
@@ -9,7 +9,7 @@
 	"github.com/pierhaven/pierhaven/internal/poison"
 )
 
-// Bounds of the state. They are part of the replicated behaviour.
+// Bounds of the state. All replicas must use the same values, since the results of commands depend on them.
 const (
 	maximumEngines   = 8192
 	maximumBackEnds  = 8192
@@ -31,17 +31,17 @@
 	zone       string
 	generation uint64
 	parameters Parameters
-	// priorSessions says that gateways may act on sessions of an earlier
-	// generation, which this state knows nothing of.
+	// priorSessions says that gateways may still act on sessions of an earlier
+	// generation, which this state does not contain.
 	priorSessions bool
-	// applied is the position of the last command.
+	// applied is the log index of the last command.
 	applied uint64
-	// revision is the position of the last change of what gateways see.
+	// revision is the log index of the last change that is visible to gateways.
 	revision uint64
 
 	config *dynamic.Snapshot
-	// configHistory leads to config. It is no part of the snapshot: without it
-	// gateways are sent the whole configuration.
+	// configHistory contains the changes that led to config. It is not part of the
+	// snapshot: without it gateways are sent the whole configuration.
 	configHistory dynamic.History
 
 	engines  map[string]*Engine
@@ -52,11 +52,11 @@
 	sessions *membership.Table
 	onceOnly *onceonly.Table
 	requests *requestTable
-	// poison is what is known of requests under which engines have ended.
+	// poison is what is known about requests that were running when engines crashed.
 	poison poison.State
 }
 
-// New returns the state of a group that has not been founded.
+// New returns the state of a group that is not bootstrapped.
 func New() *State {
 	state := &State{}
 	state.reset()
@@ -74,33 +74,33 @@
 	}
 }
 
-// Founded reports whether the first command has been applied.
+// Founded reports whether the group is bootstrapped: its first command, KindFound, has been applied.
 func (s *State) Founded() bool { return s.generation >= firstGeneration }
 
-// Zone is the name of the group's zone.
+// Zone returns the name of the group's zone.
 func (s *State) Zone() string { return s.zone }
 
-// Generation is the generation of the group, 0 before its founding.
+// Generation returns the generation of the group, 0 before its bootstrap.
 func (s *State) Generation() uint64 { return s.generation }
 
-// Parameters are the replicated settings in force.
+// Parameters returns the replicated settings in effect.
 func (s *State) Parameters() Parameters { return s.parameters }
 
 // PriorSessions reports whether gateways may still act on sessions of an earlier
-// generation. Until then no order is issued.
+// generation. While they may, no order is issued.
 func (s *State) PriorSessions() bool { return s.priorSessions }
 
-// Applied is the log position of the last command.
+// Applied returns the log index of the last command.
 func (s *State) Applied() uint64 { return s.applied }
 
-// Revision is the position of the last change that gateways see.
+// Revision returns the log index of the last change that is visible to gateways.
 func (s *State) Revision() uint64 { return s.revision }
 
-// Config is the adopted configuration, nil if there is none. The caller must
+// Config returns the adopted configuration, nil if there is none. The caller must
 // not change it.
 func (s *State) Config() *dynamic.Snapshot { return s.config }
 
-// ConfigRevision is the revision of the adopted configuration, 0 for none.
+// ConfigRevision returns the revision of the adopted configuration, 0 if there is none.
 func (s *State) ConfigRevision() uint64 {
 	if s.config == nil {
 		return 0
@@ -108,8 +108,8 @@
 	return s.config.Revision
 }
 
-// Poison is what is known of requests under which engines have ended. The caller must not
-// change it.
+// Poison returns what is known about requests that were running when engines crashed. The caller
+// must not change it.
 func (s *State) Poison() poison.State { return s.poison }
 
 // Engine returns an engine. The caller must not change it.
@@ -145,10 +145,10 @@
 	return list
 }
 
-// Sessions is the table of open sessions. The caller must not change it.
+// Sessions returns the table of open sessions. The caller must not change it.
 func (s *State) Sessions() *membership.Table { return s.sessions }
 
-// OnceOnly is the table of claims. The caller must not change it.
+// OnceOnly returns the table of claims. The caller must not change it.
 func (s *State) OnceOnly() *onceonly.Table { return s.onceOnly }
 
 // Tenant returns a tenant of the adopted configuration.
--- a/internal/zonestate/traffic_test.go
+++ b/internal/zonestate/traffic_test.go
@@ -8,26 +8,26 @@
 	"github.com/pierhaven/pierhaven/internal/wire"
 )
 
-// BenchmarkRoleChangeTraffic counts what one role change in a zone of the target
-// size sends to each gateway by watches, when the gateways' isolation sets are
-// assigned one by one and all at once.
+// BenchmarkRoleChangeTraffic measures the bytes and watch replies that one role
+// change sends to each gateway in a zone of the target size, with the gateways'
+// isolation sets assigned one by one and all at once.
 func BenchmarkRoleChangeTraffic(b *testing.B) {
 	const gateways, engines = 70, 530
 	for _, batch := range []int{1, gateways} {
 		b.Run(fmt.Sprintf("sets in one command=%d", batch), func(b *testing.B) {
 			bytes, replies := 0, 0
 			for range b.N {
-				j := newJournal(b, 1)
+				log := newCommandLog(b, 1)
 				for number := range engines {
-					j.serve(fmt.Sprintf("zone-engine-%d", number))
+					log.addServingEngine(fmt.Sprintf("zone-engine-%d", number))
 				}
 				var sessions []SessionCommand
 				for number := range gateways {
-					sessions = append(sessions, SessionCommand{SessionID: j.open(fmt.Sprintf("zone-gateway-%d", number)), Acknowledged: 1 << 40})
+					sessions = append(sessions, SessionCommand{SessionID: log.openSession(fmt.Sprintf("zone-gateway-%d", number)), Acknowledged: 1 << 40})
 				}
-				watcher := wire.WatchRequest{SessionID: sessions[0].SessionID, Revision: j.state.Revision()}
+				watcher := wire.WatchRequest{SessionID: sessions[0].SessionID, Revision: log.state.Revision()}
 				watch := func() {
-					view := j.state.ViewFor(&watcher)
+					view := log.state.ViewFor(&watcher)
 					reply := wire.WatchReply{View: view}
 					data, _ := reply.MarshalMsg(nil)
 					bytes += len(data)
@@ -35,11 +35,11 @@
 					watcher.Revision = view.Revision
 				}
 				for _, kind := range []Kind{KindBeginChange, KindIssueOrder, KindCompleteOrder} {
-					j.step("zone-engine-7", kind)
+					log.executeStep("zone-engine-7", kind)
 					watch()
 				}
 				for len(sessions) > 0 {
-					j.done(Command{Kind: KindAssignIsolation, Sessions: sessions[:batch]})
+					log.mustApply(Command{Kind: KindAssignIsolation, Sessions: sessions[:batch]})
 					sessions = sessions[batch:]
 					watch()
 				}
@@ -50,24 +50,24 @@
 	}
 }
 
-// serve registers an engine and puts it into service.
-func (j *journal) serve(id string) {
-	j.done(Command{Kind: KindRegisterEngine, Engine: &EngineCommand{ID: id, Address: "10.11.12.13:9000"}})
-	engine, _ := j.state.Engine(id)
-	j.done(Command{Kind: KindVerifyEngine, Engine: &EngineCommand{
+// addServingEngine registers an engine with an id and puts it into service.
+func (log *commandLog) addServingEngine(id string) {
+	log.mustApply(Command{Kind: KindRegisterEngine, Engine: &EngineCommand{ID: id, Address: "10.11.12.13:9000"}})
+	engine, _ := log.state.Engine(id)
+	log.mustApply(Command{Kind: KindVerifyEngine, Engine: &EngineCommand{
 		ID: id, WithheldAt: engine.WithheldAt, Observed: configuration(engineapi.RoleMixed),
 	}})
 }
 
-// step takes the next step of a role change.
-func (j *journal) step(id string, kind Kind) {
-	engine, _ := j.state.Engine(id)
+// executeStep executes the given step of a role change.
+func (log *commandLog) executeStep(id string, kind Kind) {
+	engine, _ := log.state.Engine(id)
 	if kind == KindBeginChange {
-		j.done(Command{Kind: KindSetDesired, Desired: []DesiredEntry{{EngineID: id, Target: *configuration(engineapi.RoleDecode)}}})
+		log.mustApply(Command{Kind: KindSetDesired, Desired: []DesiredEntry{{EngineID: id, Target: *configuration(engineapi.RoleDecode)}}})
 	}
 	part := EngineCommand{ID: id, DesiredAt: engine.DesiredAt, WithheldAt: engine.WithheldAt}
 	if engine.Order != nil {
 		part.Fence = engine.Order.Fence
 	}
-	j.done(Command{Kind: kind, Engine: &part})
+	log.mustApply(Command{Kind: kind, Engine: &part})
 }
--- a/internal/zonestate/view.go
+++ b/internal/zonestate/view.go
@@ -4,8 +4,8 @@
 	"github.com/pierhaven/pierhaven/internal/wire"
 )
 
-// ViewFor returns what a gateway has not seen yet. A request with revision 0, or
-// older than the remembered removals, gets a full view.
+// ViewFor returns the changes since the revision of a gateway's request. A request
+// with revision 0, or one older than the recorded removals, gets a full view.
 func (s *State) ViewFor(request *wire.WatchRequest) wire.View {
 	view := wire.View{
 		Revision:       s.revision,
@@ -23,62 +23,62 @@
 	if view.Full {
 		since = 0
 	}
-	view.Engines = s.engineRows(since)
-	view.BackEnds = s.backEndRows(since)
+	view.Engines = s.engineViews(since)
+	view.BackEnds = s.backEndViews(since)
 	view.GatewayCount = s.sessions.Len()
 	view.Isolation = s.isolationView(request.SessionID, since)
 	return view
 }
 
-func (s *State) engineRows(since uint64) []wire.EngineView {
-	var rows []wire.EngineView
+func (s *State) engineViews(since uint64) []wire.EngineView {
+	var views []wire.EngineView
 	for _, engine := range s.Engines() {
 		if engine.ChangedAt > since {
-			rows = append(rows, engine.row())
+			views = append(views, engine.view())
 		}
 	}
 	if since == 0 {
-		return rows
+		return views
 	}
-	for _, gone := range s.removals.Removals {
-		_, present := s.engines[gone.ID]
-		if gone.Kind == removedEngine && gone.RemovedAt > since && !present {
-			rows = append(rows, wire.EngineView{ID: gone.ID, Removed: true, ChangedAt: gone.RemovedAt})
+	for _, removed := range s.removals.Removals {
+		_, present := s.engines[removed.ID]
+		if removed.Kind == removedEngine && removed.RemovedAt > since && !present {
+			views = append(views, wire.EngineView{ID: removed.ID, Removed: true, ChangedAt: removed.RemovedAt})
 		}
 	}
-	return rows
+	return views
 }
 
-// row is the engine as gateways see it. While it is in doubt its desired
-// configuration is shown, but it is not dispatchable.
-func (e *Engine) row() wire.EngineView {
-	row := wire.EngineView{
+// view returns the engine's entry in a view. While the engine is unverified the entry
+// contains the desired configuration, but is not dispatchable.
+func (e *Engine) view() wire.EngineView {
+	view := wire.EngineView{
 		ID:           e.ID,
 		Address:      e.Address,
 		Dispatchable: e.Dispatchable(),
 		Leaving:      e.Leaving,
 		ChangedAt:    e.ChangedAt,
 	}
-	shown := e.Verified
-	if shown == nil {
-		shown = e.Desired
+	configuration := e.Verified
+	if configuration == nil {
+		configuration = e.Desired
 	}
-	if shown != nil {
-		row.Role = string(shown.Role)
-		row.Model = shown.Model
-		row.Version = shown.Version
-		row.Adapters = shown.Adapters
+	if configuration != nil {
+		view.Role = string(configuration.Role)
+		view.Model = configuration.Model
+		view.Version = configuration.Version
+		view.Adapters = configuration.Adapters
 	}
-	return row
+	return view
 }
 
-func (s *State) backEndRows(since uint64) []wire.BackEndView {
-	var rows []wire.BackEndView
+func (s *State) backEndViews(since uint64) []wire.BackEndView {
+	var views []wire.BackEndView
 	for _, backEnd := range s.BackEnds() {
 		if backEnd.ChangedAt <= since {
 			continue
 		}
-		rows = append(rows, wire.BackEndView{
+		views = append(views, wire.BackEndView{
 			ID:           backEnd.ID,
 			Address:      backEnd.Address,
 			Applications: backEnd.Applications,
@@ -87,19 +87,19 @@
 		})
 	}
 	if since == 0 {
-		return rows
+		return views
 	}
-	for _, gone := range s.removals.Removals {
-		_, present := s.backEnds[gone.ID]
-		if gone.Kind == removedBackEnd && gone.RemovedAt > since && !present {
-			rows = append(rows, wire.BackEndView{ID: gone.ID, Removed: true, ChangedAt: gone.RemovedAt})
+	for _, removed := range s.removals.Removals {
+		_, present := s.backEnds[removed.ID]
+		if removed.Kind == removedBackEnd && removed.RemovedAt > since && !present {
+			views = append(views, wire.BackEndView{ID: removed.ID, Removed: true, ChangedAt: removed.RemovedAt})
 		}
 	}
-	return rows
+	return views
 }
 
-// isolationView is the isolation set of a session, nil if there is none newer
-// than the position since.
+// isolationView returns the isolation set of a session, nil if there is none that was
+// assigned after the log index since.
 func (s *State) isolationView(sessionID, since uint64) *wire.IsolationView {
 	session, open := s.sessions.Get(sessionID)
 	if !open {
