--- a/internal/activeset/planner.go
+++ b/internal/activeset/planner.go
@@ -14,11 +14,11 @@
 const DefaultMinimumActive = 256
 
 const (
-	// readingTarget is the target utilisation of prefill replicas, and occupancyTarget the target share of
-	// slots in use. At these an idle replica is found at once, and three times the load can be handled
-	// until more replicas are active.
-	readingTarget   = 0.25
-	occupancyTarget = 0.25
+	// prefillUtilisationTarget is the target utilisation of prefill replicas, and slotOccupancyTarget the
+	// target share of slots in use at the others. At these an idle replica is found at once, and three times
+	// the load can be handled until more replicas are active.
+	prefillUtilisationTarget = 0.25
+	slotOccupancyTarget      = 0.25
 	// demandDecay is the time constant with which a peak of the demand decays. Replicas on standby would
 	// have to prefill their cached prefixes again, so none should be sent to standby between two waves of
 	// load.
@@ -54,12 +54,13 @@
 func (c *Change) Empty() bool { return len(c.Activate)+len(c.Deactivate) == 0 }
 
 // Planner plans the active replicas of all services. MinimumActive is the minimum number of active replicas of a
-// service and region: DefaultMinimumActive or the configured value.
+// service and region, DefaultMinimumActive or the configured value. Prefill and Decode replicas make up half of it
+// each.
 type Planner struct {
 	MinimumActive int
 
 	lastStep time.Duration
-	// peaks are the decaying peaks of recent demand; firstReportedAt is when a group's demand was first
+	// peaks are the decaying peaks of each group's demand; firstReportedAt is when its demand was first
 	// reported.
 	peaks           map[Group]Demand
 	firstReportedAt map[Group]time.Duration
@@ -102,8 +103,8 @@
 }
 
 // stepPool adds the changes of one pool to change.
-func (p *Planner) stepPool(now time.Duration, key poolKey, total int, members *poolMembers, change *Change) {
-	wanted := p.wanted(key, total, members)
+func (p *Planner) stepPool(now time.Duration, key poolKey, groupSize int, members *poolMembers, change *Change) {
+	wanted := p.wanted(key, groupSize, members)
 	if members.activeCount < wanted {
 		members.sort()
 	}
@@ -124,20 +125,21 @@
 	}
 }
 
-// wanted returns the number of replicas of a pool that should be active.
-func (p *Planner) wanted(key poolKey, total int, members *poolMembers) int {
-	if total <= p.MinimumActive {
-		return total
+// wanted returns the number of replicas of a pool that should be active. In a group of no more than MinimumActive
+// replicas it returns the size of the group, so that all are activated.
+func (p *Planner) wanted(key poolKey, groupSize int, members *poolMembers) int {
+	if groupSize <= p.MinimumActive {
+		return groupSize
 	}
 	demand := p.peaks[key.group]
 	slots := float64(max(members.maximumSlots, 1))
 	switch key.role {
 	case Prefill:
-		return max(p.MinimumActive/2, int(math.Ceil(demand.Reading/readingTarget)))
+		return max(p.MinimumActive/2, int(math.Ceil(demand.Reading/prefillUtilisationTarget)))
 	case Decode:
-		return max(p.MinimumActive/2, int(math.Ceil(demand.Generating/(slots*occupancyTarget))))
+		return max(p.MinimumActive/2, int(math.Ceil(demand.Generating/(slots*slotOccupancyTarget))))
 	default:
-		return max(p.MinimumActive, int(math.Ceil(demand.Running/(slots*occupancyTarget))))
+		return max(p.MinimumActive, int(math.Ceil(demand.Running/(slots*slotOccupancyTarget))))
 	}
 }
 
--- a/internal/activeset/planner_test.go
+++ b/internal/activeset/planner_test.go
@@ -28,20 +28,20 @@
 	return replicas
 }
 
-// apply applies a change, and returns how many replicas are active and sound, by role and zone.
+// apply applies a change, and returns how many replicas are active and eligible, by role and zone.
 func apply(replicas []Replica, change Change) (roles map[Role]int, zones map[string]int) {
-	active := map[string]bool{}
+	activated := map[string]bool{}
 	for _, id := range change.Activate {
-		active[id] = true
+		activated[id] = true
 	}
-	resting := map[string]bool{}
+	deactivated := map[string]bool{}
 	for _, id := range change.Deactivate {
-		resting[id] = true
+		deactivated[id] = true
 	}
 	roles, zones = map[Role]int{}, map[string]int{}
 	for index := range replicas {
 		replica := &replicas[index]
-		replica.Active = (replica.Active || active[replica.ID]) && !resting[replica.ID]
+		replica.Active = (replica.Active || activated[replica.ID]) && !deactivated[replica.ID]
 		if replica.Active && replica.Eligible {
 			roles[replica.Role]++
 			zones[replica.Zone]++
@@ -130,8 +130,9 @@
 	assert.LessOrEqual(t, active, 2*128)
 }
 
-// TestChangingFleetKeepsItsActiveReplicas: replicas become unsound and sound again at random. As many as
-// wanted are active whenever there are enough, and no more are activated than are missing.
+// TestChangingFleetKeepsItsActiveReplicas: replicas become ineligible and eligible again at random, as when they
+// leave, stop responding and respond again. As many as wanted are active whenever there are enough, and no more
+// are activated than are missing.
 func TestChangingFleetKeepsItsActiveReplicas(t *testing.T) {
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 1))
--- a/internal/activeset/pool.go
+++ b/internal/activeset/pool.go
@@ -13,8 +13,7 @@
 // Role is the kind of work that a replica does.
 type Role int
 
-// Roles. Prefill and Decode replicas serve one stage each; NonModel replicas are not model
-// engines.
+// Roles. Prefill and Decode replicas serve one stage each; NonModel replicas are not model engines.
 const (
 	NonModel Role = iota
 	Prefill
@@ -28,7 +27,7 @@
 	Zone  string
 	Role  Role
 	Slots int
-	// Preemptible replicas may be reclaimed, all of a zone at once.
+	// Preemptible replicas may be preempted by their provider, all of a zone at once.
 	Preemptible bool
 	// Active replicas take work.
 	Active bool
@@ -45,7 +44,7 @@
 
 // poolMembers are the replicas of a pool.
 type poolMembers struct {
-	// activeByZone are the active and sound replicas, standbyByZone the sound ones that could be activated.
+	// activeByZone are the eligible replicas that are active, standbyByZone those that could be activated.
 	// Once sorted, both are in activation order.
 	activeByZone, standbyByZone map[string][]*Replica
 	// activeCount is the number of replicas in activeByZone, maximumSlots the largest number of slots of a
@@ -57,7 +56,7 @@
 	return &poolMembers{activeByZone: map[string][]*Replica{}, standbyByZone: map[string][]*Replica{}}
 }
 
-// add adds a replica. If it is not sound, only its slots count.
+// add adds a replica. Of an ineligible one only the slots count.
 func (m *poolMembers) add(replica *Replica) {
 	m.maximumSlots = max(m.maximumSlots, replica.Slots)
 	switch {
--- a/internal/backpressure/gate.go
+++ b/internal/backpressure/gate.go
@@ -29,7 +29,7 @@
 // Gate tracks what peers ask of this process. It is safe for concurrent use.
 type Gate struct {
 	options Options
-	// honorBackoff and honorLeaving tell whether the gate records requested backoffs, and leaving peers.
+	// honorBackoff and honorLeaving are set if the gate records requested backoffs, and leaving peers.
 	honorBackoff, honorLeaving bool
 	// stateCount is len(states), kept separately so that calls take no lock while it is 0.
 	stateCount atomic.Int64
@@ -46,7 +46,7 @@
 // response.
 const logInterval = time.Second
 
-// NewGate returns a gate without any peer state.
+// NewGate returns a gate without peer states.
 func NewGate(options Options) *Gate {
 	if options.Leaving == nil {
 		options.Leaving = func(http.Header) bool { return false }
@@ -57,7 +57,7 @@
 		honorLeaving:   true,
 		onChange:       func(Peer, *PeerState) {},
 		states:         map[Peer]*PeerState{},
-		sweepThreshold: minSweepThreshold,
+		sweepThreshold: minimumSweepThreshold,
 	}
 }
 
@@ -119,7 +119,7 @@
 
 // Permits returns a BlockedError if a request must not be sent to a peer now, else nil. work is set for new work:
 // a request that only concerns work the peer already has may go to a leaving peer, but not to one in backoff.
-func (g *Gate) Permits(peer Peer, work bool) error {
+func (g *Gate) Permits(peer Peer, newWork bool) error {
 	state := g.lookup(peer)
 	if state == nil {
 		return nil
@@ -128,7 +128,7 @@
 	if state.BackoffLeft(now) > 0 {
 		return errBackoff
 	}
-	if work && !g.AcceptsWork(state, now) {
+	if newWork && !g.AcceptsWork(state, now) {
 		return errLeaving
 	}
 	return nil
@@ -211,7 +211,8 @@
 	return g.states[peer]
 }
 
-// MarkUnlisted notes that a peer is no longer listed: its state expires after a retention time.
+// MarkUnlisted notes that a peer is no longer listed: its state expires after the retention time, or at the end of
+// its backoff if that is later.
 func (g *Gate) MarkUnlisted(peer Peer) {
 	if g.Empty() {
 		return
@@ -237,8 +238,8 @@
 	}
 }
 
-// minSweepThreshold is the number of states below which no sweep takes place.
-const minSweepThreshold = 64
+// minimumSweepThreshold is the number of states below which no sweep takes place.
+const minimumSweepThreshold = 64
 
 // sweep deletes the expired states, each time that there are twice as many states as after the previous sweep.
 // The caller must hold g.mutex.
@@ -253,5 +254,5 @@
 			g.stateCount.Add(-1)
 		}
 	}
-	g.sweepThreshold = max(2*len(g.states), minSweepThreshold)
+	g.sweepThreshold = max(2*len(g.states), minimumSweepThreshold)
 }
--- a/internal/backpressure/gate_test.go
+++ b/internal/backpressure/gate_test.go
@@ -95,7 +95,7 @@
 	require.NoError(t, g.Permits(peerA, true))
 }
 
-// An older or doubted list drops a replica, and a later one shows it again.
+// A list that is outdated or wrongly lacks a replica drops it, and a later one shows it again.
 func TestStateOutlivesAbsenceFromTheList(t *testing.T) {
 	g := newTestGate(logr.Discard())
 	g.reject(peerA, 600)
--- a/internal/backpressure/rest.go
+++ b/internal/backpressure/rest.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// maxNumberLength bounds the characters of a number of seconds; no sensible one takes more.
-	maxNumberLength = 32
-	// maxBackoff bounds a backoff, beyond the lifetime of any process.
-	maxBackoff = 10 * 365 * 24 * time.Hour
+	// maximumNumberLength bounds the characters of a number of seconds; no sensible one takes more.
+	maximumNumberLength = 32
+	// maximumBackoff bounds a backoff. It exceeds the lifetime of any process.
+	maximumBackoff = 10 * 365 * 24 * time.Hour
 )
 
 var errNotSeconds = errors.New("not a number of seconds")
@@ -40,15 +40,15 @@
 
 // parseSeconds parses a decimal number of seconds.
 func parseSeconds(text string) (time.Duration, error) {
-	if len(text) > maxNumberLength {
+	if len(text) > maximumNumberLength {
 		return 0, errNotSeconds
 	}
 	seconds, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	if err != nil && !errors.Is(err, strconv.ErrRange) || math.IsNaN(seconds) || seconds < 0 {
 		return 0, errNotSeconds
 	}
-	if seconds > maxBackoff.Seconds() {
-		return maxBackoff, nil
+	if seconds > maximumBackoff.Seconds() {
+		return maximumBackoff, nil
 	}
 	return time.Duration(seconds * float64(time.Second)), nil
 }
--- a/internal/backpressure/standing.go
+++ b/internal/backpressure/standing.go
@@ -12,10 +12,11 @@
 	// leaving; 0 for never.
 	backoffEnd, leavingSince atomic.Int64
 
-	// Guarded by the Gate's mutex: when the next line may be logged, and how many were omitted since the last.
+	// The fields below are guarded by the Gate's mutex. nextLogAt is when the next line may be logged, and
+	// omitted the number of lines omitted since the last one.
 	nextLogAt time.Duration
 	omitted   int
-	// expireAt is when the state of a peer that is no longer listed is deleted; 0 while it is listed.
+	// expireAt is when the state of a peer that is no longer listed may be deleted; 0 while it is listed.
 	expireAt time.Duration
 }
 
@@ -27,11 +28,12 @@
 // Leaving reports whether the peer has said that it is leaving.
 func (s *PeerState) Leaving() bool { return s.leavingSince.Load() != 0 }
 
-// retention is how long a state is kept after its backoff has ended, or after its peer was unlisted: an older or
-// doubted list may show the peer again.
+// retention is how long a state is kept after its backoff has ended, or after its peer was unlisted: the list that
+// lacks the peer may be outdated or wrong, and a later one may show it again.
 const retention = time.Minute
 
-// expired reports whether the state may be deleted. The caller must hold the Gate's mutex.
+// expired reports whether the state may be deleted. The state of a leaving peer is kept until the peer has been
+// unlisted for the retention time. The caller must hold the Gate's mutex.
 func (s *PeerState) expired(now time.Duration) bool {
 	if s.expireAt > 0 && now >= s.expireAt {
 		return true
--- a/internal/crossing/crossing.go
+++ b/internal/crossing/crossing.go
@@ -1,5 +1,5 @@
-// Package crossing decides whether a request, or the KV cache of a prompt, leaves its region. It is
-// pure: callers estimate what the replicas on each side of the border offer.
+// Package crossing decides whether a request, or the KV cache of a prompt, leaves its region. It has no
+// state or side effects: callers estimate what the replicas on each side of the border offer.
 package crossing
 
 import "time"
@@ -13,7 +13,7 @@
 	InTime Outcome = iota
 	// Late means that the request is expected to be served after its objective.
 	Late
-	// AtCapacity means that there is no capacity for the request.
+	// AtCapacity means that there are replicas for the request, but all are full.
 	AtCapacity
 	// NoReplica means that there is no replica for the request.
 	NoReplica
@@ -37,7 +37,7 @@
 	// NoReplicaInRegion means that its region has no replica for such a request.
 	NoReplicaInRegion Reason = "no_place"
 	// NoReplicaForStage means that its region lacks the replicas of a stage, so that all regions were
-	// compared.
+	// compared. It is set by callers that compared all regions, not by LeaveReason.
 	NoReplicaForStage Reason = "no_stage"
 	// NoCapacity means that all replicas of its region are full.
 	NoCapacity Reason = "no_room"
@@ -54,7 +54,7 @@
 const minimumSavingShare = 0.25
 
 // StaysLocal reports whether an offer of the request's own region is good enough that the other side
-// needn't be considered.
+// needn't be considered: it is in time, and so soon that no other one can save minimumSavingShare.
 func StaysLocal(inside Offer, objective time.Duration) bool {
 	return inside.Outcome == InTime && inside.ServiceTime <= minimumSaving(objective)
 }
--- a/internal/ratelimit/lone.go
+++ b/internal/ratelimit/lone.go
@@ -9,8 +9,8 @@
 // Lone limits what a gateway sends to replicas with limits while it reaches no pool. It holds a token bucket of
 // one request for each replica.
 type Lone struct {
-	// draw returns a random number in [0, 1).
-	draw    func() float64
+	// random returns a number in [0, 1).
+	random  func() float64
 	buckets map[string]loneBucket
 }
 
@@ -21,16 +21,18 @@
 }
 
 // NewLone returns a Lone without buckets.
-func NewLone(draw func() float64) *Lone { return &Lone{draw: draw, buckets: map[string]loneBucket{}} }
+func NewLone(random func() float64) *Lone {
+	return &Lone{random: random, buckets: map[string]loneBucket{}}
+}
 
 // Ask reports whether a request may be sent now to a replica that declares a rate, by one of the given number
-// of gateways, and otherwise after how long to ask again.
+// of gateways, and otherwise after how long to ask again, at most Window.
 func (l *Lone) Ask(now time.Duration, replica string, rate float64, gateways int) (granted bool, wait time.Duration) {
 	refill := rate * loneShare / float64(max(gateways, 1))
 	bucket, known := l.buckets[replica]
 	if !known {
 		// A random initial level spreads the first requests of gateways that lose the pools together.
-		bucket = loneBucket{requests: l.draw(), at: now}
+		bucket = loneBucket{requests: l.random(), at: now}
 	}
 	bucket.requests = min(bucket.requests+refill*(now-bucket.at).Seconds(), 1)
 	bucket.at = now
--- a/internal/ratelimit/table.go
+++ b/internal/ratelimit/table.go
@@ -17,16 +17,16 @@
 // replica counts, whichever process received it.
 type Table struct {
 	entries map[string]entry
-	// names is the hash of the replicas that declare a limit, and hash covers their limits too.
-	names, hash uint64
+	// replicasHash is the hash of the replicas that declare a limit; limitsHash covers their limits too.
+	replicasHash, limitsHash uint64
 	// Dropped counts the reports that were discarded because the table was full.
 	Dropped uint64
 }
 
 // entry is the newest limit report of a replica.
 type entry struct {
-	named bool
-	rate  float64
+	declared bool
+	rate     float64
 	// observedAt is when the response was received, and since when the first of the consecutive responses
 	// that declared a limit was.
 	observedAt, since time.Duration
@@ -49,9 +49,9 @@
 		}
 		return false
 	}
-	changed = previous.named != report.Declared || previous.rate != report.Rate
-	updated := entry{named: report.Declared, rate: report.Rate, observedAt: observedAt, since: previous.since}
-	if !previous.named {
+	changed = previous.declared != report.Declared || previous.rate != report.Rate
+	updated := entry{declared: report.Declared, rate: report.Rate, observedAt: observedAt, since: previous.since}
+	if !previous.declared {
 		updated.since = observedAt
 	}
 	t.entries[report.Replica] = updated
@@ -59,16 +59,17 @@
 	return changed
 }
 
-// Expire deletes the replicas that have not been reported since a time, if they are not listed (the sender of a
-// report may have a newer list) or declare no limit any more. It returns those that it deletes.
-func (t *Table) Expire(listed func(replica string) bool, heardSince time.Duration) (forgotten []string) {
+// Expire deletes the replicas whose newest response came before answeredSince, if they are not listed or declare
+// no limit any more. Unlisted ones are kept until then because the sender of a report may have a newer list. It
+// returns the replicas that it deletes.
+func (t *Table) Expire(listed func(replica string) bool, answeredSince time.Duration) (expired []string) {
 	for replica, each := range t.entries {
-		if (!listed(replica) || !each.named) && each.observedAt < heardSince {
+		if (!listed(replica) || !each.declared) && each.observedAt < answeredSince {
 			t.Forget(replica)
-			forgotten = append(forgotten, replica)
+			expired = append(expired, replica)
 		}
 	}
-	return forgotten
+	return expired
 }
 
 // Forget deletes the entry of a replica.
@@ -80,13 +81,13 @@
 // rehash replaces a replica's entry in the hashes. The hashes of entries are combined by XOR, independent of
 // their order, so that the cost of a change does not depend on the number of entries.
 func (t *Table) rehash(replica string, before, after entry) {
-	t.names ^= before.nameHash(replica) ^ after.nameHash(replica)
-	t.hash ^= before.limitHash(replica) ^ after.limitHash(replica)
+	t.replicasHash ^= before.replicaHash(replica) ^ after.replicaHash(replica)
+	t.limitsHash ^= before.limitHash(replica) ^ after.limitHash(replica)
 }
 
-// nameHash is the replica's part of Table.ReplicasHash, 0 if it declares no limit.
-func (e entry) nameHash(replica string) uint64 {
-	if !e.named {
+// replicaHash is the replica's part of Table.ReplicasHash, 0 if it declares no limit.
+func (e entry) replicaHash(replica string) uint64 {
+	if !e.declared {
 		return 0
 	}
 	return xxhash.Sum64String(replica)
@@ -94,24 +95,24 @@
 
 // limitHash is the replica's part of Table.LimitsHash, 0 if it declares no limit.
 func (e entry) limitHash(replica string) uint64 {
-	if !e.named {
+	if !e.declared {
 		return 0
 	}
 	return xxhash.Sum64(binary.LittleEndian.AppendUint64([]byte(replica), math.Float64bits(e.rate)))
 }
 
 // LimitsHash identifies the declared limits; 0 if there are none.
-func (t *Table) LimitsHash() uint64 { return t.hash }
+func (t *Table) LimitsHash() uint64 { return t.limitsHash }
 
 // ReplicasHash identifies the replicas that declare a limit; 0 if there are none.
-func (t *Table) ReplicasHash() uint64 { return t.names }
+func (t *Table) ReplicasHash() uint64 { return t.replicasHash }
 
 // Reports returns reports of all entries, including those of replicas that no longer declare a limit.
 func (t *Table) Reports(now time.Duration) []Report {
 	reports := make([]Report, 0, len(t.entries))
 	for _, replica := range slices.Sorted(maps.Keys(t.entries)) {
 		each := t.entries[replica]
-		reports = append(reports, Report{Replica: replica, Declared: each.named, Rate: each.rate, AgeMicros: (now - each.observedAt).Microseconds()})
+		reports = append(reports, Report{Replica: replica, Declared: each.declared, Rate: each.rate, AgeMicros: (now - each.observedAt).Microseconds()})
 	}
 	return reports
 }
@@ -128,7 +129,7 @@
 func (t *Table) Limits() []Limit {
 	var limits []Limit
 	for _, replica := range slices.Sorted(maps.Keys(t.entries)) {
-		if each := t.entries[replica]; each.named {
+		if each := t.entries[replica]; each.declared {
 			limits = append(limits, Limit{Replica: replica, Rate: each.rate, Since: each.since})
 		}
 	}
--- a/internal/ratelimit/word.go
+++ b/internal/ratelimit/word.go
@@ -25,21 +25,21 @@
 type Message struct {
 	// From is the sender's address.
 	From string `msg:"from"`
-	// Hash is the sender's Table.LimitsHash, 0 from a gateway. A receiver with a different hash replies with what
-	// it knows.
+	// Hash is the sender's Table.LimitsHash, 0 from a gateway. A coordinator that receives another coordinator's
+	// message with a hash other than its own replies with all that it knows.
 	Hash    uint64   `msg:"hash"`
 	Reports []Report `msg:"words"`
 }
 
-// MaxReportsPerMessage bounds the reports in a message, so that it stays below datagram.MaximumBytes with names of
-// usual length.
-const MaxReportsPerMessage = 100
+// MaximumReportsPerMessage bounds the reports in a message, so that it stays below datagram.MaximumBytes with
+// names of usual length.
+const MaximumReportsPerMessage = 100
 
 // Batches splits reports into batches that fit into one message each.
 func Batches(reports []Report) [][]Report {
 	var batches [][]Report
 	for len(reports) > 0 {
-		count := min(len(reports), MaxReportsPerMessage)
+		count := min(len(reports), MaximumReportsPerMessage)
 		batches = append(batches, reports[:count:count])
 		reports = reports[count:]
 	}
--- a/internal/retry/hedge.go
+++ b/internal/retry/hedge.go
@@ -18,10 +18,11 @@
 	// second attempt is likely to finish first.
 	TailRatio float64
 	// Window is the number of samples after which a new histogram is started.
+	// Decisions use the last complete one, or the first while it is filled.
 	Window int64
 }
 
-// DefaultHedgeOptions returns the settings that the experiments use.
+// DefaultHedgeOptions returns the default settings, which the experiments use.
 func DefaultHedgeOptions() HedgeOptions {
 	return HedgeOptions{Quantile: 95, MinimumSamples: 200, TailRatio: 1.5, Window: 5000}
 }
--- a/internal/retry/retrier.go
+++ b/internal/retry/retrier.go
@@ -91,8 +91,8 @@
 func (r *Retrier) Budget() *Budget { return r.budget }
 
 // Decide decides what to do after a failed attempt, and returns the delay
-// before a retry. If the verdict is Retry, it has been withdrawn from the
-// budget.
+// before a retry. If the verdict is Retry, the retry has been withdrawn from
+// the budget.
 func (r *Retrier) Decide(now time.Duration, failed Failure) (Verdict, time.Duration) {
 	if !failed.NotRun && !failed.Repeatable {
 		return GiveUpNotRepeatable, 0
@@ -134,8 +134,8 @@
 func (r *Retrier) HedgeAfter() (after time.Duration, ok bool) { return r.hedger.After() }
 
 // Hedge reports whether the second attempt may start now, and if so withdraws
-// it from the budget: the budget must have a retry left and the deadline must
-// allow it.
+// it from the budget. The request must be repeatable, the limit of attempts not
+// reached, the deadline must allow it and the budget must have a retry left.
 func (r *Retrier) Hedge(now time.Duration, failed Failure) bool {
 	if !failed.Repeatable || failed.Attempts >= r.options.MaximumAttempts {
 		return false
--- a/internal/routing/attempts.go
+++ b/internal/routing/attempts.go
@@ -20,8 +20,8 @@
 	OutcomeCancelled
 )
 
-// ChoiceDispatched records that an attempt was dispatched to the engines of a choice. If
-// the choice has a prefill engine, prefillID is the attempt's id there.
+// ChoiceDispatched records that an attempt was dispatched to the engines of a
+// choice. If the choice has a prefill engine, prefillID is the attempt's id there.
 func (r *Router) ChoiceDispatched(now time.Duration, choice Choice, request Request, attemptID, prefillID string) {
 	if choice.Prefill == nil {
 		r.AttemptStarted(now, choice.Serving.ID, attemptID, choice.NewTokens, request.PromptTokens+request.OutputTokens)
@@ -104,7 +104,8 @@
 	}
 }
 
-// KVTransferred records how long the KV cache of a number of tokens took to transfer.
+// KVTransferred records how long the KV cache of a number of tokens took to
+// transfer.
 func (r *Router) KVTransferred(tokens int, took time.Duration) {
 	if tokens <= 0 || took <= 0 {
 		return
--- a/internal/routing/batchlimit_test.go
+++ b/internal/routing/batchlimit_test.go
@@ -36,8 +36,8 @@
 
 func (e *reportedEngine) saturated() bool {
 	e.t.Helper()
-	choice, miss := e.router.Select(e.now, Request{Model: "m", PromptTokens: 100, OutputTokens: 100})
-	require.Equal(e.t, EngineFound, miss)
+	choice, reason := e.router.Select(e.now, Request{Model: "m", PromptTokens: 100, OutputTokens: 100})
+	require.Equal(e.t, EngineFound, reason)
 	return choice.Saturated
 }
 
@@ -60,7 +60,7 @@
 	}
 	require.True(t, engine.saturated())
 	engine.report(2, 0)
-	require.False(t, engine.saturated(), "there is room in the batch again")
+	require.False(t, engine.saturated(), "the batch has free slots again")
 }
 
 // With an underestimated limit the batches would stay so small that no report
--- a/internal/routing/benchmark_test.go
+++ b/internal/routing/benchmark_test.go
@@ -53,8 +53,9 @@
 	}
 }
 
-// BenchmarkMiss measures the check whether any engine could take a request.
-func BenchmarkMiss(b *testing.B) {
+// BenchmarkNoEngineReason measures the check whether any engine could take a
+// request.
+func BenchmarkNoEngineReason(b *testing.B) {
 	for _, engines := range []int{66, 132, 264, 528} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
 			router := benchmarkRouter(engines)
--- a/internal/routing/ejection.go
+++ b/internal/routing/ejection.go
@@ -18,8 +18,8 @@
 	// SlowStart is the time over which a readmitted engine regains its full
 	// share of traffic.
 	SlowStart time.Duration
-	// MaximumEjectedShare bounds the share of a model's engines that may be
-	// ejected at the same time.
+	// MaximumEjectedShare is the share of a model's engines up to which the
+	// filter removes ejected ones. If more are ejected, it keeps all.
 	MaximumEjectedShare float64
 }
 
@@ -40,9 +40,9 @@
 	// slownessWeight is the weight of a new sample in the moving average of the
 	// slowness.
 	slownessWeight = 0.2
-	// slownessSamples is the number of samples required before slowness can
-	// eject an engine.
-	slownessSamples = 5
+	// minimumSlownessSamples is the number of samples required before slowness
+	// can eject an engine.
+	minimumSlownessSamples = 5
 	// maximumDoublings bounds the number of times that the ejection time is
 	// doubled.
 	maximumDoublings = 10
@@ -88,7 +88,7 @@
 	}
 	h.slownessSamples++
 	h.slowness += slownessWeight * (ratio - h.slowness)
-	if options.SlowRatio > 0 && h.slownessSamples >= slownessSamples && h.slowness > options.SlowRatio {
+	if options.SlowRatio > 0 && h.slownessSamples >= minimumSlownessSamples && h.slowness > options.SlowRatio {
 		h.eject(now, options)
 	}
 }
--- a/internal/routing/idle.go
+++ b/internal/routing/idle.go
@@ -7,8 +7,8 @@
 )
 
 // IdleFirstToken predicts the first-token time of a request on the fastest
-// engine for it, assuming that engine is idle. Admission compares it with the
-// deadline.
+// engine for it, as if that engine were idle. It returns 0 if no engine of the
+// model can prefill. Admission compares it with the deadline.
 func (r *Router) IdleFirstToken(request Request) time.Duration {
 	best := time.Duration(-1)
 	for _, id := range r.ids {
--- a/internal/routing/miss_test.go
+++ b/internal/routing/miss_test.go
@@ -10,8 +10,8 @@
 	"github.com/pierhaven/pierhaven/internal/api/engineapi"
 )
 
-// TestNoEngineReasonAgreesWithSelect: NoEngineReason must return the same reason as Select, which
-// it abbreviates.
+// TestNoEngineReasonAgreesWithSelect: NoEngineReason finds the reason without
+// rating engines, and must return the same one as Select.
 func TestNoEngineReasonAgreesWithSelect(t *testing.T) {
 	seen := map[NoEngineReason]bool{}
 	rapid.Check(t, func(t *rapid.T) {
@@ -40,9 +40,9 @@
 		if rapid.Bool().Draw(t, "isolated") {
 			wanted.OnlyEngines = []string{"0", "2"}
 		}
-		_, miss := f.router.Select(f.now, wanted)
-		require.Equal(t, miss, f.router.NoEngineReason(f.now, wanted))
-		seen[miss] = true
+		_, reason := f.router.Select(f.now, wanted)
+		require.Equal(t, reason, f.router.NoEngineReason(f.now, wanted))
+		seen[reason] = true
 	})
 	require.Len(t, seen, int(NoPrefillEngine)+1, "every reason was drawn")
 }
--- a/internal/routing/options.go
+++ b/internal/routing/options.go
@@ -4,12 +4,12 @@
 
 // Options are the settings of a Router.
 type Options struct {
-	// SampleSize is the number of engines that are sampled at random and compared;
-	// 2 is the power of two choices (Mitzenmacher, IEEE TPDS 2001). 0 compares
-	// all, which suits a zone with one gateway.
+	// SampleSize is the number of engines that are sampled at random and
+	// compared; 2 is the power of two choices (Mitzenmacher, IEEE TPDS 2001). 0
+	// compares all, which suits a zone with one gateway.
 	SampleSize int
-	// SubsetSize bounds the number of engines of a model that this gateway
-	// uses; 0 uses all.
+	// SubsetSize bounds the number of engines of each role and version of a
+	// model that this gateway uses; 0 uses all.
 	SubsetSize int
 	// GatewayID is the hash seed of the subset.
 	GatewayID string
--- a/internal/routing/pair.go
+++ b/internal/routing/pair.go
@@ -8,7 +8,9 @@
 	// prefill is nil unless an engine other than serving prefills the prompt.
 	prefill    *candidate
 	firstToken time.Duration
-	score      float64
+	// score is totalScore, which is between 0 and 1, less 1 or more for a
+	// placement that ranks below all others: it lacks capacity or delays answers.
+	score float64
 }
 
 // singleEngine returns the placement on one engine that both prefills and
@@ -32,7 +34,8 @@
 // a batch slot or get late tokens. Such a placement ranks below those that have
 // capacity and delay no other answers, because a saturated choice would leave
 // that capacity unused. Capacity that could only be used by delaying other
-// answers doesn't count; among those placements the scores decide.
+// answers doesn't count: those placements rank low, too, and the scores decide
+// among all that do.
 func (r *Router) decodeSaturated(request *Request, serving *candidate) bool {
 	return serving.waitsForBatch || r.exceedsDecodeLimit(request, serving)
 }
@@ -131,7 +134,8 @@
 }
 
 // exceedsDecodeLimit reports whether one more sequence would raise the
-// inter-token latency above DecodeShare of its objective.
+// inter-token latency above DecodeShare of its objective. An engine that decodes
+// nothing takes any request.
 func (r *Router) exceedsDecodeLimit(request *Request, c *candidate) bool {
 	limit := r.options.DecodeShare * float64(request.Objectives.BetweenTokens)
 	return c.load.decodeSequences > 0 && float64(c.betweenTokens) > limit
--- a/internal/routing/prefix.go
+++ b/internal/routing/prefix.go
@@ -113,8 +113,9 @@
 	delete(p.engines, engineID)
 }
 
-// cursor returns the position from which to request an engine's events; zeros
-// request a snapshot.
+// cursor returns the position from which to request an engine's events. Zeros
+// request a snapshot: for an engine without events so far, and when the accuracy
+// is too low and no snapshot was requested within minimumSnapshotInterval.
 func (p *prefixIndex) cursor(now time.Duration, engineID string) (incarnation, after uint64) {
 	cache, found := p.engines[engineID]
 	if !found {
@@ -128,7 +129,7 @@
 }
 
 // cachedTokens estimates how many of a prompt's leading tokens an engine has
-// cached.
+// cached: the matching blocks, discounted by the accuracy.
 func (p *prefixIndex) cachedTokens(engineID string, blocks []uint64) float64 {
 	cache, found := p.engines[engineID]
 	if !found {
--- a/internal/routing/scorer.go
+++ b/internal/routing/scorer.go
@@ -16,8 +16,10 @@
 	// firstToken and betweenTokens are the latencies predicted for the request.
 	firstToken    time.Duration
 	betweenTokens time.Duration
-	// interference is the number of answers whose tokens would be late because
-	// the engine prefills and decodes in the same steps.
+	// interference estimates how many answers would get late tokens because the
+	// engine prefills and decodes in the same steps. For a mixed engine that
+	// imports the KV cache it is 1, for the request's own answer, plus the
+	// number of prefill chunks queued there, if any answer would be late.
 	interference float64
 	// selfInterference is set if the request's own answer would be delayed by
 	// other prompts, should the engine that prefills its prompt also decode it.
@@ -29,8 +31,7 @@
 	score         float64
 }
 
-// scorer rates a candidate. Every score lies between 0 and 1, higher is better,
-// and 0.5 is neutral where nothing is known.
+// scorer rates a candidate. Every score lies between 0 and 1; higher is better.
 type scorer interface {
 	score(request *Request, c *candidate) float64
 }
--- a/internal/routing/select.go
+++ b/internal/routing/select.go
@@ -21,9 +21,9 @@
 // a decode engine together, whichever is predicted to be better.
 func (r *Router) Select(now time.Duration, request Request) (Choice, NoEngineReason) {
 	request.Objectives = request.Objectives.withDefaults()
-	usable, miss := r.usable(now, &request)
-	if miss != EngineFound {
-		return Choice{}, miss
+	usable, reason := r.usable(now, &request)
+	if reason != EngineFound {
+		return Choice{}, reason
 	}
 	if request.Prefilled {
 		return r.selectDecode(now, &request, usable)
@@ -31,17 +31,17 @@
 	return r.selectPrefillAndDecode(now, &request, usable)
 }
 
-// NoEngineReason returns the reason why Select would find no engine. It only checks
-// eligibility and roles, and rates no engine.
+// NoEngineReason returns the reason why Select would find no engine. It only
+// checks eligibility and roles, and rates no engine.
 func (r *Router) NoEngineReason(now time.Duration, request Request) NoEngineReason {
-	usable, miss := r.usable(now, &request)
-	if miss != EngineFound {
-		return miss
+	usable, reason := r.usable(now, &request)
+	if reason != EngineFound {
+		return reason
 	}
 	if request.Prefilled {
 		return missingRole(true, hasRole(usable, engineapi.RoleDecode, engineapi.RoleMixed))
 	}
-	miss = NoDecodeEngine
+	reason = NoDecodeEngine
 	for _, sameVersion := range byVersion(usable) {
 		if hasRole(sameVersion, engineapi.RoleMixed) {
 			return EngineFound
@@ -52,10 +52,10 @@
 		case EngineFound:
 			return EngineFound
 		case NoPrefillEngine:
-			miss = NoPrefillEngine
+			reason = NoPrefillEngine
 		}
 	}
-	return miss
+	return reason
 }
 
 // missingRole returns which role the engines of one version lack.
@@ -76,7 +76,8 @@
 	})
 }
 
-// usable returns the engines that may take a request, regardless of their role.
+// usable returns the engines of a model that pass the filters for a request,
+// regardless of their role.
 func (r *Router) usable(now time.Duration, request *Request) ([]*engineState, NoEngineReason) {
 	withModel := filterStates(now, request, r.byModel[request.Model], modelFilter{})
 	if len(withModel) == 0 {
@@ -96,16 +97,16 @@
 // another version.
 func (r *Router) selectPrefillAndDecode(now time.Duration, request *Request, usable []*engineState) (Choice, NoEngineReason) {
 	var best *placement
-	miss := NoDecodeEngine
+	reason := NoDecodeEngine
 	for _, sameVersion := range byVersion(usable) {
 		rated, decodes := r.bestPlacement(now, request, sameVersion)
 		best = highestScoring([]*placement{best, rated})
 		if decodes {
-			miss = NoPrefillEngine
+			reason = NoPrefillEngine
 		}
 	}
 	if best == nil {
-		return Choice{}, miss
+		return Choice{}, reason
 	}
 	return r.newChoice(request, best), EngineFound
 }
@@ -299,7 +300,7 @@
 // was sent a prompt.
 const recentPrefillWindow = time.Second
 
-// predictBatchWait adds the wait for a slot in the batch.
+// predictBatchWait adds the wait for a slot in the batch to the predictions.
 func (r *Router) predictBatchWait(estimator *latencyEstimator, request *Request, c *candidate) {
 	wait, waitsForBatch := estimator.predictBatchWait(c.load.requests, request.OutputTokens)
 	c.firstToken += wait
--- a/internal/routing/select_test.go
+++ b/internal/routing/select_test.go
@@ -12,7 +12,7 @@
 	"github.com/pierhaven/pierhaven/internal/api/engineapi"
 )
 
-func TestSelectReportsReasonForMiss(t *testing.T) {
+func TestSelectReportsWhyNoEngineWasFound(t *testing.T) {
 	cases := map[string]struct {
 		engines []Engine
 		change  func(*Request)
@@ -31,8 +31,8 @@
 	for name, test := range cases {
 		wanted := request(200)
 		test.change(&wanted)
-		_, miss := newFixture(test.engines...).router.Select(time.Second, wanted)
-		assert.Equal(t, test.want, miss, name)
+		_, reason := newFixture(test.engines...).router.Select(time.Second, wanted)
+		assert.Equal(t, test.want, reason, name)
 	}
 }
 
@@ -42,16 +42,16 @@
 	leaving.Leaving = true
 	f := newFixture(drained, leaving, engineOf("good", engineapi.RoleMixed))
 	for range 50 {
-		choice, miss := f.router.Select(f.now, request(200))
-		require.Equal(t, EngineFound, miss)
+		choice, reason := f.router.Select(f.now, request(200))
+		require.Equal(t, EngineFound, reason)
 		require.Equal(t, "good", choice.Serving.ID)
 	}
 }
 
 func TestPairUsesPrefillAndDecodeEngines(t *testing.T) {
 	f := newFixture(engineOf("p", engineapi.RolePrefill), engineOf("d", engineapi.RoleDecode))
-	choice, miss := f.router.Select(f.now, request(200))
-	require.Equal(t, EngineFound, miss)
+	choice, reason := f.router.Select(f.now, request(200))
+	require.Equal(t, EngineFound, reason)
 	require.NotNil(t, choice.Prefill)
 	assert.Equal(t, "p", choice.Prefill.ID)
 	assert.Equal(t, "d", choice.Serving.ID)
@@ -59,8 +59,8 @@
 
 	prefilled := request(200)
 	prefilled.Prefilled = true
-	choice, miss = f.router.Select(f.now, prefilled)
-	require.Equal(t, EngineFound, miss)
+	choice, reason = f.router.Select(f.now, prefilled)
+	require.Equal(t, EngineFound, reason)
 	assert.Nil(t, choice.Prefill)
 	assert.Equal(t, "d", choice.Serving.ID)
 }
@@ -73,8 +73,8 @@
 		f.report("full", 64, 20, 20*time.Millisecond)
 		f.report("reader", 1, 0, 14*time.Millisecond)
 	}
-	choice, miss := f.router.Select(f.now, request(16))
-	require.Equal(t, EngineFound, miss)
+	choice, reason := f.router.Select(f.now, request(16))
+	require.Equal(t, EngineFound, reason)
 	assert.Equal(t, "reader", choice.Serving.ID)
 	assert.False(t, choice.Saturated)
 }
@@ -132,11 +132,11 @@
 	f.router.AttemptStarted(f.now, "a", "one", 2000, 2100)
 	for range 20 {
 		choice, _ := f.router.Select(f.now, request(200))
-		reader := choice.Serving.ID
+		prefillID := choice.Serving.ID
 		if choice.Prefill != nil {
-			reader = choice.Prefill.ID
+			prefillID = choice.Prefill.ID
 		}
-		require.Equal(t, "b", reader)
+		require.Equal(t, "b", prefillID)
 	}
 }
 
--- a/internal/routing/speed.go
+++ b/internal/routing/speed.go
@@ -103,8 +103,8 @@
 	return seconds(ahead / e.batchLimit * float64(outputTokens) * step), true
 }
 
-// interferes reports whether a step that includes a prefill chunk takes longer
-// than an objective.
+// interferes reports whether a step of a number of decode sequences and a
+// prefill chunk takes longer than the inter-token objective.
 func (e *latencyEstimator) interferes(sequences, newTokens float64, objective time.Duration) bool {
 	slope := max(e.firstToken.slope, minimumSecondsPerThousand)
 	chunk := seconds(slope * min(newTokens, assumedChunk) / tokensPerUnit)
--- a/internal/routing/subset_test.go
+++ b/internal/routing/subset_test.go
@@ -100,7 +100,7 @@
 	var record health
 	record.observeSlowness(0, 50, options)
 	assert.False(t, record.ejected(0))
-	for range 2 * slownessSamples {
+	for range 2 * minimumSlownessSamples {
 		record.observeSlowness(0, 50, options)
 	}
 	assert.True(t, record.ejected(0))
--- a/internal/routing/versions_test.go
+++ b/internal/routing/versions_test.go
@@ -20,7 +20,7 @@
 	cases := []struct {
 		name    string
 		engines []Engine
-		miss    NoEngineReason
+		reason  NoEngineReason
 	}{
 		{"a prefill engine of each version", []Engine{
 			versionEngine("p1", engineapi.RolePrefill, "1"), versionEngine("p2", engineapi.RolePrefill, "2"),
@@ -47,8 +47,8 @@
 				for _, engine := range each.engines {
 					versions[engine.ID] = engine.Version
 				}
-				choice, miss := router.Select(0, request)
-				require.Equal(t, each.miss, miss)
+				choice, reason := router.Select(0, request)
+				require.Equal(t, each.reason, reason)
 				if choice.Prefill != nil {
 					require.Equal(t, versions[choice.Serving.ID], versions[choice.Prefill.ID])
 				}
