--- a/internal/admission/bucket.go
+++ b/internal/admission/bucket.go
@@ -15,7 +15,8 @@
 	limiter *rate.Limiter
 	// unlimited is set for tenants without a budget.
 	unlimited bool
-	// validUntil is when the lease of the share expires, 0 after it has expired.
+	// validUntil is when the lease of the share expires, 0 once the rate has been
+	// lowered because it has expired.
 	validUntil time.Duration
 	// lastShare is in tokens a second.
 	lastShare float64
@@ -37,7 +38,8 @@
 func limiterTime(now time.Duration) time.Time { return limiterEpoch.Add(now) }
 
 // NewTenantLimit returns a limit with an initial share of the budget; a rate of 0
-// means no limit.
+// means no limit. The initial share has no lease, so that only staleShareFactor of
+// its rate may be used until SetShare is called.
 func NewTenantLimit(now time.Duration, tokensPerSecond, burst float64) *TenantLimit {
 	limit := &TenantLimit{unlimited: tokensPerSecond <= 0, usageSince: now, burst: max(burst, 1)}
 	limit.limiter = rate.NewLimiter(rate.Limit(tokensPerSecond), int(math.Ceil(limit.burst)))
@@ -102,7 +104,7 @@
 // DueUsage returns the tokens a second that were requested since the last usage
 // report, if the next report is due: at the tenant's first use, at regular
 // intervals while it sends requests and once after, and earlier when requests
-// were refused or the usage has more than doubled. It returns nothing for a
+// were refused or the usage has more than doubled. No report is ever due for a
 // tenant without a budget.
 func (t *TenantLimit) DueUsage(now time.Duration) (requestRate float64, due bool) {
 	span := now - t.usageSince
@@ -122,8 +124,8 @@
 	return requestRate, true
 }
 
-// BurstUtilization returns the fraction of the burst that is currently used up, from 0
-// to 1; it is 0 for a tenant without a budget.
+// BurstUtilization returns the fraction of the burst that is currently used up,
+// from 0 to 1; it is 0 for a tenant without a budget.
 func (t *TenantLimit) BurstUtilization(now time.Duration) float64 {
 	if t.unlimited {
 		return 0
--- a/internal/admission/item.go
+++ b/internal/admission/item.go
@@ -20,12 +20,12 @@
 	Rank float64
 	// Cost is the amount of work for the request, in tokens.
 	Cost float64
-	// Deadline is the time by which what Service predicts must be complete, 0 for
-	// none.
+	// Deadline is the time by which the event that Service predicts must happen, 0
+	// for none.
 	Deadline time.Duration
-	// FirstReceivedAt is when the first gateway received the request; 0 means the time of
-	// the offer. A request that another zone's gateway has forwarded has spent
-	// part of its time there.
+	// FirstReceivedAt is when the first gateway received the request; 0 means the
+	// time of the offer. A request that another zone's gateway has forwarded has
+	// spent part of its time there.
 	FirstReceivedAt time.Duration
 	// Service is the predicted time from dispatch to the event that the deadline
 	// applies to: the first token or the end of the answer.
--- a/internal/admission/length.go
+++ b/internal/admission/length.go
@@ -1,21 +1,22 @@
 package admission
 
-// AnswerLengthEstimator predicts the length of an answer before it begins. It learns the
-// ratio of answer lengths to their limits rather than the mean length: when the
-// workload shifts from short answers to long ones, the short ones end first, and
-// their mean would underestimate the long ones.
+// AnswerLengthEstimator predicts the length of an answer before it begins. It
+// learns the ratio of answer lengths to their limits rather than the mean length:
+// when the workload shifts from short answers to long ones, the short ones end
+// first, and their mean would underestimate the long ones.
 type AnswerLengthEstimator struct {
 	limit, answered float64
 }
 
-// NewAnswerLengthEstimator returns an estimator that initially expects answers to reach
-// their limits.
+// NewAnswerLengthEstimator returns an estimator that initially expects answers to
+// reach their limits.
 func NewAnswerLengthEstimator() *AnswerLengthEstimator {
 	return &AnswerLengthEstimator{limit: priorLimitTokens, answered: priorLimitTokens}
 }
 
 const (
-	// priorLimitTokens is the weight of the initial ratio of 1, in tokens.
+	// priorLimitTokens is the weight of the initial ratio of 1: it counts as much as
+	// answers whose limits add up to so many tokens.
 	priorLimitTokens = 2000
 	// lengthDecay is the factor by which each answer decays the earlier samples.
 	lengthDecay = 0.98
--- a/internal/admission/options.go
+++ b/internal/admission/options.go
@@ -11,15 +11,15 @@
 	// Margin is the fraction of the time left before an item's deadline, less its
 	// Service, that the predicted wait may take; the rest covers prediction errors.
 	Margin float64
-	// ReviewFraction is the fraction of the time from Item.Since to the deadline after
-	// which an item is reviewed: it is refused if the queue is overloaded or the
-	// predicted wait no longer fits. An item that stays is refused only at the last
-	// time at which it could be served by its deadline.
+	// ReviewFraction is the fraction of the time from Item.FirstReceivedAt to the
+	// deadline after which an item is reviewed: it is refused if the queue is
+	// overloaded or the predicted wait no longer fits. An item that stays is refused
+	// only at the last time at which it could be served by its deadline.
 	ReviewFraction float64
-	// OverloadRefusalRate: the queue counts as overloaded while more than this fraction of
-	// recent items were refused; 0 disables the detection. Long waits only help with
-	// transient bursts: while more requests arrive than can be served, they only
-	// delay refusals ("controlled delay", Maurer, Fail at Scale, ACM Queue 2015,
+	// OverloadRefusalRate is the fraction of refused items, averaged over recent
+	// items, above which the queue counts as overloaded; 0 disables the detection.
+	// Long waits only help with transient bursts: while more requests arrive than
+	// can be served, they only delay refusals ("controlled delay", Maurer, Fail at Scale, ACM Queue 2015,
 	// with refusals in place of a standing queue as the signal).
 	OverloadRefusalRate float64
 	// RateTimeConstant is the time constant for smoothing the measured drain rate.
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -20,9 +20,10 @@
 	levels []*priorityLevel
 	// reviews holds the items with a deadline, ordered by their next review.
 	reviews *btree.BTreeG[review]
-	// virtualTime is the virtual start time of the item served last; finishTimes
-	// holds for each tenant the virtual finish time of the item served last, at
-	// which its next item starts.
+	// virtualTime is the virtual start time of the item served last. finishTimes
+	// holds for each tenant the virtual time at which its next item starts: when
+	// its last item finished, or virtualTime at its last offer if that is later, so
+	// that a tenant accumulates no credit while it is idle.
 	virtualTime   float64
 	finishTimes   map[string]float64
 	itemsByTenant map[string]int
@@ -106,9 +107,10 @@
 	return &Refusal{Kind: failure.QueueFull, RetryAfter: q.boundedRetryAfter(wait), PredictedWait: wait}
 }
 
-// checkDeadline refuses an item whose predicted wait doesn't fit its deadline: it is
-// more than Options.Margin of the slack, which is the time left before the deadline
-// less the predicted service time, or there is no slack.
+// checkDeadline refuses an item whose predicted wait doesn't fit its deadline. The
+// slack is the time left before the deadline less the predicted service time; an
+// item is refused if the slack is negative or the wait exceeds Options.Margin of it.
+// A wait that can't be predicted counts as 0.
 func (q *Queue) checkDeadline(now time.Duration, item *Item) *Refusal {
 	if item.Deadline <= 0 {
 		return nil
@@ -317,7 +319,8 @@
 	return total
 }
 
-// OldestWait returns the longest time that an item has been in the queue.
+// OldestWait returns how long the oldest item has been in the queue, 0 if the queue
+// is empty.
 func (q *Queue) OldestWait(now time.Duration) time.Duration {
 	oldest := time.Duration(0)
 	for _, item := range q.items {
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -100,7 +100,7 @@
 
 func TestItemThatCannotMeetDeadlineIsRefusedOnOffer(t *testing.T) {
 	cases := map[string]struct {
-		standing          float64
+		queuedCost        float64
 		deadline, service time.Duration
 		refused           bool
 	}{
@@ -110,7 +110,7 @@
 		"a long deadline":                  {1000, 10 * time.Second, 0, false},
 	}
 	for name, test := range cases {
-		queue := newQueueWithRate(t, test.standing)
+		queue := newQueueWithRate(t, test.queuedCost)
 		late := newItem("late", "a", 1)
 		late.Deadline, late.Service = test.deadline, test.service
 		refusal := queue.Offer(0, late)
--- a/internal/admission/rate.go
+++ b/internal/admission/rate.go
@@ -65,7 +65,7 @@
 }
 
 // drainTime returns the time to serve a cost; known is false if the rate is not
-// known, or if both are 0.
+// known, or if both the rate and the cost are 0.
 func (d *drainRate) drainTime(cost float64) (wait time.Duration, known bool) {
 	rate, known := d.perSecond()
 	if !known {
--- a/internal/admission/shares.go
+++ b/internal/admission/shares.go
@@ -25,7 +25,7 @@
 
 // ShareCalculator divides tenant budgets among gateways at the leader of the zone
 // group: it leases parts of each tenant's budget to the gateways, by their demand.
-// The sum of the active leases never exceeds the budget: the part by which a share
+// The sum of the valid leases never exceeds the budget: the part by which a share
 // shrinks is leased to others only after the old lease has expired.
 type ShareCalculator struct {
 	options ShareOptions
--- a/internal/admission/shares_test.go
+++ b/internal/admission/shares_test.go
@@ -24,7 +24,8 @@
 }
 
 // TestLeasesNeverExceedTheBudget drops random replies: the gateway then continues
-// to use the share that it has.
+// to use the share that it has. No reply is dropped to a gateway whose share has
+// expired.
 func TestLeasesNeverExceedTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const budget = 10_000.0
@@ -106,7 +107,7 @@
 	assert.True(t, ok, "the request is allowed after the returned time")
 }
 
-func TestForgetReleasesGatewayLeases(t *testing.T) {
+func TestRemoveGatewayReleasesLeases(t *testing.T) {
 	calculator := NewShareCalculator(0, DefaultShareOptions())
 	for index := range 2 {
 		calculator.Renew(0, fmt.Sprint("g", index), "tenant", 1000, 1000, []string{"g0", "g1"})
--- a/internal/admission/usage_test.go
+++ b/internal/admission/usage_test.go
@@ -25,8 +25,8 @@
 
 func TestUsageIsReportedSparsely(t *testing.T) {
 	tests := map[string]struct {
-		wanted func(second int) float64
-		want   []int
+		requested func(second int) float64
+		want      []int
 	}{
 		"never used": {func(int) float64 { return 0 }, nil},
 		"steady":     {func(int) float64 { return 10 }, []int{1, 31}},
@@ -35,7 +35,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			require.Equal(t, test.want, reportSeconds(NewTenantLimit(0, 1000, 1000), 60, test.wanted))
+			require.Equal(t, test.want, reportSeconds(NewTenantLimit(0, 1000, 1000), 60, test.requested))
 		})
 	}
 }
--- a/internal/planner/decide.go
+++ b/internal/planner/decide.go
@@ -35,8 +35,8 @@
 	return output
 }
 
-// decideWithinBounds chooses the changes for one model. It limits them to the
-// engines that may still go away in the zone and among the model's own.
+// decideWithinBounds chooses the changes for one model, within the limits on
+// concurrent changes: remaining for the zone, and MaximumAway of the model's rules.
 func (p *Planner) decideWithinBounds(now, elapsed time.Duration, input Input, model Model, remaining *int, output *Output) {
 	input.Rules = input.rulesOf(&model)
 	if input.Rules.MaximumAway <= 0 {
@@ -50,7 +50,7 @@
 }
 
 // decideModel chooses the changes for one model; remaining is the number of engines
-// that may still go away.
+// that may still be changed at this time.
 func (p *Planner) decideModel(now, elapsed time.Duration, input Input, model Model, remaining *int, output *Output) {
 	state := p.model(model.Name)
 	load := state.forecast.workload()
@@ -93,8 +93,7 @@
 	p.changeRoles(now, input, model, evaluator, present, best, &proposal, remaining, output)
 }
 
-// changeRoles makes changes towards the best split, up to the number of engines
-// that may still go away.
+// changeRoles makes changes towards the best split, up to remaining.
 func (p *Planner) changeRoles(now time.Duration, input Input, model Model, evaluator splitEvaluator, present Split, best evaluation, proposal *Proposal, remaining *int, output *Output) {
 	picked := make(map[string]bool)
 	for *remaining > 0 {
--- a/internal/planner/fleet.go
+++ b/internal/planner/fleet.go
@@ -100,7 +100,8 @@
 	r.report, r.measuredAt, r.hasReport = status.Load, at, status.Load.Sequence > 0
 }
 
-// away reports whether a planned change keeps the engine from serving requests.
+// away reports whether the engine is away: a planned change keeps it from serving
+// requests.
 func away(status EngineStatus) bool {
 	return status.Draining || status.Phase == engineapi.PhaseChanging || status.Phase == engineapi.PhaseHalfDone
 }
--- a/internal/planner/goodput.go
+++ b/internal/planner/goodput.go
@@ -65,8 +65,8 @@
 	best := 0.0
 	for step := 1; step <= admissionSteps; step++ {
 		rate := remainder.Requests * float64(step) / admissionSteps
-		onTime, withinGaps := mixedAttainment(speed, split.Mixed, load, objectives, rate)
-		best = max(best, rate*onTime*withinGaps)
+		onTime, betweenTokensShare := mixedAttainment(speed, split.Mixed, load, objectives, rate)
+		best = max(best, rate*onTime*betweenTokensShare)
 	}
 	return disaggregated + best
 }
@@ -85,7 +85,7 @@
 // mixedAttainment returns the share of first tokens on time, and of answers within
 // the objective between tokens, on mixed engines that prefill and decode requests
 // at a rate.
-func mixedAttainment(speed Speed, mixed int, load Workload, objectives Objectives, rate float64) (onTime, withinGaps float64) {
+func mixedAttainment(speed Speed, mixed int, load Workload, objectives Objectives, rate float64) (onTime, betweenTokensShare float64) {
 	servers := float64(mixed)
 	batch := min(rate*load.OutputTokens*objectives.BetweenTokens/servers, speed.MaximumSequences)
 	service := speed.mixedPrefillSeconds(load, batch)
@@ -95,8 +95,8 @@
 	// steps only decode.
 	chunkSteps := min(utilisation, 1) / speed.chunkStepSeconds(load, batch)
 	plainSteps := max(0, 1-utilisation) / (speed.StepBase + speed.PerSequence*batch)
-	withinGaps = speed.tokenGapShare(load, objectives, batch, chunkSteps/(chunkSteps+plainSteps))
-	return onTime, withinGaps
+	betweenTokensShare = speed.betweenTokensAttainment(load, objectives, batch, chunkSteps/(chunkSteps+plainSteps))
+	return onTime, betweenTokensShare
 }
 
 const (
--- a/internal/planner/judge.go
+++ b/internal/planner/judge.go
@@ -11,11 +11,13 @@
 	load         Workload
 	longTermLoad Workload
 	objectives   Objectives
-	price        float64
+	// price is the price of one change, in requests of goodput.
+	price float64
 	// horizon is the time, in seconds, over which a change must be worthwhile, and
 	// longTermShare the part of it for which the long-term demand is expected.
 	horizon       float64
 	longTermShare float64
+	// changeSeconds is the expected time for which a change keeps an engine away.
 	changeSeconds float64
 	// maximumConcurrent is the maximum number of engines that change at the same time.
 	maximumConcurrent float64
--- a/internal/planner/placement.go
+++ b/internal/planner/placement.go
@@ -13,9 +13,9 @@
 	// HasRules reports whether the model has placement rules. Without rules it may
 	// run on any engine, and no engine is moved because of it.
 	HasRules() bool
-	// ConfigurationFor returns the version and the adapters that an engine should have; present
-	// are the adapters of this model that it has now. The version is empty if the
-	// rules don't allow the model on the engine.
+	// ConfigurationFor returns the version and the adapters that an engine should
+	// have; present are the adapters of this model that it has now. The version is
+	// empty if the rules don't allow the model on the engine.
 	ConfigurationFor(engineID string, present []string) (version string, adapters []string)
 }
 
@@ -61,7 +61,8 @@
 	away int
 	// serving counts, by role, the engines that serve the model now.
 	serving Split
-	// moveInProgress is set while an engine is moving from or to the model.
+	// moveInProgress is set while an engine is moving from or to the model, and in a
+	// step that changes an engine's role to prepare a move from it.
 	moveInProgress bool
 	// hasDemand is set if requests arrive for the model.
 	hasDemand bool
--- a/internal/planner/placementmove.go
+++ b/internal/planner/placementmove.go
@@ -13,9 +13,10 @@
 	engine *EngineStatus
 	from   *modelPool
 	to     *modelPool
-	// keepsServing is false if the move would take the model's ability to serve
-	// while engines remain that serve it. takesLast is set if the move takes the
-	// last serving engine of a model with demand.
+	// keepsServing is false if from can serve requests now, but the engines that it
+	// keeps could not, because prefill or decode would be missing. It is true if no
+	// serving engine is left.
+	// takesLast is set if the move leaves no serving engine to a model with demand.
 	keepsServing bool
 	takesLast    bool
 }
@@ -145,8 +146,9 @@
 }
 
 // compareMoves orders moves by how disruptive they are. Moves of misplaced engines
-// come first, then those that don't take the last engine of a model with demand,
-// then those after which the model can still serve.
+// come first, then those that don't take the last serving engine of a model with
+// demand, then those after which the model can still serve. Of equal moves, the one
+// of the engine that compareDisruption puts first is preferred.
 func compareMoves(a, b move) int {
 	return cmp.Or(
 		falseFirst(a.from.allows(a.engine), b.from.allows(b.engine)),
--- a/internal/planner/policyinput/placement.go
+++ b/internal/planner/policyinput/placement.go
@@ -46,10 +46,10 @@
 	return placement
 }
 
-// ConfigurationFor returns the version and the adapters of the first rule that allows the engine.
-// Without rules they are the model's version and the present adapters. If no rule
-// allows the engine, the version is empty, which leaves the engine's version and
-// adapters unchanged.
+// ConfigurationFor returns the version and the adapters of the first rule that
+// allows the engine. Without rules they are the model's version and the present
+// adapters. If no rule allows the engine, the version is empty, which leaves the
+// engine's version and adapters unchanged.
 func (p *Placement) ConfigurationFor(engineID string, present []string) (version string, adapters []string) {
 	for _, rule := range p.rules {
 		if rule.allowed(engineID) {
--- a/internal/planner/speed.go
+++ b/internal/planner/speed.go
@@ -112,11 +112,11 @@
 	return s.StepBase + s.PerSequence*sequences + s.PerPromptToken*min(s.ChunkTokens, load.PromptTokens)
 }
 
-// tokenGapShare returns the share of answers that meet the objective between tokens
-// on a mixed engine, where chunkShare of the steps carry prompt chunks. If such
-// steps exceed the objective, it is the binomial probability that at most
-// maximumLateTokenShare of an answer's steps carry one.
-func (s Speed) tokenGapShare(load Workload, objectives Objectives, sequences, chunkShare float64) float64 {
+// betweenTokensAttainment returns the share of answers that meet the objective
+// between tokens on a mixed engine, where chunkShare of the steps carry prompt
+// chunks. If such steps exceed the objective, it is the binomial probability that at
+// most maximumLateTokenShare of an answer's steps carry one.
+func (s Speed) betweenTokensAttainment(load Workload, objectives Objectives, sequences, chunkShare float64) float64 {
 	if s.chunkStepSeconds(load, sequences) <= objectives.BetweenTokens || chunkShare <= 0 {
 		return 1
 	}
--- a/internal/request/machine.go
+++ b/internal/request/machine.go
@@ -44,15 +44,16 @@
 	// version is fixed by the first relayed token.
 	version  string
 	excluded []string
-	// pickRetries counts the delays since the last relayed token, for a further
-	// Pick or to ask the retry policy again.
+	// pickRetries counts the delays since the last relayed token, each before
+	// another Pick or before the retry policy is asked again.
 	pickRetries int
 	// wakeAt is the end of the wait in phaseWaiting.
 	wakeAt time.Duration
 	// kv is the exported KV cache, nil for none, and kvVersion its model version.
 	kv        *engineapi.KVSource
 	kvVersion string
-	// decodeEngine gets the decode stage once the prefill is done.
+	// decodeEngine is the engine of the decode stage, which is dispatched once the
+	// prefill is done.
 	decodeEngine Engine
 	// hasRun and mayHaveRun are set if any attempt has, or may have, run.
 	hasRun     bool
@@ -71,7 +72,8 @@
 	engine  Engine
 	prefill bool
 	usesKV  bool
-	// handedOver is set once the first byte has been written.
+	// handedOver is set once the first byte has been written to the engine, which
+	// may run the attempt from then on.
 	handedOver bool
 	accepted   bool
 	version    string
@@ -81,7 +83,8 @@
 	target *moveTarget
 	// progressDeadline is when the attempt fails unless there is progress before.
 	progressDeadline time.Duration
-	// extendedDeadline is the progressDeadline that Paused has set, 0 for none.
+	// extendedDeadline is the progressDeadline that Paused has set, 0 for none. A
+	// deadline that is still equal to it is not extended again.
 	extendedDeadline time.Duration
 }
 
--- a/internal/request/machine_test.go
+++ b/internal/request/machine_test.go
@@ -193,6 +193,8 @@
 	for index := 0; index < len(outputs); index++ {
 		switch output := outputs[index].(type) {
 		case Pick:
+			// The next call to the machine reuses outputs, so it has to wait until all
+			// of them are handled.
 			defer h.answerPick(output)
 		case Dispatch:
 			h.attempts = append(h.attempts, output)
--- a/internal/request/onceonly.go
+++ b/internal/request/onceonly.go
@@ -54,7 +54,7 @@
 type SendClaim struct{ AttemptID string }
 
 // DispatchOnce asks to send the request to one back end. No byte may be written
-// after By. The result goes to Answered, Refused, NotSent or Broken.
+// after Deadline. The result goes to Answered, Refused, NotSent or Broken.
 type DispatchOnce struct {
 	AttemptID string
 	Deadline  time.Duration
--- a/internal/request/output.go
+++ b/internal/request/output.go
@@ -65,7 +65,7 @@
 // Refuse reports that the request has failed. It is the last output.
 type Refuse struct {
 	Kind failure.Kind
-	// Ran is what is known about all attempts together.
+	// Ran tells whether any of the attempts has run, as far as that is known.
 	Ran failure.Ran
 	// RetryAfter is the time after which the caller should retry; 0 means the
 	// default of the failure kind.
