--- a/internal/datagram/socket.go
+++ b/internal/datagram/socket.go
@@ -30,8 +30,8 @@
 	KindQuota
 	KindQuotaReply
 	KindQuotaPeer
-	// KindLimit, KindLimitReply and KindLimitPeer carry the same for the limits that replicas name, and
-	// KindLimitWord a ratelimit.Message.
+	// KindLimit, KindLimitReply and KindLimitPeer carry the same for the limits that replicas
+	// declare, and KindLimitWord a ratelimit.Message.
 	KindLimit
 	KindLimitReply
 	KindLimitPeer
@@ -42,33 +42,35 @@
 )
 
 const (
-	// MaximumBytes bounds a message: fragments of larger ones are lost too often.
+	// MaximumBytes bounds a message. Larger ones are split into fragments, which are lost too
+	// often.
 	MaximumBytes = 8 << 10
-	// Overhead is what a message takes on the network beside its bytes: the headers of
-	// IPv4 and UDP.
+	// Overhead is what a message takes on the network in addition to its bytes: the headers of IPv4
+	// and UDP.
 	Overhead = 28
-	// receiveBuffer in bytes holds what comes while the process does not run.
+	// receiveBuffer is the size of the socket's receive buffer, in bytes. It holds messages that
+	// arrive while the process does not run.
 	receiveBuffer = 256 << 10
 )
 
-// Handler takes a message. The payload must not be kept. An error says that the message can't be read: its
-// sender may be of another version.
+// Handler handles a message. It must not keep the payload. An error says that the message can't be
+// read: its sender may run another version.
 type Handler func(from netip.AddrPort, payload []byte) error
 
-// Socket sends and receives messages. It may be used concurrently.
+// Socket sends and receives messages. It is safe for concurrent use.
 type Socket struct {
-	// Logger is told of messages that can't be read. It is set before Run.
+	// Logger logs messages that can't be read. It must be set before Run.
 	Logger     logr.Logger
 	connection atomic.Pointer[net.UDPConn]
 	handlers   [kindEnd]Handler
 	unreadable unreadable
 }
 
-// Handle has messages of a kind taken by a handler. It is called before Run.
+// Handle registers the handler for messages of a kind. It must be called before Run.
 func (s *Socket) Handle(kind Kind, handler Handler) { s.handlers[kind] = handler }
 
-// Run listens at an IP:port, and hands messages to their handlers, one after the other,
-// until the context ends. An error says that it can't listen there.
+// Run listens at an IP:port and passes messages to their handlers, one after the other, until the
+// context ends. An error says that it can't listen there.
 func (s *Socket) Run(ctx context.Context, address string) error {
 	bound, err := net.ResolveUDPAddr("udp4", address)
 	if err != nil {
@@ -78,7 +80,7 @@
 	if err != nil {
 		return failure.Wrap(err, failure.Internal)
 	}
-	// A smaller buffer loses more messages, which is borne.
+	// Errors are ignored: a smaller buffer only loses more messages, which receivers tolerate.
 	_ = connection.SetReadBuffer(receiveBuffer)
 	stop := context.AfterFunc(ctx, func() { _ = connection.Close() })
 	defer stop()
@@ -95,7 +97,8 @@
 			return
 		}
 		if err != nil || count == 0 {
-			// The port of a process that has ended may answer so; what was sent there is lost.
+			// A closed port of a peer that has ended may cause an error here; what was sent there
+			// is lost.
 			continue
 		}
 		kind, sender := Kind(buffer[0]), netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
@@ -105,10 +108,10 @@
 	}
 }
 
-// errUnknownKind says that no handler takes messages of a kind.
+// errUnknownKind says that no handler is registered for messages of a kind.
 var errUnknownKind = errors.New("messages of this kind are not known")
 
-// handle has a message taken by the handler of its kind.
+// handle passes a message to the handler of its kind.
 func (s *Socket) handle(kind Kind, from netip.AddrPort, payload []byte) error {
 	if kind >= kindEnd || s.handlers[kind] == nil {
 		return errUnknownKind
@@ -116,12 +119,12 @@
 	return s.handlers[kind](from, payload)
 }
 
-// Unreadable is the number of messages that could not be read.
+// Unreadable returns the number of messages that could not be read.
 func (s *Socket) Unreadable() uint64 { return s.unreadable.total.Load() }
 
-// Send sends a message to each target, and returns the bytes that this takes on the
-// network; 0 if it can't be sent: it can't be encoded, is too large, or the socket does not
-// listen. A failure at a target is a loss like any other.
+// Send sends a message to each target, and returns the bytes that this takes on the network. It
+// returns 0 if the message can't be encoded or is too large, or if the socket does not listen. An
+// error at a target is ignored like any other loss.
 func (s *Socket) Send(kind Kind, message msgp.Marshaler, targets ...netip.AddrPort) int {
 	connection := s.connection.Load()
 	if connection == nil {
--- a/internal/datagram/socket_test.go
+++ b/internal/datagram/socket_test.go
@@ -46,7 +46,7 @@
 		return nil
 	})
 	address := run(t, to)
-	assert.Zero(t, from.Send(datagram.KindOutstanding, &region.Outstanding{Gateway: "early"}, address), "it does not listen yet")
+	assert.Zero(t, from.Send(datagram.KindOutstanding, &region.Outstanding{Gateway: "early"}, address), "the socket does not listen yet")
 	run(t, from)
 	require.Eventually(t, func() bool {
 		from.Send(datagram.KindPlacement, &region.PlacementMessage{Gateway: "unhandled"}, address)
@@ -62,7 +62,7 @@
 	assert.Zero(t, from.Send(datagram.KindOutstanding, tooLarge, address))
 }
 
-func TestBytesThatAreNoMessageAreBorne(t *testing.T) {
+func TestMalformedDatagramsAreIgnored(t *testing.T) {
 	received := make(chan struct{}, 1)
 	socket := &datagram.Socket{}
 	socket.Handle(datagram.KindPlacementReply, func(netip.AddrPort, []byte) error {
@@ -70,12 +70,12 @@
 		return nil
 	})
 	address := run(t, socket)
-	stranger, err := net.Dial("udp4", address.String())
+	client, err := net.Dial("udp4", address.String())
 	require.NoError(t, err)
-	defer func() { _ = stranger.Close() }()
+	defer func() { _ = client.Close() }()
 	require.Eventually(t, func() bool {
 		for _, bytes := range [][]byte{{}, {0}, {255, 1, 2}, {byte(datagram.KindPlacementReply)}} {
-			_, _ = stranger.Write(bytes)
+			_, _ = client.Write(bytes)
 		}
 		select {
 		case <-received:
@@ -86,8 +86,9 @@
 	}, patience, time.Millisecond)
 }
 
-// Whoever sends what can't be read, and how often, costs a line a second at most for each kind.
-func TestMessagesThatCannotBeReadAreCountedAndToldOfRarely(t *testing.T) {
+// Unreadable messages, from any sender and at any rate, cost at most one log line a second for each
+// kind.
+func TestUnreadableMessagesAreCountedAndLoggedAtALimitedRate(t *testing.T) {
 	var lines atomic.Int64
 	socket := &datagram.Socket{Logger: funcr.New(func(_, line string) {
 		assert.Contains(t, line, "message unreadable")
@@ -99,14 +100,14 @@
 		return err
 	})
 	address := run(t, socket)
-	stranger, err := net.Dial("udp4", address.String())
+	client, err := net.Dial("udp4", address.String())
 	require.NoError(t, err)
-	defer func() { _ = stranger.Close() }()
+	defer func() { _ = client.Close() }()
 	begun := time.Now()
 	require.Eventually(t, func() bool {
 		for range 100 {
-			_, _ = stranger.Write([]byte{byte(datagram.KindOutstanding), 0x91})
-			_, _ = stranger.Write([]byte{200, 1, 2})
+			_, _ = client.Write([]byte{byte(datagram.KindOutstanding), 0x91})
+			_, _ = client.Write([]byte{200, 1, 2})
 		}
 		return socket.Unreadable() > 1000
 	}, patience, time.Millisecond)
--- a/internal/datagram/unreadable.go
+++ b/internal/datagram/unreadable.go
@@ -10,32 +10,32 @@
 	"github.com/pierhaven/pierhaven/internal/event"
 )
 
-// unreadableLogPause is the least time between two lines on messages of one kind: a process of another
-// version may send many of them a second.
-const unreadableLogPause = time.Second
+// unreadableLogInterval is the minimum time between two log lines about messages of one kind: a
+// process of another version may send many of them a second.
+const unreadableLogInterval = time.Second
 
-// unreadable counts the messages that could not be read, and tells of them.
+// unreadable counts and logs the messages that could not be read.
 type unreadable struct {
 	total atomic.Uint64
-	// kinds are by Kind; only the receiving goroutine uses them.
+	// kinds is indexed by Kind; only the receiving goroutine uses it.
 	kinds [1 << 8]unreadableKind
 }
 
-// unreadableKind is when the next line on a kind may be written, and how many messages had none since
-// the last one.
+// unreadableKind holds the earliest time of the next log line about a kind, and the number of
+// messages omitted since the last one.
 type unreadableKind struct {
-	logAt   time.Time
-	omitted int
+	nextLogAt time.Time
+	omitted   int
 }
 
-// note counts a message, and writes a line unless one on its kind was written a short time ago.
+// note counts a message, and logs it unless one of its kind was logged a short time ago.
 func (u *unreadable) note(logger logr.Logger, now time.Time, kind Kind, from netip.AddrPort, cause error) {
 	u.total.Add(1)
 	known := &u.kinds[kind]
-	if now.Before(known.logAt) {
+	if now.Before(known.nextLogAt) {
 		known.omitted++
 		return
 	}
 	logger.Info(event.MessageUnreadable, "kind", int(kind), "from", from.String(), "error", cause.Error(), "omitted", known.omitted)
-	*known = unreadableKind{logAt: now.Add(unreadableLogPause)}
+	*known = unreadableKind{nextLogAt: now.Add(unreadableLogInterval)}
 }
