--- a/internal/framing/framing.go
+++ b/internal/framing/framing.go
@@ -1,4 +1,4 @@
-// Package framing refuses requests of which it is open where they end.
+// Package framing rejects requests whose end is ambiguous.
 package framing
 
 import (
@@ -8,10 +8,10 @@
 	"github.com/pierhaven/pierhaven/internal/failure"
 )
 
-// Check returns an error if a request's header fields leave it open where its
-// body ends, or to whom it goes: what stands behind such a request may be a part of it
-// for the one and a request of its own for the other (RFC 9112, sections 3.2, 5.2, 6.1
-// and 6.3). hertz (v0.10.4) accepts these.
+// Check returns an error if a request's header fields leave it ambiguous where its body ends or
+// which host it is for. What follows such a request may be a part of it for one server and a
+// separate request for another, which allows request smuggling (RFC 9112, sections 3.2, 5.2, 6.1
+// and 6.3). hertz (v0.10.4) accepts such requests.
 func Check(raw []byte) error {
 	lengths, codings, hosts := 0, 0, 0
 	for line := range bytes.Lines(raw) {
--- a/internal/framing/framing_test.go
+++ b/internal/framing/framing_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestOnlyOneFramingIsAccepted(t *testing.T) {
-	for raw, sound := range map[string]bool{
+	for raw, valid := range map[string]bool{
 		"":                                 true,
 		"Host: h\r\nX: a:b\r\n\r\n":        true,
 		"Host: h\r\nContent-Length: 5\r\n": true,
@@ -23,8 +23,8 @@
 		"X: a\r\n Content-Length: 3\r\n":                      false,
 	} {
 		err := framing.Check([]byte(raw))
-		assert.Equal(t, sound, err == nil, "%q", raw)
-		if !sound {
+		assert.Equal(t, valid, err == nil, "%q", raw)
+		if !valid {
 			assert.Equal(t, failure.MalformedRequest, failure.KindOf(err))
 		}
 	}
