--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -43,7 +43,7 @@
 	// MaximumBodyBytes bounds a reply, in bytes.
 	MaximumBodyBytes int
 	// MaximumConnections bounds the connections to one peer. A call beyond it
-	// waits for a free one as long as for the making of a connection.
+	// waits for a free one for at most DialTimeout.
 	MaximumConnections int
 }
 
@@ -64,7 +64,7 @@
 	return value
 }
 
-// Client calls other processes. It may be used concurrently.
+// Client calls other processes. It is safe for concurrent use.
 type Client struct {
 	http    *client.Client
 	slots   *slots
@@ -101,8 +101,9 @@
 }
 
 // Call sends a request to the process at an address (IP:port) and reads its
-// reply. It returns when the context ends, even if the peer is silent. Errors
-// have a kind; see NotDelivered and LeaderAddress for what they tell besides.
+// reply. It returns when the context ends, even if the peer does not respond.
+// Errors have a kind; NotDelivered, Answered and LeaderAddress return further
+// details.
 func (c *Client) Call(ctx context.Context, address, path string, request msgp.Marshaler, reply msgp.Unmarshaler) error {
 	if err := checkAddress(address); err != nil {
 		return err
@@ -126,8 +127,9 @@
 	}
 }
 
-// withDeadline bounds a call that its caller has not bounded. A caller's own
-// deadline stands, also a later one: long polls wait longer than other calls.
+// withDeadline sets the default timeout for a call whose context has no
+// deadline. A caller's own deadline is kept even if it is later: long polls
+// wait longer than other calls.
 func (c *Client) withDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
 	if _, bounded := ctx.Deadline(); bounded {
 		return context.WithCancel(ctx)
@@ -135,7 +137,7 @@
 	return context.WithTimeout(ctx, c.options.CallTimeout)
 }
 
-// checkAddress refuses host names: peers are addressed by IP number.
+// checkAddress rejects host names: peers are addressed by IP address.
 func checkAddress(address string) error {
 	if _, err := netip.ParseAddrPort(address); err != nil {
 		return notDelivered(err)
@@ -178,7 +180,7 @@
 	}
 }
 
-// waitForSlot bounds the wait by DialTimeout.
+// waitForSlot waits for a slot for at most DialTimeout.
 func (c *Client) waitForSlot(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, c.options.DialTimeout)
 	defer cancel()
@@ -198,22 +200,23 @@
 	return nil
 }
 
-// classify tells a call that certainly was not delivered from the others.
-// A pooled connection that breaks may have delivered its request whole.
+// classify distinguishes calls that certainly were not delivered from all
+// others. When a pooled connection breaks, its request may already have been
+// delivered in full.
 func classify(err error) error {
 	var dial *dialError
 	if errors.As(err, &dial) || errors.Is(err, hertzerrors.ErrNoFreeConns) {
 		return notDelivered(err)
 	}
 	if errors.Is(err, hertzerrors.ErrTimeout) {
-		// The library's timer and the context's end at the same time.
+		// The library's timer and the context expire at the same time.
 		return outcomeUnknown(fmt.Errorf("%w: %w", context.DeadlineExceeded, err))
 	}
 	return outcomeUnknown(err)
 }
 
-// markingDialer marks the errors of dialling, the only breakage that proves
-// that nothing was sent.
+// markingDialer marks errors of dialing, the only connection failures that
+// prove that nothing was sent.
 type markingDialer struct {
 	network.Dialer
 }
--- a/internal/rpc/doc.go
+++ b/internal/rpc/doc.go
@@ -1,8 +1,9 @@
 // Package rpc carries the messages of internal/wire between pierhaven's own
 // processes: MessagePack bodies in HTTP POST calls.
 //
-// A failed call has a kind of internal/failure and says what is known of its
-// delivery. Only a call whose connection could not be made, or whose callee
-// answered so itself, is reported as not run; every other breakage is unknown.
-// No call is repeated by this package or by the HTTP library below it.
+// The error of a failed call has a kind of internal/failure and says what is
+// known of the call's delivery. A call is reported as not run only if its
+// connection could not be made or the callee itself answered so; after every
+// other failure the outcome is unknown. Neither this package nor the HTTP
+// library below it retries calls.
 package rpc
--- a/internal/rpc/error.go
+++ b/internal/rpc/error.go
@@ -17,12 +17,12 @@
 	keyLeaderAddress
 )
 
-// notDelivered makes the error of a call that never left this process.
+// notDelivered returns the error of a call that never left this process.
 func notDelivered(cause error) error {
 	return failure.Wrap(cause, failure.NotReady, merry.WithValue(keyNotDelivered, true))
 }
 
-// outcomeUnknown makes the error of a call that may have been carried out.
+// outcomeUnknown returns the error of a call that may have been executed.
 func outcomeUnknown(cause error) error {
 	return failure.Wrap(cause, failure.OutcomeUnknown)
 }
@@ -34,27 +34,27 @@
 }
 
 // Answered reports whether the callee itself answered with this error, so that
-// its kind is the callee's own word.
+// its kind was set by the callee.
 func Answered(err error) bool {
 	marked, _ := merry.Value(err, keyAnswered).(bool)
 	return marked
 }
 
-// LeaderAddress returns where the leader is, if a callee that does not lead
-// has told so; empty if not.
+// LeaderAddress returns the leader's address if a callee that is not the leader
+// has reported it, and an empty string otherwise.
 func LeaderAddress(err error) string {
 	address, _ := merry.Value(err, keyLeaderAddress).(string)
 	return address
 }
 
-// NotLeader returns the error with which a follower refuses a call. The
-// address may be empty.
+// NotLeader returns the error with which a follower rejects a call. The address
+// may be empty.
 func NotLeader(leaderAddress string) error {
 	return failure.New(failure.NotLeader, "this controller does not lead its group",
 		merry.WithValue(keyLeaderAddress, leaderAddress))
 }
 
-// replyFor renders an error for the wire.
+// replyFor encodes an error for the wire.
 func replyFor(err error) (int, *wire.ErrorReply) {
 	answer := failure.AnswerFor(err)
 	return answer.Status, &wire.ErrorReply{
@@ -66,7 +66,8 @@
 }
 
 // errorFromReply turns the body of a failed call into an error. A body that
-// can't be read, for example of a proxy between, proves nothing.
+// can't be decoded, for example one from a proxy in between, proves nothing
+// about the callee.
 func errorFromReply(status int, body []byte) error {
 	var reply wire.ErrorReply
 	if _, err := reply.UnmarshalMsg(body); err != nil {
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -69,7 +69,8 @@
 	require.Equal(t, failure.RanNo, failure.AnswerFor(err).Ran)
 }
 
-// Calls beyond the bound of connections wait for one, and are not refused.
+// Calls beyond the maximum number of connections wait for one and are not
+// rejected.
 func TestCallsWaitForAFreeConnection(t *testing.T) {
 	const calls, connections = 2000, 2
 	address := startServer(t, "", func(context.Context, *wire.HeartbeatRequest) (*wire.HeartbeatReply, error) {
@@ -121,9 +122,9 @@
 	}
 }
 
-// A peer that reads a whole request and closes without an answer may have
-// carried it out, on a fresh connection as well as on a pooled one.
-func TestAConnectionClosedWithoutAnswerIsUnknownAndNotRepeated(t *testing.T) {
+// A peer that reads a whole request and closes the connection without an answer
+// may have executed it, on a new connection as well as on a pooled one.
+func TestAConnectionClosedWithoutAnswerIsUnknownAndNotRetried(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
@@ -174,9 +175,8 @@
 	require.ErrorIs(t, err, context.Canceled)
 }
 
-// A long poll sets a later deadline than the client's default, and is not cut
-// short by it.
-func TestACallersDeadlineStands(t *testing.T) {
+// The later deadline of a long poll is not shortened by the client's default.
+func TestACallersDeadlineOverridesTheDefault(t *testing.T) {
 	const callTimeout = 50 * time.Millisecond
 	address := startServer(t, "", func(context.Context, *wire.HeartbeatRequest) (*wire.HeartbeatReply, error) {
 		time.Sleep(4 * callTimeout)
@@ -188,7 +188,7 @@
 	require.True(t, reply.Known)
 
 	err = client.Call(context.Background(), address, wire.PathHeartbeat, &wire.HeartbeatRequest{}, &reply)
-	require.ErrorIs(t, err, context.DeadlineExceeded, "without a deadline the client's holds")
+	require.ErrorIs(t, err, context.DeadlineExceeded, "without a deadline the client's default applies")
 }
 
 func TestAReplyOverTheBoundIsRefused(t *testing.T) {
@@ -199,9 +199,9 @@
 	require.Equal(t, failure.OutcomeUnknown, failure.KindOf(err))
 }
 
-// The bytes of a heartbeat with its headers count against the budget of
-// 2 KB/s for a node; a heartbeat a second with the demand of two models and
-// the usage of four tenants must leave half of it free.
+// The bytes of a heartbeat, including headers, count towards a node's budget of
+// 2 KB/s for control traffic. One heartbeat a second with the demand of two
+// models and the usage of four tenants must leave half of it free.
 func TestAHeartbeatFitsTheControlBudget(t *testing.T) {
 	const half = int64(1024)
 	sent, received := countBytes(t, busyHeartbeat())
@@ -220,7 +220,8 @@
 	return request
 }
 
-// countBytes sends a request through a listener that counts.
+// countBytes sends a request through a proxy that counts the bytes in each
+// direction.
 func countBytes(t *testing.T, request *wire.HeartbeatRequest) (sent, received int64) {
 	t.Helper()
 	target := startServer(t, "", func(context.Context, *wire.HeartbeatRequest) (*wire.HeartbeatReply, error) {
--- a/internal/rpc/serve.go
+++ b/internal/rpc/serve.go
@@ -9,9 +9,9 @@
 	"github.com/cloudwego/hertz/pkg/app/server"
 )
 
-// ClosingListener closes the connections that it has accepted when it is told
-// to. The HTTP library's shutdown leaves kept-alive connections open and would
-// go on answering on them for a process that has stopped.
+// ClosingListener closes the connections that it has accepted when the server
+// stops. The HTTP library's shutdown leaves kept-alive connections open and
+// would go on answering on them for a process that has stopped.
 type ClosingListener struct {
 	net.Listener
 
@@ -42,7 +42,8 @@
 	return tracked, nil
 }
 
-// closeAll closes the accepted connections and those that come yet.
+// closeAll closes the accepted connections, and has those accepted later closed
+// at once.
 func (l *ClosingListener) closeAll() {
 	l.mutex.Lock()
 	l.closed = true
@@ -67,8 +68,8 @@
 	return c.Conn.Close()
 }
 
-// RunServer serves until stop is called, which gives calls under way some time
-// to end.
+// RunServer serves until stop is called, which gives calls in flight up to
+// serverCloseTime to complete.
 func RunServer(engine *server.Hertz, listener *ClosingListener) (stop func()) {
 	done := make(chan struct{})
 	go func() {
@@ -84,5 +85,6 @@
 	}
 }
 
-// serverCloseTime is how long calls may take to end when the process stops.
+// serverCloseTime is how long calls in flight may take to complete when the
+// process stops.
 const serverCloseTime = 500 * time.Millisecond
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -21,8 +21,8 @@
 
 var contentType = []byte("application/msgpack")
 
-// ServerOptions returns the options that keep the headers of replies small:
-// a heartbeat's headers count against the control budget of each node.
+// ServerOptions returns the options that keep the headers of replies small: a
+// heartbeat's headers count towards each node's budget for control traffic.
 func ServerOptions() []config.Option {
 	return []config.Option{
 		server.WithDisableDefaultDate(true),
@@ -31,7 +31,7 @@
 	}
 }
 
-// TokenCheck returns a middleware that refuses calls without the cluster's
+// TokenCheck returns a middleware that rejects calls without the cluster's
 // token, comparing in constant time. An empty token allows every call.
 func TokenCheck(token string) app.HandlerFunc {
 	expected := sha256.Sum256([]byte(token))
@@ -48,24 +48,25 @@
 	}
 }
 
-// panicReporter is the key under which a call carries its reporter of panics.
+// panicReporter is the key under which a call's context stores its panic
+// reporter.
 const panicReporter = "panic-reporter"
 
-// ReportPanics returns a middleware that has the panics of the handlers behind
-// it reported. The reporter is called on the stack of the panic.
+// ReportPanics returns a middleware that reports panics of the handlers behind
+// it. The reporter is called on the stack of the panic.
 func ReportPanics(report func(cause any)) app.HandlerFunc {
 	return func(_ context.Context, call *app.RequestContext) { call.Set(panicReporter, report) }
 }
 
-// Message is a pointer to a message type that can be read.
+// Message is a pointer to a message type that can be decoded.
 type Message[T any] interface {
 	*T
 	msgp.Unmarshaler
 }
 
-// Handle serves a path with a handler that takes a decoded request. The reply
-// is written only if the error is nil. A panic is answered as an internal
-// error; what the handler had done by then is unknown.
+// Handle serves a path with a handler for decoded requests. The reply is
+// written only if the error is nil. A panic is answered as an internal error;
+// what the handler had done by then is unknown.
 func Handle[Request any, Pointer Message[Request], Reply msgp.Marshaler](
 	routes route.IRoutes, path string, handler func(context.Context, Pointer) (Reply, error),
 ) {
--- a/internal/rpc/silent_test.go
+++ b/internal/rpc/silent_test.go
@@ -14,21 +14,22 @@
 	"github.com/pierhaven/pierhaven/internal/wire"
 )
 
-// silentProxy passes connections on, and can have those that are open fall silent for good,
+// stallingProxy forwards connections. It can stop forwarding on all open connections for good,
 // without a reset, while new ones work.
-type silentProxy struct {
+type stallingProxy struct {
 	address string
-	// generation is that of new connections; older ones pass nothing on.
+	// generation is the generation of new connections; connections of older ones forward nothing
+	// more.
 	generation atomic.Int64
 	opened     atomic.Int64
 }
 
-func startSilentProxy(t *testing.T, target string) *silentProxy {
+func startStallingProxy(t *testing.T, target string) *stallingProxy {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
-	proxy := &silentProxy{address: listener.Addr().String()}
+	proxy := &stallingProxy{address: listener.Addr().String()}
 	go func() {
 		for {
 			from, err := listener.Accept()
@@ -36,13 +37,13 @@
 				return
 			}
 			proxy.opened.Add(1)
-			proxy.pass(from, target)
+			proxy.forward(from, target)
 		}
 	}()
 	return proxy
 }
 
-func (p *silentProxy) pass(from net.Conn, target string) {
+func (p *stallingProxy) forward(from net.Conn, target string) {
 	to, err := net.Dial("tcp", target)
 	if err != nil {
 		_ = from.Close()
@@ -54,7 +55,7 @@
 		for {
 			count, err := from.Read(buffer)
 			if p.generation.Load() != generation {
-				// What comes is taken, and nothing ever follows.
+				// Data is read and discarded, and nothing is ever forwarded.
 				_, _ = io.Copy(io.Discard, from)
 				return
 			}
@@ -69,13 +70,13 @@
 	go copyWhileCurrent(to, from)
 }
 
-// TestACallAfterASilentConnectionUsesANewOne has the open connections to a process fall silent
-// for good: a call on one of them ends with its time, and those after it are answered.
-func TestACallAfterASilentConnectionUsesANewOne(t *testing.T) {
+// TestACallAfterAStalledConnectionUsesANewOne has all open connections to a process stall for good:
+// a call on one of them times out, and the calls after it are answered on new connections.
+func TestACallAfterAStalledConnectionUsesANewOne(t *testing.T) {
 	target := startServer(t, "", func(context.Context, *wire.HeartbeatRequest) (*wire.HeartbeatReply, error) {
 		return &wire.HeartbeatReply{Known: true}, nil
 	})
-	proxy := startSilentProxy(t, target)
+	proxy := startStallingProxy(t, target)
 	client := newClient(t, rpc.ClientOptions{MaximumConnections: 2})
 	call := func(wait time.Duration) error {
 		ctx, cancel := context.WithTimeout(t.Context(), wait)
@@ -85,7 +86,7 @@
 	require.NoError(t, call(20*time.Second))
 	before := proxy.opened.Load()
 	proxy.generation.Add(1)
-	require.Error(t, call(100*time.Millisecond), "the connection in the pool is silent")
+	require.Error(t, call(100*time.Millisecond), "the pooled connection has stalled")
 	for range 3 {
 		require.NoError(t, call(20*time.Second))
 	}
--- a/internal/rpc/slots.go
+++ b/internal/rpc/slots.go
@@ -7,12 +7,12 @@
 	"golang.org/x/sync/semaphore"
 )
 
-// slots bounds the calls that run at the same time to each address; those beyond
-// the bound wait their turn.
+// slots bounds the concurrent calls to each address; calls beyond the bound
+// wait for a slot.
 //
 // The HTTP library's own wait for a connection is not used: it looks for a free
-// connection and enters its queue in two steps, and a connection that comes free
-// between them wakes nobody.
+// connection and enters its queue in two steps, and a connection that becomes
+// free between them wakes no waiter.
 type slots struct {
 	bound int64
 
@@ -25,18 +25,19 @@
 	return &slots{bound: int64(bound), byAddress: map[string]*semaphore.Weighted{}}
 }
 
-// acquire takes a slot of an address, and waits for one until the context ends;
-// then it returns the context's error. Call release afterwards.
+// acquire takes a slot of an address. It waits for one until the context ends,
+// and then returns the context's error. Each successful call must be followed
+// by release.
 func (s *slots) acquire(ctx context.Context, address string) error {
-	return s.of(address).Acquire(ctx, 1)
+	return s.forAddress(address).Acquire(ctx, 1)
 }
 
-// release gives a slot back.
+// release returns a slot.
 func (s *slots) release(address string) {
-	s.of(address).Release(1)
+	s.forAddress(address).Release(1)
 }
 
-func (s *slots) of(address string) *semaphore.Weighted {
+func (s *slots) forAddress(address string) *semaphore.Weighted {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	known, found := s.byAddress[address]
--- a/internal/rpc/slots_test.go
+++ b/internal/rpc/slots_test.go
@@ -14,7 +14,7 @@
 	require.NoError(t, bounded.acquire(context.Background(), "a"))
 	require.NoError(t, bounded.acquire(context.Background(), "a"))
 	require.ErrorIs(t, bounded.acquire(ended, "a"), context.Canceled)
-	require.NoError(t, bounded.acquire(context.Background(), "b"), "another address has its own")
+	require.NoError(t, bounded.acquire(context.Background(), "b"), "another address has its own slots")
 	bounded.release("a")
 	require.NoError(t, bounded.acquire(context.Background(), "a"))
 }
