--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,5 +1,5 @@
-// Package peers shares the work that a process has placed at replicas with others that
-// place some: gateways with each other, or the coordinators that place for gateways.
+// Package peers exchanges reports of the work placed at replicas between processes that place work:
+// gateways, or the coordinators that place for gateways.
 package peers
 
 import (
@@ -17,27 +17,27 @@
 	"github.com/pierhaven/pierhaven/internal/topology"
 )
 
-// Options are what Peers are made from.
+// Options configure Peers.
 type Options struct {
-	// Name and Address are the process's own; Life is its start.
+	// Name and Address are the process's own; Life is the start time of its incarnation.
 	Name    string
 	Address string
 	Life    int64
-	// Zone is the process's own, and Topology says which zones are of its region.
+	// Zone is the process's own; Topology says which zones belong to its region.
 	Zone     string
 	Topology topology.Map
-	// LinkBitsPerSecond is the speed of the machine's network link, 0 if it is not known.
+	// LinkBitsPerSecond is the speed of the machine's network link, 0 if unknown.
 	LinkBitsPerSecond float64
-	// OtherRegionsRate bounds what is sent to all peers in other regions, in bytes a second; 0
-	// for DefaultOtherRegionsRate.
+	// OtherRegionsRate bounds the traffic to all peers in other regions, in bytes a second; 0
+	// selects DefaultOtherRegionsRate.
 	OtherRegionsRate float64
 	Directory        *relay.Directory
 	Socket           *datagram.Socket
 }
 
-// Peers tells other processes how much work this one has placed at each replica, and
-// learns the same of them, so that they don't all choose the same replica. It is soft
-// state: a lost datagram is made up for by the next. It may be used concurrently.
+// Peers reports to other processes how much work this one has placed at each replica, and receives
+// their reports, so that they don't all choose the same replica. The state is soft: a later
+// datagram makes up for a lost one. It is safe for concurrent use.
 type Peers struct {
 	name      string
 	address   string
@@ -46,96 +46,95 @@
 	life      int64
 	zone      string
 	topology  topology.Map
-	// spans says that the topology has more than one region.
-	spans bool
-	// bytesPerSecond bounds what is sent to all peers of the region, and otherRegionsRate what
-	// is sent to those of others.
+	// multipleRegions says that the topology has more than one region.
+	multipleRegions bool
+	// bytesPerSecond bounds the traffic to all peers of the region, otherRegionsRate that to all
+	// peers in other regions.
 	bytesPerSecond   float64
 	otherRegionsRate float64
 
 	mutex     sync.Mutex
 	hash      uint64
 	addresses []netip.AddrPort
-	// zones are those of the peers that have told theirs.
-	zones  map[netip.AddrPort]string
-	heard  map[string]heardPeer
-	counts Counts
+	// zones holds the zones of the peers that have reported theirs.
+	zones    map[netip.AddrPort]string
+	received map[string]receivedState
+	counts   Counts
 }
 
-// Counts are the bytes told since the start, with the headers of datagrams.
+// Counts are the bytes sent since the start, including the headers of datagrams.
 type Counts struct{ OwnRegion, OtherRegions uint64 }
 
-// heardPeer is the newest message of a peer.
-type heardPeer struct {
+// receivedState is what is known of the messages received from a peer.
+type receivedState struct {
 	life     int64
 	sequence uint64
-	// prompt is the sequence of the last prompt that it placed.
-	prompt uint64
-	// transit is how long its messages take at least, with what the clocks differ by.
-	transit leastTransit
+	// lastPrompt is the sequence of the last prompt that it placed.
+	lastPrompt uint64
+	// transit is the minimum transit time of its messages, including the offset between the clocks.
+	transit minimumTransit
 }
 
 const (
-	// tellPoll is the pause between two looks for something to tell.
-	tellPoll = 10 * time.Millisecond
-	// wholeInterval is the time after which all work is told again, since datagrams
-	// are lost.
-	wholeInterval = time.Second
-	// requestsInterval is the least time between messages that tell only of
-	// small changes.
-	requestsInterval = 200 * time.Millisecond
-	// urgentWork is the change of what a replica has yet to read that is told at once:
-	// less is done before others hear of it.
-	urgentWork = tellPoll
-	// linkShare of the machine's link is what is sent to all peers at most; unknownRate
-	// is for links of unknown speed, and maximumRate bounds the processor's time for it.
-	// All are in bytes a second. What burstTime allows may be saved up.
-	linkShare   = 0.05
-	unknownRate = 64 << 10
-	maximumRate = 512 << 10
-	burstTime   = 250 * time.Millisecond
-	// Maximum bounds the peers that are told of work, and maximumPromptPeers those that are
-	// told of placed prompts, which are fewer and stay true for longer: each process tells
-	// those that follow it in the sorted list.
+	// sendPoll is the interval between two checks for something to send.
+	sendPoll = 10 * time.Millisecond
+	// fullInterval is the time after which all work is sent again, since datagrams are lost.
+	fullInterval = time.Second
+	// minorChangeInterval is the minimum time between messages that carry only small changes.
+	minorChangeInterval = 200 * time.Millisecond
+	// urgentChange is the change in a replica's outstanding prefill time above which a message is
+	// sent at once. Less work than this is done before others hear of it.
+	urgentChange = sendPoll
+	// linkFraction is the part of the machine's link that messages to all peers may use;
+	// defaultRate applies to links of unknown speed, and maximumRate bounds the CPU time spent on
+	// messages. Both rates are in bytes a second. An unused allowance accumulates for up to
+	// burstTime.
+	linkFraction = 0.05
+	defaultRate  = 64 << 10
+	maximumRate  = 512 << 10
+	burstTime    = 250 * time.Millisecond
+	// Maximum bounds the peers that receive reports of work, and maximumPromptPeers those that
+	// receive placed prompts, which are fewer and stay valid for longer. Each process sends to the
+	// peers that follow it in the sorted list of addresses.
 	Maximum            = 12
 	maximumPromptPeers = 96
 )
 
-// New returns Peers that know of no others yet, and has their messages taken from the
-// socket.
+// New returns Peers without addresses, and registers its handlers at the socket.
 func New(options Options) *Peers {
 	created := &Peers{
-		name:      options.Name,
-		address:   options.Address,
-		directory: options.Directory,
-		socket:    options.Socket,
-		life:      options.Life,
-		zone:      options.Zone,
-		topology:  options.Topology,
-		spans:     options.Topology.Spans(),
-		zones:     map[netip.AddrPort]string{},
-		heard:     map[string]heardPeer{},
+		name:            options.Name,
+		address:         options.Address,
+		directory:       options.Directory,
+		socket:          options.Socket,
+		life:            options.Life,
+		zone:            options.Zone,
+		topology:        options.Topology,
+		multipleRegions: options.Topology.Spans(),
+		zones:           map[netip.AddrPort]string{},
+		received:        map[string]receivedState{},
 
-		bytesPerSecond:   tellingRate(options.LinkBitsPerSecond),
+		bytesPerSecond:   sendRate(options.LinkBitsPerSecond),
 		otherRegionsRate: options.OtherRegionsRate,
 	}
 	if created.otherRegionsRate == 0 {
 		created.otherRegionsRate = DefaultOtherRegionsRate
 	}
 	options.Socket.Handle(datagram.KindOutstanding, created.receive)
-	options.Socket.Handle(datagram.KindResting, created.receiveResting)
+	options.Socket.Handle(datagram.KindResting, created.receiveBackoffs)
 	return created
 }
 
-// tellingRate is how many bytes a second may be told over a link.
-func tellingRate(linkBitsPerSecond float64) float64 {
+// sendRate returns how many bytes a second may be sent over a link.
+func sendRate(linkBitsPerSecond float64) float64 {
 	if linkBitsPerSecond <= 0 {
-		return unknownRate
+		return defaultRate
 	}
-	return min(linkShare*linkBitsPerSecond/8, maximumRate)
+	return min(linkFraction*linkBitsPerSecond/8, maximumRate)
 }
 
-// Take takes over the addresses of all, this process among them, with their hash.
+// Take sets the addresses of all processes, including this one, in ascending order, and the hash of
+// the list.
 func (p *Peers) Take(hash uint64, addresses []string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -152,24 +151,24 @@
 	maps.DeleteFunc(p.zones, func(peer netip.AddrPort, _ string) bool { return !slices.Contains(p.addresses, peer) })
 }
 
-// Known returns the hash of the list last taken over.
+// Known returns the hash of the current list of addresses.
 func (p *Peers) Known() uint64 {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.hash
 }
 
-// targets are the peers of this region and those of others. One that has not told its zone yet
-// counts as far: it is told sums, and answers with its own.
+// targets returns the peers of this region and those of other regions. A peer that has not reported
+// its zone yet counts as far: it receives summaries, and replies with its own.
 func (p *Peers) targets() (near, far []netip.AddrPort) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if !p.spans {
+	if !p.multipleRegions {
 		return slices.Clone(p.addresses), nil
 	}
 	for _, address := range p.addresses {
-		zone, told := p.zones[address]
-		if told && p.topology.Between(p.zone, zone) != topology.OtherRegion {
+		zone, known := p.zones[address]
+		if known && p.topology.Between(p.zone, zone) != topology.OtherRegion {
 			near = append(near, address)
 		} else {
 			far = append(far, address)
@@ -178,17 +177,17 @@
 	return near, far
 }
 
-// Counts returns what has been told.
+// Counts returns the bytes sent so far.
 func (p *Peers) Counts() Counts {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.counts
 }
 
-// Forget gives up the peers: nobody is told any more.
+// Forget removes all peers, so that nothing is sent any more.
 func (p *Peers) Forget() { p.Take(0, nil) }
 
-// receive takes a peer's message in.
+// receive handles a message of a peer.
 func (p *Peers) receive(from netip.AddrPort, payload []byte) error {
 	var message region.Outstanding
 	if _, err := message.UnmarshalMsg(payload); err != nil {
@@ -200,7 +199,7 @@
 	}
 	p.directory.TakePlaced(p.newPrompts(&message))
 	p.directory.TakeCosts(message.Costs)
-	if p.spans && p.topology.Between(p.zone, message.Zone) == topology.OtherRegion {
+	if p.multipleRegions && p.topology.Between(p.zone, message.Zone) == topology.OtherRegion {
 		p.directory.TakeRegionWork(p.topology.RegionOf(message.Zone), message.Gateway, message.Replicas, message.Whole, age)
 		return nil
 	}
@@ -209,195 +208,198 @@
 	return nil
 }
 
-// note reports whether a message is not overtaken by another of its sender, and how old it is.
+// note records a message. It returns the message's age and whether it is newer than those received
+// from the same sender before.
 func (p *Peers) note(from netip.AddrPort, message *region.Outstanding, now time.Time) (age time.Duration, newer bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	heard := p.heard[message.Gateway]
-	if message.Life < heard.life || message.Life == heard.life && message.Sequence <= heard.sequence {
+	state := p.received[message.Gateway]
+	if message.Life < state.life || message.Life == state.life && message.Sequence <= state.sequence {
 		return 0, false
 	}
-	if message.Life != heard.life {
-		heard = heardPeer{life: message.Life}
+	if message.Life != state.life {
+		state = receivedState{life: message.Life}
 	}
-	heard.sequence = message.Sequence
+	state.sequence = message.Sequence
 	if message.WallNanos != 0 {
-		age = heard.transit.age(now, time.Unix(0, message.WallNanos))
+		age = state.transit.age(now, time.Unix(0, message.WallNanos))
 	}
-	p.heard[message.Gateway] = heard
+	p.received[message.Gateway] = state
 	if slices.Contains(p.addresses, from) {
 		p.zones[from] = message.Zone
 	}
 	return age, true
 }
 
-// newPrompts returns the prompts of a message that were not told before.
+// newPrompts returns the prompts of a message that were not received before.
 func (p *Peers) newPrompts(message *region.Outstanding) []region.PlacedPrompt {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	heard := p.heard[message.Gateway]
-	fresh := slices.DeleteFunc(message.Prompts, func(each region.PlacedPrompt) bool { return each.Sequence <= heard.prompt })
+	state := p.received[message.Gateway]
+	fresh := slices.DeleteFunc(message.Prompts, func(each region.PlacedPrompt) bool { return each.Sequence <= state.lastPrompt })
 	if len(fresh) > 0 {
-		heard.prompt = fresh[len(fresh)-1].Sequence
-		p.heard[message.Gateway] = heard
+		state.lastPrompt = fresh[len(fresh)-1].Sequence
+		p.received[message.Gateway] = state
 	}
 	return fresh
 }
 
-// Tell tells the peers of this process's work whenever it has changed, within the
-// allowance, until the context ends.
+// Tell sends this process's work to the peers whenever it has changed, within the allowed rate,
+// until the context ends.
 func (p *Peers) Tell(ctx context.Context) {
-	state := teller{peers: p, last: time.Now()}
-	for lifecycle.Sleep(ctx, p.pause()) {
+	state := sender{peers: p, lastStep: time.Now()}
+	for lifecycle.Sleep(ctx, p.pollInterval()) {
 		state.step(time.Now())
 	}
 }
 
-// alonePoll is the pause between two looks for peers of a process that has none: short against the time
-// in which they come to know each other.
-const alonePoll = 500 * time.Millisecond
+// noPeersPoll is the interval between two checks for peers while there are none. It is short
+// compared with the time in which processes learn of each other.
+const noPeersPoll = 500 * time.Millisecond
 
-// pause is the time until the next look for something to tell.
-func (p *Peers) pause() time.Duration {
+// pollInterval is the time until the next check for something to send.
+func (p *Peers) pollInterval() time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if len(p.addresses) == 0 {
-		return alonePoll
+		return noPeersPoll
 	}
-	return tellPoll
+	return sendPoll
 }
 
-// teller is the state of the telling.
-type teller struct {
+// sender is the state of sending to peers.
+type sender struct {
 	peers     *Peers
-	sums      sumTeller
-	rests     restTeller
+	summaries summarySender
+	backoffs  backoffSender
 	sequence  uint64
-	last      time.Time
-	toldAt    time.Time
+	lastStep  time.Time
+	sentAt    time.Time
 	allowance float64
-	// wholeAt is when all work was last told.
-	wholeAt time.Time
-	told    map[string]region.OutstandingWork
-	// unreachable are the replicas last told of as such.
+	// fullSentAt is when all work was last sent.
+	fullSentAt time.Time
+	// sent is the work last sent, by replica.
+	sent map[string]region.OutstandingWork
+	// unreachable are the replicas last reported as unreachable.
 	unreachable []string
-	// prompts and promptsBefore are the last placements told with the last
-	// message and with the one before it: each is told twice, for one datagram
-	// may be lost.
-	prompts       uint64
-	promptsBefore uint64
+	// lastPrompt and previousPrompt are the sequences of the last placements in the last message
+	// and in the one before it. Each placement is sent twice, since one datagram may be lost.
+	lastPrompt     uint64
+	previousPrompt uint64
 }
 
-func (t *teller) step(now time.Time) {
-	rate := t.peers.bytesPerSecond
-	t.allowance = min(rate*burstTime.Seconds(), t.allowance+now.Sub(t.last).Seconds()*rate)
-	near, far := t.peers.targets()
-	t.sums.step(t, now, far)
-	t.last = now
-	if t.allowance <= 0 || len(near) == 0 {
+func (s *sender) step(now time.Time) {
+	rate := s.peers.bytesPerSecond
+	s.allowance = min(rate*burstTime.Seconds(), s.allowance+now.Sub(s.lastStep).Seconds()*rate)
+	near, far := s.peers.targets()
+	s.summaries.step(s, now, far)
+	s.lastStep = now
+	if s.allowance <= 0 || len(near) == 0 {
 		return
 	}
-	t.rests.step(t, now, near)
-	work := t.peers.directory.Outstanding()
-	unreachable := t.peers.directory.Unreachable()
-	if slices.Equal(unreachable, t.unreachable) && !t.worthTelling(now, work) {
+	s.backoffs.step(s, now, near)
+	work := s.peers.directory.Outstanding()
+	unreachable := s.peers.directory.Unreachable()
+	if slices.Equal(unreachable, s.unreachable) && !s.worthSending(now, work) {
 		return
 	}
-	t.unreachable = unreachable
-	t.send(now, work, near)
+	s.unreachable = unreachable
+	s.send(now, work, near)
 }
 
-// worthTelling reports whether work has changed enough to be told now.
-func (t *teller) worthTelling(now time.Time, work []region.OutstandingWork) bool {
-	since := now.Sub(t.toldAt)
-	changed := len(work) != len(t.told)
+// worthSending reports whether work has changed enough to be sent now.
+func (s *sender) worthSending(now time.Time, work []region.OutstandingWork) bool {
+	since := now.Sub(s.sentAt)
+	changed := len(work) != len(s.sent)
 	for _, each := range work {
-		before := t.told[each.Replica]
-		if readingChange(before, each) > urgentWork {
+		before := s.sent[each.Replica]
+		if prefillChange(before, each) > urgentChange {
 			return true
 		}
 		changed = changed || before != each
 	}
-	for _, before := range t.told {
-		if readingChange(before, region.OutstandingWork{}) > urgentWork && !slices.ContainsFunc(work, func(each region.OutstandingWork) bool {
+	for _, before := range s.sent {
+		if prefillChange(before, region.OutstandingWork{}) > urgentChange && !slices.ContainsFunc(work, func(each region.OutstandingWork) bool {
 			return each.Replica == before.Replica
 		}) {
 			return true
 		}
 	}
-	return changed && since >= requestsInterval || len(work) > 0 && now.Sub(t.wholeAt) >= wholeInterval
+	return changed && since >= minorChangeInterval || len(work) > 0 && now.Sub(s.fullSentAt) >= fullInterval
 }
 
-// readingChange is by how much a replica has more, or less, to read.
-func readingChange(before, after region.OutstandingWork) time.Duration {
+// prefillChange is the change in a replica's outstanding prefill time, of on-time and late prompts,
+// in either direction.
+func prefillChange(before, after region.OutstandingWork) time.Duration {
 	change := max(before.InTimeMicros-after.InTimeMicros, after.InTimeMicros-before.InTimeMicros) +
 		max(before.LateMicros-after.LateMicros, after.LateMicros-before.LateMicros)
 	return time.Duration(change) * time.Microsecond
 }
 
-func (t *teller) send(now time.Time, work []region.OutstandingWork, targets []netip.AddrPort) {
-	prompts := t.peers.directory.Placed(t.promptsBefore)
-	t.promptsBefore = t.prompts
+func (s *sender) send(now time.Time, work []region.OutstandingWork, targets []netip.AddrPort) {
+	prompts := s.peers.directory.Placed(s.previousPrompt)
+	s.previousPrompt = s.lastPrompt
 	if len(prompts) > 0 {
-		t.prompts = prompts[len(prompts)-1].Sequence
+		s.lastPrompt = prompts[len(prompts)-1].Sequence
 	}
-	whole := now.Sub(t.wholeAt) >= wholeInterval
-	told := work
-	if !whole {
-		told = changedWork(t.told, work)
+	full := now.Sub(s.fullSentAt) >= fullInterval
+	replicas := work
+	if !full {
+		replicas = changedWork(s.sent, work)
 	}
-	message := t.message()
-	message.Whole = whole
-	message.Replicas = told
+	message := s.nextMessage()
+	message.Whole = full
+	message.Replicas = replicas
 	message.Prompts = prompts
-	message.Unreachable = t.unreachable
+	message.Unreachable = s.unreachable
 	near := min(len(targets), Maximum)
-	if !t.write(message, targets[:near]) {
+	if !s.sendToRegion(message, targets[:near]) {
 		return
 	}
 	if len(prompts) > 0 {
 		message.Replicas, message.Whole, message.Unreachable, message.Costs = nil, false, nil, nil
-		t.write(message, targets[near:])
+		s.sendToRegion(message, targets[near:])
 	}
-	t.toldAt = now
-	if whole {
-		t.wholeAt = now
+	s.sentAt = now
+	if full {
+		s.fullSentAt = now
 	}
-	t.told = make(map[string]region.OutstandingWork, len(work))
+	s.sent = make(map[string]region.OutstandingWork, len(work))
 	for _, each := range work {
-		t.told[each.Replica] = each
+		s.sent[each.Replica] = each
 	}
 }
 
-// message returns the next message, without its content.
-func (t *teller) message() *region.Outstanding {
-	t.sequence++
+// nextMessage returns the next message without its content.
+func (s *sender) nextMessage() *region.Outstanding {
+	s.sequence++
 	message := &region.Outstanding{
-		Gateway:  t.peers.name,
-		Life:     t.peers.life,
-		Sequence: t.sequence,
-		Costs:    t.peers.directory.Costs(),
+		Gateway:  s.peers.name,
+		Life:     s.peers.life,
+		Sequence: s.sequence,
+		Costs:    s.peers.directory.Costs(),
 	}
-	if t.peers.spans {
-		message.Zone = t.peers.zone
+	if s.peers.multipleRegions {
+		message.Zone = s.peers.zone
 	}
 	return message
 }
 
-// write sends a message to peers of the region, and reports whether it could be sent.
-func (t *teller) write(message *region.Outstanding, targets []netip.AddrPort) bool {
-	taken := t.peers.socket.Send(datagram.KindOutstanding, message, targets...)
-	t.allowance -= float64(taken)
-	t.peers.count(Counts{OwnRegion: uint64(taken)})
-	return taken > 0 || len(targets) == 0
+// sendToRegion sends a message to peers of the region, and reports whether it could be sent.
+func (s *sender) sendToRegion(message *region.Outstanding, targets []netip.AddrPort) bool {
+	sent := s.peers.socket.Send(datagram.KindOutstanding, message, targets...)
+	s.allowance -= float64(sent)
+	s.peers.count(Counts{OwnRegion: uint64(sent)})
+	return sent > 0 || len(targets) == 0
 }
 
-// changedWork lists the work that is not as it was told, and what has ended as none.
-func changedWork(told map[string]region.OutstandingWork, work []region.OutstandingWork) []region.OutstandingWork {
+// changedWork lists the work that differs from what was sent, including empty entries for work that
+// has ended.
+func changedWork(sent map[string]region.OutstandingWork, work []region.OutstandingWork) []region.OutstandingWork {
 	var changed []region.OutstandingWork
-	ended := maps.Clone(told)
+	ended := maps.Clone(sent)
 	for _, each := range work {
-		if told[each.Replica] != each {
+		if sent[each.Replica] != each {
 			changed = append(changed, each)
 		}
 		delete(ended, each.Replica)
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -8,8 +8,8 @@
 	"github.com/pierhaven/pierhaven/internal/region"
 )
 
-func TestOnlyChangedWorkIsToldBetweenWholeMessages(t *testing.T) {
-	told := map[string]region.OutstandingWork{
+func TestOnlyChangedWorkIsSentBetweenFullMessages(t *testing.T) {
+	sent := map[string]region.OutstandingWork{
 		"same":  {Replica: "same", Requests: 1},
 		"more":  {Replica: "more", Requests: 1},
 		"ended": {Replica: "ended", Requests: 1, InTimeMicros: 9},
@@ -19,6 +19,6 @@
 	}
 	assert.ElementsMatch(t, []region.OutstandingWork{
 		{Replica: "more", Requests: 2}, {Replica: "new", InTimeMicros: 5}, {Replica: "ended"},
-	}, changedWork(told, work))
-	assert.Empty(t, changedWork(told, []region.OutstandingWork{told["same"], told["more"], told["ended"]}))
+	}, changedWork(sent, work))
+	assert.Empty(t, changedWork(sent, []region.OutstandingWork{sent["same"], sent["more"], sent["ended"]}))
 }
--- a/internal/peers/regions_test.go
+++ b/internal/peers/regions_test.go
@@ -20,16 +20,16 @@
 // patience is how long a test waits for what has to happen.
 const patience = 10 * time.Second
 
-var places = topology.Map{Regions: map[string]string{"north-a": "north", "north-b": "north", "south-a": "south"}}
+var twoRegions = topology.Map{Regions: map[string]string{"north-a": "north", "north-b": "north", "south-a": "south"}}
 
-// process is one that places work, with the words that came to it.
+// process is a process that places work, with the messages that it has received.
 type process struct {
 	*Peers
 	directory *relay.Directory
 	socket    *datagram.Socket
 	address   netip.AddrPort
-	told      teller
-	words     chan region.Outstanding
+	sender    sender
+	messages  chan region.Outstanding
 }
 
 // newProcess returns a process that listens until the end of the test.
@@ -40,7 +40,7 @@
 		directory: relay.NewDirectory(func() time.Duration { return time.Since(started) }, zone, func(string, string) {}, logr.Discard()),
 		socket:    &datagram.Socket{},
 		address:   netip.MustParseAddrPort(testnet.Address(t)),
-		words:     make(chan region.Outstanding, 4096),
+		messages:  make(chan region.Outstanding, 4096),
 	}
 	p.directory.Replace([]region.Replica{{ID: "r", Service: "s", Zone: "north-a", Slots: 64, Stage: region.StageDecode}})
 	p.Peers = New(Options{
@@ -48,15 +48,16 @@
 		Directory: p.directory, Socket: p.socket,
 	})
 	p.socket.Handle(datagram.KindOutstanding, func(from netip.AddrPort, payload []byte) error {
-		// Who awaits a word goes on once it has been taken in.
+		// The message is handled before it is passed on, so that a test that awaits it sees its
+		// effects.
 		err := p.receive(from, payload)
-		var word region.Outstanding
-		if _, unreadable := word.UnmarshalMsg(payload); unreadable == nil {
-			p.words <- word
+		var message region.Outstanding
+		if _, unreadable := message.UnmarshalMsg(payload); unreadable == nil {
+			p.messages <- message
 		}
 		return err
 	})
-	p.told = teller{peers: p.Peers, last: started}
+	p.sender = sender{peers: p.Peers, lastStep: started}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- p.socket.Run(ctx, p.address.String()) }()
@@ -70,8 +71,8 @@
 	return p
 }
 
-// know has processes know each other.
-func know(processes ...*process) {
+// introduce makes the processes' addresses known to each other.
+func introduce(processes ...*process) {
 	var addresses []string
 	for _, each := range processes {
 		addresses = append(addresses, each.address.String())
@@ -81,108 +82,108 @@
 	}
 }
 
-// await returns the next word of a zone.
-func (p *process) await(t *testing.T, zone string) region.Outstanding {
+// awaitMessage returns the next message from the process of a zone.
+func (p *process) awaitMessage(t *testing.T, zone string) region.Outstanding {
 	t.Helper()
 	for {
 		select {
-		case word := <-p.words:
-			if word.Gateway == zone {
-				return word
+		case message := <-p.messages:
+			if message.Gateway == zone {
+				return message
 			}
 		case <-time.After(patience):
-			require.Fail(t, "no word of "+zone)
+			require.Fail(t, "no message from "+zone)
 		}
 	}
 }
 
-func TestAProcessOfTheRegionIsToldEachChangeAndOneOfAnotherSums(t *testing.T) {
-	north, near, far := newProcess(t, "north-a", places), newProcess(t, "north-b", places), newProcess(t, "south-a", places)
-	know(north, near, far)
+func TestPeersInTheRegionReceiveChangesAndOtherRegionsReceiveSummaries(t *testing.T) {
+	north, near, far := newProcess(t, "north-a", twoRegions), newProcess(t, "north-b", twoRegions), newProcess(t, "south-a", twoRegions)
+	introduce(north, near, far)
 	now := time.Now()
-	near.told.step(now)
-	north.await(t, "north-b")
+	near.sender.step(now)
+	north.awaitMessage(t, "north-b")
 	for range 200 {
-		now = now.Add(tellPoll)
+		now = now.Add(sendPoll)
 		lease := north.directory.PickAny("s", relay.Wanted{})
-		north.told.step(now)
+		north.sender.step(now)
 		lease.Release()
-		now = now.Add(tellPoll)
-		north.told.step(now)
+		now = now.Add(sendPoll)
+		north.sender.step(now)
 	}
 	counts := north.Counts()
 	assert.Positive(t, counts.OwnRegion)
-	seconds := (400 * tellPoll).Seconds()
+	seconds := (400 * sendPoll).Seconds()
 	assert.Less(t, float64(counts.OtherRegions), DefaultOtherRegionsRate*(seconds+1))
-	word := far.await(t, "north-a")
-	assert.True(t, word.Whole)
-	assert.Empty(t, word.Unreachable)
-	told := 1
-	for len(far.words) > 0 || told < 2 {
-		far.await(t, "north-a")
-		told++
+	message := far.awaitMessage(t, "north-a")
+	assert.True(t, message.Whole)
+	assert.Empty(t, message.Unreachable)
+	received := 1
+	for len(far.messages) > 0 || received < 2 {
+		far.awaitMessage(t, "north-a")
+		received++
 	}
-	assert.LessOrEqual(t, told, int(seconds/sumsInterval.Seconds())+1)
+	assert.LessOrEqual(t, received, int(seconds/summaryInterval.Seconds())+1)
 	assert.GreaterOrEqual(t, far.directory.RegionReportAge("north"), time.Duration(0))
-	assert.Negative(t, near.directory.RegionReportAge("north"), "a near process is told changes")
+	assert.Negative(t, near.directory.RegionReportAge("north"), "a process of the region receives changes, not summaries")
 }
 
-// Symptom: a region that has no work looks as if it were cut off.
-func TestARegionWithoutWorkSaysSo(t *testing.T) {
-	north, far := newProcess(t, "north-a", places), newProcess(t, "south-a", places)
-	know(north, far)
-	north.told.step(time.Now())
-	assert.Empty(t, far.await(t, "north-a").Replicas)
+// Guards against a region without work being taken for one that has been cut off.
+func TestAnIdleRegionStillReports(t *testing.T) {
+	north, far := newProcess(t, "north-a", twoRegions), newProcess(t, "south-a", twoRegions)
+	introduce(north, far)
+	north.sender.step(time.Now())
+	assert.Empty(t, far.awaitMessage(t, "north-a").Replicas)
 	assert.Eventually(t, func() bool { return far.directory.RegionReportAge("north") >= 0 }, patience, time.Millisecond)
 }
 
-// Symptom: word of before a cut overrides what is known after it. Sequence: a process begins
-// anew; a word of its life before arrives late.
-func TestWordOfAnEarlierLifeIsNotTaken(t *testing.T) {
-	far := newProcess(t, "south-a", places)
+// Guards against a delayed message of a process's earlier incarnation overwriting what is known
+// from its restarted process.
+func TestAMessageOfAnEarlierIncarnationIsIgnored(t *testing.T) {
+	far := newProcess(t, "south-a", twoRegions)
 	now := time.Now()
 	from := netip.MustParseAddrPort("127.0.0.9:9")
 	_, newer := far.note(from, &region.Outstanding{Gateway: "north-a", Life: 2, Sequence: 1, WallNanos: 1}, now)
 	assert.True(t, newer)
 	_, newer = far.note(from, &region.Outstanding{Gateway: "north-a", Life: 1, Sequence: 99, WallNanos: 1}, now)
 	assert.False(t, newer)
-	assert.Empty(t, far.zones, "who is no peer is not remembered")
+	assert.Empty(t, far.zones, "only the zones of peers are recorded")
 }
 
-func TestWhereThereIsOneRegionNothingIsToldAsSums(t *testing.T) {
+func TestNoSummariesAreSentWithinOneRegion(t *testing.T) {
 	one := topology.Map{Regions: map[string]string{"north-a": "one", "south-a": "one"}}
 	a, b := newProcess(t, "north-a", one), newProcess(t, "south-a", one)
-	know(a, b)
+	introduce(a, b)
 	lease := a.directory.PickAny("s", relay.Wanted{})
 	defer lease.Release()
-	a.told.step(time.Now())
-	word := b.await(t, "north-a")
-	assert.Empty(t, word.Zone)
-	assert.Zero(t, word.WallNanos)
+	a.sender.step(time.Now())
+	message := b.awaitMessage(t, "north-a")
+	assert.Empty(t, message.Zone)
+	assert.Zero(t, message.WallNanos)
 	assert.Zero(t, a.Counts().OtherRegions)
 	assert.Positive(t, a.Counts().OwnRegion)
 }
 
-// Symptom: prompts that leave a region are read anew at replicas that keep their prefix. Cause:
-// the region was not told of the prefix.
-func TestOtherRegionsAreToldOnceOfAPrefixThatAReplicaKeeps(t *testing.T) {
-	north, far := newProcess(t, "north-a", places), newProcess(t, "south-a", places)
-	know(north, far)
+// Guards against prompts that leave a region being prefilled in full at replicas that have cached
+// their prefix, because the region was not received of the prefix.
+func TestACachedPrefixIsReportedToOtherRegionsOnce(t *testing.T) {
+	north, far := newProcess(t, "north-a", twoRegions), newProcess(t, "south-a", twoRegions)
+	introduce(north, far)
 	prompt := &relay.Prompt{Tokens: 1200, Parts: []relay.PromptPart{{ID: "shared", Tokens: 1000}, {ID: "own", Tokens: 200}}}
 	request := relay.ReadRequest{Prompt: prompt, Objective: time.Second, AimLeft: time.Second, Left: patience}
 	now := time.Now()
-	var told []region.PlacedPrompt
+	var received []region.PlacedPrompt
 	for range 4 {
 		now = now.Add(unsharedInterval)
 		lease, err := north.directory.PlacePrefill("s", request)
 		require.NoError(t, err)
-		north.told.step(now)
-		told = append(told, far.await(t, "north-a").Prompts...)
+		north.sender.step(now)
+		received = append(received, far.awaitMessage(t, "north-a").Prompts...)
 		lease.Release()
 	}
 	var prefixes [][]region.PlacedPart
 	unshared := 0
-	for _, each := range told {
+	for _, each := range received {
 		if each.Parts[0].ID == "shared" {
 			prefixes = append(prefixes, each.Parts)
 			continue
@@ -190,13 +191,13 @@
 		unshared += each.Parts[0].Tokens
 	}
 	assert.Equal(t, [][]region.PlacedPart{{{ID: "shared", Tokens: 1000}}}, prefixes)
-	assert.Equal(t, 4*200, unshared, "what fills a replica's memory is told as a sum")
+	assert.Equal(t, 4*200, unshared, "the tokens that fill a replica's cache are sent as a sum")
 }
 
-// A replica that turns one process away is about to turn others away, too.
-func TestWhoTurnsOneProcessAwayIsAvoidedByItsPeers(t *testing.T) {
+// A replica that rejects one process's requests is about to reject those of others, too.
+func TestARejectingReplicaIsAvoidedByPeers(t *testing.T) {
 	first, second := newProcess(t, "north-a", topology.Map{}), newProcess(t, "north-a", topology.Map{})
-	know(first, second)
+	introduce(first, second)
 	list := []region.Replica{{ID: "away", Service: "s", Zone: "north-a", Slots: 64}, {ID: "free", Service: "s", Zone: "north-a", Slots: 64}}
 	first.directory.Replace(list)
 	second.directory.Replace(list)
@@ -206,7 +207,7 @@
 		other = "away"
 	}
 	lease.Refused(time.Minute)
-	first.told.step(time.Now())
+	first.sender.step(time.Now())
 	assert.Eventually(t, func() bool {
 		for range 20 {
 			chosen := second.directory.PickAny("s", relay.Wanted{})
--- a/internal/peers/rests.go
+++ b/internal/peers/rests.go
@@ -8,34 +8,34 @@
 	"github.com/pierhaven/pierhaven/internal/region"
 )
 
-// restTeller tells peers of the replicas that turn this process's requests away: at once when there is one
-// more, and again for as long as there is any, since datagrams are lost.
-type restTeller struct {
-	// revision is that of the Directory's rests last told.
+// backoffSender reports to peers the replicas that reject this process's requests: at once when
+// there is another one, and repeatedly while there are any, since datagrams are lost.
+type backoffSender struct {
+	// revision is the revision of the Directory's backoffs that was last sent.
 	revision uint64
-	// againAt is when they are told again, zero if there are none.
-	againAt time.Time
+	// resendAt is when they are sent again, zero if there are none.
+	resendAt time.Time
 }
 
-func (r *restTeller) step(t *teller, now time.Time, near []netip.AddrPort) {
-	revision := t.peers.directory.BackoffRevision()
-	if revision == r.revision && (r.againAt.IsZero() || now.Before(r.againAt)) {
+func (b *backoffSender) step(parent *sender, now time.Time, near []netip.AddrPort) {
+	revision := parent.peers.directory.BackoffRevision()
+	if revision == b.revision && (b.resendAt.IsZero() || now.Before(b.resendAt)) {
 		return
 	}
-	r.revision, r.againAt = revision, time.Time{}
-	resting := t.peers.directory.Resting()
-	if len(resting) == 0 {
+	b.revision, b.resendAt = revision, time.Time{}
+	backoffs := parent.peers.directory.Resting()
+	if len(backoffs) == 0 {
 		return
 	}
-	r.againAt = now.Add(wholeInterval)
-	message := &region.Resting{Gateway: t.peers.name, Replicas: resting}
-	taken := t.peers.socket.Send(datagram.KindResting, message, near[:min(len(near), Maximum)]...)
-	t.allowance -= float64(taken)
-	t.peers.count(Counts{OwnRegion: uint64(taken)})
+	b.resendAt = now.Add(fullInterval)
+	message := &region.Resting{Gateway: parent.peers.name, Replicas: backoffs}
+	sent := parent.peers.socket.Send(datagram.KindResting, message, near[:min(len(near), Maximum)]...)
+	parent.allowance -= float64(sent)
+	parent.peers.count(Counts{OwnRegion: uint64(sent)})
 }
 
-// receiveResting takes what a peer tells of replicas that turn its requests away.
-func (p *Peers) receiveResting(_ netip.AddrPort, payload []byte) error {
+// receiveBackoffs handles a peer's report of replicas that reject its requests.
+func (p *Peers) receiveBackoffs(_ netip.AddrPort, payload []byte) error {
 	var message region.Resting
 	if _, err := message.UnmarshalMsg(payload); err != nil {
 		return err
--- a/internal/peers/sums.go
+++ b/internal/peers/sums.go
@@ -13,114 +13,116 @@
 )
 
 const (
-	// DefaultOtherRegionsRate is what is told to all peers in other regions at most, in bytes a
-	// second: the work at 300 replicas five times a second to one peer and the prefixes of 200 prompts
-	// a second, or less often to more.
+	// DefaultOtherRegionsRate bounds the traffic to all peers in other regions, in bytes a second.
+	// It suffices for the work at 300 replicas five times a second to one peer and the prefixes of
+	// 200 prompts a second, or for more peers less often.
 	DefaultOtherRegionsRate = 64 << 10
-	// LeastOtherRegionsRate is enough for a word to each of some peers before the one before it
-	// counts for nothing.
+	// LeastOtherRegionsRate suffices to send each of a few peers a message before the previous one
+	// expires.
 	LeastOtherRegionsRate = 1 << 10
-	// sumsInterval is the least time between two words to other regions: they judge by it
-	// whether a region has room to spare, not which prompt comes next.
-	sumsInterval = 200 * time.Millisecond
-	// sumsBytes bounds the replicas of one word, so that it fits into a datagram with what else
-	// it holds; the others are told in turn. A replica takes its id and at most sumBytes.
-	sumsBytes = datagram.MaximumBytes - 3<<10
-	sumBytes  = 32
-	// prefixInterval is the least time between two words on prefixes: prompts with the same one
-	// come to other regions meanwhile, and are read there once more.
+	// summaryInterval is the minimum time between two summaries to other regions. They use
+	// summaries to judge whether a region has spare capacity, not to schedule individual prompts.
+	summaryInterval = 200 * time.Millisecond
+	// maximumSummaryBytes bounds the replicas of one message, so that it fits into a datagram with
+	// its other content; further replicas follow in the next messages. A replica takes the bytes of
+	// its id and at most replicaEntryBytes.
+	maximumSummaryBytes = datagram.MaximumBytes - 3<<10
+	replicaEntryBytes   = 32
+	// prefixInterval is the minimum time between two messages on prefixes. Prompts with the same
+	// prefix that reach other regions in the meantime are prefilled there again.
 	prefixInterval = 100 * time.Millisecond
-	// newPrefixes bounds the prefixes of one word, which take some 100 bytes each, and
-	// waitingPrefixes those that wait for one.
-	newPrefixes     = 20
-	waitingPrefixes = 128
-	// prefixAgain is after how long a prefix is told again that prompts are still read with:
-	// word is lost, processes begin anew, and replicas forget.
-	prefixAgain = 10 * time.Second
-	// unsharedInterval is the least time between two words on what else replicas have read, and
-	// unsharedReplicas bounds the replicas of one. It makes them forget prefixes: without it others
-	// would go on fetching these.
-	unsharedInterval = 2 * time.Second
-	unsharedReplicas = 30
-	// rememberedPrefixes bounds those that are known to have been told.
-	rememberedPrefixes = 8192
+	// maximumPrefixes bounds the prefixes of one message, which take about 100 bytes each, and
+	// maximumPendingPrefixes those that wait for one.
+	maximumPrefixes        = 20
+	maximumPendingPrefixes = 128
+	// prefixResendInterval is the time after which a prefix that is still in use is sent again:
+	// messages are lost, processes restart, and replicas evict prefixes.
+	prefixResendInterval = 10 * time.Second
+	// unsharedInterval is the minimum time between two messages on the tokens that replicas have
+	// prefilled outside shared prefixes, and maximumUnsharedReplicas bounds the replicas of one.
+	// Such tokens evict prefixes from a replica's cache: without these messages other regions would
+	// go on fetching the evicted prefixes.
+	unsharedInterval        = 2 * time.Second
+	maximumUnsharedReplicas = 30
+	// maximumSentPrefixes bounds the prefixes whose time of sending is remembered.
+	maximumSentPrefixes = 8192
 )
 
-// sumTeller tells peers in other regions how much work this process has placed at each replica:
-// as a sum now and then, not by change.
-type sumTeller struct {
-	toldAt     time.Time
-	prefixesAt time.Time
-	allowance  float64
-	// told are the replicas whose work peers hold from earlier messages, nil while one message
-	// holds all; last is the last replica of the message before.
-	told map[string]bool
-	last string
-	// prefixes are those that replicas have begun to keep.
-	prefixes prefixTeller
+// summarySender sends peers in other regions how much work this process has placed at each replica,
+// as periodic summaries instead of each change.
+type summarySender struct {
+	sentAt         time.Time
+	prefixesSentAt time.Time
+	allowance      float64
+	// sent are the replicas whose work peers know from earlier messages, nil while one message
+	// holds all replicas; lastReplica is the last replica of the previous message.
+	sent        map[string]bool
+	lastReplica string
+	// prefixes are those that replicas have begun to cache.
+	prefixes prefixCollector
 }
 
-// step tells what it is time for, within the allowance. Sums are told without work too: a region
-// that says nothing counts as one that nothing is known of.
-func (s *sumTeller) step(t *teller, now time.Time, far []netip.AddrPort) {
-	rate := t.peers.otherRegionsRate
-	s.allowance = min(rate*sumsInterval.Seconds(), s.allowance+now.Sub(t.last).Seconds()*rate)
+// step sends what is due, within the allowance. Summaries are sent without work too: nothing is
+// assumed to be known of a region that reports nothing.
+func (s *summarySender) step(parent *sender, now time.Time, far []netip.AddrPort) {
+	rate := parent.peers.otherRegionsRate
+	s.allowance = min(rate*summaryInterval.Seconds(), s.allowance+now.Sub(parent.lastStep).Seconds()*rate)
 	if len(far) == 0 {
 		return
 	}
-	s.prefixes.collect(now, t.peers.directory)
-	sums := now.Sub(s.toldAt) >= sumsInterval
-	prefixes := len(s.prefixes.waiting) > 0 && now.Sub(s.prefixesAt) >= prefixInterval
-	if s.allowance <= 0 || !sums && !prefixes {
+	s.prefixes.collect(now, parent.peers.directory)
+	summariesDue := now.Sub(s.sentAt) >= summaryInterval
+	prefixesDue := len(s.prefixes.pending) > 0 && now.Sub(s.prefixesSentAt) >= prefixInterval
+	if s.allowance <= 0 || !summariesDue && !prefixesDue {
 		return
 	}
-	message := t.message()
+	message := parent.nextMessage()
 	message.WallNanos = now.UnixNano()
-	message.Prompts = append(s.prefixes.take(), s.prefixes.takeUnshared(now, t.peers.name)...)
-	s.prefixesAt = now
-	if sums {
-		message.Replicas, message.Whole = s.next(t.peers.directory.Outstanding())
-		s.toldAt = now
+	message.Prompts = append(s.prefixes.take(), s.prefixes.takeUnshared(now, parent.peers.name)...)
+	s.prefixesSentAt = now
+	if summariesDue {
+		message.Replicas, message.Whole = s.next(parent.peers.directory.Outstanding())
+		s.sentAt = now
 	} else {
 		message.Costs = nil
 	}
-	taken := t.peers.socket.Send(datagram.KindOutstanding, message, far...)
-	s.allowance -= float64(taken)
-	t.peers.count(Counts{OtherRegions: uint64(taken)})
+	sent := parent.peers.socket.Send(datagram.KindOutstanding, message, far...)
+	s.allowance -= float64(sent)
+	parent.peers.count(Counts{OtherRegions: uint64(sent)})
 }
 
-// next returns the sums to tell, and whether they are all that there are. Work that has ended is
-// told as none, once: if that is lost, the others forget it like all old word.
-func (s *sumTeller) next(work []region.OutstandingWork) (sums []region.OutstandingWork, whole bool) {
-	if len(firstThatFit(work, sumsBytes)) == len(work) {
-		s.told, s.last = nil, ""
+// next returns the work to send, and whether it is all there is. Work that has ended is sent once,
+// as an empty entry; if that message is lost, the peers' entries expire like all old reports.
+func (s *summarySender) next(work []region.OutstandingWork) (summaries []region.OutstandingWork, full bool) {
+	if len(firstThatFit(work, maximumSummaryBytes)) == len(work) {
+		s.sent, s.lastReplica = nil, ""
 		return work, true
 	}
-	if s.told == nil {
-		s.told = map[string]bool{}
+	if s.sent == nil {
+		s.sent = map[string]bool{}
 	}
-	begin, _ := slices.BinarySearchFunc(work, s.last, func(each region.OutstandingWork, last string) int {
+	begin, _ := slices.BinarySearchFunc(work, s.lastReplica, func(each region.OutstandingWork, last string) int {
 		if each.Replica <= last {
 			return -1
 		}
 		return 1
 	})
-	ended := firstThatFit(s.ended(work), sumsBytes/2)
-	sums = firstThatFit(slices.Concat(ended, work[begin:], work[:begin]), sumsBytes)
-	for _, each := range sums {
+	ended := firstThatFit(s.ended(work), maximumSummaryBytes/2)
+	summaries = firstThatFit(slices.Concat(ended, work[begin:], work[:begin]), maximumSummaryBytes)
+	for _, each := range summaries {
 		if each.Requests == 0 {
-			delete(s.told, each.Replica)
+			delete(s.sent, each.Replica)
 			continue
 		}
-		s.told[each.Replica] = true
-		s.last = each.Replica
+		s.sent[each.Replica] = true
+		s.lastReplica = each.Replica
 	}
-	return sums, false
+	return summaries, false
 }
 
-// ended are the replicas told of that have no work any more.
-func (s *sumTeller) ended(work []region.OutstandingWork) []region.OutstandingWork {
-	gone := maps.Clone(s.told)
+// ended returns empty entries for the replicas that were sent before and have no work any more.
+func (s *summarySender) ended(work []region.OutstandingWork) []region.OutstandingWork {
+	gone := maps.Clone(s.sent)
 	for _, each := range work {
 		delete(gone, each.Replica)
 	}
@@ -131,48 +133,49 @@
 	return ended
 }
 
-// firstThatFit are as many sums as some bytes hold.
-func firstThatFit(sums []region.OutstandingWork, bytes int) []region.OutstandingWork {
-	for index, each := range sums {
-		bytes -= sumBytes + len(each.Replica)
+// firstThatFit returns the leading entries that fit into a number of bytes.
+func firstThatFit(summaries []region.OutstandingWork, bytes int) []region.OutstandingWork {
+	for index, each := range summaries {
+		bytes -= replicaEntryBytes + len(each.Replica)
 		if bytes < 0 {
-			return sums[:index]
+			return summaries[:index]
 		}
 	}
-	return sums
+	return summaries
 }
 
-// prefixTeller collects the prefixes that prompts of this process have had replicas keep, with one
-// replica each: others can then fetch a prefix, or send a prompt to where it need not be read.
-type prefixTeller struct {
-	// sequence is that of the last prompt that was looked at.
-	sequence uint64
-	// waiting are those to be told, those with the most tokens first: reading them again takes
-	// the longest.
-	waiting []waitingPrefix
-	// told is when each was told, by its last part.
-	told map[string]time.Time
-	// number counts those told: they are not told in the order of their placement, and who is
-	// told takes only greater numbers.
-	number uint64
-	// unshared are the tokens that replicas have read beside prefixes, and unsharedAt is when
-	// others were last told.
-	unshared   map[string]int
-	unsharedAt time.Time
+// prefixCollector collects the prefixes that prompts of this process have caused replicas to cache,
+// with one replica each. Other regions can then fetch a prefix, or send a prompt to where its
+// prefix need not be prefilled.
+type prefixCollector struct {
+	// lastCollected is the sequence of the last prompt collected.
+	lastCollected uint64
+	// pending are the prefixes to send, those with the most tokens first, which take the longest to
+	// prefill again.
+	pending []pendingPrefix
+	// sentAt is when each prefix was sent or queued, by the id of its last part.
+	sentAt map[string]time.Time
+	// lastSequence is the sequence of the last entry sent. Prefixes get new sequences because they
+	// are not sent in the order of their placement, and receivers accept increasing sequences only.
+	lastSequence uint64
+	// unshared are the tokens that replicas have prefilled outside shared prefixes, and
+	// unsharedSentAt is when they were last sent.
+	unshared       map[string]int
+	unsharedSentAt time.Time
 }
 
-type waitingPrefix struct {
+type pendingPrefix struct {
 	region.PlacedPrompt
 	tokens int
 }
 
-// last is the id of the prefix's last part.
-func (w *waitingPrefix) last() string { return w.Parts[len(w.Parts)-1].ID }
+// lastID is the id of the prefix's last part.
+func (p *pendingPrefix) lastID() string { return p.Parts[len(p.Parts)-1].ID }
 
-// collect takes over what has been placed since it was last called.
-func (p *prefixTeller) collect(now time.Time, directory *relay.Directory) {
-	for _, placed := range directory.Placed(p.sequence) {
-		p.sequence = placed.Sequence
+// collect adds the prompts that were placed since the last call.
+func (p *prefixCollector) collect(now time.Time, directory *relay.Directory) {
+	for _, placed := range directory.Placed(p.lastCollected) {
+		p.lastCollected = placed.Sequence
 		if len(placed.Parts) == 0 {
 			continue
 		}
@@ -186,93 +189,95 @@
 	}
 }
 
-// add has the prefix of a prompt wait, without the prompt's own part, unless it was told of late.
-func (p *prefixTeller) add(now time.Time, placed region.PlacedPrompt) {
-	prefix := waitingPrefix{PlacedPrompt: placed}
+// add queues the prefix of a prompt, without the prompt's own part, unless it was sent or queued
+// recently.
+func (p *prefixCollector) add(now time.Time, placed region.PlacedPrompt) {
+	prefix := pendingPrefix{PlacedPrompt: placed}
 	prefix.Parts = placed.Parts[:len(placed.Parts)-1]
 	for _, part := range prefix.Parts {
 		prefix.tokens += part.Tokens
 	}
-	if told, known := p.told[prefix.last()]; known && now.Sub(told) < prefixAgain {
+	if sentAt, known := p.sentAt[prefix.lastID()]; known && now.Sub(sentAt) < prefixResendInterval {
 		return
 	}
-	if p.told == nil || len(p.told) >= rememberedPrefixes {
-		p.told = map[string]time.Time{}
+	if p.sentAt == nil || len(p.sentAt) >= maximumSentPrefixes {
+		p.sentAt = map[string]time.Time{}
 	}
-	p.told[prefix.last()] = now
-	place, _ := slices.BinarySearchFunc(p.waiting, prefix.tokens, func(each waitingPrefix, tokens int) int {
+	p.sentAt[prefix.lastID()] = now
+	index, _ := slices.BinarySearchFunc(p.pending, prefix.tokens, func(each pendingPrefix, tokens int) int {
 		return tokens - each.tokens
 	})
-	p.waiting = slices.Insert(p.waiting, place, prefix)
-	if len(p.waiting) > waitingPrefixes {
-		delete(p.told, p.waiting[waitingPrefixes].last())
-		p.waiting = p.waiting[:waitingPrefixes]
+	p.pending = slices.Insert(p.pending, index, prefix)
+	if len(p.pending) > maximumPendingPrefixes {
+		delete(p.sentAt, p.pending[maximumPendingPrefixes].lastID())
+		p.pending = p.pending[:maximumPendingPrefixes]
 	}
 }
 
-// take returns those for the next word.
-func (p *prefixTeller) take() []region.PlacedPrompt {
-	count := min(len(p.waiting), newPrefixes)
+// take removes and returns the prefixes for the next message.
+func (p *prefixCollector) take() []region.PlacedPrompt {
+	count := min(len(p.pending), maximumPrefixes)
 	taken := make([]region.PlacedPrompt, 0, count)
-	for _, prefix := range p.waiting[:count] {
-		p.number++
-		prefix.Sequence = p.number
+	for _, prefix := range p.pending[:count] {
+		p.lastSequence++
+		prefix.Sequence = p.lastSequence
 		taken = append(taken, prefix.PlacedPrompt)
 	}
-	p.waiting = slices.Delete(p.waiting, 0, count)
+	p.pending = slices.Delete(p.pending, 0, count)
 	return taken
 }
 
-// takeUnshared returns what replicas have read beside prefixes, as one part each that nobody asks
-// for.
-func (p *prefixTeller) takeUnshared(now time.Time, name string) []region.PlacedPrompt {
-	if now.Sub(p.unsharedAt) < unsharedInterval {
+// takeUnshared removes and returns the tokens that replicas have prefilled outside shared prefixes,
+// for each replica as one part whose id no prompt asks for.
+func (p *prefixCollector) takeUnshared(now time.Time, name string) []region.PlacedPrompt {
+	if now.Sub(p.unsharedSentAt) < unsharedInterval {
 		return nil
 	}
-	p.unsharedAt = now
+	p.unsharedSentAt = now
 	var taken []region.PlacedPrompt
 	for replica, tokens := range p.unshared {
-		if len(taken) == unsharedReplicas {
+		if len(taken) == maximumUnsharedReplicas {
 			break
 		}
-		p.number++
-		part := region.PlacedPart{ID: fmt.Sprint(name, " ", p.number), Tokens: tokens}
-		taken = append(taken, region.PlacedPrompt{Sequence: p.number, Replica: replica, Parts: []region.PlacedPart{part}})
+		p.lastSequence++
+		part := region.PlacedPart{ID: fmt.Sprint(name, " ", p.lastSequence), Tokens: tokens}
+		taken = append(taken, region.PlacedPrompt{Sequence: p.lastSequence, Replica: replica, Parts: []region.PlacedPart{part}})
 		delete(p.unshared, replica)
 	}
 	return taken
 }
 
-// transitWindow is for how long the least time of transit counts at least: clocks drift and are
-// set, but hardly within it.
+// transitWindow is the minimum time for which a measured minimum transit time is used. Clocks drift
+// and are set, but hardly within it.
 const transitWindow = 10 * time.Second
 
-// leastTransit is the least time between the telling of messages and their receipt, by the two
-// processes' clocks. What a message takes longer, it is old.
-type leastTransit struct {
-	// known says that the others hold anything; before is the least of the window before.
-	known         bool
-	least, before time.Duration
-	begun         time.Time
+// minimumTransit is the minimum time between the sending of messages and their receipt, by the two
+// processes' clocks. A message's age is the time that it took beyond this minimum.
+type minimumTransit struct {
+	// initialized says that the other fields are set; previous is the minimum of the previous
+	// window.
+	initialized       bool
+	minimum, previous time.Duration
+	windowStart       time.Time
 }
 
-// age is how much older a message is than the one that took the least time of late.
-func (l *leastTransit) age(now, told time.Time) time.Duration {
-	took := now.Round(0).Sub(told)
+// age returns how much longer a message took than the recent one that took the least time.
+func (m *minimumTransit) age(now, sentAt time.Time) time.Duration {
+	took := now.Round(0).Sub(sentAt)
 	switch {
-	case !l.known:
-		*l = leastTransit{known: true, least: took, before: took, begun: now}
-	case now.Sub(l.begun) >= transitWindow:
-		l.before, l.least, l.begun = l.least, took, now
+	case !m.initialized:
+		*m = minimumTransit{initialized: true, minimum: took, previous: took, windowStart: now}
+	case now.Sub(m.windowStart) >= transitWindow:
+		m.previous, m.minimum, m.windowStart = m.minimum, took, now
 	default:
-		l.least = min(l.least, took)
+		m.minimum = min(m.minimum, took)
 	}
-	return took - min(l.least, l.before)
+	return took - min(m.minimum, m.previous)
 }
 
-func (p *Peers) count(told Counts) {
+func (p *Peers) count(sent Counts) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.counts.OwnRegion += told.OwnRegion
-	p.counts.OtherRegions += told.OtherRegions
+	p.counts.OwnRegion += sent.OwnRegion
+	p.counts.OtherRegions += sent.OtherRegions
 }
