--- a/internal/session/config_test.go
+++ b/internal/session/config_test.go
@@ -9,8 +9,9 @@
 	"github.com/pierhaven/pierhaven/internal/wire"
 )
 
-// picturedAt is a picture whose configuration has one model version.
-func picturedAt(revision uint64, version string) *Picture {
+// pictureWithConfig returns a picture whose configuration has one model
+// version.
+func pictureWithConfig(revision uint64, version string) *Picture {
 	picture := newPicture()
 	picture.Config = configuration(revision, version)
 	return &picture
@@ -27,8 +28,8 @@
 	return &wire.View{ConfigRevision: next.Revision, ConfigDelta: delta}
 }
 
-func TestADeltaMovesTheConfigurationForward(t *testing.T) {
-	picture := picturedAt(5, "1")
+func TestADeltaUpdatesTheConfiguration(t *testing.T) {
+	picture := pictureWithConfig(5, "1")
 	picture.apply(deltaView(t, configuration(5, "1"), configuration(6, "2")), 0)
 	require.Equal(t, uint64(6), picture.ConfigRevision())
 	require.Equal(t, "2", picture.Config.Models[0].Version)
@@ -36,27 +37,27 @@
 }
 
 func TestADeltaNeverMovesTheConfigurationBack(t *testing.T) {
-	picture := picturedAt(7, "3")
+	picture := pictureWithConfig(7, "3")
 	picture.apply(deltaView(t, configuration(7, "3"), configuration(6, "2")), 0)
 	require.Equal(t, uint64(7), picture.ConfigRevision())
 	require.Equal(t, uint64(7), picture.knownConfig())
 }
 
-func TestADeltaFromElsewhereIsDropped(t *testing.T) {
-	picture := picturedAt(5, "1")
+func TestADeltaFromAnotherBaseIsDropped(t *testing.T) {
+	picture := pictureWithConfig(5, "1")
 	picture.apply(deltaView(t, configuration(4, "0"), configuration(6, "2")), 0)
 	require.Equal(t, uint64(5), picture.ConfigRevision())
-	require.Equal(t, uint64(5), picture.knownConfig(), "the next delta can start here")
+	require.Equal(t, uint64(5), picture.knownConfig(), "the next delta can start from this revision")
 }
 
-// The same revision with other content leaves the configuration in force and
-// asks for the whole, which ends the asking.
-func TestADeltaThatLeadsElsewhereAsksForTheWhole(t *testing.T) {
+// If the same revision has other content here, the configuration in effect
+// stays and the full one is requested, until it arrives.
+func TestADeltaWithAnotherResultRequestsTheFullConfiguration(t *testing.T) {
 	base := configuration(5, "1")
 	base.Applications = []dynamic.Application{{Name: "unknown here"}}
 	next := configuration(6, "2")
 	next.Applications = base.Applications
-	picture := picturedAt(5, "1")
+	picture := pictureWithConfig(5, "1")
 	picture.apply(deltaView(t, base, next), 0)
 	require.Equal(t, uint64(5), picture.ConfigRevision())
 	require.Equal(t, "1", picture.Config.Models[0].Version)
--- a/internal/session/confirmation.go
+++ b/internal/session/confirmation.go
@@ -7,57 +7,57 @@
 )
 
 const (
-	// confirmationValidity is how long a gateway relies on a target's own word
-	// that it serves.
+	// confirmationValidity is how long a gateway relies on a target's own
+	// statement that it accepts new work.
 	confirmationValidity = 3 * time.Second
-	// askInterval is the time between two questions to a target.
-	askInterval = time.Second
-	// askAhead is how long before the end of the lease the questions begin, so
-	// that a gateway that is being cut off goes on without a gap.
-	askAhead = 2 * askInterval
+	// queryInterval is the time between two queries to a target.
+	queryInterval = time.Second
+	// queryLead is how long before the end of the lease the queries begin, so
+	// that a gateway that is becoming isolated continues without a gap.
+	queryLead = 2 * queryInterval
 )
 
-// Target is an engine or an application back end that a gateway asks itself
-// whether it takes new work.
+// Target is an engine or an application back end that a gateway queries itself
+// on whether it accepts new work.
 type Target struct {
 	ID      string
 	Address string
-	// IsBackEnd tells application back ends from engines.
+	// IsBackEnd distinguishes application back ends from engines.
 	IsBackEnd bool
 }
 
-// confirmation is what a target has said of itself.
+// confirmation is what a target has stated of itself.
 type confirmation struct {
-	// askedAt is the time of the last question, toldAt that of the question
-	// which the newest answer belongs to.
-	askedAt time.Duration
-	toldAt  time.Duration
-	serves  bool
+	// queriedAt is the time of the last query, answeredQueryAt that of the
+	// query which the newest answer belongs to.
+	queriedAt       time.Duration
+	answeredQueryAt time.Duration
+	serves          bool
 }
 
-// Asks lists the targets that are to be asked now for their state: all that the
+// Asks returns the targets whose state is to be queried now: all that the
 // gateway may use when its lease is over or about to be, and before that those
-// that have not answered the leader. Each answer is given to Told.
+// that have not answered the leader. Each answer is passed to Told.
 //
 // A gateway without a lease has an old view, perhaps one from before a long
-// pause: targets that announced their leaving since must get no new work, and
-// nobody but they themselves can say so.
+// pause. Targets that have announced their leaving since must get no new work,
+// and only they themselves can report that.
 func (s *Session) Asks(now time.Duration) []Target {
 	leaseEnd, isolationEnd := s.lease.Ends()
 	if s.id == 0 || now >= isolationEnd {
 		return nil
 	}
 	wanted := s.unheardTargets()
-	if now >= leaseEnd-askAhead {
+	if now >= leaseEnd-queryLead {
 		wanted = s.isolatedTargets()
 	}
 	var due []Target
 	for _, target := range wanted {
 		known := s.confirmations[target]
-		if known.askedAt > 0 && now-known.askedAt < askInterval {
+		if known.queriedAt > 0 && now-known.queriedAt < queryInterval {
 			continue
 		}
-		known.askedAt = now
+		known.queriedAt = now
 		s.confirmations[target] = known
 		due = append(due, target)
 	}
@@ -71,7 +71,8 @@
 	}
 }
 
-// unheardTargets lists the targets of the view that the leader has not heard of.
+// unheardTargets lists the targets of the view that have not answered the
+// leader lately.
 func (s *Session) unheardTargets() []Target {
 	if len(s.unheard) == 0 {
 		return nil
@@ -109,20 +110,22 @@
 	return targets
 }
 
-// Told takes in a target's own word on whether it takes new work, in answer to a
-// question that was sent at sentAt.
+// Told records a target's answer on whether it accepts new work, to a query
+// that was sent at sentAt. Answers to older queries than the newest answered
+// one are ignored.
 func (s *Session) Told(sentAt time.Duration, target Target, serves bool) {
 	known := s.confirmations[target]
-	if sentAt < known.toldAt {
+	if sentAt < known.answeredQueryAt {
 		return
 	}
-	known.toldAt = sentAt
+	known.answeredQueryAt = sentAt
 	known.serves = serves
 	s.confirmations[target] = known
 }
 
-// isConfirmed reports whether a target has said lately that it takes new work.
+// isConfirmed reports whether a target has confirmed recently that it accepts
+// new work.
 func (s *Session) isConfirmed(now time.Duration, target Target) bool {
 	known := s.confirmations[target]
-	return known.serves && now-known.toldAt < confirmationValidity
+	return known.serves && now-known.answeredQueryAt < confirmationValidity
 }
--- a/internal/session/confirmation_test.go
+++ b/internal/session/confirmation_test.go
@@ -9,13 +9,13 @@
 	"github.com/pierhaven/pierhaven/internal/wire"
 )
 
-// TestAGatewayWithoutALeaseAsksItsTargets holds a gateway that is cut off to ask
-// each target that it may use, and no other, once a second.
-func TestAGatewayWithoutALeaseAsksItsTargets(t *testing.T) {
+// TestAGatewayWithoutALeaseQueriesItsTargets checks that an isolated gateway
+// queries each target that it may use, and no other, once a second.
+func TestAGatewayWithoutALeaseQueriesItsTargets(t *testing.T) {
 	s := newSession()
 	require.Empty(t, s.Asks(time.Second))
 	openSession(t, s, fullView(1, 10))
-	require.Empty(t, s.Asks(time.Second), "the lease holds")
+	require.Empty(t, s.Asks(time.Second), "the lease is valid")
 	wanted := []Target{{ID: "in-set"}, {ID: "printer", IsBackEnd: true}}
 	require.Equal(t, wanted, s.Asks(3*time.Second), "the lease ends soon")
 	require.Empty(t, s.Asks(3500*time.Millisecond))
@@ -23,9 +23,10 @@
 	require.Empty(t, s.Asks(60*time.Second), "the isolation time is over")
 }
 
-// TestATargetThatLeavesGetsNothingFromACutOffGateway is the case of a gateway
-// that wakes up from a long pause: its view is older than the announcement.
-func TestATargetThatLeavesGetsNothingFromACutOffGateway(t *testing.T) {
+// TestAnIsolatedGatewaySendsNothingToALeavingTarget guards against new work for
+// a leaving target from a gateway that resumes after a long pause: its view is
+// older than the target's announcement.
+func TestAnIsolatedGatewaySendsNothingToALeavingTarget(t *testing.T) {
 	s := newSession()
 	openSession(t, s, fullView(1, 10))
 	printer := Target{ID: "printer", IsBackEnd: true}
@@ -37,12 +38,12 @@
 	s.Told(21*time.Second, printer, true)
 	s.Told(20*time.Second, printer, false)
 	permitted, _ := s.MayDispatchBackEnd(22*time.Second, "printer")
-	require.True(t, permitted, "a late answer to an earlier question counts for nothing")
+	require.True(t, permitted, "a late answer to an earlier query is ignored")
 }
 
-// TestATargetThatTheLeaderHasNotHeardOfIsAsked is the case of a leader that can't
-// reach a target which the gateway can reach.
-func TestATargetThatTheLeaderHasNotHeardOfIsAsked(t *testing.T) {
+// TestATargetUnheardByTheLeaderIsQueried covers a leader that can't reach a
+// target which the gateway can reach.
+func TestATargetUnheardByTheLeaderIsQueried(t *testing.T) {
 	s := newSession()
 	openSession(t, s, fullView(1, 10))
 	heartbeat := s.Tick(time.Second)[0]
--- a/internal/session/dispatch.go
+++ b/internal/session/dispatch.go
@@ -19,18 +19,19 @@
 	ReasonUnknown Reason = "unknown"
 	// ReasonWithheld: the view withholds it.
 	ReasonWithheld Reason = "withheld"
-	// ReasonIsolated: the gateway is cut off, and the engine is not in its
+	// ReasonIsolated: the gateway is isolated, and the engine is not in its
 	// isolation set.
 	ReasonIsolated Reason = "isolated"
-	// ReasonUnconfirmed: the gateway has no lease, or the leader has not heard of
-	// the target, which has not said lately that it takes new work.
+	// ReasonUnconfirmed: the gateway has no lease or the leader has not heard
+	// of the target, and the target has not confirmed recently that it accepts
+	// new work.
 	ReasonUnconfirmed Reason = "unconfirmed"
-	// ReasonExpired: the gateway has been cut off for too long.
+	// ReasonExpired: the gateway has been isolated for too long.
 	ReasonExpired Reason = "isolation_expired"
 )
 
-// MayDispatch reports whether new work may be handed to an engine. It must be
-// asked at the moment of the dispatch, with the clock read after any wait.
+// MayDispatch reports whether new work may be sent to an engine. It must be
+// called at the moment of the dispatch, with the clock read after any wait.
 func (s *Session) MayDispatch(now time.Duration, engineID string) (bool, Reason) {
 	state := s.lease.State(now)
 	if reason := reasonOf(state); reason != ReasonNone {
@@ -43,7 +44,7 @@
 	if !row.Dispatchable || row.Leaving {
 		return false, ReasonWithheld
 	}
-	if s.isVouchedFor(state, engineID) {
+	if s.isKnownToLeader(state, engineID) {
 		return true, ReasonNone
 	}
 	if _, inSet := s.picture.isolationSet[engineID]; state != membership.LeaseHeld && !inSet {
@@ -52,14 +53,15 @@
 	return s.confirmed(now, Target{ID: engineID, Address: row.Address})
 }
 
-// isVouchedFor reports whether the leader knows of a target: the gateway has its
-// lease, and the target had answered the leader at the last heartbeat.
-func (s *Session) isVouchedFor(state membership.LeaseState, id string) bool {
+// isKnownToLeader reports whether the leader's state of a target can be relied
+// on: the gateway has its lease, and the target had answered the leader as of
+// the last heartbeat reply.
+func (s *Session) isKnownToLeader(state membership.LeaseState, id string) bool {
 	_, isUnheard := s.unheard[id]
 	return state == membership.LeaseHeld && !isUnheard
 }
 
-// confirmed allows a dispatch that rests on the target's own word.
+// confirmed decides a dispatch that depends on the target's own confirmation.
 func (s *Session) confirmed(now time.Duration, target Target) (bool, Reason) {
 	if !s.isConfirmed(now, target) {
 		return false, ReasonUnconfirmed
@@ -67,9 +69,9 @@
 	return true, ReasonNone
 }
 
-// MayDispatchBackEnd is MayDispatch for an application back end. Back ends take
-// no orders, so a cut-off gateway may use all of them that say that they serve,
-// until the isolation time is over.
+// MayDispatchBackEnd is MayDispatch for an application back end. Back ends
+// execute no orders, so an isolated gateway may use all of them that confirm
+// that they accept work, until the isolation time is over.
 func (s *Session) MayDispatchBackEnd(now time.Duration, backEndID string) (bool, Reason) {
 	state := s.lease.State(now)
 	if reason := reasonOf(state); reason != ReasonNone {
@@ -82,7 +84,7 @@
 	if !row.Dispatchable {
 		return false, ReasonWithheld
 	}
-	if s.isVouchedFor(state, backEndID) {
+	if s.isKnownToLeader(state, backEndID) {
 		return true, ReasonNone
 	}
 	return s.confirmed(now, Target{ID: backEndID, Address: row.Address, IsBackEnd: true})
@@ -99,12 +101,12 @@
 	}
 }
 
-// LeaseState says how far the session reaches at now.
+// LeaseState returns the state of the session's lease at now.
 func (s *Session) LeaseState(now time.Duration) membership.LeaseState {
 	return s.lease.State(now)
 }
 
-// NextTick is the time at which Tick may have a call to make.
+// NextTick returns the earliest time at which Tick may have a call to make.
 func (s *Session) NextTick() time.Duration {
 	if s.id == 0 {
 		return s.open.next(s.config.CallTimeout)
@@ -114,8 +116,8 @@
 	return min(heartbeat, watch)
 }
 
-func (s *slot) next(timeout time.Duration) time.Duration {
-	if s.busy {
+func (s *callState) next(timeout time.Duration) time.Duration {
+	if s.inFlight {
 		return max(s.due, s.sentAt+timeout)
 	}
 	return s.due
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -8,7 +8,7 @@
 	"github.com/pierhaven/pierhaven/internal/wire"
 )
 
-// Config describes the gateway.
+// Config describes the gateway and the timing of its calls.
 type Config struct {
 	GatewayID string
 	// Incarnation is drawn at random at each start of the process.
@@ -21,7 +21,7 @@
 	RetryDelay time.Duration
 	// WatchWait is how long the controller may hold a watch. Default 10 s.
 	WatchWait time.Duration
-	// Random spreads the retries.
+	// Random adds jitter to the retry delays.
 	Random *rand.Rand
 }
 
@@ -52,7 +52,7 @@
 	// Timeout is how long to wait for the reply.
 	Timeout time.Duration
 	Open    *wire.OpenSessionRequest
-	// Heartbeat's demand, usage and engines are for the caller to fill in.
+	// The caller fills in the heartbeat's demand, usage and engines.
 	Heartbeat *wire.HeartbeatRequest
 	Watch     *wire.WatchRequest
 }
@@ -67,36 +67,38 @@
 	terms   wire.Terms
 	picture Picture
 	leaving bool
-	// confirmations are what targets said of themselves to this gateway.
+	// confirmations are the targets' own statements to this gateway on whether
+	// they accept new work.
 	confirmations map[Target]confirmation
-	// unheard are the targets that had not answered the leader at the last
-	// heartbeat.
+	// unheard are the ids of the targets that had not answered the leader
+	// lately, as of the last heartbeat reply.
 	unheard map[string]struct{}
 
 	nextNumber uint64
-	open       slot
-	heartbeat  slot
-	watch      slot
+	open       callState
+	heartbeat  callState
+	watch      callState
 }
 
-// slot is a kind of call, of which one is under way at a time.
-type slot struct {
-	number uint64
-	sentAt time.Duration
-	busy   bool
+// callState is the state of one kind of call, of which at most one is in
+// flight.
+type callState struct {
+	number   uint64
+	sentAt   time.Duration
+	inFlight bool
 	// due is the earliest time of the next call.
 	due time.Duration
 }
 
-func (s *slot) ends(number uint64) bool {
-	if !s.busy || s.number != number {
+func (s *callState) finish(number uint64) bool {
+	if !s.inFlight || s.number != number {
 		return false
 	}
-	s.busy = false
+	s.inFlight = false
 	return true
 }
 
-// New returns a gateway without a session.
+// New returns the state machine of a gateway without a session.
 func New(config Config) *Session {
 	return &Session{
 		config:        config.withDefaults(),
@@ -106,13 +108,13 @@
 	}
 }
 
-// ID is the open session's id, 0 for none.
+// ID returns the open session's id, 0 for none.
 func (s *Session) ID() uint64 { return s.id }
 
-// Picture is the newest view. The caller must not change it.
+// Picture returns the newest merged view. The caller must not change it.
 func (s *Session) Picture() *Picture { return &s.picture }
 
-// SetLeaving announces the gateway's planned stop with the next heartbeat.
+// SetLeaving has the next heartbeat announce the gateway's planned stop.
 func (s *Session) SetLeaving() { s.leaving = true }
 
 // Tick returns the calls that are due.
@@ -121,38 +123,38 @@
 		return s.tickOpen(now)
 	}
 	var calls []Call
-	if s.heartbeat.startable(now, s.config.CallTimeout) {
+	if s.heartbeat.isDue(now, s.config.CallTimeout) {
 		calls = append(calls, s.startHeartbeat(now))
 	}
-	if s.watch.startable(now, s.config.WatchWait+s.config.CallTimeout) {
+	if s.watch.isDue(now, s.config.WatchWait+s.config.CallTimeout) {
 		calls = append(calls, s.startWatch(now))
 	}
 	return calls
 }
 
-// startable reports whether a call is due. A call that was never ended is given
-// up after its timeout.
-func (s *slot) startable(now, timeout time.Duration) bool {
-	if s.busy && now-s.sentAt < timeout {
+// isDue reports whether a call is to be started. A call in flight that was
+// never ended is abandoned after its timeout.
+func (s *callState) isDue(now, timeout time.Duration) bool {
+	if s.inFlight && now-s.sentAt < timeout {
 		return false
 	}
 	return now >= s.due
 }
 
-func (s *Session) start(now time.Duration, started *slot) uint64 {
+func (s *Session) startCall(now time.Duration, started *callState) uint64 {
 	s.nextNumber++
 	started.number = s.nextNumber
 	started.sentAt = now
-	started.busy = true
+	started.inFlight = true
 	return started.number
 }
 
 func (s *Session) tickOpen(now time.Duration) []Call {
-	if !s.open.startable(now, s.config.CallTimeout) {
+	if !s.open.isDue(now, s.config.CallTimeout) {
 		return nil
 	}
 	return []Call{{
-		Number:  s.start(now, &s.open),
+		Number:  s.startCall(now, &s.open),
 		Timeout: s.config.CallTimeout,
 		Open: &wire.OpenSessionRequest{
 			GatewayID:   s.config.GatewayID,
@@ -167,7 +169,7 @@
 func (s *Session) startHeartbeat(now time.Duration) Call {
 	s.heartbeat.due = now + time.Duration(s.terms.HeartbeatMillis)*time.Millisecond
 	return Call{
-		Number:  s.start(now, &s.heartbeat),
+		Number:  s.startCall(now, &s.heartbeat),
 		Timeout: s.config.CallTimeout,
 		Heartbeat: &wire.HeartbeatRequest{
 			GatewayID:       s.config.GatewayID,
@@ -181,7 +183,7 @@
 
 func (s *Session) startWatch(now time.Duration) Call {
 	return Call{
-		Number:  s.start(now, &s.watch),
+		Number:  s.startCall(now, &s.watch),
 		Timeout: s.config.WatchWait + s.config.CallTimeout,
 		Watch: &wire.WatchRequest{
 			GatewayID:      s.config.GatewayID,
@@ -193,10 +195,11 @@
 	}
 }
 
-// Opened takes in the reply to an open: first the ticket, then the session.
+// Opened handles the reply to an open call: the first reply brings the ticket,
+// the second the session.
 func (s *Session) Opened(now time.Duration, number uint64, reply *wire.OpenSessionReply) {
 	sentAt := s.open.sentAt
-	if s.id != 0 || !s.open.ends(number) {
+	if s.id != 0 || !s.open.finish(number) {
 		return
 	}
 	s.open.due = now
@@ -213,14 +216,14 @@
 	s.ticket = 0
 	s.terms = reply.Terms
 	s.lease.Begin(sentAt, membership.Terms(reply.Terms), s.picture.Revision)
-	s.heartbeat = slot{due: sentAt + time.Duration(reply.Terms.HeartbeatMillis)*time.Millisecond}
-	s.watch = slot{due: now}
+	s.heartbeat = callState{due: sentAt + time.Duration(reply.Terms.HeartbeatMillis)*time.Millisecond}
+	s.watch = callState{due: now}
 }
 
-// HeartbeatAnswered takes in the reply to a heartbeat.
+// HeartbeatAnswered handles the reply to a heartbeat.
 func (s *Session) HeartbeatAnswered(now time.Duration, number uint64, reply *wire.HeartbeatReply) {
 	sentAt := s.heartbeat.sentAt
-	if s.id == 0 || !s.heartbeat.ends(number) {
+	if s.id == 0 || !s.heartbeat.finish(number) {
 		return
 	}
 	if !reply.Known {
@@ -234,16 +237,17 @@
 	s.lease.Answered(sentAt, reply.Revision)
 }
 
-// WatchAnswered takes in the reply to a watch.
+// WatchAnswered handles the reply to a watch.
 func (s *Session) WatchAnswered(now time.Duration, number uint64, reply *wire.WatchReply) {
-	if s.id == 0 || !s.watch.ends(number) {
+	if s.id == 0 || !s.watch.finish(number) {
 		return
 	}
 	s.watch.due = now
 	s.applyView(now, &reply.View)
 }
 
-// applyView puts a view in force and acknowledges it at once.
+// applyView applies a view and has a newer one acknowledged by an immediate
+// heartbeat.
 func (s *Session) applyView(now time.Duration, view *wire.View) {
 	before := s.picture.Revision
 	if !s.picture.apply(view, s.id) {
@@ -255,16 +259,16 @@
 	}
 }
 
-// Failed ends a call that got no usable reply.
+// Failed ends a call that got no usable reply, and schedules its retry.
 func (s *Session) Failed(now time.Duration, number uint64) {
 	retryAt := now + s.retryDelay()
 	switch {
-	case s.open.ends(number):
+	case s.open.finish(number):
 		s.ticket = 0
 		s.open.due = retryAt
-	case s.heartbeat.ends(number):
+	case s.heartbeat.finish(number):
 		s.heartbeat.due = retryAt
-	case s.watch.ends(number):
+	case s.watch.finish(number):
 		s.watch.due = retryAt
 	}
 }
@@ -274,18 +278,19 @@
 	return half + time.Duration(s.config.Random.Int64N(int64(s.config.RetryDelay)))
 }
 
-// end gives up the session at once: the zone group may count on it.
+// end ends the session at once: the zone group may rely on that.
 func (s *Session) end(now time.Duration) {
 	s.lease.End()
 	s.id = 0
 	s.ticket = 0
-	s.open = slot{due: now}
-	s.heartbeat = slot{}
-	s.watch = slot{}
+	s.open = callState{due: now}
+	s.heartbeat = callState{}
+	s.watch = callState{}
 }
 
-// Close ends the session for a planned stop and returns the call that tells the
-// zone group, nil if there is no session. Nothing may be dispatched afterwards.
+// Close ends the session for a planned stop and returns the request that
+// reports this to the zone group, nil if there is no session. Nothing may be
+// dispatched afterwards.
 func (s *Session) Close(now time.Duration) *wire.CloseSessionRequest {
 	if s.id == 0 {
 		return nil
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// openSession goes through both calls; the second is sent at time 0.
+// openSession makes both open calls; the second is sent at time 0.
 func openSession(t *testing.T, s *Session, view wire.View) {
 	first := s.Tick(0)
 	require.Len(t, first, 1)
@@ -112,7 +112,7 @@
 	require.Equal(t, ReasonWithheld, reason)
 }
 
-func TestAnEndedSessionStopsAtOnce(t *testing.T) {
+func TestAnEndedSessionStopsDispatchesImmediately(t *testing.T) {
 	s := newSession()
 	openSession(t, s, fullView(1, 10))
 	heartbeat := s.Tick(time.Second)[0]
@@ -129,13 +129,13 @@
 	s.HeartbeatAnswered(time.Second, heartbeat.Number, &wire.HeartbeatReply{})
 	older := fullView(2, 3)
 	older.Config = &dynamic.Snapshot{Revision: 4}
-	openSession2 := s.Tick(time.Second)[0]
-	s.Opened(time.Second, openSession2.Number, &wire.OpenSessionReply{SessionID: 9, View: older, Terms: testTerms})
+	reopen := s.Tick(time.Second)[0]
+	s.Opened(time.Second, reopen.Number, &wire.OpenSessionReply{SessionID: 9, View: older, Terms: testTerms})
 	require.Equal(t, uint64(3), s.Picture().Revision)
 	require.Equal(t, uint64(5), s.Picture().ConfigRevision())
 }
 
-func TestUnansweredCallsAreMadeAgain(t *testing.T) {
+func TestUnansweredCallsAreRetried(t *testing.T) {
 	s := newSession()
 	first := s.Tick(0)[0]
 	require.Empty(t, s.Tick(time.Second))
@@ -145,7 +145,7 @@
 	second := s.Tick(s.NextTick())
 	require.Len(t, second, 1)
 	again := s.Tick(10 * time.Second)
-	require.Len(t, again, 1, "given up after its timeout")
+	require.Len(t, again, 1, "the unanswered call is abandoned after its timeout")
 	s.Opened(11*time.Second, second[0].Number, &wire.OpenSessionReply{SessionID: 7, View: fullView(1, 1), Terms: testTerms})
-	require.Zero(t, s.ID(), "a reply to a call that was given up is ignored")
+	require.Zero(t, s.ID(), "a reply to an abandoned call is ignored")
 }
--- a/internal/session/view.go
+++ b/internal/session/view.go
@@ -7,18 +7,19 @@
 	"github.com/pierhaven/pierhaven/internal/wire"
 )
 
-// Picture is the newest view of the zone group, merged from full and partial
+// Picture is the newest state of the zone group, merged from full and partial
 // views.
 type Picture struct {
 	Generation uint64
 	Revision   uint64
-	// Config never goes back to an older revision, not even when the zone
-	// group is created anew.
+	// Config never returns to an older revision, not even when the zone group
+	// is created anew.
 	Config *dynamic.Snapshot
-	// needsWholeConfig is set when a delta did not fit.
-	needsWholeConfig bool
-	Engines          map[string]wire.EngineView
-	BackEnds         map[string]wire.BackEndView
+	// needsFullConfig is set when a delta from the revision in effect could not
+	// be applied exactly.
+	needsFullConfig bool
+	Engines         map[string]wire.EngineView
+	BackEnds        map[string]wire.BackEndView
 	// GatewayCount is the number of gateways with open sessions in the zone.
 	GatewayCount int
 	isolationSet map[string]struct{}
@@ -32,7 +33,8 @@
 	}
 }
 
-// ConfigRevision is the revision of the configuration in force, 0 for none.
+// ConfigRevision returns the revision of the configuration in effect, 0 for
+// none.
 func (p *Picture) ConfigRevision() uint64 {
 	if p.Config == nil {
 		return 0
@@ -40,8 +42,9 @@
 	return p.Config.Revision
 }
 
-// apply merges a view and reports whether it was newer than the picture. A
-// partial view is only taken on top of the same generation.
+// apply merges a view, and reports false if it is older than the picture or
+// can't be merged. A partial view is only applied on top of the same
+// generation.
 func (p *Picture) apply(view *wire.View, sessionID uint64) bool {
 	older := view.Generation < p.Generation ||
 		(view.Generation == p.Generation && view.Revision < p.Revision)
@@ -61,31 +64,32 @@
 	return true
 }
 
-// applyConfig takes a newer configuration. A delta that does not fit exactly is
-// dropped: what is in force is always some configuration that was accepted. One
-// that starts elsewhere is followed by another, as the next watch names the
-// revision in force; after one that starts here and leads elsewhere the whole is
-// asked for.
+// applyConfig applies a newer configuration. A delta that does not apply
+// exactly is dropped, so that the configuration in effect is always one that
+// was accepted. After a delta from another base revision, the next watch names
+// the revision in effect and gets a delta from there. After a delta that starts
+// from this revision but has another result, the full configuration is
+// requested.
 func (p *Picture) applyConfig(view *wire.View) {
 	if view.Config != nil && view.Config.Revision > p.ConfigRevision() {
 		p.Config = view.Config
-		p.needsWholeConfig = false
+		p.needsFullConfig = false
 	}
 	if view.ConfigDelta == nil || view.ConfigDelta.Revision <= p.ConfigRevision() {
 		return
 	}
 	next, err := view.ConfigDelta.Apply(p.Config)
 	if err != nil {
-		p.needsWholeConfig = !errors.Is(err, dynamic.ErrOtherBase)
+		p.needsFullConfig = !errors.Is(err, dynamic.ErrOtherBase)
 		return
 	}
 	p.Config = next
 }
 
-// knownConfig is the revision to name when asking for a view: 0 asks for the
-// whole configuration.
+// knownConfig returns the revision to name in a watch request: 0 requests the
+// full configuration.
 func (p *Picture) knownConfig() uint64 {
-	if p.needsWholeConfig {
+	if p.needsFullConfig {
 		return 0
 	}
 	return p.ConfigRevision()
