--- a/internal/wire/message_test.go
+++ b/internal/wire/message_test.go
@@ -16,16 +16,16 @@
 	msgp.Sizer
 }
 
-// canonical renders a message without the difference between empty and absent
-// lists, which the encoding does not keep.
+// canonical encodes a message without the difference between empty and absent
+// lists, which the encoding does not preserve.
 func canonical(t require.TestingT, value any) string {
 	text, err := json.Marshal(value)
 	require.NoError(t, err)
 	return strings.NewReplacer(`[]`, `null`, `""`, `null`).Replace(string(text))
 }
 
-// checkMessage holds drawn messages of a type to coming back as they went, and
-// each truncated one to being refused.
+// checkMessage checks that random messages of a type survive encoding and
+// decoding unchanged, and that each truncated one is rejected.
 func checkMessage[T any, P interface {
 	*T
 	message
@@ -40,13 +40,13 @@
 		require.NoError(t, err)
 		require.Empty(t, rest)
 		require.Equal(t, canonical(t, &sent), canonical(t, &got))
-		var cut T
-		_, err = P(&cut).UnmarshalMsg(data[:rapid.IntRange(0, len(data)-1).Draw(t, "length")])
+		var truncated T
+		_, err = P(&truncated).UnmarshalMsg(data[:rapid.IntRange(0, len(data)-1).Draw(t, "length")])
 		require.Error(t, err)
 	})
 }
 
-func TestMessagesComeBackAsTheyWent(t *testing.T) {
+func TestMessagesRoundTrip(t *testing.T) {
 	t.Run("open session", checkMessage[OpenSessionRequest])
 	t.Run("open session reply", checkMessage[OpenSessionReply])
 	t.Run("heartbeat", checkMessage[HeartbeatRequest])
@@ -66,7 +66,7 @@
 }
 
 // TestClaimedLengthsAreBounded decodes messages of a few bytes that claim to
-// hold billions of rows: no room may be made for them.
+// hold billions of rows: decoding must not allocate memory for them.
 func TestClaimedLengthsAreBounded(t *testing.T) {
 	cases := []struct {
 		field  string
--- a/internal/wire/onceonly.go
+++ b/internal/wire/onceonly.go
@@ -2,7 +2,7 @@
 
 //msgp:limit arrays:65536 maps:65536
 
-// ClaimRequest asks the home zone's group for the right to dispatch a
+// ClaimRequest requests from the home zone's group the right to dispatch a
 // non-repeatable request once.
 type ClaimRequest struct {
 	// Zone is the gateway's zone, whose group keeps the session.
@@ -25,15 +25,16 @@
 	ClaimGranted ClaimStatus = "granted"
 	// ClaimInProgress: another attempt holds the claim.
 	ClaimInProgress ClaimStatus = "in_progress"
-	// ClaimAnswered: the run ended; the stored answer is in the reply.
+	// ClaimAnswered: the run has ended; the stored answer is in the reply.
 	ClaimAnswered ClaimStatus = "answered"
-	// ClaimUnknown: the holder of the claim was lost; it may have run.
+	// ClaimUnknown: the holder of the claim was lost; its run may have taken
+	// place.
 	ClaimUnknown ClaimStatus = "unknown"
 	// ClaimReused: the key was used with another body.
 	ClaimReused ClaimStatus = "reused"
 	// ClaimExpired: the key is older than the retention window.
 	ClaimExpired ClaimStatus = "expired"
-	// ClaimFull: the table is at its bound; nothing was recorded.
+	// ClaimFull: the table has reached its maximum size; nothing was recorded.
 	ClaimFull ClaimStatus = "full"
 	// ClaimInvalid: the key is not well formed, was minted too far in the
 	// future, or belongs to another zone; nothing was recorded.
@@ -41,7 +42,7 @@
 	// ClaimNotReady: the gateway's session has ended or the tenant is not
 	// known to the zone group yet; nothing was recorded.
 	ClaimNotReady ClaimStatus = "not_ready"
-	// ClaimReleased: this attempt has been given back before; use a new
+	// ClaimReleased: this attempt's claim was released before; use a new
 	// attempt id.
 	ClaimReleased ClaimStatus = "released"
 )
@@ -69,18 +70,19 @@
 	Stored bool `msg:"stored"`
 }
 
-// ReleaseRequest gives a claim back, because its attempt provably has not run
-// and never will, or marks it unknown for good.
+// ReleaseRequest releases a claim because its attempt provably has not run and
+// never will, or marks it unknown for good.
 type ReleaseRequest struct {
 	Tenant    string `msg:"tenant"`
 	Key       string `msg:"key"`
 	AttemptID string `msg:"attempt_id"`
-	// NotRun is true if the attempt was never handed over or was refused
-	// before running; false marks the outcome unknown.
+	// NotRun is true if the attempt was never dispatched or was rejected before
+	// running; false marks the outcome unknown.
 	NotRun bool `msg:"not_run"`
 }
 
-// ReleaseReply says whether the claim was the attempt's to release.
+// ReleaseReply says whether the claim was the attempt's and is now released or
+// marked unknown, by this request or an earlier one.
 type ReleaseReply struct {
 	Released bool `msg:"released"`
 }
--- a/internal/wire/session.go
+++ b/internal/wire/session.go
@@ -26,14 +26,14 @@
 	PathPoison       = "/internal/v1/poison"
 )
 
-// OpenSessionRequest registers a gateway with its zone group. A session of the
-// same gateway and address with another incarnation is ended by it: the new
-// process holds the old one's address, so the old one can't be running.
+// OpenSessionRequest registers a gateway with its zone group. It ends a session
+// of the same gateway and address with another incarnation: the new process
+// holds the old one's address, so the old one can't be running.
 //
 // It takes two calls. The first has Ticket 0 and only fetches a ticket; the
-// second carries it. An open whose ticket is older than the gateway's present
-// session is refused, so that a delayed open of a dead process can't end the
-// session of the living one. See docs/design/zone-group.md.
+// second carries it. An open whose ticket is older than the gateway's current
+// session is rejected, so that a delayed open of a process that has ended can't
+// end the session of the running one. See docs/design/zone-group.md.
 type OpenSessionRequest struct {
 	GatewayID string `msg:"gateway_id"`
 	// Ticket is the one from the first call's reply.
@@ -49,7 +49,7 @@
 // OpenSessionReply carries a ticket or, in answer to a request with a ticket,
 // the session and a full view that is at least as new as the session itself.
 type OpenSessionReply struct {
-	// Ticket is the applied position of the zone group's leader; SessionID is
+	// Ticket is the applied log index of the zone group's leader; SessionID is
 	// 0 when it is set.
 	Ticket    uint64 `msg:"ticket,omitempty"`
 	SessionID uint64 `msg:"session_id"`
@@ -57,9 +57,9 @@
 	Terms     Terms  `msg:"terms"`
 }
 
-// Terms are the times that a gateway keeps by its own monotonic clock, in
-// milliseconds, counted from the moment it sent the heartbeat that last renewed
-// its lease. They are fixed when the session opens.
+// Terms are the times that a gateway measures by its own monotonic clock, in
+// milliseconds, from the moment it sent the heartbeat that last renewed its
+// lease. They are fixed when the session opens.
 type Terms struct {
 	// HeartbeatMillis is the time between heartbeats.
 	HeartbeatMillis int64 `msg:"heartbeat_ms"`
@@ -70,25 +70,29 @@
 	IsolationMillis int64 `msg:"isolation_ms"`
 }
 
-// HeartbeatRequest keeps a session alive, acknowledges a view and tells the
-// planner what the gateway sees.
+// HeartbeatRequest keeps a session alive, acknowledges a view and reports to
+// the planner what the gateway observes.
 type HeartbeatRequest struct {
 	GatewayID string `msg:"gateway_id"`
 	SessionID uint64 `msg:"session_id"`
 	// AppliedRevision acknowledges a view: the gateway has stopped new
 	// dispatches to every engine that the view withholds.
 	AppliedRevision uint64 `msg:"applied_revision"`
-	// ConfigRevision is the configuration in force at the gateway.
+	// ConfigRevision is the revision of the configuration in effect at the
+	// gateway.
 	ConfigRevision uint64        `msg:"config_revision"`
 	Leaving        bool          `msg:"leaving"`
 	Demand         []ModelDemand `msg:"demand,omitempty"`
-	// Usage names the tenants that are due; see docs/design/heartbeats.md.
+	// Usage lists the tenants whose usage is due to be reported; see
+	// docs/design/heartbeats.md.
 	Usage []TenantUsage `msg:"usage,omitempty"`
-	// Versions are reported of models that have more than one in service.
+	// Versions are the outcomes of models that have more than one version in
+	// service.
 	Versions []VersionOutcome `msg:"versions,omitempty"`
-	// PolicyFailures are the ranking programs that have failed at run time.
+	// PolicyFailures are the failures of ranking programs at run time.
 	PolicyFailures []PolicyFailure `msg:"policy_failures,omitempty"`
-	// PoisonRevision is what the gateway knows of requests that end engines.
+	// PoisonRevision is the revision of the gateway's knowledge of requests
+	// that crash engines.
 	PoisonRevision uint64 `msg:"poison_revision,omitempty"`
 }
 
@@ -98,11 +102,12 @@
 	Policy string `msg:"policy"`
 	Field  string `msg:"field"`
 	Count  uint64 `msg:"count"`
-	// Last is the newest message.
+	// Last is the newest error message.
 	Last string `msg:"last"`
 }
 
-// ModelDemand is what a gateway has seen of a model since its last heartbeat.
+// ModelDemand is the demand for a model that a gateway has observed since its
+// last heartbeat.
 type ModelDemand struct {
 	Model string `msg:"model"`
 	// Requests, PromptTokens, OutputTokens and Missed are rates a second,
@@ -117,8 +122,8 @@
 	Queued           int   `msg:"queued"`
 }
 
-// TenantUsage is what a tenant's callers wanted at one gateway since it was
-// last named, in tokens a second.
+// TenantUsage is the demand of a tenant's callers at one gateway since it was
+// last reported, in tokens a second.
 type TenantUsage struct {
 	Tenant string  `msg:"tenant"`
 	Wanted float32 `msg:"wanted"`
@@ -138,23 +143,23 @@
 
 // HeartbeatReply renews the lease if Known, once the gateway has applied a view
 // of at least Revision. The leader sends it only after a read barrier that was
-// asked for after the heartbeat arrived, so that a deposed leader renews
+// requested after the heartbeat arrived, so that a deposed leader renews
 // nothing; see docs/design/zone-group.md.
 type HeartbeatReply struct {
 	// Known is false if the session has ended: open a new one.
 	Known bool `msg:"known"`
-	// Revision is the newest view.
+	// Revision is the revision of the newest view.
 	Revision uint64 `msg:"revision"`
 	Terms    Terms  `msg:"terms"`
 	// View is set if the request's AppliedRevision is older than Revision.
 	View *View `msg:"view,omitempty"`
-	// Shares are those of the tenants that the request's Usage named.
+	// Shares are those of the tenants listed in the request's Usage.
 	Shares []TenantShare `msg:"shares,omitempty"`
 	// Unheard lists the engines and back ends in service that have not answered
-	// the leader lately. They may have announced their leaving since, so the
-	// gateway asks them itself before it gives them new work.
+	// the leader recently. They may have announced their leaving since, so the
+	// gateway queries them itself before it sends them new work.
 	Unheard []string `msg:"unheard,omitempty"`
-	// Poison is what is new on requests that end engines, nil if nothing is.
+	// Poison is the news on requests that crash engines, nil if there is none.
 	Poison *poison.News `msg:"poison,omitempty"`
 }
 
--- a/internal/wire/view.go
+++ b/internal/wire/view.go
@@ -6,16 +6,16 @@
 	"github.com/pierhaven/pierhaven/internal/config/dynamic"
 )
 
-// View is what a zone group tells its gateways. It is read from durable,
-// committed state only, so a view is never taken back.
+// View is the state that a zone group publishes to its gateways. It is read
+// from durable, committed state only, so a view is never revoked.
 type View struct {
-	// Revision is the zone group's log position; it only grows.
+	// Revision is the zone group's log index; it only grows.
 	Revision uint64 `msg:"revision"`
 	// Generation of the zone group; see docs/design/zone-group.md.
 	Generation uint64 `msg:"generation"`
-	// ConfigRevision is the zone's. If it is newer than what the watcher said
-	// it has, ConfigDelta leads there from what the watcher has, or Config is
-	// the whole.
+	// ConfigRevision is the zone's configuration revision. If it is newer than
+	// the watcher's, either ConfigDelta leads to it from the watcher's
+	// revision, or Config is the full configuration.
 	ConfigRevision uint64            `msg:"config_revision"`
 	Config         *dynamic.Snapshot `msg:"config,omitempty"`
 	ConfigDelta    *dynamic.Delta    `msg:"config_delta,omitempty"`
@@ -42,12 +42,13 @@
 	Model    string   `msg:"model"`
 	Version  string   `msg:"version"`
 	Adapters []string `msg:"adapters,omitempty"`
-	// Dispatchable is false while the engine is drained or changing: no new
-	// attempt may start there.
+	// Dispatchable is false while the engine is draining or being changed: no
+	// new attempt may start there.
 	Dispatchable bool `msg:"dispatchable"`
-	// Leaving is set when the platform or the engine announced its leaving.
+	// Leaving is set when the platform or the engine has announced that it is
+	// leaving.
 	Leaving bool `msg:"leaving"`
-	// Removed ends the row in a delta.
+	// Removed removes the row in a partial view.
 	Removed bool `msg:"removed,omitempty"`
 	// ChangedAt is the revision of the row's last change.
 	ChangedAt uint64 `msg:"changed_at"`
@@ -64,13 +65,13 @@
 }
 
 // IsolationView lists the engines that a gateway may go on using while it is
-// cut off from the controllers.
+// isolated from the controllers.
 type IsolationView struct {
 	SessionID uint64   `msg:"session_id"`
 	Engines   []string `msg:"engines,omitempty"`
 }
 
-// WatchRequest asks for a newer view and waits for it.
+// WatchRequest requests a newer view and waits for it.
 type WatchRequest struct {
 	GatewayID      string `msg:"gateway_id"`
 	SessionID      uint64 `msg:"session_id"`
@@ -79,12 +80,14 @@
 	WaitMillis     int64  `msg:"wait_ms"`
 }
 
-// WatchReply carries a view; a view with the asked revision means no change.
+// WatchReply carries a view; a view with the request's revision means no
+// change.
 type WatchReply struct {
 	View View `msg:"view"`
 }
 
-// ConfigPullRequest asks a config voter for a snapshot newer than Revision.
+// ConfigPullRequest requests from a config voter a snapshot newer than
+// Revision.
 type ConfigPullRequest struct {
 	Revision   uint64 `msg:"revision"`
 	WaitMillis int64  `msg:"wait_ms"`
