--- a/internal/peers/regions_test.go
+++ b/internal/peers/regions_test.go
@@ -128,7 +128,7 @@
 	assert.Negative(t, near.directory.RegionReportAge("north"), "a process of the region receives changes, not summaries")
 }
 
-// Guards against a region without work being taken for one that has been cut off.
+// Guards against a region without work being taken for one that is unreachable.
 func TestAnIdleRegionStillReports(t *testing.T) {
 	north, far := newProcess(t, "north-a", twoRegions), newProcess(t, "south-a", twoRegions)
 	introduce(north, far)
--- a/internal/peers/sums_test.go
+++ b/internal/peers/summaries_test.go
@@ -49,9 +49,9 @@
 	assert.Equal(t, work[:3], summaries)
 }
 
-// Guards against a region that has been cut off still looking as busy, or as idle, as when its
-// message was sent. A message may be delayed on its way, or in the socket of a process that did not
-// run, and be read seconds later; the fault was to date it by its receipt.
+// Guards against an unreachable region still looking as busy, or as idle, as when its message was
+// sent. A message may be delayed on its way, or in the socket of a process that did not run, and be
+// read seconds later; the fault was to date it by its receipt.
 func TestADelayedMessageIsOld(t *testing.T) {
 	var transit minimumTransit
 	now := time.Unix(1000, 0)
