--- a/internal/relay/backpressure.go
+++ b/internal/relay/backpressure.go
@@ -9,8 +9,8 @@
 	"github.com/pierhaven/pierhaven/internal/backpressure"
 )
 
-// UseGate connects the directory to the gate that tracks what replicas ask of this process. It must be called
-// before first use.
+// UseGate connects the directory to the gate that tracks what replicas ask of this process: a backoff, or no new
+// work because they are leaving. It must be called before first use.
 func (d *Directory) UseGate(gate *backpressure.Gate) {
 	d.gate = gate
 	gate.OnChange(d.updatePeerState)
@@ -47,7 +47,7 @@
 	defer d.mutex.Unlock()
 	var names []string
 	for name, replica := range d.replicas {
-		if replica.saysLeaving() && !replica.Leaves() {
+		if replica.declaresLeaving() && !replica.Leaves() {
 			names = append(names, name)
 		}
 	}
@@ -67,8 +67,10 @@
 	}
 }
 
-// clearPeerState clears what a replica whose process has ended had asked for, unless its next incarnation has a
-// name of its own: then only its listener may have ended. The caller must hold d.mutex.
+// clearPeerState clears what a replica whose process has ended had asked for, so that it does not apply to the next
+// incarnation under the same name. If incarnations have names of their own (Born is set), it keeps the state: an end
+// is concluded from a closed port, so only the listener may have ended, and the process may still be leaving. The
+// caller must hold d.mutex.
 func (d *Directory) clearPeerState(replica *Replica) {
 	if d.gate == nil || replica.Born != 0 {
 		return
@@ -78,12 +80,12 @@
 	replica.Leaving, replica.processEnded = false, true
 }
 
-// saysLeaving reports whether the replica has told this process that it is leaving. The caller must hold the
+// declaresLeaving reports whether the replica has told this process that it is leaving. The caller must hold the
 // Directory's mutex.
-func (r *Replica) saysLeaving() bool { return r.peerState != nil && r.peerState.Leaving() }
+func (r *Replica) declaresLeaving() bool { return r.peerState != nil && r.peerState.Leaving() }
 
 // acceptsAsLast reports whether a replica that has itself said that it is leaving may still be sent work if no other
-// replica is left, which is until the gate's leave time is over. The caller must hold d.mutex.
+// replica is left, which is until the gate's leaving grace is over. The caller must hold d.mutex.
 func (d *Directory) acceptsAsLast(replica *Replica) bool {
 	if d.gate == nil {
 		return true
@@ -129,12 +131,12 @@
 	return now > 0 && r.peerState != nil && r.peerState.BackoffLeft(now) > 0
 }
 
-// maxExcluded bounds the replicas in backoff that a placement query excludes: the size of a message is limited,
+// maximumExcluded bounds the replicas in backoff that a placement query excludes: the size of a message is limited,
 // and if the coordinator chooses a replica in backoff nevertheless, the gateway chooses again itself.
-const maxExcluded = 24
+const maximumExcluded = 24
 
 // inBackoffHere returns the incarnation names of the replicas in a backoff requested of this process, those with
-// the longest remaining backoff first, at most maxExcluded.
+// the longest remaining backoff first, at most maximumExcluded.
 func (d *Directory) inBackoffHere() []string {
 	now := d.gateNow()
 	if now == 0 {
@@ -151,7 +153,7 @@
 	slices.SortFunc(backingOff, func(a, b *Replica) int {
 		return cmp.Or(cmp.Compare(b.peerState.BackoffLeft(now), a.peerState.BackoffLeft(now)), strings.Compare(a.name, b.name))
 	})
-	names := make([]string, min(len(backingOff), maxExcluded))
+	names := make([]string, min(len(backingOff), maximumExcluded))
 	for index := range names {
 		names[index] = backingOff[index].name
 	}
@@ -161,17 +163,17 @@
 // BackoffLeft returns the remaining backoff that the lease's replica has requested of this process, 0 if there is
 // none.
 func (l *Lease) BackoffLeft() time.Duration {
-	asks := l.peerState()
-	if asks == nil {
+	state := l.peerState()
+	if state == nil {
 		return 0
 	}
-	return asks.BackoffLeft(l.directory.gate.Now())
+	return state.BackoffLeft(l.directory.gate.Now())
 }
 
-// saysLeaving reports whether the lease's replica has said that it is leaving.
-func (l *Lease) saysLeaving() bool {
-	asks := l.peerState()
-	return asks != nil && asks.Leaving()
+// declaresLeaving reports whether the lease's replica has said that it is leaving.
+func (l *Lease) declaresLeaving() bool {
+	state := l.peerState()
+	return state != nil && state.Leaving()
 }
 
 // peerState returns the gate's state of the lease's replica, nil if it has asked for nothing.
--- a/internal/relay/connected_test.go
+++ b/internal/relay/connected_test.go
@@ -38,11 +38,11 @@
 // Guards against idle connections that fill a replica, which resets those beyond its maximum: each gateway
 // kept eight idle connections, regardless of the number of gateways.
 func TestIdleConnectionsOfAllGatewaysLeaveCapacityForRequests(t *testing.T) {
-	for _, taken := range []int{1, 4, 32, 110, 250, 520, 2100} {
+	for _, maximumConnections := range []int{1, 4, 32, 110, 250, 520, 2100} {
 		for _, gateways := range []int{1, 4, 9, 65, 295, 985} {
-			part := relay.IdleConnectionLimit(taken, gateways)
-			assert.GreaterOrEqual(t, part, 1, "at least one connection is kept for reuse")
-			assert.LessOrEqual(t, gateways*part, max(taken/2, gateways), "%d connections, %d gateways", taken, gateways)
+			limit := relay.IdleConnectionLimit(maximumConnections, gateways)
+			assert.GreaterOrEqual(t, limit, 1, "at least one connection is kept for reuse")
+			assert.LessOrEqual(t, gateways*limit, max(maximumConnections/2, gateways), "%d connections, %d gateways", maximumConnections, gateways)
 		}
 	}
 	assert.Equal(t, 8, relay.IdleConnectionLimit(0, 985), "the maximum is unknown")
--- a/internal/relay/ending_test.go
+++ b/internal/relay/ending_test.go
@@ -39,7 +39,7 @@
 	w.listReplica(id, stage, server.Listener.Addr().String())
 }
 
-// awaitReportedCrashes waits for the evidence that the guard reports, and returns the replicas that have ended.
+// awaitReportedCrashes waits until the guard has reported a number of crashes, and returns the replicas that crashed.
 func awaitReportedCrashes(t *testing.T, guard *poison.Guard, digest poison.Digest, count int) []string {
 	t.Helper()
 	var ended []string
@@ -179,7 +179,7 @@
 	assert.Equal(t, []poison.Digest{call.Digest()}, guard.Report("gateway").RanWell, "the request has run to its end and is reported as harmless")
 }
 
-// BenchmarkGuardedCall measures the cost of the guard per check; it is checked before each send.
+// BenchmarkGuardedCall measures the cost of a check by the guard, which is made before each send.
 // Without a guard a call took 441 ns and 4 allocations, with nothing held 433 ns and 4, with other
 // targets held 592 ns and 5, and with the same target held 15 us, since its 17 KB of content are
 // hashed.
--- a/internal/relay/held.go
+++ b/internal/relay/held.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// releaseMoved releases the place that a stream was to move to.
+// releaseMoved releases the lease and the handle of a moved stream that is not continued.
 func (r *callState) releaseMoved() {
 	if r.moved == nil {
 		return
--- a/internal/relay/limited.go
+++ b/internal/relay/limited.go
@@ -63,11 +63,11 @@
 // reserveDecodeReplica leases the decode replica before the prompt is read, if every candidate declares a limit: if
 // none had capacity, the work of the prefill replica would be wasted. The lease is nil if some candidate
 // declares no limit.
-func (r *callState) reserveDecodeReplica(ctx context.Context, reader *Lease) (*Lease, error) {
+func (r *callState) reserveDecodeReplica(ctx context.Context, prefillLease *Lease) (*Lease, error) {
 	if r.limits == nil || !r.directory.decodeReplicasLimited(r.call.Service.Name) {
 		return nil, nil
 	}
-	reserved, err := r.permittedDecodeReplica(ctx, reader.Replica.Zone)
+	reserved, err := r.permittedDecodeReplica(ctx, prefillLease.Replica.Zone)
 	if reserved == nil && err == nil {
 		err = errNoReplica
 	}
@@ -77,14 +77,14 @@
 // permittedDecodeReplica leases a decode replica near a zone, for a prompt that was read elsewhere.
 func (r *callState) permittedDecodeReplica(ctx context.Context, zone string) (*Lease, error) {
 	return r.permitted(ctx, func() (*Lease, error) {
-		return r.placer.Generator(ctx, r.call.Service.Name, r.readRequest(), zone), nil
+		return r.placer.Generator(ctx, r.call.Service.Name, r.prefillRequest(), zone), nil
 	})
 }
 
 // permittedDirect leases a decode replica that is to read the prompt itself.
 func (r *callState) permittedDirect(ctx context.Context) (*Lease, error) {
 	return r.permitted(ctx, func() (*Lease, error) {
-		return r.placer.Direct(ctx, r.call.Service.Name, r.readRequest()), nil
+		return r.placer.Direct(ctx, r.call.Service.Name, r.prefillRequest()), nil
 	})
 }
 
@@ -149,8 +149,8 @@
 	return fmt.Sprintf("no replica has room under the limit that it names, the last one asked about was %s", e.replica)
 }
 
-// limitedOrNone replaces errNoReplica by a more specific error, if backoffs or limits are the cause.
-func (r *callState) limitedOrNone(err error) error {
+// explainNoReplica replaces errNoReplica by a more specific error, if backoffs or limits are the cause.
+func (r *callState) explainNoReplica(err error) error {
 	if errors.Is(err, errNoReplica) {
 		return r.noReplicaError()
 	}
--- a/internal/relay/limited_load_test.go
+++ b/internal/relay/limited_load_test.go
@@ -73,7 +73,8 @@
 
 var errNoReader = errors.New("no prefill replica has capacity")
 
-// requireLimits checks the requests of every four-second window against the declared limits.
+// requireLimits checks that no window of four seconds holds more than 1.5 times the requests that the declared
+// limit allows and 5 more, the overrun that package ratelimit tolerates.
 func (r *limitedReplay) requireLimits(t *testing.T) {
 	t.Helper()
 	for id, times := range r.sent {
--- a/internal/relay/limited_test.go
+++ b/internal/relay/limited_test.go
@@ -20,8 +20,8 @@
 
 // fakeCounter stands in for the coordinators that grant permits: it grants a given number for each replica.
 type fakeCounter struct {
-	mutex sync.Mutex
-	room  map[string]int
+	mutex    sync.Mutex
+	capacity map[string]int
 	// asked, returned and withoutPermit are, by replica, the permits requested, the permits returned, and the
 	// messages counted without a permit.
 	asked, returned, withoutPermit map[string]int
@@ -29,9 +29,9 @@
 	wait time.Duration
 }
 
-// countLimits makes a fakeCounter enforce an environment's limits.
-func (w *testEnvironment) countLimits(room map[string]int) *fakeCounter {
-	c := &fakeCounter{room: room, asked: map[string]int{}, returned: map[string]int{}, withoutPermit: map[string]int{}, wait: time.Minute}
+// useFakeCounter makes a fakeCounter enforce an environment's limits.
+func (w *testEnvironment) useFakeCounter(capacity map[string]int) *fakeCounter {
+	c := &fakeCounter{capacity: capacity, asked: map[string]int{}, returned: map[string]int{}, withoutPermit: map[string]int{}, wait: time.Minute}
 	w.runner.EnforceLimits(&relay.ReplicaLimits{
 		Ask:   c.ask,
 		Count: func(life string) { c.add(c.withoutPermit, life) },
@@ -50,22 +50,22 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.asked[asked.Life]++
-	if c.room[asked.Life] <= 0 {
+	if c.capacity[asked.Life] <= 0 {
 		return relay.Permit{Wait: c.wait}
 	}
-	c.room[asked.Life]--
+	c.capacity[asked.Life]--
 	return relay.Permit{Granted: true, Return: func() { c.add(c.returned, asked.Life) }}
 }
 
-// read returns the count of a replica.
-func (c *fakeCounter) read(from map[string]int, life string) int {
+// count returns the count of a replica.
+func (c *fakeCounter) count(from map[string]int, life string) int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return from[life]
 }
 
-// limit makes replicas have a declared limit, as reported by another process.
-func (w *testEnvironment) limit(rate float64, ids ...string) {
+// declareLimit makes replicas have a declared limit, as reported by another process.
+func (w *testEnvironment) declareLimit(rate float64, ids ...string) {
 	for _, id := range ids {
 		w.directory.MergeLimits([]ratelimit.Report{{Replica: id, Declared: true, Rate: rate}})
 	}
@@ -83,15 +83,15 @@
 	w := newTestEnvironment(t)
 	w.addReplica("a", "", declaring("1"))
 	w.addReplica("b", "", respondSealed(http.StatusOK, "ok"))
-	w.limit(1, "a")
-	c := w.countLimits(map[string]int{"a": 2})
+	w.declareLimit(1, "a")
+	c := w.useFakeCounter(map[string]int{"a": 2})
 	for range 20 {
 		answer := w.runCall(newCall(traffic.KindOnce, 1))
 		assert.Equal(t, http.StatusOK, answer.status)
 	}
 	assert.Equal(t, 2, w.requestCount("a"), "its limit is used up")
 	assert.Equal(t, 18, w.requestCount("b"))
-	assert.Equal(t, 3, c.read(c.asked, "a"), "after a denial no permit is requested until the wait is over")
+	assert.Equal(t, 3, c.count(c.asked, "a"), "after a denial no permit is requested until the wait is over")
 }
 
 // A request that no replica has capacity for is rejected at once as not run, and each later one gets a later
@@ -100,8 +100,8 @@
 	w := newTestEnvironment(t)
 	w.addReplica("a", "", declaring("2"))
 	w.addReplica("b", "", declaring("2"))
-	w.limit(2, "a", "b")
-	c := w.countLimits(nil)
+	w.declareLimit(2, "a", "b")
+	c := w.useFakeCounter(nil)
 	c.wait = time.Second
 	var waits []time.Duration
 	begun := time.Now()
@@ -118,39 +118,39 @@
 		// Four gateways share four requests a second: each schedules one retry a second, at most 4 s ahead.
 		assert.GreaterOrEqual(t, waits[index], min(waits[index-1]+900*time.Millisecond, 3900*time.Millisecond))
 	}
-	assert.Equal(t, 1, c.read(c.asked, "a"))
+	assert.Equal(t, 1, c.count(c.asked, "a"))
 }
 
 func TestOnlyPermitsOfUnsentRequestsAreReturned(t *testing.T) {
 	w := newTestEnvironment(t)
 	w.addReplica("doubtful", "", dropConnection)
 	w.listReplica("closed", "", "127.0.0.1:1")
-	w.limit(5, "doubtful", "closed")
-	c := w.countLimits(map[string]int{"doubtful": 1, "closed": 1})
+	w.declareLimit(5, "doubtful", "closed")
+	c := w.useFakeCounter(map[string]int{"doubtful": 1, "closed": 1})
 	answer := w.runCall(newCall(traffic.KindOnce, 1))
 	require.Error(t, answer.err)
-	assert.Zero(t, c.read(c.returned, "doubtful"), "it may have arrived")
-	assert.Equal(t, c.read(c.asked, "closed"), c.read(c.returned, "closed"), "it was never sent")
+	assert.Zero(t, c.count(c.returned, "doubtful"), "it may have arrived")
+	assert.Equal(t, c.count(c.asked, "closed"), c.count(c.returned, "closed"), "it was never sent")
 }
 
 func TestRejectedRequestsCount(t *testing.T) {
 	w := newTestEnvironment(t)
 	w.addReplica("a", "", rejectRequest)
-	w.limit(5, "a")
-	c := w.countLimits(map[string]int{"a": 9})
+	w.declareLimit(5, "a")
+	c := w.useFakeCounter(map[string]int{"a": 9})
 	w.runCall(newCall(traffic.KindRepeatable, 2))
-	assert.Equal(t, w.requestCount("a"), c.read(c.asked, "a"))
-	assert.Zero(t, c.read(c.returned, "a"))
+	assert.Equal(t, w.requestCount("a"), c.count(c.asked, "a"))
+	assert.Zero(t, c.count(c.returned, "a"))
 }
 
 // A limit applies from the response that declares it until one that declares none. A rejection without a limit,
 // or an unreadable limit, changes nothing.
 func TestNewestResponseSetsTheLimit(t *testing.T) {
 	w := newTestEnvironment(t)
-	says, notRun := "", false
+	limitHeader, notRun := "", false
 	w.addReplica("a", "", func(writer http.ResponseWriter, request *http.Request) {
-		if says != "" {
-			writer.Header().Set("Limit", says)
+		if limitHeader != "" {
+			writer.Header().Set("Limit", limitHeader)
 		}
 		if notRun {
 			rejectRequest(writer, request)
@@ -159,15 +159,15 @@
 		respondSealed(http.StatusOK, "ok")(writer, request)
 	})
 	for _, each := range []struct {
-		says   string
-		notRun bool
-		named  int
+		limitHeader string
+		notRun      bool
+		limited     int
 	}{
 		{"", false, 0}, {"3", false, 1}, {"rubbish", false, 1}, {"", true, 1}, {"0", false, 1}, {"", false, 0}, {"2", true, 1},
 	} {
-		says, notRun = each.says, each.notRun
+		limitHeader, notRun = each.limitHeader, each.notRun
 		w.runCall(newCall(traffic.KindOnce, 1))
-		assert.Equal(t, each.named, w.directory.LimitedCount(), "%q", each.says)
+		assert.Equal(t, each.limited, w.directory.LimitedCount(), "%q", each.limitHeader)
 	}
 	w.directory.ProcessEnded("a")
 	assert.Zero(t, w.directory.LimitedCount(), "the process that declared it has ended")
@@ -176,12 +176,12 @@
 func TestLimitEndsWithItsReplica(t *testing.T) {
 	w := newTestEnvironment(t)
 	w.listReplica("a", "", "127.0.0.1:1")
-	w.limit(1, "a")
+	w.declareLimit(1, "a")
 	require.Equal(t, 1, w.directory.LimitedCount())
 	w.replicaList[0].Address = "127.0.0.1:2"
 	w.directory.Replace(w.replicaList)
 	assert.Zero(t, w.directory.LimitedCount(), "another replica has the id")
-	w.limit(1, "a")
+	w.declareLimit(1, "a")
 	require.Equal(t, 1, w.directory.LimitedCount(), "reports on the new one count")
 	w.directory.Replace(nil)
 	assert.Zero(t, w.directory.LimitedCount())
@@ -193,13 +193,13 @@
 	w := newTestEnvironment(t)
 	w.addReplica("reader", region.StagePrefill, respondSealed(http.StatusOK, "handle"))
 	w.addReplica("generator", region.StageDecode, streamEvents(1, 3, false))
-	w.limit(5, "reader", "generator")
-	c := w.countLimits(map[string]int{"reader": 5, "generator": 5})
+	w.declareLimit(5, "reader", "generator")
+	c := w.useFakeCounter(map[string]int{"reader": 5, "generator": 5})
 	answer := w.runCall(newModelCall(20_000, "own"))
 	require.True(t, answer.ended, "%v", answer.err)
-	assert.Equal(t, 1, c.read(c.asked, "reader"))
-	assert.Equal(t, 1, c.read(c.asked, "generator"))
-	assert.Zero(t, c.read(c.returned, "generator"))
+	assert.Equal(t, 1, c.count(c.asked, "reader"))
+	assert.Equal(t, 1, c.count(c.asked, "generator"))
+	assert.Zero(t, c.count(c.returned, "generator"))
 }
 
 // A prompt is not read if no decode replica has capacity: the work of the prefill replica would be wasted.
@@ -207,8 +207,8 @@
 	w := newTestEnvironment(t)
 	w.addReplica("reader", region.StagePrefill, respondSealed(http.StatusOK, "handle"))
 	w.addReplica("generator", region.StageDecode, streamEvents(1, 3, false))
-	w.limit(5, "generator")
-	w.countLimits(nil)
+	w.declareLimit(5, "generator")
+	w.useFakeCounter(nil)
 	answer := w.runCall(newModelCall(20_000, "own"))
 	require.Error(t, answer.err)
 	assert.Zero(t, w.requestCount("reader"))
@@ -221,8 +221,8 @@
 	w.addReplica("limited", region.StagePrefill, respondSealed(http.StatusOK, "handle"))
 	w.addReplica("free", region.StagePrefill, respondSealed(http.StatusOK, "handle"))
 	w.addReplica("generator", region.StageDecode, streamEvents(1, 3, false))
-	w.limit(5, "limited")
-	w.countLimits(nil)
+	w.declareLimit(5, "limited")
+	w.useFakeCounter(nil)
 	for number := range 6 {
 		answer := w.runCall(newModelCall(20_000, string(rune('a'+number))))
 		require.True(t, answer.ended, "%v", answer.err)
@@ -236,10 +236,10 @@
 	w := newTestEnvironment(t)
 	for number := range 100 {
 		w.listReplica(string(rune('A'+number)), "", "127.0.0.1:1")
-		w.limit(5, string(rune('A'+number)))
+		w.declareLimit(5, string(rune('A'+number)))
 	}
 	w.addReplica("free", "", respondSealed(http.StatusOK, "ok"))
-	c := w.countLimits(nil)
+	c := w.useFakeCounter(nil)
 	answer := w.runCall(newCall(traffic.KindOnce, 1))
 	assert.Equal(t, http.StatusOK, answer.status)
 	questions := 0
@@ -283,7 +283,7 @@
 	w := newTestEnvironment(t)
 	for _, id := range []string{"a", "b", "c"} {
 		w.listReplica(id, "", "127.0.0.1:1")
-		w.limit(5, id)
+		w.declareLimit(5, id)
 	}
 	ctx, leave := context.WithCancelCause(t.Context())
 	asked := 0
@@ -302,17 +302,17 @@
 // A replica that denied a request's first attempt may be used by the second one.
 func TestRetryMayUseAReplicaThatDeniedTheFirstAttempt(t *testing.T) {
 	w := newTestEnvironment(t)
-	c := w.countLimits(map[string]int{})
+	c := w.useFakeCounter(map[string]int{})
 	c.wait = time.Millisecond
 	w.addReplica("limited", "", respondSealed(http.StatusOK, "ok"))
 	w.addReplica("failing", "", func(writer http.ResponseWriter, request *http.Request) {
 		time.Sleep(30 * time.Millisecond)
 		c.mutex.Lock()
-		c.room["limited"] = 1
+		c.capacity["limited"] = 1
 		c.mutex.Unlock()
 		respondSealed(http.StatusInternalServerError, "failed")(writer, request)
 	})
-	w.limit(5, "limited")
+	w.declareLimit(5, "limited")
 	answer := w.runCall(newCall(traffic.KindRepeatable, 2))
 	assert.Equal(t, http.StatusOK, answer.status)
 }
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -68,15 +68,15 @@
 	m.transfers.WithLabelValues(what, distance.String()).Inc()
 }
 
-func (m *Metrics) request(call *Call, outcome string) {
+func (m *Metrics) countRequest(call *Call, outcome string) {
 	m.requests.WithLabelValues(string(call.Route.Kind), outcome).Inc()
 }
 
-func (m *Metrics) firstAnswer(call *Call) {
+func (m *Metrics) observeFirstAnswer(call *Call) {
 	m.latency.WithLabelValues(string(call.Route.Kind)).Observe(time.Since(call.Arrived).Seconds())
 }
 
-func (m *Metrics) attempt(outcome verdict) { m.attempts.WithLabelValues(outcome.String()).Inc() }
+func (m *Metrics) countAttempt(outcome verdict) { m.attempts.WithLabelValues(outcome.String()).Inc() }
 
 func (m *Metrics) recordPrefill(outcome string, duration time.Duration) {
 	m.prefills.WithLabelValues(outcome).Inc()
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// movePause is the time between two attempts to move a stream.
-	movePause = 200 * time.Millisecond
+	// moveRetryInterval is the time between two attempts to move a stream.
+	moveRetryInterval = 200 * time.Millisecond
 	// moveTimeout bounds one request of a move.
 	moveTimeout = time.Second
 	// maximumMoveOccupancy is the occupancy up to which a replica accepts streams moved from others.
@@ -28,7 +28,7 @@
 // streamMover moves a stream away from a replica that is leaving or changing its stage. Otherwise the
 // stream would delay the replica until it ends, or be cut off.
 type streamMover struct {
-	run   *callState
+	state *callState
 	lease *Lease
 	// cancel ends the wait for the replica to leave; done is closed once the mover's goroutine has
 	// ended.
@@ -40,7 +40,7 @@
 // startMover starts a mover for a stream that has begun.
 func (r *callState) startMover(ctx context.Context, lease *Lease) *streamMover {
 	ctx, cancel := context.WithCancel(ctx)
-	m := &streamMover{run: r, lease: lease, cancel: cancel, done: make(chan struct{})}
+	m := &streamMover{state: r, lease: lease, cancel: cancel, done: make(chan struct{})}
 	go m.watch(ctx)
 	return m
 }
@@ -55,13 +55,13 @@
 
 // stopUnless ends the mover, and releases the target of the move unless the stream continues there. It
 // does nothing on a nil mover.
-func (m *streamMover) stopUnless(goesOn bool) {
+func (m *streamMover) stopUnless(continues bool) {
 	if m == nil {
 		return
 	}
-	if moved := m.stop(); moved != nil && !goesOn {
+	if moved := m.stop(); moved != nil && !continues {
 		moved.lease.Release()
-		moved.handle.freeUnlessConsumed(m.run.Runner)
+		moved.handle.freeUnlessConsumed(m.state.Runner)
 	}
 }
 
@@ -72,13 +72,13 @@
 	case <-ctx.Done():
 		return
 	}
-	// Short streams end before they could be moved.
-	pause := m.run.call.Route.TargetGap
+	// The first attempt waits for one inter-token gap: a stream that is about to end is not worth a move.
+	pause := m.state.call.Route.TargetGap
 	for sleepUnlessDone(ctx, pause) {
 		if m.tryMove(ctx) {
 			return
 		}
-		pause = movePause
+		pause = moveRetryInterval
 	}
 }
 
@@ -95,7 +95,7 @@
 
 // tryMove tries to move the stream, and reports whether no further try should be made.
 func (m *streamMover) tryMove(ctx context.Context) bool {
-	r := m.run
+	r := m.state
 	if r.isHeld() {
 		// A held request must not reach a replica that it has not crashed yet, so its stream stays
 		// where it is.
@@ -104,7 +104,7 @@
 	if m.lease.BackoffLeft() > 0 {
 		return false
 	}
-	target := r.placer.Room(ctx, m.lease, r.readRequest())
+	target := r.placer.Room(ctx, m.lease, r.prefillRequest())
 	if target == nil {
 		return false
 	}
@@ -138,8 +138,8 @@
 }
 
 // requestMove has a replica copy a stream's memory to another one and, with last set, stop the stream.
-// It returns the handle of the copy, nil if there is none, and the response status, 0 if no
-// response came.
+// It returns the handle under which the first replica keeps the memory, nil if it has given none, and the
+// response status, 0 if no response came.
 func (r *callState) requestMove(ctx context.Context, from, to *Replica, last bool) (*promptHandle, int) {
 	ctx, cancel := context.WithTimeout(ctx, moveTimeout)
 	defer cancel()
--- a/internal/relay/move_test.go
+++ b/internal/relay/move_test.go
@@ -67,7 +67,7 @@
 	writer.(http.Flusher).Flush()
 }
 
-// changeFirstReplica changes the list entry of the first replica, so that it is leaving.
+// changeFirstReplica changes the list entry of the first replica, so that it leaves or changes its stage.
 func (w *testEnvironment) changeFirstReplica(change func(*region.Replica)) {
 	change(&w.replicaList[0])
 	w.directory.Replace(w.replicaList)
@@ -107,8 +107,8 @@
 
 func TestStreamThatCannotBeMovedContinuesInPlace(t *testing.T) {
 	for name, test := range map[string]struct {
-		refuse int
-		room   bool
+		moveStatus  int
+		hasCapacity bool
 	}{
 		"stream not found": {http.StatusNotFound, true},
 		"move rejected":    {http.StatusServiceUnavailable, true},
@@ -117,11 +117,11 @@
 		t.Run(name, func(t *testing.T) {
 			w := newTestEnvironment(t)
 			leaving := newPausedStream()
-			leaving.moveStatus = test.refuse
+			leaving.moveStatus = test.moveStatus
 			w.addReplica("leaving", region.StageDecode, leaving.serveHTTP)
 			go func() {
 				<-leaving.firstEventsSent
-				if test.room {
+				if test.hasCapacity {
 					w.addReplica("other", region.StageDecode, rejectRequest)
 				}
 				w.changeFirstReplica(leaveReasons["drains"])
--- a/internal/relay/prompt.go
+++ b/internal/relay/prompt.go
@@ -16,7 +16,8 @@
 
 const freeTimeout = 500 * time.Millisecond
 
-// promptHandle identifies a prompt that a replica has prefilled and keeps for another one.
+// promptHandle identifies a prompt that a replica has prefilled, or the memory of a stream that it ran, which it
+// keeps until another replica has fetched it. It is freed if none does.
 type promptHandle struct {
 	id       string
 	replica  *Replica
@@ -34,7 +35,7 @@
 		lease, err := r.permittedDirect(ctx)
 		return lease, nil, err
 	}
-	lease, err := r.permitted(ctx, func() (*Lease, error) { return r.placer.Reading(ctx, service, r.readRequest()) })
+	lease, err := r.permitted(ctx, func() (*Lease, error) { return r.placer.Reading(ctx, service, r.prefillRequest()) })
 	if err != nil {
 		return nil, nil, err
 	}
@@ -77,8 +78,8 @@
 	return r.placeModelCall(ctx)
 }
 
-// readRequest describes the prompt and the time that is left to prefill it.
-func (r *callState) readRequest() ReadRequest {
+// prefillRequest describes the prompt and the time that is left to prefill it.
+func (r *callState) prefillRequest() ReadRequest {
 	objective := r.call.objective()
 	return ReadRequest{
 		Prompt:    r.call.Prompt,
@@ -116,7 +117,7 @@
 	defer lease.Release()
 	startedAt := time.Now()
 	placedPrompt := *lease.prefill
-	backoffBefore, leavingBefore := lease.BackoffLeft(), lease.saysLeaving()
+	backoffBefore, leavingBefore := lease.BackoffLeft(), lease.declaresLeaving()
 	prefillCtx, abandon := context.WithCancelCause(ctx)
 	defer abandon(nil)
 	var budgetTaken atomic.Bool
@@ -160,7 +161,7 @@
 // costs only time.
 var errPrefillUnsent = errors.New("the prefill request reached no replica")
 
-// isRefusal reports whether a replica has said that it did not prefill the prompt.
+// isPrefillRejection reports whether a replica has said that it did not prefill the prompt.
 func isPrefillRejection(err error) bool { return failure.KindOf(err) == failure.BackEndRefused }
 
 // stallTimeout returns how long a replica may be known to have prefilled nothing before the prompt is
--- a/internal/relay/ratelimit.go
+++ b/internal/relay/ratelimit.go
@@ -27,6 +27,7 @@
 
 // PermitRequest asks for a permit to send a request to a replica that declares a limit.
 type PermitRequest struct {
+	// Request is the request ID.
 	Request string
 	// Life is the replica's incarnation, by Life.Name, and Rate the limit that it declares.
 	Life string
@@ -50,8 +51,8 @@
 	// limitLogInterval is the minimum time between two log lines about one replica's limit, which may
 	// change with every response.
 	limitLogInterval = time.Second
-	// minDenialTime is the minimum time before a permit is requested again for a replica without capacity.
-	minDenialTime = 5 * time.Millisecond
+	// minimumDenialTime is the minimum time before a permit is requested again for a replica without capacity.
+	minimumDenialTime = 5 * time.Millisecond
 	// noLimit is the value of Lease.Limit for a replica without a limit, also in log lines.
 	noLimit = -1.0
 )
@@ -93,14 +94,14 @@
 	if !limit.Unreadable && !limit.Declared && (!ran || d.limited.Load() == 0) {
 		return
 	}
-	report, says := d.noteLimit(l.Replica, limit)
-	if says && d.onLimit != nil {
+	report, hasReport := d.noteLimit(l.Replica, limit)
+	if hasReport && d.onLimit != nil {
 		d.onLimit(report)
 	}
 }
 
 // noteLimit records what a response says, and returns a limit report for other processes, if there is one.
-func (d *Directory) noteLimit(replica *Replica, limit RateLimit) (report ratelimit.Report, says bool) {
+func (d *Directory) noteLimit(replica *Replica, limit RateLimit) (report ratelimit.Report, hasReport bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if limit.Unreadable {
@@ -152,8 +153,8 @@
 }
 
 // countLimited updates the number of replicas with a limit, after one has declared or dropped its limit.
-func (d *Directory) countLimited(named bool) {
-	if named {
+func (d *Directory) countLimited(declared bool) {
+	if declared {
 		d.limited.Add(1)
 		return
 	}
@@ -192,7 +193,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if replica, listed := d.replicas[life]; listed && replica.limit.declared {
-		replica.limit.deniedUntil[rankOf(rank)] = d.clock() + max(wait, minDenialTime)
+		replica.limit.deniedUntil[rankOf(rank)] = d.clock() + max(wait, minimumDenialTime)
 	}
 }
 
@@ -261,7 +262,7 @@
 	if rate > 0 {
 		pace = time.Duration(min(float64(d.placerCount())/rate, maximumRetryAfter.Seconds()) * float64(time.Second))
 	}
-	return d.scheduleRetry(service, now+max(earliest, minDenialTime), pace, now+maximumRetryAfter) - now
+	return d.scheduleRetry(service, now+max(earliest, minimumDenialTime), pace, now+maximumRetryAfter) - now
 }
 
 // maximumRetryAfter bounds the Retry-After of a caller that is rejected because of replicas' limits.
--- a/internal/relay/refusal.go
+++ b/internal/relay/refusal.go
@@ -13,8 +13,9 @@
 // rejections tracks the requests that a replica has rejected, and when it can take requests again. It is
 // guarded by the Directory's mutex.
 type rejections struct {
-	// consecutive counts the rejections that came while the replica was not full, since it last ran a request
-	// successfully. The first one came at firstRejectedAt, the last one at lastRejectedAt.
+	// consecutive counts the rejections that came while the replica was not full. A success of a request that
+	// began after the last rejection resets it. The first rejection came at firstRejectedAt, the last one at
+	// lastRejectedAt.
 	consecutive                     int
 	firstRejectedAt, lastRejectedAt time.Duration
 	// avoidUntil is the time until which the replica is expected to reject requests.
@@ -22,7 +23,7 @@
 	// backoffUntil is the end of the backoff that the replica has requested from this process, or from one
 	// that this process places requests for.
 	backoffUntil time.Duration
-	ramp         slowStart
+	slowStart    slowStart
 }
 
 // slowStart is a slow start: it bounds the requests of a process at a replica that has rejected one although
@@ -30,14 +31,14 @@
 type slowStart struct {
 	// limit is the bound, 0 for none.
 	limit int
-	// startedAt is the time at which the ramp began.
+	// startedAt is the time at which the slow start began.
 	startedAt time.Duration
 }
 
 func (r *slowStart) begin(now time.Duration) { r.limit, r.startedAt = 1, now }
 
-// recordSuccess records the success of a request that began at the given time. The bound ends once it
-// exceeds the number of slots.
+// recordSuccess records the success of a request that began at the given time; one that began before the slow
+// start does not count. The bound ends once it exceeds the number of slots.
 func (r *slowStart) recordSuccess(requestStart time.Duration, slots int) {
 	if r.limit == 0 || requestStart < r.startedAt {
 		return
@@ -76,7 +77,7 @@
 func (l *Lease) recordSuccess(now time.Duration) {
 	slots := max(l.Replica.Slots, 1)
 	l.Replica.learnedLimit.accepted(now, slots, l.concurrent)
-	l.Replica.rejections.ramp.recordSuccess(l.startedAt, slots)
+	l.Replica.rejections.slowStart.recordSuccess(l.startedAt, slots)
 	if l.startedAt > l.Replica.rejections.lastRejectedAt {
 		l.Replica.rejections.consecutive = 0
 	}
@@ -92,7 +93,7 @@
 		d.updateLearnedLimit(replica, now, lease.startedAt, requestedBackoff)
 	}
 	if d.isFull(replica, now) || d.disabled[mechanism.RefusalBackoff] {
-		// Another process may find a free slot there immediately.
+		// A full replica is avoided only for the minimum: another process may find a free slot there immediately.
 		return
 	}
 	if state.consecutive == 0 {
@@ -100,7 +101,7 @@
 	}
 	state.consecutive++
 	state.lastRejectedAt = now
-	state.ramp.begin(now)
+	state.slowStart.begin(now)
 	backoff := min(max(requestedBackoff, minimumAvoidance)<<min(state.consecutive-1, 8), max(requestedBackoff, maximumBackoff))
 	state.extendAvoidance(now + d.withJitter(backoff))
 	if until := now + min(backoff, maximumSharedBackoff); (requestedBackoff > 0 || state.consecutive > 1) && until > state.backoffUntil && !d.disabled[mechanism.RestHints] {
--- a/internal/relay/replica.go
+++ b/internal/relay/replica.go
@@ -139,7 +139,7 @@
 
 // refuses reports whether a replica is expected to refuse another request of this process.
 func (r *Replica) refuses(now time.Duration) bool {
-	return now < r.rejections.avoidUntil || !r.rejections.ramp.allows(r.inFlight)
+	return now < r.rejections.avoidUntil || !r.rejections.slowStart.allows(r.inFlight)
 }
 
 // unreachable records that the replica could not be connected to, or did not answer.
@@ -192,7 +192,7 @@
 
 // isLeavingForGood reports whether the replica takes no new work until its incarnation ends, according to the list or
 // its own answers. The caller must hold Directory.mutex.
-func (r *Replica) isLeavingForGood() bool { return r.Leaves() || r.saysLeaving() }
+func (r *Replica) isLeavingForGood() bool { return r.Leaves() || r.declaresLeaving() }
 
 // notifyStreams notifies the streams on the replica that it is leaving. The caller must hold Directory.mutex.
 func (r *Replica) notifyStreams() {
--- a/internal/relay/rest_load_test.go
+++ b/internal/relay/rest_load_test.go
@@ -32,8 +32,8 @@
 	// arrived before.
 	backoffEnds   map[int]time.Duration
 	sentInBackoff int
-	// taken are the times at which requests were accepted.
-	taken []time.Duration
+	// acceptedAt are the times at which requests were accepted.
+	acceptedAt []time.Duration
 }
 
 // pace is the number of requests a second that it can serve.
@@ -41,11 +41,11 @@
 
 // shedRequest is a request of a shedReplay.
 type shedRequest struct {
-	gateway  int
-	first    time.Duration
-	ends     time.Duration
-	lease    *relay.Lease
-	returned int
+	gateway int
+	first   time.Duration
+	ends    time.Duration
+	lease   *relay.Lease
+	retries int
 }
 
 // shedReplay simulates requests at gateways in front of replicas that request backoffs.
@@ -58,14 +58,18 @@
 	limits   *backoffLimits
 	replicas map[string]*shedder
 	random   *rand.Rand
-	returns  map[time.Duration][]*shedRequest
-	deadline time.Duration
+	// scheduledRetries are, by time, the rejected requests whose callers retry then.
+	scheduledRetries map[time.Duration][]*shedRequest
+	deadline         time.Duration
 	// ignoresBackoff is set if the gateways ignore requested backoffs.
 	ignoresBackoff bool
-	asked          int
-	served         int
-	refused        int
-	rejected       int
+	// asked counts the requests of callers, served those served within the deadline, refused those that are
+	// not retried (again): each caller retries once, and only if the advised wait is at most a third of its time
+	// left; rejected counts the sends that replicas rejected.
+	asked    int
+	served   int
+	refused  int
+	rejected int
 }
 
 const (
@@ -75,7 +79,7 @@
 )
 
 func newShedReplay(gateways, replicas int, shape shedder, seed uint64, off mechanism.Set) *shedReplay {
-	r := &shedReplay{replicas: map[string]*shedder{}, returns: map[time.Duration][]*shedRequest{}, deadline: 3 * time.Second,
+	r := &shedReplay{replicas: map[string]*shedder{}, scheduledRetries: map[time.Duration][]*shedRequest{}, deadline: 3 * time.Second,
 		random: rand.New(rand.NewPCG(seed, 3)), now: time.Second}
 	var list []region.Replica
 	for number := range replicas {
@@ -111,11 +115,11 @@
 				r.arrive(&shedRequest{gateway: r.random.IntN(len(r.gateways)), first: r.now})
 			}
 		}
-		for _, back := range r.returns[r.now] {
+		for _, back := range r.scheduledRetries[r.now] {
 			back.gateway = r.random.IntN(len(r.gateways))
 			r.arrive(back)
 		}
-		delete(r.returns, r.now)
+		delete(r.scheduledRetries, r.now)
 		r.step()
 		r.now += shedStep
 	}
@@ -144,7 +148,7 @@
 			lease.Release()
 			continue
 		}
-		if r.replicas[lease.Replica.ID].take(r.now, request, lease) {
+		if r.replicas[lease.Replica.ID].accept(r.now, request, lease) {
 			return
 		}
 		r.rejected++
@@ -164,17 +168,17 @@
 	if wait == 0 {
 		wait = 150 * time.Millisecond
 	}
-	if request.returned > 0 || wait > left/3 {
+	if request.retries > 0 || wait > left/3 {
 		r.refused++
 		return
 	}
-	request.returned++
+	request.retries++
 	at := (r.now + wait).Truncate(shedStep) + shedStep
-	r.returns[at] = append(r.returns[at], request)
+	r.scheduledRetries[at] = append(r.scheduledRetries[at], request)
 }
 
-// take accepts or rejects a request.
-func (s *shedder) take(now time.Duration, request *shedRequest, lease *relay.Lease) bool {
+// accept accepts or rejects a request.
+func (s *shedder) accept(now time.Duration, request *shedRequest, lease *relay.Lease) bool {
 	if now < s.backoffEnds[request.gateway] {
 		s.sentInBackoff++
 	}
@@ -183,7 +187,7 @@
 		return false
 	}
 	request.lease = lease
-	s.taken = append(s.taken, now)
+	s.acceptedAt = append(s.acceptedAt, now)
 	s.waiting = append(s.waiting, request)
 	return true
 }
@@ -212,12 +216,12 @@
 		}
 	}
 	if r.now%(100*time.Millisecond) == 0 {
-		r.tell()
+		r.reportToPeers()
 	}
 }
 
-// tell makes each gateway report its work to the gateways that follow it, as peers do.
-func (r *shedReplay) tell() {
+// reportToPeers makes each gateway report its work to the gateways that follow it, as peers do.
+func (r *shedReplay) reportToPeers() {
 	for from, teller := range r.gateways {
 		work, resting := teller.Outstanding(), teller.Resting()
 		for step := range min(reportedPeers, len(r.gateways)-1) {
@@ -341,7 +345,7 @@
 		return
 	}
 	taken := 0
-	for _, at := range replica.taken {
+	for _, at := range replica.acceptedAt {
 		if now-at <= time.Second {
 			taken++
 		}
@@ -460,10 +464,10 @@
 func TestUrgentAndLargePromptsAreServedWhilePrefillReplicasRequestBackoff(t *testing.T) {
 	t.Parallel()
 	const (
-		readers = 12
-		most    = 4
-		length  = 12 * time.Second
-		seeds   = 4
+		readers    = 12
+		maxWaiting = 4
+		length     = 12 * time.Second
+		seeds      = 4
 	)
 	for _, backoff := range []time.Duration{200 * time.Millisecond, time.Second, 3 * time.Second, 30 * time.Second} {
 		for _, load := range []float64{1.5, 3} {
@@ -472,14 +476,14 @@
 				var light, middle, heavy, all, largest float64
 				rejected, backoffShare := 0, 0.0
 				for seed := range uint64(seeds) {
-					r := newBackoffReplay(readers, most, backoff, seed+1, honors)
+					r := newBackoffReplay(readers, maxWaiting, backoff, seed+1, honors)
 					goodputs[honors] += r.play(readers, load, mixedWork, length) / seeds
 					light += float64(r.inTime["light"]) / float64(r.asked["light"]) / seeds
 					middle += float64(r.inTime["middle"]) / float64(r.asked["middle"]) / seeds
 					heavy += float64(r.inTime["heavy"]) / float64(r.asked["heavy"]) / seeds
 					rejected += r.rejected
 					backoffShare += min(r.totalBackoff, time.Duration(r.rejected)*length).Seconds() / readers / length.Seconds() / seeds
-					s := newBackoffReplay(readers, most, backoff, seed+1, honors)
+					s := newBackoffReplay(readers, maxWaiting, backoff, seed+1, honors)
 					s.play(readers, load, sizedWork(), length)
 					each, _, most := s.servedBySize()
 					all, largest = all+each/seeds, largest+most/seeds
--- a/internal/relay/runner.go
+++ b/internal/relay/runner.go
@@ -26,7 +26,8 @@
 	logger    logr.Logger
 	// onStart is called once for each request of a tenant that begins to run, with the time at which
 	// it began.
-	onStart  func(tenant string, at time.Time)
+	onStart func(tenant string, at time.Time)
+	// endWatch finds out whether the process of a replica has ended after a connection to it was lost.
 	endWatch *poison.EndWatch
 	// suspended returns how long the machine has been suspended since a fixed point in time.
 	suspended func() time.Duration
@@ -100,7 +101,7 @@
 	// minimumTimeLeft is the least remaining time for which a request is sent.
 	minimumTimeLeft = 5 * time.Millisecond
 	// maximumConnectionIdle bounds how long a reused connection may have been idle if it carries a
-	// request that cannot be repeated.
+	// request that cannot be repeated: the replica may have dropped an older one silently.
 	maximumConnectionIdle = time.Second
 )
 
@@ -173,7 +174,7 @@
 	if ctx.Err() != nil || state.callerGone {
 		r.logger.Info(event.CallerGone, "request", call.ID, "after_ms", time.Since(call.Arrived).Milliseconds(),
 			"sends", state.sends)
-		r.metrics.request(call, outcomeCallerGone)
+		r.metrics.countRequest(call, outcomeCallerGone)
 		state.abortStream()
 		return
 	}
@@ -181,7 +182,7 @@
 		state.refuse(err)
 		return
 	}
-	r.metrics.request(call, outcomeAnswered)
+	r.metrics.countRequest(call, outcomeAnswered)
 	r.logger.V(1).Info(event.RequestAnswered, "request", call.ID, "route", call.Route.Name, "sends", state.sends,
 		"events", state.eventCount(), "first_ms", state.timeToFirstEvent().Milliseconds(),
 		"longest_pause_ms", state.longestEventGap().Milliseconds(), "after_ms", time.Since(call.Arrived).Milliseconds())
@@ -233,7 +234,7 @@
 			handle.freeUnlessConsumed(r.Runner)
 		}
 		if err != nil {
-			return r.limitedOrNone(err)
+			return r.explainNoReplica(err)
 		}
 		if lease == nil {
 			return r.noReplicaError()
@@ -241,7 +242,7 @@
 		r.tried = append(r.tried, lease.Replica)
 		outcome, cause := r.attemptSend(ctx, lease, handle)
 		lease.Release()
-		r.metrics.attempt(outcome)
+		r.metrics.countAttempt(outcome)
 		if outcome == verdictAnswered {
 			return nil
 		}
@@ -318,13 +319,13 @@
 func (r *callState) refuse(err error) {
 	if r.stream != nil {
 		r.logger.Info(event.StreamBrokenOff, "request", r.call.ID, "events", r.stream.events, "cause", err.Error())
-		r.metrics.request(r.call, outcomeBrokenOff)
+		r.metrics.countRequest(r.call, outcomeBrokenOff)
 		r.abortStream()
 		return
 	}
 	if response := r.lastErrorResponse; response != nil {
 		r.logger.Info(event.FailureHandedOn, "request", r.call.ID, "status", response.status, "cause", err.Error())
-		r.metrics.request(r.call, outcomeReplicaFailed)
+		r.metrics.countRequest(r.call, outcomeReplicaFailed)
 		r.responder.Answer(response.status, response.header, response.body)
 		return
 	}
@@ -342,7 +343,7 @@
 	r.logger.Info(event.RequestRefused, "request", r.call.ID, "route", r.call.Route.Name, "tenant", r.call.Tenant,
 		"rank", r.call.Route.Priority, "kind", string(response.Kind), "status", response.Status, "retry_after_ms", response.RetryAfter.Milliseconds(),
 		"cause", err.Error(), "sends", r.sends, "digest", r.heldDigestForLog(), "after_ms", time.Since(r.call.Arrived).Milliseconds())
-	r.metrics.request(r.call, string(response.Kind))
+	r.metrics.countRequest(r.call, string(response.Kind))
 	r.responder.Refuse(err)
 }
 
--- a/internal/relay/runner_test.go
+++ b/internal/relay/runner_test.go
@@ -117,9 +117,9 @@
 	return newTestEnvironmentWithBudget(t, relay.RetryBudgetOptions{Ratio: 5, Window: time.Second, Slack: 100})
 }
 
-func newTestEnvironmentWithBudget(t *testing.T, terms relay.RetryBudgetOptions) *testEnvironment {
+func newTestEnvironmentWithBudget(t *testing.T, options relay.RetryBudgetOptions) *testEnvironment {
 	t.Helper()
-	return makeTestEnvironment(t, terms, logr.Discard())
+	return makeTestEnvironment(t, options, logr.Discard())
 }
 
 func newLoggedTestEnvironment(t testing.TB, logger logr.Logger) *testEnvironment {
@@ -127,7 +127,7 @@
 	return makeTestEnvironment(t, relay.RetryBudgetOptions{Ratio: 5, Window: time.Second, Slack: 100}, logger)
 }
 
-func makeTestEnvironment(t testing.TB, terms relay.RetryBudgetOptions, logger logr.Logger) *testEnvironment {
+func makeTestEnvironment(t testing.TB, options relay.RetryBudgetOptions, logger logr.Logger) *testEnvironment {
 	t.Helper()
 	began := time.Now()
 	w := &testEnvironment{t: t, requestCounts: map[string]int{}}
@@ -136,7 +136,7 @@
 	client := upstream.NewClient(upstream.Options{DialTimeout: time.Second, MaximumBodyBytes: 1 << 20, Gate: gate})
 	w.directory = relay.NewDirectory(clock, "zone", client.Forget, logger)
 	w.directory.UseGate(gate)
-	budgets := relay.NewRetryBudgets(clock, terms, 1)
+	budgets := relay.NewRetryBudgets(clock, options, 1)
 	w.runner = relay.NewRunner(w.directory, client, testDialect{}, budgets, relay.NewMetrics(telemetry.NewMetrics("test")), logger)
 	return w
 }
--- a/internal/relay/send.go
+++ b/internal/relay/send.go
@@ -121,7 +121,7 @@
 		"candidates", choice.Candidates, "in_flight", choice.InFlight, "peers_age_ms", choice.PeersAge.Milliseconds(),
 		"occupancy", math.Round(choice.Occupancy*100)/100, "load_age_ms", choice.LoadAge.Milliseconds(),
 		"missing", lease.missing(), "wait_ms", lease.expectedWait().Milliseconds(), "placed_by", lease.chosenBy(), "limit", lease.Limit(),
-		"rest_ms", lease.BackoffLeft().Milliseconds(), "leaving", lease.saysLeaving())
+		"rest_ms", lease.BackoffLeft().Milliseconds(), "leaving", lease.declaresLeaving())
 	if send.LastEvent != "" {
 		r.logger.Info(event.StreamContinued, "request", r.call.ID, "replica", lease.Replica.ID, "after_event", send.LastEvent,
 			"send", r.sends, "after_ms", time.Since(r.call.Arrived).Milliseconds())
@@ -134,7 +134,7 @@
 	}
 	if err != nil {
 		if upstream.HandedOver(err) && !r.isModelCall() {
-			// It may have run, and most such requests have.
+			// The request may have run, and most that fail after they were sent have.
 			r.countStart(sentAt)
 		}
 		return r.classifyFailure(ctx, lease, err)
@@ -186,8 +186,8 @@
 	return verdictUnknown, err
 }
 
-// recordLimit records the rate limit that a response declares. A response of another incarnation is
-// ignored: its limit does not apply to this one.
+// recordLimit records the rate limit that a response declares. A response of another incarnation (status
+// 421) is ignored: its limit does not apply to this one.
 func recordLimit(lease *Lease, status int, metadata ResponseMetadata) {
 	if status != http.StatusMisdirectedRequest {
 		lease.NoteLimit(metadata.Limit, !metadata.NotRun && status < http.StatusInternalServerError)
@@ -222,7 +222,7 @@
 		return verdictUnknown, failure.New(failure.AnswerBroken, "the stream was not continued")
 	}
 	r.succeeded = response.Status < http.StatusInternalServerError
-	r.metrics.firstAnswer(r.call)
+	r.metrics.observeFirstAnswer(r.call)
 	r.responder.Answer(response.Status, response.Header, body)
 	return verdictAnswered, nil
 }
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -99,7 +99,7 @@
 // the caller has disconnected.
 func (r *callState) forward(response *upstream.Exchange, complete []byte, lastID string) error {
 	if r.stream == nil {
-		r.metrics.firstAnswer(r.call)
+		r.metrics.observeFirstAnswer(r.call)
 		r.stream = &streamState{writer: r.responder.Stream(response.Status, response.Header)}
 	}
 	if lastID != "" {
