--- a/internal/relay/daemon/coordinatorchoice.go
+++ b/internal/relay/daemon/coordinatorchoice.go
@@ -16,8 +16,8 @@
 	"github.com/pierhaven/pierhaven/internal/topology"
 )
 
-// coordinators lists the coordinators that may be asked: first the polled one, then the others,
-// nearest first.
+// coordinators lists the coordinators that may be sent queries: first the polled one, then the
+// others, nearest first.
 func (v *viewClient) coordinators() []string {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
@@ -132,7 +132,8 @@
 	return candidates
 }
 
-// distance ranks coordinators by proximity; the nearest has the lowest value. The caller must hold
+// distance ranks coordinators by proximity; the nearest has the lowest value. A coordinator whose
+// zone is unknown may be near, so it ranks before those of other regions. The caller must hold
 // v.mutex.
 func (v *viewClient) distance(coordinator string) int {
 	zone, known := v.zones[coordinator]
@@ -154,9 +155,9 @@
 // would be asked for placements, and costs one call per second for a coordinator that stays down.
 const probeInterval = time.Second
 
-// probeCoordinators probes coordinators that are not polled for availability and zone, so that the
-// nearest one is polled soon: those of other regions take ten times as long to answer each
-// question.
+// probeCoordinators checks whether coordinators that are not polled answer, and learns their zones,
+// so that the nearest one is polled soon: those of other regions take ten times as long to answer
+// each call.
 func (v *viewClient) probeCoordinators(ctx context.Context) {
 	for lifecycle.Sleep(ctx, probeInterval/2+rand.N(probeInterval)) {
 		if polled := v.polled.Load(); polled != nil {
--- a/internal/relay/daemon/daemon_test.go
+++ b/internal/relay/daemon/daemon_test.go
@@ -144,12 +144,12 @@
 
 // gateway is a daemon that runs in this process.
 type gateway struct {
-	t       *testing.T
-	front   string
-	ready   string
-	metrics *telemetry.Metrics
-	stop    context.CancelFunc
-	done    chan error
+	t            *testing.T
+	address      string
+	readyAddress string
+	metrics      *telemetry.Metrics
+	stop         context.CancelFunc
+	done         chan error
 }
 
 func startGateway(t *testing.T, coordinators ...*fakeCoordinator) *gateway {
@@ -158,9 +158,9 @@
 	for _, each := range coordinators {
 		seeds = append(seeds, each.address)
 	}
-	g := &gateway{t: t, front: testnet.Address(t), ready: testnet.Address(t), metrics: telemetry.NewMetrics("test"), done: make(chan error, 1)}
+	g := &gateway{t: t, address: testnet.Address(t), readyAddress: testnet.Address(t), metrics: telemetry.NewMetrics("test"), done: make(chan error, 1)}
 	created, err := daemon.New(daemon.Settings{
-		Name: "gateway", Zone: "zone", Listen: g.front, ReadyListen: g.ready, ReadyPath: "/ready",
+		Name: "gateway", Zone: "zone", Listen: g.address, ReadyListen: g.readyAddress, ReadyPath: "/ready",
 		PeerListen: testnet.Address(t), Seeds: func() []string { return seeds },
 		Budget:      relay.RetryBudgetOptions{Ratio: 1, Window: time.Second, Slack: 10},
 		StopTimeout: 10 * time.Second, CallerStallTimeout: time.Second, MemoryBytes: gatewayMemory, Lister: unreachableList{}, Codec: jsonCodec{}, Dialect: testDialect{},
@@ -178,7 +178,7 @@
 }
 
 func (g *gateway) readiness() int {
-	answer, err := http.Get("http://" + g.ready + "/ready")
+	answer, err := http.Get("http://" + g.readyAddress + "/ready")
 	if err != nil {
 		return 0
 	}
@@ -192,7 +192,7 @@
 }
 
 func (g *gateway) post(path string) (*http.Response, error) {
-	request, err := http.NewRequest(http.MethodPost, "http://"+g.front+path, bytes.NewBufferString("body"))
+	request, err := http.NewRequest(http.MethodPost, "http://"+g.address+path, bytes.NewBufferString("body"))
 	require.NoError(g.t, err)
 	request.Host = "h.example"
 	request.Header.Set("Request", "r-1")
--- a/internal/relay/daemon/deciders.go
+++ b/internal/relay/daemon/deciders.go
@@ -9,24 +9,25 @@
 )
 
 // placementMode tracks who chooses replicas: the gateways, which report their load to each other,
-// or a coordinator that they ask. It is guarded by viewClient.mutex.
+// or a coordinator that they query. update must be called with viewClient.mutex held.
 type placementMode struct {
 	peers  *peers.Peers
 	client *placement.Client
-	// remote reports whether coordinators choose; remoteAt is when a coordinator last said so.
+	// remote is set while coordinators choose; remoteAt is when a coordinator last said so.
 	remote   bool
 	remoteAt time.Duration
 }
 
-// placesHoldTime is how long a coordinator's statement that coordinators choose replicas remains
-// valid. A coordinator that has restarted does not know the number of gateways yet.
-const placesHoldTime = 3 * time.Second
+// remotePlacementHoldTime is how long gateways keep querying coordinators after one last said that
+// coordinators choose replicas. A coordinator that has restarted does not know the number of
+// gateways yet, and its view says that gateways choose.
+const remotePlacementHoldTime = 3 * time.Second
 
 // update applies a coordinator's view.
 func (m *placementMode) update(now time.Duration, coordinator string, view *region.View) {
 	if view.Places {
 		m.remote, m.remoteAt = true, now
-	} else if now-m.remoteAt > placesHoldTime {
+	} else if now-m.remoteAt > remotePlacementHoldTime {
 		m.remote = false
 	}
 	if m.remote {
--- a/internal/relay/daemon/deciders_test.go
+++ b/internal/relay/daemon/deciders_test.go
@@ -14,7 +14,7 @@
 	"github.com/pierhaven/pierhaven/internal/relay"
 )
 
-func newPlacementMode() *placementMode {
+func newTestPlacementMode() *placementMode {
 	socket := &datagram.Socket{}
 	directory := relay.NewDirectory(func() time.Duration { return 0 }, "z", func(string, string) {}, logr.Discard())
 	return &placementMode{
@@ -24,7 +24,7 @@
 }
 
 func TestACoordinatorThatHasRestartedDoesNotMakeGatewaysChoose(t *testing.T) {
-	mode := newPlacementMode()
+	mode := newTestPlacementMode()
 	few := &region.View{PeersHash: 7, Peers: []string{"10.0.0.1:1", "10.0.0.2:1"}}
 	many := &region.View{Places: true}
 
@@ -39,7 +39,7 @@
 	mode.update(3*time.Second, "10.0.1.2:1", few)
 	assert.True(t, mode.client.Asks(), "the coordinator has not counted the gateways yet")
 
-	mode.update(2*time.Second+placesHoldTime+1, "10.0.1.2:1", few)
+	mode.update(2*time.Second+remotePlacementHoldTime+1, "10.0.1.2:1", few)
 	assert.False(t, mode.client.Asks(), "the coordinator still reports few gateways after the hold time")
 	assert.EqualValues(t, 7, mode.peers.Known())
 }
--- a/internal/relay/daemon/endingrequests_test.go
+++ b/internal/relay/daemon/endingrequests_test.go
@@ -51,8 +51,8 @@
 	// running holds the running replicas by address.
 	running map[string]*crashableReplica
 	started int
-	// arrivals are the times at which the crashing request arrived, and crashes the times of the
-	// crashes.
+	// arrivals are the times at which the crashing request arrived, and crashes the times at which
+	// replicas crashed.
 	arrivals []time.Time
 	crashes  []time.Time
 	closed   bool
@@ -169,9 +169,9 @@
 	return listed, nil
 }
 
-// lateArrivals counts the arrivals of the crashing request later than wait after the third crash;
-// ended is the total number of crashes.
-func (s *replicaSet) lateArrivals(wait time.Duration) (late, ended int) {
+// lateArrivals returns how often the crashing request arrived later than wait after the third crash,
+// and the total number of crashes.
+func (s *replicaSet) lateArrivals(wait time.Duration) (late, crashes int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if len(s.crashes) < 3 {
@@ -187,21 +187,21 @@
 
 // testRegion is a coordinator with gateways, all in this process.
 type testRegion struct {
-	t           *testing.T
-	replicas    *replicaSet
-	coordinator string
-	folder      string
-	gateways    []*gateway
-	running     *coordinator.Coordinator
-	asked       atomic.Int64
-	stop        func()
+	t            *testing.T
+	replicas     *replicaSet
+	coordinator  string
+	folder       string
+	gateways     []*gateway
+	running      *coordinator.Coordinator
+	requestCount atomic.Int64
+	stop         func()
 	// tenants are the configured tenants, if any; version is the version of the configuration.
 	tenants []traffic.Tenant
 	version uint64
 }
 
 // toleratedOverrun lets a tenant with a limit of almost zero send 14 requests, and none after that
-// while the test runs.
+// while the test runs: a pool that counts the whole limit grants a debt of 0.35 of the overrun.
 var toleratedOverrun = quota.Terms{Slack: 40}
 
 func newTestRegion(t *testing.T, replicas, gateways int, tenants ...traffic.Tenant) *testRegion {
@@ -234,8 +234,8 @@
 	r.configure()
 }
 
-// contact returns the contact time of the processes, 0 for the default. It is long where limits are
-// tested, so that questions are answered in time on a busy machine too.
+// contact returns the contact time of the processes, 0 for the default. It is long where tenants'
+// limits are tested, so that queries are answered in time on a busy machine too.
 func (r *testRegion) contact() time.Duration {
 	if len(r.tenants) == 0 {
 		return 0
@@ -263,9 +263,9 @@
 
 func (r *testRegion) startGateway(number int) *gateway {
 	r.t.Helper()
-	g := &gateway{t: r.t, front: testnet.Address(r.t), ready: testnet.Address(r.t), done: make(chan error, 1)}
+	g := &gateway{t: r.t, address: testnet.Address(r.t), readyAddress: testnet.Address(r.t), done: make(chan error, 1)}
 	created, err := daemon.New(daemon.Settings{
-		Name: fmt.Sprint("gateway-", number), Zone: "zone", Listen: g.front, ReadyListen: g.ready, ReadyPath: "/ready",
+		Name: fmt.Sprint("gateway-", number), Zone: "zone", Listen: g.address, ReadyListen: g.readyAddress, ReadyPath: "/ready",
 		PeerListen: testnet.Address(r.t), Seeds: func() []string { return []string{r.coordinator} },
 		Budget:      relay.RetryBudgetOptions{Ratio: 1, Window: time.Second, Slack: 100},
 		StopTimeout: 2 * time.Second, Lister: unreachableList{}, Codec: jsonCodec{}, Dialect: testDialect{},
@@ -283,17 +283,17 @@
 	return g
 }
 
-// callerAddresses is the number of source IPs. The requests of one caller come from many, through
-// proxies and from its several machines.
-const callerAddresses = 7
+// callerIPs is the number of source IPs of requests. One caller uses many, as its requests come
+// through proxies and from several machines.
+const callerIPs = 7
 
 // ask sends a request to a gateway and returns its status, or 0 if the answer is incomplete.
 func (r *testRegion) ask(gateway int, id, body string) (status int, answer string) {
-	address := net.IPv4(127, 0, 0, byte(2+r.asked.Add(1)%callerAddresses))
+	address := net.IPv4(127, 0, 0, byte(2+r.requestCount.Add(1)%callerIPs))
 	dialer := &net.Dialer{LocalAddr: &net.TCPAddr{IP: address}}
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: dialer.DialContext}, Timeout: 10 * time.Second}
 	defer client.CloseIdleConnections()
-	request, err := http.NewRequest(http.MethodPost, "http://"+r.gateways[gateway].front+"/x", bytes.NewBufferString(body))
+	request, err := http.NewRequest(http.MethodPost, "http://"+r.gateways[gateway].address+"/x", bytes.NewBufferString(body))
 	if err != nil {
 		return 0, err.Error()
 	}
@@ -326,12 +326,13 @@
 	}
 }
 
-// Guards against a request that crashes one replica after the other: 33 crashed in 4 s, and with
-// them the requests that they were serving. The gateway retries the request on the next replica,
-// and its caller sends it again under another ID to another gateway. Attempt limits and retry
-// budgets hold for one ID, so the evidence must be shared between calls and gateways. In the log,
-// the lines "replica lost under a request" have one digest and ended=true, and the replica's port
-// refuses connections 2 to 230 ms after the first broken stream.
+// Guards against a request that crashes one replica after the other for as long as its caller
+// repeats it: 33 crashed in 4 s, and the requests that they were serving failed with them. The
+// gateway retries the request on the next replica, and its caller sends it again under another ID to
+// another gateway. Attempt limits and retry budgets hold for one ID, so the evidence must be shared
+// between calls and gateways. In the log, the lines "replica lost under a request" have one digest
+// and ended=true, and the replica's port refuses connections 2 to 230 ms after the first broken
+// stream.
 func TestARequestThatEndsReplicasReachesFewOnceThreeHaveEnded(t *testing.T) {
 	r := newTestRegion(t, 8, 3)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -340,9 +341,9 @@
 	time.Sleep(2 * contactTime)
 	cancel()
 	running.Wait()
-	late, ended := r.replicas.lateArrivals(contactTime)
-	assert.GreaterOrEqual(t, ended, 3)
-	assert.LessOrEqual(t, late, 3, "late arrivals of a request that has crashed %d replicas", ended)
+	late, crashes := r.replicas.lateArrivals(contactTime)
+	assert.GreaterOrEqual(t, crashes, 3)
+	assert.LessOrEqual(t, late, 3, "late arrivals of a request that has crashed %d replicas", crashes)
 	status, answer := r.ask(0, "innocent", "another body")
 	assert.Equal(t, http.StatusOK, status, answer)
 	for gateway := range r.gateways {
@@ -365,8 +366,8 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 3*contactTime)
 	defer cancel()
 	r.repeatCrashing(ctx, contactTime/10)
-	late, ended := r.replicas.lateArrivals(contactTime)
-	assert.LessOrEqual(t, late, 3, "late arrivals of a request that has crashed %d replicas", ended)
+	late, crashes := r.replicas.lateArrivals(contactTime)
+	assert.LessOrEqual(t, late, 3, "late arrivals of a request that has crashed %d replicas", crashes)
 }
 
 // sendUntilHeld sends the crashing request to all gateways at once until all of them hold it.
@@ -390,9 +391,9 @@
 func TestARequestIsHeldOverAllGatewaysTogether(t *testing.T) {
 	r := newTestRegion(t, 8, 4)
 	r.sendUntilHeld()
-	_, ended := r.replicas.lateArrivals(0)
+	_, crashes := r.replicas.lateArrivals(0)
 	// Three crashes are enough to hold it; each gateway may have two attempts in flight meanwhile.
-	assert.LessOrEqual(t, ended, 3+2*4*3)
+	assert.LessOrEqual(t, crashes, 3+2*4*3)
 	late, _ := r.replicas.lateArrivals(contactTime)
 	assert.LessOrEqual(t, late, 3)
 }
@@ -434,8 +435,8 @@
 		_, answer := r.ask(0, "ending-3", crashingBody)
 		return isHeld(answer)
 	}, 30*time.Second, contactTime/4)
-	_, ended := r.replicas.lateArrivals(0)
-	assert.LessOrEqual(t, ended, 3+3)
+	_, crashes := r.replicas.lateArrivals(0)
+	assert.LessOrEqual(t, crashes, 3+3)
 }
 
 func TestRequestsThatDifferInOneByteAreOthers(t *testing.T) {
@@ -495,9 +496,9 @@
 		r.ask(0, fmt.Sprint("ending-", number), crashingBody)
 		time.Sleep(contactTime / 10)
 	}
-	_, ended := r.replicas.lateArrivals(0)
-	assert.GreaterOrEqual(t, ended, 3)
-	assert.LessOrEqual(t, ended, 3+3)
+	_, crashes := r.replicas.lateArrivals(0)
+	assert.GreaterOrEqual(t, crashes, 3)
+	assert.LessOrEqual(t, crashes, 3+3)
 	late, _ := r.replicas.lateArrivals(contactTime)
 	assert.Zero(t, late)
 	r.startCoordinator()
--- a/internal/relay/daemon/evidence.go
+++ b/internal/relay/daemon/evidence.go
@@ -56,7 +56,7 @@
 }
 
 // requestPermit asks whether a request on probation may be tried now. A wait above 0 means that
-// another gateway is trying it. A gateway without a fresh view relies on its own evidence.
+// another gateway is trying it. A gateway without a fresh view relies on its local evidence.
 func (e *evidenceReporter) requestPermit(ctx context.Context, digest poison.Digest) (wait time.Duration) {
 	to := e.views.polled.Load()
 	if to == nil || !e.hasFreshView() {
@@ -64,7 +64,7 @@
 	}
 	reply := &poison.PermitReply{}
 	if err := e.client.Call(ctx, *to, region.PathPermit, &poison.PermitRequest{Digest: digest}, reply); err != nil {
-		// The unreachable coordinator may have given the permit to another gateway.
+		// The coordinator that did not answer may have given the permit to another gateway.
 		return e.contactTime
 	}
 	return time.Duration(reply.WaitMillis) * time.Millisecond
--- a/internal/relay/daemon/front.go
+++ b/internal/relay/daemon/front.go
@@ -26,7 +26,8 @@
 	views    *viewClient
 	runner   *relay.Runner
 	quotas   *quotaClient
-	// refuseAfter is set when a planned stop begins: the time after which new requests are refused.
+	// refuseAfter is the time after which new requests are refused. It is nil until a planned stop
+	// begins.
 	refuseAfter atomic.Pointer[time.Time]
 	inFlight    atomic.Int64
 }
@@ -39,8 +40,8 @@
 
 // refusing reports whether new requests are refused because of a planned stop.
 func (f *frontend) refusing() bool {
-	closing := f.refuseAfter.Load()
-	return closing != nil && time.Now().After(*closing)
+	after := f.refuseAfter.Load()
+	return after != nil && time.Now().After(*after)
 }
 
 func (f *frontend) newServer(opened *listener.Listener) *server.Hertz {
@@ -235,8 +236,8 @@
 	return target
 }
 
-// forwardedFields returns the header fields to forward to replicas. If keyed is set, API keys are
-// removed, so that no replica gets one.
+// forwardedFields returns the header fields to forward to replicas. keyed is set if the
+// configuration has tenants; API keys are then removed, so that no replica gets one.
 func (f *frontend) forwardedFields(request *app.RequestContext, keyed bool) []upstream.Field {
 	fields := make([]upstream.Field, 0, 16)
 	request.Request.Header.VisitAll(func(key, value []byte) {
--- a/internal/relay/daemon/keys_test.go
+++ b/internal/relay/daemon/keys_test.go
@@ -70,7 +70,7 @@
 // empty.
 func (g *gateway) postWithKey(client *http.Client, path, authorization string) int {
 	g.t.Helper()
-	request, err := http.NewRequest(http.MethodPost, "http://"+g.front+path, strings.NewReader("body"))
+	request, err := http.NewRequest(http.MethodPost, "http://"+g.address+path, strings.NewReader("body"))
 	require.NoError(g.t, err)
 	request.Host = "h.example"
 	request.Header.Set("Request", "r-1")
@@ -86,8 +86,8 @@
 }
 
 func TestARequestRunsForTheTenantOfItsKeyAlone(t *testing.T) {
-	seen := &headerRecorder{}
-	view := newViewWithTenants(t, 3, startReplica(t, seen.handler()), map[string][]string{"depot": {"key-1", "key-2"}, "floor": {"key-3"}})
+	recorder := &headerRecorder{}
+	view := newViewWithTenants(t, 3, startReplica(t, recorder.handler()), map[string][]string{"depot": {"key-1", "key-2"}, "floor": {"key-3"}})
 	g := startGateway(t, startCoordinator(t, view))
 	g.awaitReadiness(http.StatusOK)
 	for _, test := range []struct {
@@ -105,20 +105,20 @@
 		{"/open/x", "", http.StatusOK, ""},
 		{"/open/x", "Bearer key-3", http.StatusOK, "floor"},
 	} {
-		before := len(seen.seen)
+		before := len(recorder.seen)
 		assert.Equal(t, test.status, g.postWithKey(http.DefaultClient, test.path, test.authorization), "%s %q", test.path, test.authorization)
 		if test.status != http.StatusOK {
-			assert.Len(t, seen.seen, before, "a replica has run %q", test.authorization)
+			assert.Len(t, recorder.seen, before, "a replica has run %q", test.authorization)
 			continue
 		}
-		assert.Equal(t, test.tenant, seen.last().Get("Tenant"), "%s %q", test.path, test.authorization)
-		assert.Empty(t, seen.last().Get("Authorization"), "%s %q", test.path, test.authorization)
+		assert.Equal(t, test.tenant, recorder.last().Get("Tenant"), "%s %q", test.path, test.authorization)
+		assert.Empty(t, recorder.last().Get("Authorization"), "%s %q", test.path, test.authorization)
 	}
 }
 
 func TestAKeyThatIsTakenAwayEndsOnKeptConnections(t *testing.T) {
-	seen := &headerRecorder{}
-	replica := startReplica(t, seen.handler())
+	recorder := &headerRecorder{}
+	replica := startReplica(t, recorder.handler())
 	coordinator := startCoordinator(t, newViewWithTenants(t, 3, replica, map[string][]string{"depot": {"key-1"}}))
 	g := startGateway(t, coordinator)
 	g.awaitReadiness(http.StatusOK)
--- a/internal/relay/daemon/leaving.go
+++ b/internal/relay/daemon/leaving.go
@@ -21,11 +21,12 @@
 	views     *viewClient
 	directory *relay.Directory
 	logger    logr.Logger
-	// pending holds one entry if a replica has said so since the last report.
+	// pending holds one entry if a replica has announced that it leaves since the last report.
 	pending chan struct{}
 }
 
-// leavingResendInterval is the interval at which a report is repeated until the list shows it.
+// leavingResendInterval is the interval at which a report is repeated until the list shows the
+// replicas as leaving.
 const leavingResendInterval = time.Second
 
 func newLeavingReporter(settings Settings, client *rpc.Client, views *viewClient, directory *relay.Directory) *leavingReporter {
@@ -55,7 +56,7 @@
 	}
 }
 
-// report sends the unlisted leaving replicas to the polled coordinator.
+// report tells the polled coordinator which replicas leave that the list does not show as leaving.
 func (l *leavingReporter) report(ctx context.Context) {
 	names := l.directory.UnreportedLeaving()
 	coordinator := l.views.polled.Load()
--- a/internal/relay/daemon/leaving_test.go
+++ b/internal/relay/daemon/leaving_test.go
@@ -42,8 +42,8 @@
 	assert.Equal(t, sent, served, "other replicas serve all requests")
 }
 
-// All replicas announce that they leave, and no other joins. They are used for the leave time and
-// no longer; after that, callers are refused at once.
+// All replicas announce that they leave, and none is added. They are used for leavingGrace and no
+// longer; after that, callers are refused at once.
 func TestReplicasThatAllLeaveAreUsedForAsLongAsTheyBearIt(t *testing.T) {
 	r := newTestRegion(t, 2, 2)
 	r.replicas.markLeaving("i-1")
--- a/internal/relay/daemon/malformed_test.go
+++ b/internal/relay/daemon/malformed_test.go
@@ -68,7 +68,7 @@
 		"a header flood":         head + strings.Repeat("X-Flood: "+strings.Repeat("x", 1000)+"\r\n", 200) + "\r\n" + hidden,
 	} {
 		t.Run(name, func(t *testing.T) {
-			statuses := sendRaw(t, g.front, sent)
+			statuses := sendRaw(t, g.address, sent)
 			for _, status := range statuses {
 				assert.GreaterOrEqual(t, status, 400, "%v", statuses)
 				assert.Less(t, status, 500, "%v", statuses)
--- a/internal/relay/daemon/poolclient_test.go
+++ b/internal/relay/daemon/poolclient_test.go
@@ -58,7 +58,7 @@
 			require.False(t, decided)
 		}
 	}
-	// After these requests, all are known to be unresponsive.
+	// After these requests, all coordinators count as unresponsive.
 	decideAll(8)
 	before := asked.Load()
 	decideAll(30)
--- a/internal/relay/daemon/quotas_test.go
+++ b/internal/relay/daemon/quotas_test.go
@@ -28,7 +28,7 @@
 }
 
 // newLimitedRegion returns a region whose coordinator counts the tenant's whole limit and grants it
-// the whole tolerated overrun.
+// its maximum debt, 0.35 of the tolerated overrun.
 func newLimitedRegion(t *testing.T, replicas, gateways int, owner traffic.Tenant) *testRegion {
 	t.Helper()
 	r := newTestRegion(t, replicas, gateways, owner)
@@ -105,7 +105,7 @@
 	assert.Equal(t, 6, refused)
 }
 
-// While no coordinator answers, a gateway uses its own share of the tolerated overrun. If it has
+// While no coordinator answers, a gateway uses its share of the tolerated overrun. If it has
 // none, it refuses requests and says when to retry.
 func TestAGatewayThatReachesNoCoordinatorRefusesBeyondItsPart(t *testing.T) {
 	r := newLimitedRegion(t, 1, 1, limitedTenant(1000, 1000))
--- a/internal/relay/daemon/replicalimits.go
+++ b/internal/relay/daemon/replicalimits.go
@@ -76,8 +76,8 @@
 		return
 	}
 	if !known && len(l.reported) > l.directory.Count() {
-		// Replicas come and go, so the entries are cleared when there are more than replicas.
-		// Limits that are reported once more as a result do no harm.
+		// Entries of removed replicas are not deleted one by one: all are cleared when there are more
+		// entries than replicas. Limits that are reported once more as a result do no harm.
 		clear(l.reported)
 	}
 	l.reported[limit.Replica] = reportedLimit{declared: limit.Declared, rate: limit.Rate, at: now}
@@ -85,7 +85,7 @@
 	l.sendReports([]ratelimit.Report{limit})
 }
 
-// sendReports sends limits to the first coordinator that may be asked.
+// sendReports sends limit reports to the first candidate coordinator.
 func (l *limitClient) sendReports(limits []ratelimit.Report) {
 	candidates := l.candidates()
 	if len(candidates) == 0 {
@@ -117,14 +117,14 @@
 }
 
 // requestPermit asks whether a request may be sent to a replica that declares a limit.
-func (l *limitClient) requestPermit(ctx context.Context, limitQuestion relay.PermitRequest) relay.Permit {
-	question := quota.Question{Account: limitQuestion.Life, Units: 1, Rank: limitQuestion.Rank}
-	decision, decided, err := l.decide(ctx, limitQuestion.Request, question)
+func (l *limitClient) requestPermit(ctx context.Context, request relay.PermitRequest) relay.Permit {
+	query := quota.Question{Account: request.Life, Units: 1, Rank: request.Rank}
+	decision, decided, err := l.decide(ctx, request.Request, query)
 	if err != nil {
 		return relay.Permit{}
 	}
 	if !decided {
-		return l.decideLocally(limitQuestion)
+		return l.decideLocally(request)
 	}
 	l.stateMutex.Lock()
 	l.fallback.Forget()
@@ -133,14 +133,14 @@
 		Granted: decision.Admitted,
 		Wait:    time.Duration(decision.WaitMicros) * time.Microsecond,
 		By:      decision.coordinator.String(),
-		Return:  func() { l.newCharge(question, decision.coordinator).settle(0) },
+		Return:  func() { l.newCharge(query, decision.coordinator).settle(0) },
 	}
 }
 
-// decideLocally decides while no coordinator answers.
-func (l *limitClient) decideLocally(limitQuestion relay.PermitRequest) relay.Permit {
+// decideLocally decides on a request while no coordinator answers.
+func (l *limitClient) decideLocally(request relay.PermitRequest) relay.Permit {
 	l.stateMutex.Lock()
-	granted, wait := l.fallback.Ask(l.clock(), limitQuestion.Life, limitQuestion.Rate, l.views.gatewayCount())
+	granted, wait := l.fallback.Ask(l.clock(), request.Life, request.Rate, l.views.gatewayCount())
 	l.stateMutex.Unlock()
 	l.countDecision(granted, true)
 	return relay.Permit{Granted: granted, Wait: wait, By: "self", Return: func() {}}
--- a/internal/relay/daemon/replicalimits_test.go
+++ b/internal/relay/daemon/replicalimits_test.go
@@ -19,9 +19,9 @@
 
 const (
 	// limitWindow is the window in which a replica's limit is checked. Within it, all gateways
-	// together may send 1.5 times the limit plus limitSlack requests.
+	// together may send limitFactor times the limit plus limitSlack requests.
 	limitWindow = 4 * time.Second
-	limitShare  = 1.5
+	limitFactor = 1.5
 	limitSlack  = 5
 )
 
@@ -31,7 +31,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.received[replica.id] = append(s.received[replica.id], time.Now())
-	if limit, named := s.limits[replica.id]; named {
+	if limit, declared := s.limits[replica.id]; declared {
 		writer.Header().Set("Limit", strconv.FormatFloat(limit, 'f', -1, 64))
 	}
 	if s.leaving[replica.id] {
@@ -85,7 +85,7 @@
 
 // allowedInWindow returns how many requests a replica with a limit may receive within limitWindow.
 func allowedInWindow(limit float64) int {
-	return int(limitShare*limit*limitWindow.Seconds()) + limitSlack
+	return int(limitFactor*limit*limitWindow.Seconds()) + limitSlack
 }
 
 // load sends requests to all gateways until the context ends, and returns how many were sent and
@@ -117,13 +117,13 @@
 	const limit = 2.0
 	r := newTestRegion(t, 5, 3)
 	r.replicas.setLimit("i-1", limit)
-	named := time.Now()
+	declaredAt := time.Now()
 	ctx, cancel := context.WithTimeout(t.Context(), contactTime+2*limitWindow)
 	defer cancel()
 	sent, served := r.load(ctx, 12, 100*time.Millisecond)
-	taken := r.replicas.receivedSince("i-1", named.Add(contactTime))
-	assert.LessOrEqual(t, maximumInWindow(taken), allowedInWindow(limit))
-	assert.GreaterOrEqual(t, len(taken), int(limit*limitWindow.Seconds()), "the replica is used")
+	received := r.replicas.receivedSince("i-1", declaredAt.Add(contactTime))
+	assert.LessOrEqual(t, maximumInWindow(received), allowedInWindow(limit))
+	assert.GreaterOrEqual(t, len(received), int(limit*limitWindow.Seconds()), "the replica is used")
 	assert.Equal(t, sent, served, "other replicas serve the rest")
 }
 
@@ -218,7 +218,7 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	taken := r.replicas.receivedSince("i-1", from)
-	assert.LessOrEqual(t, len(taken), 4, "an eighth of the limit, plus one")
+	received := r.replicas.receivedSince("i-1", from)
+	assert.LessOrEqual(t, len(received), 4, "an eighth of the limit, plus one")
 	assert.Positive(t, refused)
 }
--- a/internal/relay/daemon/settings.go
+++ b/internal/relay/daemon/settings.go
@@ -38,8 +38,8 @@
 	DisabledMechanisms mechanism.Set
 	// LinkBitsPerSecond is the speed of the machine's network link, 0 if unknown.
 	LinkBitsPerSecond float64
-	// OtherRegionsBytesPerSecond limits the load reports on replicas sent to gateways of other regions, in
-	// bytes per second; 0 selects the default.
+	// OtherRegionsBytesPerSecond limits the reports of replicas' load that are sent to gateways of
+	// other regions, in bytes per second; 0 selects the default.
 	OtherRegionsBytesPerSecond float64
 	// MaximumKeyAge is the maximum age of the view at which API keys are still accepted. 0 sets no
 	// bound, so that a gateway that is cut off from the coordinators keeps serving the keys it
@@ -59,8 +59,8 @@
 	StopTimeout time.Duration
 	// MemoryBytes is the memory that the process may use, 0 for no bound.
 	MemoryBytes int64
-	// CallerStallTimeout is the maximum time for which a caller may read nothing of its answer; 0 selects
-	// the default.
+	// CallerStallTimeout is the maximum time for which a caller may read nothing of its answer; 0
+	// selects the default.
 	CallerStallTimeout time.Duration
 	// Lister reads the platform's list directly when no coordinator has a fresh view.
 	Lister coordinator.Lister
@@ -88,8 +88,8 @@
 	RetryAfter(after time.Duration) (name, value string)
 }
 
-// defaultCallerStall is longer than phases of packet loss on networks, and longer than a running
-// caller pauses reading.
+// defaultCallerStall is longer than networks usually lose packets, and longer than a caller that
+// still runs pauses between reads.
 const defaultCallerStall = 10 * time.Second
 
 // unreadMemoryFraction of the memory may be taken by answers that callers have not read. Beyond it,
--- a/internal/relay/daemon/slowcaller_test.go
+++ b/internal/relay/daemon/slowcaller_test.go
@@ -34,7 +34,7 @@
 // answer.
 func (g *gateway) startRequest(path string) net.Conn {
 	g.t.Helper()
-	connection, err := (&net.Dialer{Control: smallBuffer}).Dial("tcp", g.front)
+	connection, err := (&net.Dialer{Control: smallBuffer}).Dial("tcp", g.address)
 	require.NoError(g.t, err)
 	g.t.Cleanup(func() { _ = connection.Close() })
 	_, err = fmt.Fprintf(connection, "POST %s HTTP/1.1\r\nHost: h.example\r\nRequest: r-slow\r\nContent-Length: 4\r\n\r\nbody", path)
@@ -112,8 +112,8 @@
 }
 
 // Guards against cutting off an answer at a planned stop: the request counted as finished as soon
-// as its answer had been produced, and all connections were closed 20 ms later, while the caller
-// was still reading.
+// as its answer had been produced, and all connections were closed 20 ms later. The caller, which
+// was still reading, received only a part of the answer.
 func TestAPlannedStopWaitsForACallerThatStillReads(t *testing.T) {
 	const size = 24 << 20
 	g := startGateway(t, startCoordinator(t, newViewWithTimeout(t, traffic.KindRepeatable, startReplica(t, bodyOfSize(size)))))
@@ -143,17 +143,17 @@
 	for _, slow := range []int{10, 100, 1000} {
 		g := startGateway(t, startCoordinator(t, newViewWithTimeout(t, traffic.KindRepeatable, replica)))
 		g.awaitReadiness(http.StatusOK)
-		most, served := 0.0, 0
+		maximumUnread, served := 0.0, 0
 		for number := range slow {
 			g.startRequest("/v3/x")
-			most = max(most, g.metric("unread_answer_bytes"))
+			maximumUnread = max(maximumUnread, g.metric("unread_answer_bytes"))
 			if number%(slow/readers) == 1 && served < readers && g.servedWhole(size) {
 				served++
 			}
 		}
 		require.Eventually(t, func() bool { return g.metric("unread_answer_bytes") == 0 }, time.Minute, 10*time.Millisecond)
-		t.Logf("%d slow callers: at most %.1f MB kept, %d of %d others served", slow, most/1e6, served, readers)
-		assert.LessOrEqual(t, most, 0.5*gatewayMemory+2*size)
+		t.Logf("%d slow callers: at most %.1f MB kept, %d of %d others served", slow, maximumUnread/1e6, served, readers)
+		assert.LessOrEqual(t, maximumUnread, 0.5*gatewayMemory+2*size)
 		assert.Equal(t, readers, served)
 	}
 }
--- a/internal/relay/daemon/viewkeeper.go
+++ b/internal/relay/daemon/viewkeeper.go
@@ -90,10 +90,10 @@
 // suspended, as a view ages meanwhile.
 func (v *viewClient) now() time.Duration { return v.clock() }
 
-// Table returns the configuration in force, nil if none is known yet.
+// Table returns the configuration in effect, nil if none is known yet.
 func (v *viewClient) Table() *traffic.Table { return v.table.Load() }
 
-// awaitTable returns the configuration in force. If none is known yet, it waits up to limit for
+// awaitTable returns the configuration in effect. If none is known yet, it waits up to limit for
 // one, and returns nil if none arrives.
 func (v *viewClient) awaitTable(ctx context.Context, limit time.Duration) *traffic.Table {
 	if table := v.Table(); table != nil {
@@ -122,7 +122,7 @@
 }
 
 // gatewayCount returns the number of gateways last reported by a coordinator. Before the first
-// report it returns maximumGateways, as there may be as many as in any region.
+// report it returns maximumGateways, as the region may be one of the largest.
 func (v *viewClient) gatewayCount() int {
 	if count := int(v.gateways.Load()); count > 0 {
 		return count
@@ -193,7 +193,7 @@
 	v.mutex.Unlock()
 	var view region.View
 	if err := v.client.Call(ctx, coordinator, region.PathView, request, &view); err != nil {
-		// The report may not have arrived.
+		// The usage report may not have arrived, so the next one contains all counts.
 		v.usage.reportedTo = ""
 		return err
 	}
@@ -201,7 +201,7 @@
 	if err := v.apply(coordinator, &view); err != nil {
 		return err
 	}
-	// The limits follow the list, as limits of unlisted replicas are ignored.
+	// Limits are applied after the list, as limits of unlisted replicas are ignored.
 	v.limits.applyView(&view)
 	return nil
 }
@@ -209,8 +209,8 @@
 // apply applies a coordinator's view.
 func (v *viewClient) apply(coordinator string, view *region.View) error {
 	if v.evidence != nil {
-		// The held requests precede the configuration, as a starting gateway begins to serve with
-		// its first configuration.
+		// Held requests are applied before the configuration, as a starting gateway begins to serve
+		// when it has its first configuration.
 		v.evidence.Guard.Take(view.Poison)
 	}
 	if len(view.Document) > 0 {
--- a/internal/relay/daemon/viewkeeper_test.go
+++ b/internal/relay/daemon/viewkeeper_test.go
@@ -30,15 +30,15 @@
 func TestARequestThatComesBeforeTheFirstConfigurationIsHeldForIt(t *testing.T) {
 	views := newTestViewClient()
 	assert.Nil(t, views.awaitTable(context.Background(), time.Nanosecond), "the wait is limited")
-	gone, cancel := context.WithCancel(context.Background())
+	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
-	assert.Nil(t, views.awaitTable(gone, time.Hour), "the wait ends with the caller's context")
+	assert.Nil(t, views.awaitTable(canceled, time.Hour), "the wait ends with the caller's context")
 
 	held := make(chan *traffic.Table)
 	go func() { held <- views.awaitTable(context.Background(), time.Hour) }()
 	assert.NoError(t, views.applyConfiguration(&region.View{Document: region.Deflate([]byte("{}"))}))
 	assert.NotNil(t, <-held)
-	assert.NotNil(t, views.awaitTable(gone, 0), "a known configuration is returned at once")
+	assert.NotNil(t, views.awaitTable(canceled, 0), "a known configuration is returned at once")
 }
 
 func TestTheHoldForTheFirstConfigurationLeavesTheCallerTime(t *testing.T) {
@@ -53,9 +53,9 @@
 	var suspended time.Duration
 	directory := relay.NewDirectory(func() time.Duration { return 0 }, "z", func(string, string) {}, logr.Discard())
 	budgets := relay.NewRetryBudgets(func() time.Duration { return 0 }, relay.RetryBudgetOptions{Window: time.Second}, 1)
-	asked := &placementMode{peers: newPlacementMode().peers, client: newPlacementMode().client}
+	mode := &placementMode{peers: newTestPlacementMode().peers, client: newTestPlacementMode().client}
 	settings := Settings{Codec: fixedCodec{}, Logger: logr.Discard(), Now: func() time.Duration { return uptime.Now() + suspended }}
-	views := newViewClient(settings, nil, directory, budgets, asked, nil)
+	views := newViewClient(settings, nil, directory, budgets, mode, nil)
 	assert.NoError(t, views.apply("coordinator", &region.View{AgeMillis: 10, Gateways: 1}))
 	age, known := views.age()
 	assert.True(t, known)
