--- a/internal/relay/border.go
+++ b/internal/relay/border.go
@@ -87,22 +87,22 @@
 const pathDelayDecay = 10 * time.Second
 
 // observe records the delay of a request over a path. The caller must hold Directory.mutex.
-func (w pathDelays) observe(path regionPath, now, took time.Duration) {
-	known, found := w[path]
+func (p pathDelays) observe(path regionPath, now, took time.Duration) {
+	known, found := p[path]
 	if !found {
 		known = &pathDelay{}
-		w[path] = known
+		p[path] = known
 	}
 	// Store the decayed value before adding the sample. Otherwise the next request would restore the delay
 	// that has decayed, and a path that was slow once would look slow again.
-	known.smoothed = w.average(path, now)
+	known.smoothed = p.average(path, now)
 	known.averageTime.observe(took)
 	known.at = now
 }
 
 // average returns the decayed delay of a path, 0 if it is unknown.
-func (w pathDelays) average(path regionPath, now time.Duration) time.Duration {
-	known, found := w[path]
+func (p pathDelays) average(path regionPath, now time.Duration) time.Duration {
+	known, found := p[path]
 	if !found {
 		return 0
 	}
@@ -165,14 +165,16 @@
 	localReplicas int
 }
 
-// crossRegionLog limits the rate of log lines on choices of replicas in other regions.
+// crossRegionLog limits the rate of log lines on choices of replicas in other regions, and counts the lines that it
+// omits.
 type crossRegionLog struct {
 	second  time.Duration
 	lines   int
 	omitted int
 }
 
-// crossRegionLinesPerSecond is enough to identify the cause, independent of the load.
+// crossRegionLinesPerSecond bounds the log lines. Ten a second are enough to identify a cause, whatever the
+// load.
 const crossRegionLinesPerSecond = 10
 
 // allows reports whether a line may be logged now.
@@ -191,6 +193,7 @@
 // logCrossRegion logs a choice if its replica is in another region. The caller must hold d.mutex.
 func (d *Directory) logCrossRegion(decision crossRegionChoice, now time.Duration) {
 	replica := decision.lease.Replica
+	// Without a replica for a stage in the region, all replicas counted as inside (partitionStages).
 	if decision.reason == crossing.Local && d.regions.Between(decision.from, replica.Zone) == topology.OtherRegion {
 		decision.reason, decision.outside = crossing.NoReplicaForStage, decision.inside
 		decision.inside = crossing.Offer{Outcome: crossing.NoReplica}
--- a/internal/relay/border_test.go
+++ b/internal/relay/border_test.go
@@ -22,8 +22,8 @@
 // regionalDirectory is a directory with regions.
 type regionalDirectory struct {
 	*directory
-	t     *testing.T
-	asked int
+	t             *testing.T
+	placedPrompts int
 }
 
 // newRegional returns a directory of three regions whose prefill rate is known, with a number of prefill
@@ -50,8 +50,8 @@
 
 // prefillFor places a prompt with a prefill of 0.2 s and no shared prefix, for a caller in a zone.
 func (d *regionalDirectory) prefillFor(zone string) *relay.Lease {
-	d.asked++
-	return d.prefillPromptFor(zone, prompt(relay.PromptPart{ID: fmt.Sprint("own-", d.asked), Tokens: pace / 5}))
+	d.placedPrompts++
+	return d.prefillPromptFor(zone, prompt(relay.PromptPart{ID: fmt.Sprint("own-", d.placedPrompts), Tokens: prefillRate / 5}))
 }
 
 func (d *regionalDirectory) prefillPromptFor(zone string, read *relay.Prompt) *relay.Lease {
@@ -84,7 +84,7 @@
 }
 
 // Guards against prefills in other regions without need: when another region counted like another zone, an
-// idle replica there attracted a third of the prompts in normal load from slightly busy ones at home.
+// idle replica there got a third of the prompts in normal load, although its own region was only slightly busy.
 func TestPromptStaysInRegionWhileOnTime(t *testing.T) {
 	d := newRegional(t, map[string]int{"north-a": 1, "north-b": 1, "south-a": 4})
 	counts, _ := d.burst("north-a", 3)
@@ -208,7 +208,7 @@
 // far as the own zone.
 func TestPrefixIsFetchedAcrossRegionsOnce(t *testing.T) {
 	d := newRegional(t, map[string]int{"north-a": 1, "north-b": 1, "south-a": 1})
-	shared := relay.PromptPart{ID: "shared", Tokens: pace / 5}
+	shared := relay.PromptPart{ID: "shared", Tokens: prefillRate / 5}
 	ask := func(zone, own string) *relay.Lease {
 		lease := d.prefillPromptFor(zone, prompt(shared, relay.PromptPart{ID: own, Tokens: 100}))
 		d.now += time.Second
@@ -231,7 +231,7 @@
 func TestPrefixIsRecomputedIfTransferIsSlower(t *testing.T) {
 	d := newRegional(t, map[string]int{"north-a": 1, "south-a": 1})
 	d.SetEngine("s", traffic.Engine{LinkBitsPerSecond: 1e9, TokenBytes: 1000})
-	shared := relay.PromptPart{ID: "shared", Tokens: pace / 5}
+	shared := relay.PromptPart{ID: "shared", Tokens: prefillRate / 5}
 	first := d.prefillPromptFor("south-a", prompt(shared))
 	first.PromptKept(prompt(shared))
 	first.Release()
--- a/internal/relay/comeback.go
+++ b/internal/relay/comeback.go
@@ -36,7 +36,7 @@
 	defer d.mutex.Unlock()
 	now := d.clock()
 	slots, earliest := 0, time.Duration(0)
-	var awake []*Replica
+	var available []*Replica
 	for _, replica := range d.services[service] {
 		if replica.isLeaving() || replica.removed || replica.Stage == region.StagePrefill {
 			continue
@@ -45,14 +45,14 @@
 		if replica.inBackoff(asking) {
 			left = replica.peerState.BackoffLeft(asking)
 		} else {
-			awake = append(awake, replica)
+			available = append(available, replica)
 		}
 		if slots == 0 || left < earliest {
 			earliest = left
 		}
 		slots += max(replica.Slots, 1)
 	}
-	if slots == 0 || len(d.belowLearnedLimit(awake, rank, now)) > 0 {
+	if slots == 0 || len(d.belowLearnedLimit(available, rank, now)) > 0 {
 		return 0
 	}
 	pace := time.Duration(latency / float64(slots) * float64(d.placerCount()) * float64(time.Second))
--- a/internal/relay/costs.go
+++ b/internal/relay/costs.go
@@ -79,16 +79,16 @@
 	return 1
 }
 
-// transferTime returns how long the KV cache of a prefix takes from one replica to another; read is the
-// prefill time that the transfer saves. The caller must hold d.mutex.
+// transferTime returns how long it takes to transfer the KV cache of a prefix of some tokens from one replica to
+// another; read is the prefill time that the transfer saves. The caller must hold d.mutex.
 func (d *Directory) transferTime(from, to *Replica, tokens int, read time.Duration) time.Duration {
 	engine := d.engines[to.Service]
 	if engine.LinkBitsPerSecond <= 0 || engine.TokenBytes <= 0 {
-		guessed := defaultTransferShare * float64(read)
+		estimated := defaultTransferShare * float64(read)
 		if d.regions.Between(from.Zone, to.Zone) == topology.OtherRegion {
-			guessed *= crossRegionTransferFactor / crossZoneTransferFactor
+			estimated *= crossRegionTransferFactor / crossZoneTransferFactor
 		}
-		return time.Duration(guessed)
+		return time.Duration(estimated)
 	}
 	seconds := transferMargin * float64(tokens) * float64(engine.TokenBytes) * bitsPerByte / engine.LinkBitsPerSecond
 	seconds *= d.transferFactor(from.Zone, to.Zone)
--- a/internal/relay/demand.go
+++ b/internal/relay/demand.go
@@ -66,10 +66,10 @@
 	return demand
 }
 
-// prefillTimes are the times of a prompt that a replica is to read, or would have to read.
+// prefillTimes are the times of a prompt that a replica is to prefill, or would have to prefill.
 type prefillTimes struct {
-	// busy is the time to read it, and whole that time if the replica had cached nothing of it; whole is
-	// less than busy if it is not known.
+	// busy is the prefill time, and whole what it would be if the replica had cached nothing of the prompt;
+	// whole is less than busy if it is not known.
 	busy, whole time.Duration
 	// slack is how long the prompt may wait and still meet its objective; delayed is set if it is late
 	// only because it has to wait.
@@ -77,7 +77,7 @@
 	delayed bool
 }
 
-// times returns the times of a prompt; whole is the time to read it if the replica had cached nothing of it.
+// times returns the times of a prompt; whole is its prefill time if the replica had cached nothing of it.
 func (e *prefillEstimate) times(request ReadRequest, whole time.Duration) prefillTimes {
 	aim := time.Duration(inTimeShare * float64(request.AimLeft))
 	return prefillTimes{
@@ -93,10 +93,11 @@
 	return prefillTimes{busy: busy, slack: request.Objective - busy, delayed: busy <= request.AimLeft}
 }
 
-// prefillMeter smooths the demand for reading prompts.
+// prefillMeter smooths the demand for prefills.
 type prefillMeter struct {
-	// Decaying sums over prompts: their number, and times in seconds.
-	prompts, busy, kept, slack float64
+	// Decaying sums over prompts: their number, and times in seconds. saved is the prefill time that cached
+	// prefixes save.
+	prompts, busy, saved, slack float64
 	// squares is the sum of the squares of the busy times, delayed the number of delayed prompts.
 	squares, delayed float64
 	at               time.Duration
@@ -110,7 +111,7 @@
 	busy := read.busy.Seconds()
 	m.prompts++
 	m.busy += busy
-	m.kept += max(read.whole-read.busy, 0).Seconds()
+	m.saved += max(read.whole-read.busy, 0).Seconds()
 	m.slack += max(read.slack, 0).Seconds()
 	m.squares += busy * busy
 	if read.delayed {
@@ -119,14 +120,14 @@
 }
 
 func (m *prefillMeter) decay(now time.Duration) {
-	kept := max(0, 1-(now-m.at).Seconds()/readTimeConstant.Seconds())
-	for _, sum := range []*float64{&m.prompts, &m.busy, &m.kept, &m.slack, &m.squares, &m.delayed} {
-		*sum *= kept
+	left := max(0, 1-(now-m.at).Seconds()/readTimeConstant.Seconds())
+	for _, sum := range []*float64{&m.prompts, &m.busy, &m.saved, &m.slack, &m.squares, &m.delayed} {
+		*sum *= left
 	}
 	m.at = now
 }
 
-// addReadDemand fills in the demand of the prompts to be read. The caller must hold d.mutex.
+// addReadDemand fills in the demand for prefills. The caller must hold d.mutex.
 func (d *Directory) addReadDemand(demand *region.ServiceDemand, now time.Duration) {
 	meter, found := d.prefillDemand[demand.Service]
 	if !found {
@@ -136,13 +137,13 @@
 	perSecond := 1 / readTimeConstant.Seconds()
 	demand.Prompts = meter.prompts * perSecond
 	demand.Reading = meter.busy * perSecond
-	demand.Kept = meter.kept * perSecond
+	demand.Kept = meter.saved * perSecond
 	demand.Slack = meter.slack * perSecond
 	demand.Squares = meter.squares * perSecond
 	demand.Delayed = meter.delayed * perSecond
 }
 
-// notePrefill adds a prompt to the service's demand for reading. The caller must hold d.mutex.
+// notePrefill adds a prompt to the service's demand for prefills. The caller must hold d.mutex.
 func (d *Directory) notePrefill(service string, read prefillTimes) {
 	meter, found := d.prefillDemand[service]
 	if !found {
--- a/internal/relay/demand_test.go
+++ b/internal/relay/demand_test.go
@@ -27,7 +27,7 @@
 	assert.False(t, rejectedTimes(request, 2*time.Second).delayed)
 }
 
-// TestReadDemandIsSmoothed adds 20 prompts a second that take 100 ms each to read, and would take 300 ms without
+// TestReadDemandIsSmoothed adds 20 prompts a second with a prefill of 100 ms each, which would take 300 ms without
 // cached prefixes: they keep 2 replicas busy, and would keep 6 busy.
 func TestReadDemandIsSmoothed(t *testing.T) {
 	meter := &prefillMeter{}
@@ -36,13 +36,13 @@
 		now += 50 * time.Millisecond
 		meter.add(now, prefillTimes{busy: 100 * time.Millisecond, whole: 300 * time.Millisecond, slack: 900 * time.Millisecond, delayed: true})
 	}
-	memory := readTimeConstant.Seconds()
-	assert.InDelta(t, 20, meter.prompts/memory, 0.5)
-	assert.InDelta(t, 20, meter.delayed/memory, 0.5)
-	assert.InDelta(t, 2, meter.busy/memory, 0.05)
-	assert.InDelta(t, 4, meter.kept/memory, 0.1)
-	assert.InDelta(t, 18, meter.slack/memory, 0.5)
-	assert.InDelta(t, 0.2, meter.squares/memory, 0.005)
+	timeConstant := readTimeConstant.Seconds()
+	assert.InDelta(t, 20, meter.prompts/timeConstant, 0.5)
+	assert.InDelta(t, 20, meter.delayed/timeConstant, 0.5)
+	assert.InDelta(t, 2, meter.busy/timeConstant, 0.05)
+	assert.InDelta(t, 4, meter.saved/timeConstant, 0.1)
+	assert.InDelta(t, 18, meter.slack/timeConstant, 0.5)
+	assert.InDelta(t, 0.2, meter.squares/timeConstant, 0.005)
 	meter.decay(now + 10*readTimeConstant)
 	assert.Zero(t, meter.prompts)
 	assert.Zero(t, meter.busy)
--- a/internal/relay/directory.go
+++ b/internal/relay/directory.go
@@ -42,7 +42,7 @@
 	// account for work that other gateways have placed there and not yet reported.
 	overruns      averageTimes
 	prefillDemand map[string]*prefillMeter
-	ranked        map[string]*rankMeter
+	rankMeters    map[string]*rankMeter
 	streams       map[string]streamMeters
 	placed        placements
 	// regionReportedAt is when each other region last reported its work.
@@ -67,7 +67,7 @@
 	// retryAt is, by service, when the caller that was last refused because of rate limits or backoffs
 	// should retry.
 	retryAt map[string]time.Duration
-	// learnedLimits are the concurrency limits learned from refusals, by service and stage.
+	// learnedLimits are the concurrency limits learned from refusals, by service and stage (room.go).
 	learnedLimits map[string]*learnedLimit
 	// placerCount returns the number of processes that choose replicas, including this one.
 	placerCount func() int
@@ -99,7 +99,7 @@
 func (d *Directory) SetRandom(random func() float64) { d.random = random }
 
 // NewDirectory returns an empty directory. onDropped is called with the address and the name of each
-// incarnation that is removed from the list.
+// incarnation that is removed from the list or found to have ended (Misdirected).
 func NewDirectory(clock func() time.Duration, zone string, onDropped func(address, life string), logger logr.Logger) *Directory {
 	return &Directory{
 		clock:         clock,
@@ -111,7 +111,7 @@
 		handoverTimes: averageTimes{},
 		overruns:      averageTimes{},
 		prefillDemand: map[string]*prefillMeter{},
-		ranked:        map[string]*rankMeter{},
+		rankMeters:    map[string]*rankMeter{},
 		streams:       map[string]streamMeters{},
 		pathDelays:    pathDelays{},
 		limits:        ratelimit.NewTable(),
--- a/internal/relay/directory_test.go
+++ b/internal/relay/directory_test.go
@@ -192,12 +192,12 @@
 func TestUnlocatedPrefixIsFetchedFromPreferredReplica(t *testing.T) {
 	shared := relay.PromptPart{ID: "shared", Tokens: 10_000}
 	idle := newDirectory(replica("g", region.StageDecode), replica("a", region.StagePrefill), replica("b", region.StagePrefill))
-	home := idle.placePrefill(prompt(shared, relay.PromptPart{ID: "1", Tokens: 500})).Replica
+	preferred := idle.placePrefill(prompt(shared, relay.PromptPart{ID: "1", Tokens: 500})).Replica
 	busy := newDirectory(replica("g", region.StageDecode), replica("a", region.StagePrefill), replica("b", region.StagePrefill))
-	busy.TakeOutstanding("peer", []region.OutstandingWork{{Replica: home.ID, Requests: 3, InTimeMicros: 1_800_000}}, true)
+	busy.TakeOutstanding("peer", []region.OutstandingWork{{Replica: preferred.ID, Requests: 3, InTimeMicros: 1_800_000}}, true)
 	lease := busy.placePrefill(prompt(shared, relay.PromptPart{ID: "2", Tokens: 500}))
-	require.NotEqual(t, home.ID, lease.Replica.ID)
-	assert.Equal(t, home.Address, lease.FetchFrom())
+	require.NotEqual(t, preferred.ID, lease.Replica.ID)
+	assert.Equal(t, preferred.Address, lease.FetchFrom())
 }
 
 func TestPrefixBeyondCacheCapacityIsEvicted(t *testing.T) {
--- a/internal/relay/grant.go
+++ b/internal/relay/grant.go
@@ -11,35 +11,35 @@
 // coordinator what happens to the request. It is guarded by the Directory's mutex.
 type grant struct {
 	id uint64
-	// number is the value of Directory.grants when the lease was granted.
-	number uint64
+	// generation is the value of Directory.grantGeneration when the lease was granted.
+	generation uint64
 	// by is the coordinator's address.
 	by   string
 	tell func(region.LeaseEvent)
-	// A pause of the stream from reportablePause on is reported while the stream runs, at most once in
-	// pauseReportInterval; longestPause is reported when the lease ends.
-	reportablePause   time.Duration
-	longestPause      time.Duration
-	nextPauseReportAt time.Duration
+	// An inter-token gap of at least reportableGap is reported while the stream runs, at most once per
+	// gapReportInterval; longestGap is reported when the lease ends.
+	reportableGap   time.Duration
+	longestGap      time.Duration
+	nextGapReportAt time.Duration
 }
 
 // grantedWork is the work at a replica that was granted by a coordinator, which counts it itself.
 type grantedWork struct {
-	requests int
-	reading  prefillWork
+	requests    int
+	prefillWork prefillWork
 }
 
 const (
-	// reportablePauseShare is the share of the target gap between events from which a pause is reported at
-	// once: a sixth of the share that a decode replica may use to read prompts (pauseShare).
-	reportablePauseShare = 0.1
-	// pauseReportInterval is the minimum time between two reports on one stream's pauses, well below
+	// reportableGapShare is the share of the target inter-token gap from which a gap is reported at once:
+	// a sixth of the share that prefills on a decode replica may use (prefillGapShare).
+	reportableGapShare = 0.1
+	// gapReportInterval is the minimum time between two reports on one stream's gaps, well below
 	// the time constant with which a peak decays.
-	pauseReportInterval = peakTimeConstant / 4
+	gapReportInterval = peakTimeConstant / 4
 )
 
-// ForgetGrants is called when the granting coordinator has been replaced, or has lost its leases: from now on the
-// leases granted so far count as this gateway's own choices.
+// ForgetGrants must be called when the granting coordinator was replaced, or has lost its leases: the leases
+// granted so far count as this gateway's own choices from then on.
 func (d *Directory) ForgetGrants() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -66,8 +66,8 @@
 		PeersAge:   time.Duration(answer.PeersAgeMillis) * time.Millisecond,
 		LoadAge:    -time.Millisecond,
 	}
-	given.number = d.grantGeneration
-	given.reportablePause = time.Duration(reportablePauseShare * float64(request.TargetGap))
+	given.generation = d.grantGeneration
+	given.reportableGap = time.Duration(reportableGapShare * float64(request.TargetGap))
 	lease.grant = given
 	replica.granted.requests++
 	if answer.BusyMicros > 0 {
@@ -78,8 +78,8 @@
 
 const percent = 100
 
-// noteGrantedRead records that the replica is to read a prompt, with the coordinator's estimate of the times. The
-// caller must hold the Directory's mutex.
+// noteGrantedRead records that the replica is to prefill a prompt, with the coordinator's estimate of the times.
+// The caller must hold the Directory's mutex.
 func (l *Lease) noteGrantedRead(answer *region.PlacementAnswer, request ReadRequest) {
 	estimated := prefillEstimate{
 		replica:  l.Replica,
@@ -94,15 +94,15 @@
 		urgency = Late
 	}
 	l.recordPrefill(request, estimated, urgency, micros(answer.WholeMicros))
-	// The replica's other prompts are not known here, so its read time must not be used to learn costs.
+	// The replica's other prompts are not known here, so its prefill time must not be used to learn costs.
 	l.prefill.alone = false
 	l.fetchFrom = estimated.from
-	l.Replica.granted.reading[urgency] += estimated.busy
+	l.Replica.granted.prefillWork[urgency] += estimated.busy
 }
 
 // grantCounts reports whether the coordinator that granted the lease still counts it.
 func (l *Lease) grantCounts() bool {
-	return l.grant != nil && l.grant.number == l.directory.grantGeneration
+	return l.grant != nil && l.grant.generation == l.directory.grantGeneration
 }
 
 // grantEnds reports to the coordinator that the lease was released. The caller must hold the Directory's mutex.
@@ -113,7 +113,7 @@
 	if l.grantCounts() {
 		l.Replica.granted.requests--
 	}
-	l.report(region.LeaseEvent{Kind: region.LeaseReleased, Micros: l.grant.longestPause.Microseconds()})
+	l.report(region.LeaseEvent{Kind: region.LeaseReleased, Micros: l.grant.longestGap.Microseconds()})
 }
 
 // report reports an event to the coordinator that granted the lease, if one did. The caller must hold the
@@ -126,27 +126,27 @@
 	l.grant.tell(event)
 }
 
-// reportPause records a pause of the stream, and reports it to the coordinator if it is long enough. The caller must
-// hold the Directory's mutex.
-func (l *Lease) reportPause(now, took time.Duration) {
+// reportGap records an inter-token gap of the stream, and reports it to the coordinator if it is long enough. The
+// caller must hold the Directory's mutex.
+func (l *Lease) reportGap(now, gap time.Duration) {
 	if l.grant == nil {
 		return
 	}
-	l.grant.longestPause = max(l.grant.longestPause, took)
-	if l.grant.reportablePause <= 0 || took < l.grant.reportablePause || now < l.grant.nextPauseReportAt {
+	l.grant.longestGap = max(l.grant.longestGap, gap)
+	if l.grant.reportableGap <= 0 || gap < l.grant.reportableGap || now < l.grant.nextGapReportAt {
 		return
 	}
-	l.grant.nextPauseReportAt = now + pauseReportInterval
-	l.report(region.LeaseEvent{Kind: region.LeasePaused, Micros: took.Microseconds()})
+	l.grant.nextGapReportAt = now + gapReportInterval
+	l.report(region.LeaseEvent{Kind: region.LeasePaused, Micros: gap.Microseconds()})
 }
 
 // answeredEvent returns the event that reports a replica's response to a coordinator.
 func answeredEvent(failed bool, load *Load) region.LeaseEvent {
-	told := region.LeaseEvent{Kind: region.LeaseAnswered, Failed: failed}
+	reported := region.LeaseEvent{Kind: region.LeaseAnswered, Failed: failed}
 	if load != nil {
-		told.Running, told.Waiting, told.Slots = load.Running, load.Waiting, load.Slots
+		reported.Running, reported.Waiting, reported.Slots = load.Running, load.Waiting, load.Slots
 	}
-	return told
+	return reported
 }
 
 // chosenBy names the process that chose the replica: the address of a coordinator, or "self" for this gateway.
--- a/internal/relay/lease.go
+++ b/internal/relay/lease.go
@@ -10,7 +10,7 @@
 	"github.com/pierhaven/pierhaven/internal/traffic"
 )
 
-// Lease is the place that a request holds on a replica.
+// Lease is the capacity that a request occupies on a replica.
 type Lease struct {
 	Replica *Replica
 	// Choice is what was known when the replica was chosen.
@@ -28,7 +28,7 @@
 	// stream is set once the stream has begun; lastEventAt is when its last event arrived.
 	stream      *streamMeter
 	lastEventAt time.Duration
-	// leaving is closed when the replica of a stream leaves.
+	// leaving is closed when the replica of a stream announces that it is leaving.
 	leaving chan struct{}
 	// grant is the coordinator's lease that this one stands for, nil if the gateway has chosen the replica
 	// itself.
@@ -95,7 +95,7 @@
 	if urgency == Late {
 		replica.latePrefills++
 	} else {
-		replica.ranked[request.Rank] += estimated.busy
+		replica.onTimeWork[request.Rank] += estimated.busy
 		d.rankMeterOf(replica.Service).place(request.Rank, estimated.busy)
 	}
 	d.rankMeterOf(replica.Service).tenants.place(request.Tenant, estimated.busy, l.startedAt)
@@ -112,7 +112,7 @@
 	return replica.cacheKnown || d.clock()-d.firstListAt > cacheLearningTime
 }
 
-// Release frees the place. It may be called more than once.
+// Release frees the capacity. It may be called more than once.
 func (l *Lease) Release() {
 	l.returnPermit()
 	l.directory.mutex.Lock()
@@ -190,21 +190,21 @@
 	l.directory.mutex.Lock()
 	defer l.directory.mutex.Unlock()
 	now := l.directory.clock()
-	l.observePause(now, now-l.lastEventAt)
+	l.observeGap(now, now-l.lastEventAt)
 	l.lastEventAt = now
 }
 
-// StreamPaused records a time between two events of the stream.
-func (l *Lease) StreamPaused(took time.Duration) {
+// StreamPaused records an inter-token gap of the stream, as a gateway has reported it.
+func (l *Lease) StreamPaused(gap time.Duration) {
 	l.directory.mutex.Lock()
 	defer l.directory.mutex.Unlock()
-	l.observePause(l.directory.clock(), took)
+	l.observeGap(l.directory.clock(), gap)
 }
 
-// observePause records a time between two events. The caller must hold Directory.mutex.
-func (l *Lease) observePause(now, took time.Duration) {
-	l.Replica.tokenGap.observe(now, took)
-	l.reportPause(now, took)
+// observeGap records an inter-token gap. The caller must hold Directory.mutex.
+func (l *Lease) observeGap(now, gap time.Duration) {
+	l.Replica.tokenGap.observe(now, gap)
+	l.reportGap(now, gap)
 }
 
 // PromptRead records that the prefill is complete.
@@ -223,9 +223,9 @@
 	l.prefillDone()
 }
 
-// observeOverrun records by how much longer than estimated a prefill took that did not wait for another
-// class: inside the region for the replica's stage, otherwise for the path to its region. The caller must
-// hold Directory.mutex.
+// observeOverrun records by how much longer than estimated an on-time prefill took: inside the region for the
+// replica's stage, otherwise for the path to its region. Late prefills are left out, because they also wait for
+// on-time ones. The caller must hold Directory.mutex.
 func (l *Lease) observeOverrun() {
 	if l.prefill == nil || l.prefill.urgency != InTime {
 		return
@@ -272,18 +272,19 @@
 	}
 	l.Replica.prefillWork[l.prefill.urgency] -= l.prefill.busy
 	if l.grantCounts() {
-		l.Replica.granted.reading[l.prefill.urgency] -= l.prefill.busy
+		l.Replica.granted.prefillWork[l.prefill.urgency] -= l.prefill.busy
 	}
 	if l.prefill.urgency == Late {
 		l.Replica.latePrefills--
 	} else {
-		l.Replica.ranked[l.prefill.rank] -= l.prefill.busy
+		l.Replica.onTimeWork[l.prefill.rank] -= l.prefill.busy
 	}
 	l.prefill = nil
 }
 
-// Unreachable records that the replica did not answer. handedOver says that the request had been handed
-// over, i.e. that there was a connection.
+// Unreachable records that the replica did not answer. handedOver says that there was a connection, over which
+// the request may have reached it. It must be false if the connection was given up because nothing was
+// acknowledged: the replica then counts as not accepting connections.
 func (l *Lease) Unreachable(handedOver bool) {
 	l.directory.mutex.Lock()
 	defer l.directory.mutex.Unlock()
@@ -294,8 +295,8 @@
 		"failures", l.Replica.failures, "connected", handedOver)
 }
 
-// Refused records that the replica refused the request and asked the sender to back off for a time; 0 if it
-// asked for none.
+// Refused records that the replica refused the request and asked the sender to back off for a time, 0 if it
+// did not ask.
 func (l *Lease) Refused(backoff time.Duration) {
 	l.directory.mutex.Lock()
 	defer l.directory.mutex.Unlock()
--- a/internal/relay/life_test.go
+++ b/internal/relay/life_test.go
@@ -81,7 +81,7 @@
 	return []region.OutstandingWork{{Replica: life, Requests: 3, InTimeMicros: 400_000}}
 }
 
-// Such reports arrive after the list, because peers learn of a restart later.
+// Reports on a former incarnation may arrive after the new list, because peers learn of a restart later.
 func TestReportsOnFormerIncarnationAreIgnored(t *testing.T) {
 	shared := relay.PromptPart{ID: "shared", Tokens: 8000}
 	d := newDirectory(startedAt(9, replica("a", "")))
@@ -120,7 +120,7 @@
 	lease.Release()
 }
 
-// A connection that the former process never closed would stay silent.
+// A request on a connection that the former process never closed would get no answer.
 func TestConnectionsAreNotReusedAcrossIncarnations(t *testing.T) {
 	w := newTestEnvironment(t)
 	connections := map[string]bool{}
@@ -157,8 +157,8 @@
 	assert.Equal(t, eventText(1, 2), w.runCall(newModelCall(8000, "own")).body.String())
 }
 
-// A replica that restarted under its id and ended again was counted once, so that a request went on to
-// crash it again and again.
+// Guards against counting a replica that restarted under its id and crashed again only once: the request
+// went on to crash it again and again.
 func TestEachIncarnationLostUnderARequestCounts(t *testing.T) {
 	w := newTestEnvironment(t)
 	guard := w.addGuard()
@@ -174,8 +174,8 @@
 	assert.Len(t, ended, 3)
 }
 
-// Until the list showed the successor, prompts were sent there for prefixes that the former process had
-// cached.
+// Guards against prompts being sent to a replica for prefixes that its former process had cached, until the
+// list showed the successor.
 func TestEndedProcessHasEmptyCache(t *testing.T) {
 	shared := relay.PromptPart{ID: "shared", Tokens: 8000}
 	d := newDirectory(startedAt(5, replica("a", "")))
@@ -187,19 +187,19 @@
 
 // The LRU order of the parts is preserved, and incarnations that are not listed are skipped.
 func TestCacheKnowledgeIsTransferredBetweenProcesses(t *testing.T) {
-	asked, other := newDirectory(replica("a", region.StageDecode)), newDirectory(replica("a", region.StageDecode))
-	kept, whole := asked.Cached(func(region.Replica) bool { return true })
-	assert.Empty(t, kept)
+	source, other := newDirectory(replica("a", region.StageDecode)), newDirectory(replica("a", region.StageDecode))
+	cached, whole := source.Cached(func(region.Replica) bool { return true })
+	assert.Empty(t, cached)
 	assert.False(t, whole, "the replica has not reported yet")
 	life := replica("a", region.StageDecode)
-	asked.LearnKept(life.Life(), []relay.PromptPart{{ID: "old", Tokens: 10}, {ID: "new", Tokens: 20}})
-	kept, whole = asked.Cached(func(region.Replica) bool { return true })
+	source.LearnKept(life.Life(), []relay.PromptPart{{ID: "old", Tokens: 10}, {ID: "new", Tokens: 20}})
+	cached, whole = source.Cached(func(region.Replica) bool { return true })
 	assert.True(t, whole)
-	assert.Equal(t, []region.KeptParts{{Replica: life.Life().Name(), Parts: []region.PlacedPart{{ID: "old", Tokens: 10}, {ID: "new", Tokens: 20}}}}, kept)
-	other.TakeCached(append(kept, region.KeptParts{Replica: "gone", Parts: []region.PlacedPart{{ID: "x", Tokens: 1}}}))
+	assert.Equal(t, []region.KeptParts{{Replica: life.Life().Name(), Parts: []region.PlacedPart{{ID: "old", Tokens: 10}, {ID: "new", Tokens: 20}}}}, cached)
+	other.TakeCached(append(cached, region.KeptParts{Replica: "gone", Parts: []region.PlacedPart{{ID: "x", Tokens: 1}}}))
 	taken, whole := other.Cached(func(region.Replica) bool { return true })
 	assert.True(t, whole)
-	assert.Equal(t, kept, taken)
+	assert.Equal(t, cached, taken)
 	_, whole = other.Cached(func(region.Replica) bool { return false })
 	assert.True(t, whole, "no replica was selected")
 }
--- a/internal/relay/limited_load_test.go
+++ b/internal/relay/limited_load_test.go
@@ -107,7 +107,7 @@
 	for _, limited := range []int{0, 2, 6} {
 		// Limits count light and heavy requests alike: using them for the longest prompts would exceed this
 		// estimate of the remaining capacity.
-		left := float64(readers-limited)/readers + float64(limited)*limit*meanTokens(mixedWork)/pace/readers
+		left := float64(readers-limited)/readers + float64(limited)*limit*meanTokens(mixedWork)/prefillRate/readers
 		for _, load := range []float64{0.4, 0.9, 1.5} {
 			goodputs, lights, leastUsed := 0.0, 0.0, 1.0
 			for seed := range uint64(seeds) {
@@ -123,7 +123,7 @@
 					leastUsed = min(leastUsed, r.minUsed(length))
 				}
 				goodputs += goodput
-				lights += float64(r.inTime["light"]) / float64(r.replay.asked["light"])
+				lights += float64(r.inTime["light"]) / float64(r.replay.arrivals["light"])
 			}
 			t.Logf("%d of %d readers with limits, load %.1f of all, %.2f left: goodput %.3f, light %.3f, limits used %.2f at least",
 				limited, readers, load, left, goodputs/seeds, lights/seeds, leastUsed)
@@ -150,7 +150,7 @@
 		}
 		r.play(readers, load, mixedWork, length)
 		r.requireLimits(t)
-		share := func(name string) float64 { return float64(r.inTime[name]) / float64(r.replay.asked[name]) }
+		share := func(name string) float64 { return float64(r.inTime[name]) / float64(r.replay.arrivals[name]) }
 		all := r.inTime["light"] + r.inTime["middle"] + r.inTime["heavy"]
 		t.Logf("load %.1f: %d in time, %.2f of the limits; light %.3f, middle %.3f, heavy %.3f, late %d, used %.2f at least",
 			load, all, float64(all)/readers/limit/length.Seconds(), share("light"), share("middle"), share("heavy"), r.late, r.minUsed(length))
--- a/internal/relay/outstanding.go
+++ b/internal/relay/outstanding.go
@@ -9,8 +9,8 @@
 	"github.com/pierhaven/pierhaven/internal/region"
 )
 
-// Outstanding returns this gateway's work at replicas, for its peers, sorted by replica name. It covers
-// only replicas that the gateway chose itself; a coordinator knows the work that it has placed.
+// Outstanding returns this gateway's work at replicas, for its peers, sorted by replica name. It covers only
+// the work that the gateway has placed itself; a coordinator knows the work that it has placed.
 func (d *Directory) Outstanding() []region.OutstandingWork {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -20,8 +20,8 @@
 			work = append(work, region.OutstandingWork{
 				Replica:      name,
 				Requests:     own,
-				InTimeMicros: (replica.prefillWork[InTime] - replica.granted.reading[InTime]).Microseconds(),
-				LateMicros:   (replica.prefillWork[Late] - replica.granted.reading[Late]).Microseconds(),
+				InTimeMicros: (replica.prefillWork[InTime] - replica.granted.prefillWork[InTime]).Microseconds(),
+				LateMicros:   (replica.prefillWork[Late] - replica.granted.prefillWork[Late]).Microseconds(),
 			})
 		}
 	}
@@ -126,8 +126,8 @@
 		if !known {
 			continue
 		}
-		reading := boundedReading(each)
-		if reading.before(Late) < replica.peers[gateway].reading.before(Late) {
+		reported := boundedReading(each)
+		if reported.before(Late) < replica.peers[gateway].prefillWork.before(Late) {
 			replica.progressAt = now
 		}
 		if each.Requests == 0 {
@@ -137,7 +137,7 @@
 		if replica.peers == nil {
 			replica.peers = map[string]peerWork{}
 		}
-		replica.peers[gateway] = peerWork{requests: each.Requests, reading: reading, at: now}
+		replica.peers[gateway] = peerWork{requests: each.Requests, prefillWork: reported, at: now}
 	}
 }
 
@@ -186,7 +186,7 @@
 	}
 }
 
-// Placed returns the prompts placed after a sequence number, as far as they are still kept.
+// Placed returns the prompts placed after a sequence number, as far as they are still among the recent ones.
 func (d *Directory) Placed(after uint64) []region.PlacedPrompt {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -203,7 +203,7 @@
 	return prompts
 }
 
-// TakePlaced records the prompts that a peer has placed.
+// TakePlaced records the prompts that a peer has placed as cached by their replicas.
 func (d *Directory) TakePlaced(prompts []region.PlacedPrompt) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/relay/overload.go
+++ b/internal/relay/overload.go
@@ -13,11 +13,12 @@
 	busy, prompts [LastRank]float64
 	// squares is the sum of the squares of the prompts' work, in square seconds.
 	squares float64
-	// busyShare is the recent share of the prefill replicas that have on-time prompts to read.
+	// busyShare is the recent share of the prefill replicas that have on-time prompts to prefill.
 	busyShare float64
-	// readers is the present number of prefill replicas, and late the number of those with late prompts.
-	readers, late int
-	tenants       tenantMeter
+	// prefillReplicas is the present number of prefill replicas, and lateReplicas the number of those with late
+	// prompts.
+	prefillReplicas, lateReplicas int
+	tenants                       tenantMeter
 	// sizes are by rank, nil where there were no prompts.
 	sizes [LastRank]*sizeMeter
 	at    time.Duration
@@ -36,23 +37,23 @@
 }
 
 // observe samples the state of the prefill replicas when a prompt arrives.
-func (m *rankMeter) observe(now time.Duration, readers []*Replica) {
+func (m *rankMeter) observe(now time.Duration, replicas []*Replica) {
 	left := m.decay(now)
-	if len(readers) == 0 {
+	if len(replicas) == 0 {
 		return
 	}
-	busyReaders := 0
-	m.readers, m.late = len(readers), 0
-	for _, reader := range readers {
-		reading := reader.totalPrefillWork(now)
-		if reading[InTime] > 0 {
-			busyReaders++
+	busyReplicas := 0
+	m.prefillReplicas, m.lateReplicas = len(replicas), 0
+	for _, replica := range replicas {
+		work := replica.totalPrefillWork(now)
+		if work[InTime] > 0 {
+			busyReplicas++
 		}
-		if reading[Late] > 0 {
-			m.late++
+		if work[Late] > 0 {
+			m.lateReplicas++
 		}
 	}
-	m.busyShare = left*m.busyShare + (1-left)*float64(busyReaders)/float64(len(readers))
+	m.busyShare = left*m.busyShare + (1-left)*float64(busyReplicas)/float64(len(replicas))
 }
 
 // place records an on-time prompt that was placed.
@@ -80,19 +81,19 @@
 
 // earlierRankLoad is the share of a prefill replica's time taken by prompts of earlier ranks that have yet
 // to arrive: prompts that wait there also wait for them. Without it, prompts of the latest rank were
-// classified as on time and then read late: at 1.5 times the capacity goodput fell from 0.94 to 0.60.
+// classified as on time and then prefilled late: at 1.5 times the capacity goodput fell from 0.94 to 0.60.
 func (m *rankMeter) earlierRankLoad(rank int) float64 {
 	if rank == 0 || m.busyShare <= 0 {
 		return 0
 	}
-	return min(m.busyShare*m.shareUpTo(rank-1), maxEarlierRankLoad)
+	return min(m.busyShare*m.shareUpTo(rank-1), maximumEarlierRankLoad)
 }
 
-// maxEarlierRankLoad bounds the stretching of a wait, to ten times. A prompt that has no work to wait for is
+// maximumEarlierRankLoad bounds the stretching of a wait, to ten times. A prompt that has no work to wait for is
 // not delayed, however much work of earlier ranks arrives.
-const maxEarlierRankLoad = 0.9
+const maximumEarlierRankLoad = 0.9
 
-// meanLaterRank is the mean time to read a prompt of a later rank, 0 if there is none.
+// meanLaterRank is the mean prefill time of a prompt of a later rank, 0 if there is none.
 func (m *rankMeter) meanLaterRank(rank int) time.Duration {
 	var busy, prompts float64
 	for each := rank + 1; each < LastRank; each++ {
@@ -105,8 +106,8 @@
 	return time.Duration(busy / prompts * float64(time.Second))
 }
 
-// typical is the work-weighted mean time to read an on-time prompt: about half of the work belongs to prompts that
-// take as long or longer. It is 0 as long as no work is known.
+// typical is the work-weighted mean prefill time of an on-time prompt: about half of the work belongs to prompts
+// that take as long or longer. It is 0 as long as no work is known.
 func (m *rankMeter) typical() time.Duration {
 	var all float64
 	for _, busy := range m.busy {
@@ -120,23 +121,24 @@
 
 // rankMeterOf returns the meter of a service. The caller must hold d.mutex.
 func (d *Directory) rankMeterOf(service string) *rankMeter {
-	meter, found := d.ranked[service]
+	meter, found := d.rankMeters[service]
 	if !found {
 		meter = &rankMeter{at: d.clock()}
-		d.ranked[service] = meter
+		d.rankMeters[service] = meter
 	}
 	return meter
 }
 
 // waitBefore is the expected time for on-time work that the replica does before the request's prompt: replicas
-// read the prompts of earlier ranks first. Work reported by peers is not broken down by rank; its ranks are
-// assumed to be distributed as those of the work placed by this process. A prompt of a later rank that was
-// begun is read to its end. The caller must hold d.mutex.
+// prefill the prompts of earlier ranks first. Work reported by peers is not broken down by rank; its ranks are
+// assumed to be distributed as those of the work placed by this process. A prefill of a later rank that was
+// started runs to completion. The wait is stretched for prompts of earlier ranks that have yet to arrive
+// (earlierRankLoad), and for heavy tenants (waitFactor). The caller must hold d.mutex.
 func (d *Directory) waitBefore(replica *Replica, request ReadRequest, now time.Duration) time.Duration {
 	rank := request.Rank
 	all := replica.totalPrefillWork(now)[InTime]
 	var own, ahead time.Duration
-	for each, busy := range replica.ranked {
+	for each, busy := range replica.onTimeWork {
 		own += busy
 		if each <= rank {
 			ahead += busy
@@ -151,35 +153,35 @@
 // rankOf limits the rank of a route to the valid range.
 func rankOf(priority int) int { return min(max(priority, 0), LastRank-1) }
 
-// lateLeft is the remaining time in which a late prompt has to be read: callers abandon a stream without
+// lateLeft is the remaining time in which a late prompt has to be prefilled: callers abandon a stream without
 // events after a few times its objective, but not before minCallerPatience, and long before their deadline.
 func (r *ReadRequest) lateLeft() time.Duration {
 	passed := r.Objective - r.AimLeft
-	return min(r.Left, max(lateObjectives*r.Objective, minCallerPatience)-passed)
+	return min(r.Left, max(lateObjectives*r.Objective, minimumCallerPatience)-passed)
 }
 
 const (
 	// lateObjectives is the age, in multiples of its objective, at which a prompt has become useless.
 	lateObjectives = 4
-	// minCallerPatience is how long callers wait for a stream at least, however short its objective.
-	minCallerPatience = 2 * time.Second
+	// minimumCallerPatience is how long callers wait for a stream at least, however short its objective.
+	minimumCallerPatience = 2 * time.Second
 )
 
-// mayBeginLate reports whether a late prompt may be placed at an idle prefill replica, where it begins at once
-// and is read to its end. The replicas with late prompts are limited to a share of those that have no on-time
+// mayBeginLate reports whether a late prompt may be placed at an idle prefill replica, where it starts at once
+// and runs to completion. The replicas with late prompts are limited to a share of those that have no on-time
 // prompts, so that on-time prompts rarely wait for late ones. The caller must hold d.mutex.
 func (d *Directory) mayBeginLate(estimated *prefillEstimate, now time.Duration) bool {
 	meter := d.rankMeterOf(estimated.replica.Service)
 	idle := estimated.replica.totalPrefillWork(now).before(Late) <= 0
-	return idle && float64(meter.late+1) <= lateReaderShare*(1-meter.busyShare)*float64(meter.readers)
+	return idle && float64(meter.lateReplicas+1) <= lateReplicaShare*(1-meter.busyShare)*float64(meter.prefillReplicas)
 }
 
-// lateReaderShare is the share of the prefill replicas without on-time prompts that may read late prompts which
-// begin at once.
-const lateReaderShare = 0.5
+// lateReplicaShare bounds the prefill replicas with late prompts, including an idle one on which a late prompt is placed,
+// as a share of those without on-time prompts.
+const lateReplicaShare = 0.5
 
-// lateTotal is the expected time until a replica has read a late prompt. A replica reads late prompts only while
-// it has no on-time ones; the share of that time is estimated by the share of the replicas without on-time
+// lateTotal is the expected time until a replica has prefilled a late prompt. A replica processes late prompts only
+// while it has no on-time ones; the share of that time is estimated by the share of the replicas without on-time
 // prompts. The caller must hold d.mutex.
 func (d *Directory) lateTotal(estimated *prefillEstimate) time.Duration {
 	free := 1 - d.rankMeterOf(estimated.replica.Service).busyShare
--- a/internal/relay/overload_test.go
+++ b/internal/relay/overload_test.go
@@ -54,19 +54,19 @@
 	effectiveRank int
 }
 
-// replay simulates a load on prefill replicas that read one prompt at a time, in order of rank, and counts
-// for each kind the requests that are read within their objective.
+// replay simulates a load on prefill replicas that process one prompt at a time, in order of rank, and counts
+// for each kind the requests that are prefilled within their objective.
 type replay struct {
 	*directory
 	waiting   map[string][]*replayed
 	reading   map[string]*replayed
 	busyUntil map[string]time.Duration
-	returns   map[time.Duration][]*replayed
-	asked     map[string]int
+	retries   map[time.Duration][]*replayed
+	arrivals  map[string]int
 	inTime    map[string]int
 	served    map[string]int
 	tokens    int
-	// late counts the prompts read after their objective, abandoned those whose callers left before.
+	// late counts the prompts prefilled after their objective, abandoned those whose callers left while they waited.
 	late      int
 	abandoned int
 	// seed is the random seed of the arrivals.
@@ -77,29 +77,29 @@
 
 const replayStep = time.Millisecond
 
-// play offers a load, as a multiple of the prefill capacity, for a time. It returns the tokens that were read
-// within their objective, as a share of what the replicas could have read.
-func (r *replay) play(readers int, load float64, kinds []kindOfWork, length time.Duration) (goodput float64) {
+// play offers a load, as a multiple of the prefill capacity, for a time. It returns the tokens that were prefilled
+// within their objective, as a share of what the replicas could have prefilled.
+func (r *replay) play(replicas int, load float64, kinds []kindOfWork, length time.Duration) (goodput float64) {
 	random := rand.New(rand.NewPCG(r.seed, 2))
-	perStep := load * float64(readers) * pace * replayStep.Seconds() / meanTokens(kinds)
+	perStep := load * float64(replicas) * prefillRate * replayStep.Seconds() / meanTokens(kinds)
 	end, id, good := r.now+length, 0, 0
 	for r.now < end {
 		for arrivals := perStep; arrivals > 0; arrivals-- {
 			if random.Float64() < arrivals {
 				id++
 				kind := kinds[random.IntN(len(kinds))]
-				r.asked[kind.name]++
+				r.arrivals[kind.name]++
 				r.arrive(&replayed{kindOfWork: kind, id: id, first: r.now})
 			}
 		}
-		for _, back := range r.returns[r.now] {
+		for _, back := range r.retries[r.now] {
 			r.arrive(back)
 		}
-		delete(r.returns, r.now)
-		good += r.step(readers)
+		delete(r.retries, r.now)
+		good += r.step(replicas)
 		r.now += replayStep
 	}
-	return float64(good) / (float64(readers) * pace * length.Seconds())
+	return float64(good) / (float64(replicas) * prefillRate * length.Seconds())
 }
 
 // arrive places a request, or schedules its only retry.
@@ -113,7 +113,7 @@
 	if err != nil {
 		back := r.now + 150*time.Millisecond
 		if request.tries == 1 {
-			r.returns[back] = append(r.returns[back], request)
+			r.retries[back] = append(r.retries[back], request)
 		}
 		return
 	}
@@ -125,9 +125,9 @@
 	r.waiting[lease.Replica.ID] = append(r.waiting[lease.Replica.ID], request)
 }
 
-// step advances the prefill replicas by one step, and returns the tokens that were read on time.
-func (r *replay) step(readers int) (good int) {
-	for number := range readers {
+// step advances the prefill replicas by one step, and returns the tokens that were prefilled on time.
+func (r *replay) step(replicas int) (good int) {
+	for number := range replicas {
 		id := fmt.Sprint("r", number)
 		if done := r.reading[id]; done != nil && r.now >= r.busyUntil[id] {
 			done.lease.PromptRead()
@@ -143,12 +143,12 @@
 			}
 		}
 		r.waiting[id] = slices.DeleteFunc(r.waiting[id], func(waits *replayed) bool {
-			gone := r.now-waits.first > waits.deadline
-			if gone {
+			abandoned := r.now-waits.first > waits.deadline
+			if abandoned {
 				r.abandoned++
 				waits.lease.Release()
 			}
-			return gone
+			return abandoned
 		})
 		if r.reading[id] != nil || len(r.waiting[id]) == 0 {
 			continue
@@ -158,14 +158,14 @@
 		})
 		r.waiting[id] = slices.DeleteFunc(r.waiting[id], func(each *replayed) bool { return each == next })
 		r.reading[id] = next
-		r.busyUntil[id] = r.now + time.Duration(next.tokens)*time.Second/pace
+		r.busyUntil[id] = r.now + time.Duration(next.tokens)*time.Second/prefillRate
 	}
 	return good
 }
 
-func newReplay(readers int) *replay {
+func newReplay(replicas int) *replay {
 	list := []region.Replica{{ID: "g", Service: "s", Address: "g:1", Zone: "z", Slots: 4000, Stage: region.StageDecode}}
-	for number := range readers {
+	for number := range replicas {
 		list = append(list, region.Replica{
 			ID: fmt.Sprint("r", number), Service: "s", Address: fmt.Sprint("r:", number), Zone: "z", Slots: 64, Stage: region.StagePrefill,
 		})
@@ -174,36 +174,37 @@
 		seed:      1,
 		directory: newDirectoryWithKnownCosts(list...),
 		waiting:   map[string][]*replayed{}, reading: map[string]*replayed{}, busyUntil: map[string]time.Duration{},
-		returns: map[time.Duration][]*replayed{}, asked: map[string]int{}, inTime: map[string]int{}, served: map[string]int{},
+		retries: map[time.Duration][]*replayed{}, arrivals: map[string]int{}, inTime: map[string]int{}, served: map[string]int{},
 	}
 	r.place = func(request relay.ReadRequest) (*relay.Lease, error) { return r.PlacePrefill("s", request) }
 	return r
 }
 
-// Beyond capacity, late prompts were accepted as long as they would be read before their callers left if no
-// other prompt arrived. Others did arrive: late prompts took up the replicas' time or were abandoned, and on-time
-// prompts had to wait for a late one already begun. Light, urgent prompts, which need little reading, were
-// classified as late behind heavy prompts that are read after them.
+// Guards against two faults beyond capacity. Late prompts were accepted if they would be prefilled before their
+// callers left, provided that no other prompt arrived. Others did arrive: late prompts took up the replicas' time or
+// were abandoned, and on-time prompts had to wait for a late one already started. Light, urgent prompts, which need
+// little prefill, were classified as late behind heavy prompts that are processed after them.
 func TestGoodputAndLightWorkHoldBeyondCapacity(t *testing.T) {
-	const readers = 12
+	const replicas = 12
 	most := 0.0
 	for _, load := range []float64{1, 1.5, 2, 3} {
-		r := newReplay(readers)
-		goodput := r.play(readers, load, mixedWork, 12*time.Second)
-		light := float64(r.inTime["light"]) / float64(r.asked["light"])
+		r := newReplay(replicas)
+		goodput := r.play(replicas, load, mixedWork, 12*time.Second)
+		light := float64(r.inTime["light"]) / float64(r.arrivals["light"])
 		t.Logf("load %.1f: goodput %.3f, light %.3f, middle %.3f, heavy %.3f, late %d, abandoned %d", load, goodput, light,
-			float64(r.inTime["middle"])/float64(r.asked["middle"]), float64(r.inTime["heavy"])/float64(r.asked["heavy"]), r.late, r.abandoned)
+			float64(r.inTime["middle"])/float64(r.arrivals["middle"]), float64(r.inTime["heavy"])/float64(r.arrivals["heavy"]), r.late, r.abandoned)
 		most = max(most, goodput)
 		assert.Greater(t, goodput, most-0.05, "goodput falls at %.1f of the capacity", load)
 		assert.Greater(t, light, 0.9, "light work at %.1f of the capacity", load)
 	}
 }
 
-// A light, urgent prompt was classified as late behind heavy prompts, although it is read before them.
+// Guards against a light, urgent prompt being classified as late behind heavy prompts, although it is prefilled
+// before them.
 func TestPromptIsNotLateBecauseOfLaterRanks(t *testing.T) {
 	d := newDirectoryWithKnownCosts(replica("r", region.StagePrefill), replica("g", region.StageDecode))
 	for number := range 8 {
-		heavy := readRequest(prompt(relay.PromptPart{ID: fmt.Sprint("heavy-", number), Tokens: pace / 10}))
+		heavy := readRequest(prompt(relay.PromptPart{ID: fmt.Sprint("heavy-", number), Tokens: prefillRate / 10}))
 		heavy.Rank = 2
 		_, err := d.PlacePrefill("s", heavy)
 		require.NoError(t, err)
@@ -212,23 +213,23 @@
 	light.Objective, light.AimLeft = 500*time.Millisecond, 500*time.Millisecond
 	lease, err := d.PlacePrefill("s", light)
 	require.NoError(t, err)
-	assert.Zero(t, lease.Rank(&route), "eight tenths of a second of later ranks, of half a second")
+	assert.Zero(t, lease.Rank(&route), "0.8 s of prefill of later ranks, with an objective of 0.5 s")
 }
 
-// Late prompts were accepted as long as they would be read before their callers left if no other prompt arrived;
-// others did arrive, and the callers of late ones left.
+// Guards against late prompts being accepted if they would be prefilled before their callers left, provided that no
+// other prompt arrived: others did arrive, and the callers of late ones left.
 func TestLatePromptIsRejectedUnderSteadyOnTimeWork(t *testing.T) {
 	d := newDirectoryWithKnownCosts(replica("r", region.StagePrefill), replica("g", region.StageDecode))
 	late := func() error {
-		lease, err := d.PlacePrefill("s", readRequest(ownPrompt(3*pace/2)))
+		lease, err := d.PlacePrefill("s", readRequest(ownPrompt(3*prefillRate/2)))
 		if err == nil {
 			lease.Release()
 		}
 		return err
 	}
-	require.NoError(t, late(), "an idle reader takes a second and a half, of one")
+	require.NoError(t, late(), "1.5 s of prefill on an idle replica, with an objective of 1 s")
 	next := func(number int) *relay.Lease {
-		return d.placePrefill(prompt(relay.PromptPart{ID: fmt.Sprint("in-time-", number), Tokens: pace / 10}))
+		return d.placePrefill(prompt(relay.PromptPart{ID: fmt.Sprint("in-time-", number), Tokens: prefillRate / 10}))
 	}
 	reads := next(0)
 	for number := range 40 {
@@ -245,8 +246,8 @@
 	assert.NoError(t, late(), "no more on-time prompts arrive")
 }
 
-// Prompts that no replica reads within their objective were rejected although some replicas were idle: the time that
-// on-time work leaves was computed as if they had to wait for it.
+// Guards against rejecting prompts that no replica can prefill within their objective although some replicas are
+// idle: the time that on-time work leaves was computed as if these prompts had to wait for that work.
 func TestLatePromptBeginsAtAnIdlePrefillReplica(t *testing.T) {
 	list := []region.Replica{replica("g", region.StageDecode)}
 	for number := range 8 {
@@ -265,7 +266,7 @@
 		}
 	}
 	late := func(id string) error {
-		lease, err := d.PlacePrefill("s", readRequest(prompt(relay.PromptPart{ID: id, Tokens: 2 * pace})))
+		lease, err := d.PlacePrefill("s", readRequest(prompt(relay.PromptPart{ID: id, Tokens: 2 * prefillRate})))
 		if err == nil {
 			assert.Equal(t, relay.LastRank, lease.Rank(&route))
 		}
@@ -280,10 +281,10 @@
 	assert.Error(t, late("second"), "the others are left to on-time prompts")
 }
 
-// One tenant sends far more than the others. Rejections were spread evenly over all requests, so that the other
-// tenants were rejected as often as that one.
+// One tenant sends far more than the others. When rejections and capacity were spread evenly over all requests, the
+// other tenants were rejected as often as that one.
 func TestHeavyTenantDoesNotDisplaceOthers(t *testing.T) {
-	const readers, others = 12, 6
+	const replicas, others = 12, 6
 	var kinds []kindOfWork
 	for number := range 60 {
 		kind := kindOfWork{"hot", 1, 5000, 1, 600 * time.Millisecond, 4 * time.Second}
@@ -292,10 +293,10 @@
 		}
 		kinds = append(kinds, kind)
 	}
-	r := newReplay(readers)
-	goodput := r.play(readers, 2, kinds, 12*time.Second)
-	share := float64(r.inTime["others"]) / float64(r.asked["others"])
-	t.Logf("goodput %.3f, others %.3f, hot %.3f", goodput, share, float64(r.inTime["hot"])/float64(r.asked["hot"]))
+	r := newReplay(replicas)
+	goodput := r.play(replicas, 2, kinds, 12*time.Second)
+	share := float64(r.inTime["others"]) / float64(r.arrivals["others"])
+	t.Logf("goodput %.3f, others %.3f, hot %.3f", goodput, share, float64(r.inTime["hot"])/float64(r.arrivals["hot"]))
 	assert.Greater(t, share, 0.9)
 	assert.Greater(t, goodput, 0.85)
 }
@@ -311,16 +312,17 @@
 	return kinds
 }
 
-// Of the largest tenth of the requests 0.35 were served, of all 0.81. When more prompts arrive than the replicas can read,
-// prompts whose reading alone takes longer than the objective are late at every replica, and late prompts are only accepted
-// while hardly any others arrive. A prompt's size thus decided whether it was served at all, beyond the time that it needs.
+// Guards against serving large prompts far less often than others: of the largest tenth of the requests 0.35 were served, of
+// all 0.81. When more prompts arrive than the replicas can prefill, those whose prefill alone takes longer than the objective
+// are late at every replica, and late prompts are only accepted while hardly any others arrive. So a prompt's size decided
+// whether it was served at all, and not only how much time it needs.
 func TestLargestPromptsAreServedLikeOthers(t *testing.T) {
-	const readers = 12
+	const replicas = 12
 	for _, load := range []float64{0.7, 1, 1.5, 3} {
-		r := newReplay(readers)
-		goodput := r.play(readers, load, sizedWork(), 20*time.Second)
+		r := newReplay(replicas)
+		goodput := r.play(replicas, load, sizedWork(), 20*time.Second)
 		rate, next, largest := r.servedBySize()
-		read := float64(r.tokens) / (readers * pace * 20)
+		read := float64(r.tokens) / (replicas * prefillRate * 20)
 		t.Logf("load %.1f: goodput %.3f, read %.3f, served %.3f, largest tenth %.3f, next fifth %.3f, late %d, abandoned %d", load, goodput, read, rate, largest, next, r.late, r.abandoned)
 		assert.Greater(t, largest, rate/2, "the largest tenth at %.1f of the capacity", load)
 		assert.Greater(t, next, rate/2, "the fifth below it at %.1f of the capacity", load)
@@ -331,13 +333,13 @@
 // and of that tenth.
 func (r *replay) servedBySize() (all, next, largest float64) {
 	of := func(from, to int) float64 {
-		served, asked := 0, 0
+		served, arrived := 0, 0
 		for step := from; step < to; step++ {
 			name := fmt.Sprintf("size-%02d", step)
 			served += r.served[name]
-			asked += r.asked[name]
+			arrived += r.arrivals[name]
 		}
-		return float64(served) / float64(asked)
+		return float64(served) / float64(arrived)
 	}
 	return of(0, 20), of(14, 18), of(18, 20)
 }
--- a/internal/relay/picker.go
+++ b/internal/relay/picker.go
@@ -89,16 +89,16 @@
 // hold d.mutex.
 func (d *Directory) healthyCandidates(service string, wanted Wanted, passes func(*Replica) bool, now time.Duration) []*Replica {
 	candidates := d.candidates(service, wanted, passes, now)
-	sound := slices.DeleteFunc(slices.Clone(candidates), func(r *Replica) bool { return r.avoided(now) })
-	if len(sound) > 0 && !d.disabled[mechanism.Ejection] {
-		return sound
+	healthy := slices.DeleteFunc(slices.Clone(candidates), func(r *Replica) bool { return r.avoided(now) })
+	if len(healthy) > 0 && !d.disabled[mechanism.Ejection] {
+		return healthy
 	}
 	return candidates
 }
 
 // candidates returns the replicas of a service that may get a request. The caller must hold d.mutex.
 func (d *Directory) candidates(service string, wanted Wanted, passes func(*Replica) bool, now time.Duration) []*Replica {
-	var candidates, ending []*Replica
+	var candidates, leaving []*Replica
 	asking := d.gateNow()
 	for _, replica := range d.services[service] {
 		if replica.Draining || replica.removed || !passes(replica) || replica.inBackoff(asking) || wanted.excludes(replica, now) {
@@ -107,12 +107,12 @@
 		if !replica.isLeavingForGood() {
 			candidates = append(candidates, replica)
 		} else if d.acceptsAsLast(replica) {
-			ending = append(ending, replica)
+			leaving = append(leaving, replica)
 		}
 	}
 	if len(candidates) == 0 {
-		// A replica that is leaving is better than none.
-		candidates = ending
+		// A replica that is leaving, and still accepts work, is better than none.
+		candidates = leaving
 	}
 	return d.belowLearnedLimit(candidates, wanted.Rank, now)
 }
@@ -159,7 +159,8 @@
 }
 
 // loadScore scores replicas by their estimated occupancy, from 0 (idle) upwards; 1 is a full replica.
-// Distance, failures and latency add to the score.
+// Distance, failures, expected refusals and latency add to the score; a connection and unused capacity under a
+// rate limit lower it.
 type loadScore struct {
 	zone string
 	// distance is added for a replica in another zone.
@@ -185,8 +186,8 @@
 	// connection.
 	connectedBonus = 0.1
 	// unusedLimitBonus is subtracted from the score of a replica that declares a rate limit and has
-	// capacity under it, in shares of its slots. It exceeds connectedBonus, so that a replica is not passed
-	// over for getting few requests.
+	// capacity under it, in shares of its slots. It exceeds connectedBonus, so that a replica that gets few
+	// requests, and so has no connection, is not passed over for that.
 	unusedLimitBonus = 0.15
 )
 
--- a/internal/relay/placement.go
+++ b/internal/relay/placement.go
@@ -94,8 +94,8 @@
 // caller must hold d.mutex.
 func (d *Directory) acceptsLate(e *prefillEstimate, request ReadRequest, now time.Duration) bool {
 	taken := float64(e.replica.totalInFlight(now))
-	inLate := d.lateTotal(e) < request.lateLeft() || (e.total() < request.lateLeft() && d.mayBeginLate(e, now))
-	return inLate && taken < lateShare*float64(max(e.replica.Slots, 1))
+	completes := d.lateTotal(e) < request.lateLeft() || (e.total() < request.lateLeft() && d.mayBeginLate(e, now))
+	return completes && taken < lateShare*float64(max(e.replica.Slots, 1))
 }
 
 // newNoCapacityError returns the refusal of a prompt for which no replica has capacity. The caller should
@@ -107,7 +107,7 @@
 	}
 }
 
-// noCapacityError is the refusal of a prompt; until is after how long there should be capacity, and busy how
+// noCapacityError is the refusal of a prompt; until is the time after which capacity is expected, and busy how
 // long the prefill would have taken on a prefill replica.
 type noCapacityError struct{ until, busy time.Duration }
 
@@ -156,8 +156,8 @@
 			best, bestScore = estimated, score
 		}
 	}
-	held := best.wait + best.busy + best.replica.tokenGap.longest(now)
-	return best, held <= time.Duration(prefillGapShare*float64(request.TargetGap))
+	gap := best.wait + best.busy + best.replica.tokenGap.longest(now)
+	return best, gap <= time.Duration(prefillGapShare*float64(request.TargetGap))
 }
 
 const (
@@ -293,7 +293,7 @@
 // tried where others would hardly complete the prefill in time.
 const refusalShare = 0.5
 
-// preferredCacheShare is the share of a prefix that counts as cached on its preferred replica.
+// preferredCacheShare is the share of the uncached part of a prefix that counts as cached on its preferred replica.
 const preferredCacheShare = 0.5
 
 // scoreJitter breaks ties between replicas with about the same score.
--- a/internal/relay/placement_benchmark_test.go
+++ b/internal/relay/placement_benchmark_test.go
@@ -9,8 +9,8 @@
 	"github.com/pierhaven/pierhaven/internal/relay"
 )
 
-// BenchmarkPlacement measures placing one prompt among replicas of fleets up to the target size, of which
-// 23 in 100 are prefill replicas.
+// BenchmarkPlacement measures placing one prompt among the replicas of fleets up to the target size (3700), of
+// which 23 in 100 are prefill replicas.
 func BenchmarkPlacement(b *testing.B) {
 	for _, size := range []int{12, 32, 60, 160, 3700} {
 		b.Run(fmt.Sprint(size, " replicas"), func(b *testing.B) {
--- a/internal/relay/placer.go
+++ b/internal/relay/placer.go
@@ -16,7 +16,7 @@
 	Remote *RemotePlacement
 }
 
-// RemotePlacement is the interface to a coordinator.
+// RemotePlacement holds the functions that communicate with a coordinator.
 type RemotePlacement struct {
 	// Ask sends a query and waits for at most a given time (within). An error means that the gateway has to
 	// choose by itself; by names the coordinator that has answered.
@@ -101,7 +101,7 @@
 // query creates the placement query for a request. It excludes the replicas that were tried, those that
 // this gateway can't reach, and those that have asked it to back off.
 func (p *Placer) query(kind region.PlacementKind, service string, request ReadRequest, near string) *region.PlacementQuestion {
-	asked := &region.PlacementQuestion{
+	question := &region.PlacementQuestion{
 		Kind:            kind,
 		Service:         service,
 		Zone:            request.Zone,
@@ -116,16 +116,16 @@
 		Excluded:        append(p.Directory.Unreachable(), p.Directory.inBackoffHere()...),
 	}
 	for _, replica := range request.Excluded {
-		asked.Excluded = append(asked.Excluded, replica.name)
+		question.Excluded = append(question.Excluded, replica.name)
 	}
 	if kind == region.PlaceRoom {
 		// The stream's KV cache moves with it, so that the prompt's parts don't matter.
-		return asked
+		return question
 	}
 	for _, part := range request.Prompt.Parts {
-		asked.Parts = append(asked.Parts, region.PlacedPart{ID: part.ID, Tokens: part.Tokens})
+		question.Parts = append(question.Parts, region.PlacedPart{ID: part.ID, Tokens: part.Tokens})
 	}
-	return asked
+	return question
 }
 
 // idleTime returns for how long the replica of a lease has had no known prefill work.
--- a/internal/relay/prefix.go
+++ b/internal/relay/prefix.go
@@ -39,8 +39,8 @@
 	return parts
 }
 
-// add records that a replica with a cache capacity in tokens processes the parts of a prompt, which others
-// can fetch there from readyAt on.
+// add records that a replica with a cache capacity in tokens processes the parts of a prompt, which other
+// replicas can fetch from readyAt on.
 func (m *prefixCache) add(parts []PromptPart, capacity int, readyAt time.Duration) {
 	if capacity <= 0 {
 		capacity = defaultCacheTokens
--- a/internal/relay/reading.go
+++ b/internal/relay/reading.go
@@ -58,8 +58,8 @@
 // prefillEstimate is the expected time until a replica has completed the prefill of a prompt.
 type prefillEstimate struct {
 	replica *Replica
-	// wait is for the prompts before it, move for the transfer of a fetched prefix, and busy for the
-	// replica's own work on it.
+	// wait is for the prompts before it, transfer for that of a fetched prefix, and busy for the replica's
+	// own work on it.
 	wait, transfer, busy time.Duration
 	// crossRegion is the delay of crossing to another region.
 	crossRegion time.Duration
@@ -72,7 +72,7 @@
 // total returns the time until the prefill is complete and the gateway knows that it is.
 func (e *prefillEstimate) total() time.Duration { return e.prefillTime() + e.crossRegion }
 
-// prefillWork returns the time until the replica has completed the prefill.
+// prefillTime returns the time until the replica has completed the prefill.
 func (e *prefillEstimate) prefillTime() time.Duration { return e.wait + e.transfer + e.busy }
 
 // estimatePrefill estimates how long a replica takes to prefill a prompt of an urgency. The caller must
@@ -93,9 +93,9 @@
 		}
 		left := request.Prompt.Tokens - source.cached
 		busy := d.prefillTime(replica, request, left)
-		move := d.transferTime(source.replica, replica, source.cached-own, estimated.busy-busy)
-		if busy+move < estimated.busy+estimated.transfer {
-			estimated.busy, estimated.transfer, estimated.from, estimated.missing = busy, move, source.replica, left
+		transfer := d.transferTime(source.replica, replica, source.cached-own, estimated.busy-busy)
+		if busy+transfer < estimated.busy+estimated.transfer {
+			estimated.busy, estimated.transfer, estimated.from, estimated.missing = busy, transfer, source.replica, left
 		}
 	}
 	return estimated
--- a/internal/relay/reading_test.go
+++ b/internal/relay/reading_test.go
@@ -16,12 +16,13 @@
 	"github.com/pierhaven/pierhaven/internal/traffic"
 )
 
-const pace = 40_000
+// prefillRate is that of the engines, in tokens per second.
+const prefillRate = 40_000
 
 // newDirectoryWithKnownCosts returns a directory that has learned its engines' prefill rate.
 func newDirectoryWithKnownCosts(replicas ...region.Replica) *directory {
 	d := newDirectory(replicas...)
-	d.learnPrefillRate(pace)
+	d.learnPrefillRate(prefillRate)
 	return d
 }
 
@@ -94,7 +95,7 @@
 	d := newDirectory(replica("r", region.StagePrefill), replica("g", region.StageDecode))
 	assert.Empty(t, d.Costs())
 	d.TakeCosts(append(costs, region.EngineCost{Service: "unknown", Samples: 5, Token: 1}))
-	late := readRequest(ownPrompt(2 * pace))
+	late := readRequest(ownPrompt(2 * prefillRate))
 	lease, err := d.PlacePrefill("s", late)
 	require.NoError(t, err)
 	assert.Equal(t, relay.LastRank, lease.Rank(&traffic.Route{}), "2 s of prefill, with an objective of 1 s")
@@ -102,10 +103,10 @@
 }
 
 func TestDecodeReplicaPrefillsOnlyWithinItsGapBudget(t *testing.T) {
-	asked := 0
+	prompts := 0
 	placedOn := func(d *directory, tokens int, gap time.Duration) string {
-		asked++
-		request := readRequest(prompt(relay.PromptPart{ID: fmt.Sprintf("short-%d", asked), Tokens: tokens}))
+		prompts++
+		request := readRequest(prompt(relay.PromptPart{ID: fmt.Sprintf("short-%d", prompts), Tokens: tokens}))
 		request.TargetGap = gap
 		lease, err := d.PlacePrefill("s", request)
 		require.NoError(t, err)
--- a/internal/relay/replica.go
+++ b/internal/relay/replica.go
@@ -13,23 +13,23 @@
 	region.Replica
 	// name is that of its incarnation.
 	name string
-	// inFlight is the number of this gateway's requests there, and reading their prefill work that is not
-	// yet complete.
+	// inFlight is the number of this gateway's requests there, and prefillWork the part of their prefill work
+	// that is not yet complete.
 	inFlight    int
 	prefillWork prefillWork
-	// ranked is the InTime part of reading, by the rank of the route.
-	ranked [LastRank]time.Duration
-	// latePrefills is the number of prompts in the Late part of reading.
+	// onTimeWork is the InTime part of prefillWork, by the rank of the route.
+	onTimeWork [LastRank]time.Duration
+	// latePrefills is the number of prompts in the Late part of prefillWork.
 	latePrefills int
 	// progressAt is when it was last known to have completed a prefill.
 	progressAt time.Duration
-	// granted is the part of inFlight and reading that a coordinator has placed and counts itself.
+	// granted is the part of inFlight and prefillWork that a coordinator has placed and counts itself.
 	granted grantedWork
 	// generating is the number of this gateway's streams there that have begun.
 	generating int
-	// tokenGap tracks the longest recent time between two events of the replica's streams.
+	// tokenGap tracks the longest recent time between two events of one of the replica's streams.
 	tokenGap decayingPeak
-	// peers is the work that other gateways have placed there.
+	// peers is the work that other gateways have placed there, by gateway.
 	peers  map[string]peerWork
 	load   Load
 	loadAt time.Duration
@@ -57,15 +57,15 @@
 	streams  map[*Lease]struct{}
 	prefixes *prefixCache
 	// cacheKnown says that the replica has nothing cached beyond what prefixes holds: it started after this
-	// process's first list, or has reported its cache.
+	// process's first list, or its cache was reported.
 	cacheKnown bool
 }
 
 // peerWork is what another gateway has reported of its work at a replica.
 type peerWork struct {
-	requests int
-	reading  prefillWork
-	at       time.Duration
+	requests    int
+	prefillWork prefillWork
+	at          time.Duration
 }
 
 // peerReportLifetime is how long a gateway's report of its work counts: longer than the interval between
@@ -90,7 +90,7 @@
 		if now-work.at >= peerReportLifetime {
 			continue
 		}
-		for urgency, busy := range work.reading {
+		for urgency, busy := range work.prefillWork {
 			sum[urgency] += busy
 		}
 	}
@@ -100,11 +100,11 @@
 // queueingTime returns the prefill work that a replica does before a prompt of an urgency. The caller must
 // hold d.mutex.
 func (d *Directory) queueingTime(replica *Replica, urgency Urgency, request ReadRequest, now time.Duration) time.Duration {
-	reading := replica.totalPrefillWork(now)
+	work := replica.totalPrefillWork(now)
 	if urgency == Late {
-		return reading.before(Late)
+		return work.before(Late)
 	}
-	if reading[InTime] <= 0 {
+	if work[InTime] <= 0 {
 		return replica.startedLateWork(now)
 	}
 	return d.waitBefore(replica, request, now)
@@ -117,7 +117,7 @@
 	begun := r.prefillWork[Late] / time.Duration(max(r.latePrefills, 1))
 	for _, work := range r.peers {
 		if now-work.at < peerReportLifetime {
-			begun = max(begun, work.reading[Late])
+			begun = max(begun, work.prefillWork[Late])
 		}
 	}
 	return begun
--- a/internal/relay/rest_load_test.go
+++ b/internal/relay/rest_load_test.go
@@ -474,9 +474,9 @@
 				for seed := range uint64(seeds) {
 					r := newBackoffReplay(readers, most, backoff, seed+1, honors)
 					goodputs[honors] += r.play(readers, load, mixedWork, length) / seeds
-					light += float64(r.inTime["light"]) / float64(r.asked["light"]) / seeds
-					middle += float64(r.inTime["middle"]) / float64(r.asked["middle"]) / seeds
-					heavy += float64(r.inTime["heavy"]) / float64(r.asked["heavy"]) / seeds
+					light += float64(r.inTime["light"]) / float64(r.arrivals["light"]) / seeds
+					middle += float64(r.inTime["middle"]) / float64(r.arrivals["middle"]) / seeds
+					heavy += float64(r.inTime["heavy"]) / float64(r.arrivals["heavy"]) / seeds
 					rejected += r.rejected
 					backoffShare += min(r.totalBackoff, time.Duration(r.rejected)*length).Seconds() / readers / length.Seconds() / seeds
 					s := newBackoffReplay(readers, most, backoff, seed+1, honors)
--- a/internal/relay/room.go
+++ b/internal/relay/room.go
@@ -29,11 +29,12 @@
 	usableShare = 0.9
 	// reservedSharePerRank is the share of that which is reserved for earlier ranks, per rank.
 	reservedSharePerRank = 0.05
-	// backoffsToDouble is the time in which the limit doubles, in backoffs: a probe that finds no more
-	// capacity costs a backoff, which should be a twentieth of the time. maximumDoubling bounds the time.
+	// backoffsToDouble is the time in which a confirmed limit doubles, in backoffs. From usableShare of the
+	// level, it takes about 20 backoffs to reach the level again: a probe that finds no more capacity costs a
+	// backoff, which should be a twentieth of the time. maximumDoubling bounds the time.
 	backoffsToDouble = 140
 	maximumDoubling  = 5 * time.Minute
-	// unconfirmedShare is the same time for an unconfirmed limit, as a share of the backoff, at least
+	// unconfirmedShare is the time in which an unconfirmed limit doubles, as a share of the backoff, at least
 	// minimumUnconfirmed: the replica may have refused for a reason other than its number of requests.
 	unconfirmedShare   = 0.1
 	minimumUnconfirmed = 300 * time.Millisecond
@@ -43,7 +44,7 @@
 	// requests at one replica indicate how many all processes have there; beyond it, the whole stage is
 	// counted.
 	maximumPlacersPerSlot = 2
-	// takenDecay is the time constant with which room.taken decays.
+	// takenDecay is the time constant with which learnedLimit.taken decays.
 	takenDecay = 10 * time.Second
 )
 
@@ -137,7 +138,7 @@
 func (d *Directory) updateLearnedLimit(replica *Replica, now, begun, backoff time.Duration) {
 	slots, all := max(replica.Slots, 1), d.concurrentRequests(replica, now)
 	full := replica.learnedLimit.mayBeFull(now, slots, all)
-	if choosers := d.placerCount(); choosers > maximumPlacersPerSlot*slots {
+	if placers := d.placerCount(); placers > maximumPlacersPerSlot*slots {
 		slots, all = d.stageLoad(replica, now)
 		full = all >= slots
 	}
--- a/internal/relay/sizes.go
+++ b/internal/relay/sizes.go
@@ -39,7 +39,7 @@
 	return min(classesPerDoubling*doublings+int(classesPerDoubling*part), sizeClasses-1)
 }
 
-func (m *sizeMeter) fade(now time.Duration) {
+func (m *sizeMeter) decay(now time.Duration) {
 	left := math.Exp(-(now - m.at).Seconds() / sizeDecay.Seconds())
 	m.at = now
 	for class := range m.arrivals {
@@ -76,12 +76,12 @@
 // recordArrival counts a prompt that is to be prefilled. The caller must hold d.mutex.
 func (d *Directory) recordArrival(service string, request ReadRequest, now time.Duration) {
 	sizes := d.sizesOf(service, request.Rank)
-	sizes.fade(now)
+	sizes.decay(now)
 	sizes.arrivals[sizeClass(request.Prompt.Tokens)]++
 }
 
-// promotesLate reports whether a prompt that would be late is queued with those in time: when prompts of
-// its size are prefilled far less often than others, and its prefill will complete before its caller is
+// promotesLate reports whether a prompt that would be late is queued with those in time: when prompts at least as
+// large are prefilled far less often than others, and its prefill will complete before its caller is
 // expected to give up. Without this, at 3 times the capacity, the largest tenth was prefilled 0.04 times as
 // often as all. The caller must hold d.mutex.
 func (d *Directory) promotesLate(service string, request ReadRequest, best *prefillEstimate) bool {
--- a/internal/relay/tenantlevel.go
+++ b/internal/relay/tenantlevel.go
@@ -31,9 +31,9 @@
 	heavyTenantRatio = 4
 	// negligibleWork, in seconds, counts as none; tenants with less are removed.
 	negligibleWork = 0.001
-	// maxWaitFactor bounds the stretching of waits: a heavy tenant's prompt may still wait half as long as
+	// maximumWaitFactor bounds the stretching of waits: a heavy tenant's prompt may still wait half as long as
 	// those of others.
-	maxWaitFactor = 2
+	maximumWaitFactor = 2
 )
 
 // place records work for a tenant; 0 stands for no tenant.
@@ -75,7 +75,7 @@
 	if own <= heavyTenantRatio*mean {
 		return 1
 	}
-	return min(own/max(heavyTenantRatio*mean, negligibleWork), maxWaitFactor)
+	return min(own/max(heavyTenantRatio*mean, negligibleWork), maximumWaitFactor)
 }
 
 // tenantHash returns the hash that stands for a tenant's name in placement queries, 0 for no tenant.
