--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -21,8 +21,8 @@
 	"github.com/pierhaven/pierhaven/internal/testnet"
 )
 
-// patience bounds every wait for a condition; a sound run needs far less.
-const patience = 60 * time.Second
+// conditionTimeout bounds every wait for a condition; a passing run needs far less.
+const conditionTimeout = 60 * time.Second
 
 const electionTimeout = 300 * time.Millisecond
 
@@ -36,19 +36,20 @@
 	done     chan error
 }
 
-// cluster is a deployment of controllers on loopback.
+// cluster is a set of controllers that listen on loopback addresses.
 type cluster struct {
 	t       *testing.T
 	zones   []string
 	members map[string][]*member
 }
 
-// layout says how a cluster is made. The first voter of each zone is a config
-// voter; with one zone all controllers are.
+// layout describes a cluster. The first voter of each zone is a config voter;
+// with one zone, all controllers are config voters.
 type layout struct {
 	zones       []string
 	controllers int
-	// inMemory keeps the data in memory file systems, which can crash.
+	// inMemory stores the data in in-memory file systems, which can simulate a
+	// crash.
 	inMemory bool
 	change   func(settings *controller.Settings)
 }
@@ -99,7 +100,7 @@
 	return m
 }
 
-// connect fills in the addresses that the members must know of each other.
+// connect sets the other members' addresses in each member's settings.
 func (c *cluster) connect(plan layout) {
 	var configVoters []string
 	for _, zone := range c.zones {
@@ -153,17 +154,17 @@
 	go func() {
 		err := process.Run(ctx)
 		if ctx.Err() == nil {
-			t.Logf("controller %s has ended by itself: %v", m.settings.ID, err)
+			t.Logf("controller %s stopped unexpectedly: %v", m.settings.ID, err)
 		}
 		done <- err
 	}()
-	// A later start listens by itself.
+	// A later start opens its own listeners at the same addresses.
 	m.settings.Listener, m.settings.OperatorListener = nil, nil
 }
 
 func (m *member) running() bool { return m.cancel != nil }
 
-// stop is a planned stop.
+// stop performs a planned stop and returns the error of Run.
 func (m *member) stop(t *testing.T) error {
 	t.Helper()
 	if !m.running() {
@@ -174,14 +175,14 @@
 	select {
 	case err := <-m.done:
 		return err
-	case <-time.After(patience):
+	case <-time.After(conditionTimeout):
 		t.Error("controller did not stop")
 		return nil
 	}
 }
 
-// crash ends the process as a loss of power does: what was not synced is lost,
-// and the replicas fail at their next write.
+// crash simulates a power failure: unsynced data is lost, and the replicas fail
+// at their next write.
 func (m *member) crash(t *testing.T) {
 	t.Helper()
 	m.memory.Crash(rand.New(rand.NewPCG(1, rand.Uint64())))
@@ -189,8 +190,8 @@
 	m.cancel = nil
 	select {
 	case <-m.done:
-	case <-time.After(patience):
-		t.Error("controller did not end")
+	case <-time.After(conditionTimeout):
+		t.Error("controller did not stop after the crash")
 	}
 }
 
@@ -202,7 +203,8 @@
 	running.Wait()
 }
 
-// operators returns a client for the controllers of some zones, all by default.
+// operators returns a client for the controllers of the given zones, by default
+// of all zones.
 func (c *cluster) operators(zones ...string) *operatorapi.Client {
 	c.t.Helper()
 	if len(zones) == 0 {
@@ -224,7 +226,7 @@
 	return client
 }
 
-// leader waits for a member whose replica leads a group.
+// leader waits until a member leads the group and returns that member.
 func (c *cluster) leader(group string) *member {
 	c.t.Helper()
 	var found *member
@@ -244,15 +246,15 @@
 				}
 			}
 		}
-		return fmt.Errorf("nobody leads")
+		return fmt.Errorf("no running member leads the group")
 	})
 	return found
 }
 
-// eventually waits until attempt succeeds.
+// eventually repeats attempt until it succeeds or conditionTimeout has passed.
 func (c *cluster) eventually(what string, attempt func() error) {
 	c.t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(conditionTimeout)
 	for {
 		err := attempt()
 		if err == nil {
--- a/internal/controller/configmachine_test.go
+++ b/internal/controller/configmachine_test.go
@@ -9,7 +9,7 @@
 	"github.com/pierhaven/pierhaven/internal/config/dynamic"
 )
 
-func TestWhatAZoneGroupRecordsIsNoChangeOfTheConfiguration(t *testing.T) {
+func TestZoneGroupRecordsDoNotChangeTheConfigurationRevision(t *testing.T) {
 	machine := newConfigMachine()
 	put := func(index uint64, kind dynamic.Kind, name string) {
 		command := versioned.Command{Operation: versioned.OperationPut, Kind: string(kind), Name: name, RequestID: name, Body: []byte(`{"name":"x"}`)}
--- a/internal/controller/gateway_test.go
+++ b/internal/controller/gateway_test.go
@@ -15,7 +15,7 @@
 	"github.com/pierhaven/pierhaven/internal/wire"
 )
 
-// testGateway speaks a gateway's side of the internal protocol.
+// testGateway implements the gateway's side of the internal protocol.
 type testGateway struct {
 	t       *testing.T
 	cluster *cluster
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// call tries the zone's controllers and follows their hints.
+// call tries the zone's controllers in turn and follows their leader hints.
 func (g *testGateway) call(path string, request msgp.Marshaler, reply msgp.Unmarshaler) error {
 	var last error
 	for _, address := range g.cluster.addresses(g.zone) {
@@ -88,8 +88,8 @@
 	return nil
 }
 
-// beatUntil sends a heartbeat if the gateway has no configuration as new as a
-// revision.
+// beatUntil sends a heartbeat if the gateway's configuration is older than the
+// revision. It returns an error if the configuration is still older afterwards.
 func (g *testGateway) beatUntil(revision uint64) error {
 	if g.config >= revision {
 		return nil
--- a/internal/controller/members_test.go
+++ b/internal/controller/members_test.go
@@ -12,7 +12,8 @@
 	"github.com/pierhaven/pierhaven/internal/config/dynamic"
 )
 
-// groupsOf waits until a controller answers and returns its replicas' ids.
+// groupsOf waits until a controller responds and returns the state of its groups by
+// name.
 func (c *cluster) groupsOf(m *member) map[string]operatorapi.GroupState {
 	c.t.Helper()
 	groups := map[string]operatorapi.GroupState{}
@@ -26,7 +27,7 @@
 	return groups
 }
 
-func TestALostDiskIsReplacedByCommandAndASecondLossIsSurvived(t *testing.T) {
+func TestMembersWithLostDisksAreReplacedAndAnotherLossIsTolerated(t *testing.T) {
 	c := startCluster(t, layout{zones: []string{"hal-noord"}, controllers: 3})
 	client := c.operators()
 	revision := submit(t, client, dynamic.KindPolicy, "evening", policyOf(1)).Revision
@@ -38,7 +39,7 @@
 		victim.start(t)
 		after := c.groupsOf(victim)
 		for _, name := range []string{"hal-noord", operatorapi.GroupConfig} {
-			require.NotEqual(t, before[name].ReplicaID, after[name].ReplicaID, "an empty folder is another replica")
+			require.NotEqual(t, before[name].ReplicaID, after[name].ReplicaID, "a replica with an empty data folder must have a new ID")
 			require.Equal(t, "joining", after[name].Role)
 			command := operatorapi.MemberCommand{Action: operatorapi.MemberReplace, ReplicaID: before[name].ReplicaID, Address: victim.settings.ListenAddress}
 			var list operatorapi.MemberList
@@ -53,7 +54,7 @@
 		require.NoError(t, err)
 		revision = result.Revision
 	}
-	// The second machine lost right after the repairs.
+	// One more controller is lost right after the replacements.
 	require.NoError(t, members[2].stop(t))
 	document, err := client.Document(context.Background(), dynamic.KindPolicy, "evening")
 	require.NoError(t, err)
--- a/internal/controller/onceonly_test.go
+++ b/internal/controller/onceonly_test.go
@@ -13,9 +13,9 @@
 	"github.com/pierhaven/pierhaven/internal/wire"
 )
 
-// TestAZoneThatLostAllDisksRunsNothingTwice loses the only disk of a zone's
-// group, which is then founded anew: it must know that there was a group before
-// it, whose claims it can't see.
+// TestAZoneThatLostAllDisksRunsNothingTwice loses the only disk of a zone's group,
+// which is then founded again. The new group can't see the claims of the earlier
+// one; it must know that there was one, or it would grant a used key again.
 func TestAZoneThatLostAllDisksRunsNothingTwice(t *testing.T) {
 	c := startCluster(t, layout{zones: []string{"north", "south", "west"}, controllers: 1, inMemory: true})
 	submit(t, c.operators(), dynamic.KindTenant, "depot", tenant("north"))
@@ -42,9 +42,10 @@
 	require.Equal(t, wire.ClaimExpired, reply.Status)
 }
 
-// TestAnAnswerTooLargeToKeepEndsItsClaim stores an answer that no log entry may
-// carry: the claim ends all the same, and a repeat learns that it ran.
-func TestAnAnswerTooLargeToKeepEndsItsClaim(t *testing.T) {
+// TestAnAnswerTooLargeToStoreEndsItsClaim stores an answer that exceeds the size
+// of a log entry: the claim must still end, and a repeated claim must get the
+// status unknown, which says that the request may have run.
+func TestAnAnswerTooLargeToStoreEndsItsClaim(t *testing.T) {
 	c := startCluster(t, layout{zones: []string{"north"}, controllers: 1, inMemory: true})
 	submit(t, c.operators(), dynamic.KindTenant, "depot", tenant("north"))
 	gateway := openGateway(c, "north", "gateway-1")
