--- a/internal/controller/backendclient.go
+++ b/internal/controller/backendclient.go
@@ -20,13 +20,13 @@
 	backEndDialTimeout = time.Second
 	pollTimeout        = 1500 * time.Millisecond
 	orderTimeout       = 2 * time.Second
-	// maximumStateBytes bounds the answer of an engine, a back end or the
-	// platform.
+	// maximumStateBytes limits the size of a response of an engine, a back end
+	// or the platform.
 	maximumStateBytes = 8 << 20
 )
 
-// backEndClient calls engines, application back ends and the platform: plain
-// HTTP with JSON.
+// backEndClient calls engines, application back ends and the platform over
+// plain HTTP with JSON bodies.
 type backEndClient struct {
 	http *client.Client
 }
@@ -44,19 +44,19 @@
 	return &backEndClient{http: httpClient}, nil
 }
 
-func (b *backEndClient) get(ctx context.Context, address, path string, answer any) error {
-	return b.call(ctx, http.MethodGet, address, path, nil, answer, pollTimeout)
+func (b *backEndClient) get(ctx context.Context, address, path string, result any) error {
+	return b.call(ctx, http.MethodGet, address, path, nil, result, pollTimeout)
 }
 
-func (b *backEndClient) post(ctx context.Context, address, path string, body, answer any) error {
+func (b *backEndClient) post(ctx context.Context, address, path string, body, result any) error {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return err
 	}
-	return b.call(ctx, http.MethodPost, address, path, data, answer, orderTimeout)
+	return b.call(ctx, http.MethodPost, address, path, data, result, orderTimeout)
 }
 
-func (b *backEndClient) call(ctx context.Context, method, address, path string, body []byte, answer any, timeout time.Duration) error {
+func (b *backEndClient) call(ctx context.Context, method, address, path string, body []byte, result any, timeout time.Duration) error {
 	request := protocol.AcquireRequest()
 	response := protocol.AcquireResponse()
 	defer protocol.ReleaseRequest(request)
@@ -71,17 +71,17 @@
 	if err := b.http.Do(ctx, request, response); err != nil {
 		return err
 	}
-	if answer == nil {
-		return acceptedStatus(address, response.StatusCode())
+	if result == nil {
+		return checkStatus(address, response.StatusCode())
 	}
-	if err := json.Unmarshal(response.Body(), answer); err != nil {
+	if err := json.Unmarshal(response.Body(), result); err != nil {
 		return fmt.Errorf("%s answered HTTP status %d: %w", address, response.StatusCode(), err)
 	}
 	return nil
 }
 
-// acceptedStatus judges an answer without a body.
-func acceptedStatus(address string, status int) error {
+// checkStatus checks the HTTP status of a response whose body is not read.
+func checkStatus(address string, status int) error {
 	if status < http.StatusOK || status >= http.StatusMultipleChoices {
 		return fmt.Errorf("%s answered HTTP status %d", address, status)
 	}
@@ -106,14 +106,14 @@
 	t.backEndPolled(sentAt, c.now(), poll.ID, state)
 }
 
-// sendOrder sends a committed order. A controller that has lost its authority
-// may send one late: its fence is then behind, and the engine refuses it.
+// sendOrder sends a committed order. A controller that has lost leadership may
+// send one late; the engine then rejects it because of its older fencing token.
 func (c *Controller) sendOrder(ctx context.Context, t *term, call reconcile.OrderCall) {
 	sentAt := c.now()
 	reply := &engineapi.OrderReply{}
 	err := c.backEnds.post(ctx, call.Address, engineapi.PathOrder, &call.Order, reply)
 	if err != nil || reply.Status == "" {
-		c.logger.V(1).Info("order not answered", "engine", call.Order.EngineID, "error", fmt.Sprint(err))
+		c.logger.V(1).Info("no valid response to the order", "engine", call.Order.EngineID, "error", fmt.Sprint(err))
 		reply = nil
 	}
 	t.orderSent(sentAt, c.now(), &call.Order, reply)
--- a/internal/controller/broadcast.go
+++ b/internal/controller/broadcast.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// broadcast wakes all waiters at once.
+// broadcast notifies all waiting goroutines at once.
 type broadcast struct {
 	mutex   sync.Mutex
 	channel chan struct{}
@@ -12,15 +12,16 @@
 	return &broadcast{channel: make(chan struct{})}
 }
 
-// wait returns a channel that is closed at the next notification. Take it
-// before looking at the state that is waited for.
+// wait returns a channel that is closed at the next notification. Callers must
+// call it before they read the state that they wait for, so that no change is
+// missed.
 func (b *broadcast) wait() <-chan struct{} {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.channel
 }
 
-// notify wakes everyone who waits.
+// notify wakes all current waiters.
 func (b *broadcast) notify() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/controller/changestatus.go
+++ b/internal/controller/changestatus.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// changeStatusInterval is the time between two looks at a change's status.
+// changeStatusInterval is the time between two checks of a change's status.
 const changeStatusInterval = 100 * time.Millisecond
 
 // ChangeStatus implements operatorapi.Backend.
--- a/internal/controller/claims.go
+++ b/internal/controller/claims.go
@@ -9,9 +9,9 @@
 	"github.com/pierhaven/pierhaven/internal/zonestate"
 )
 
-// handleClaim answers only after the claim is committed. An error with outcome
-// unknown means that the claim may be granted; the gateway must then not
-// dispatch, and may ask again under the same attempt id.
+// handleClaim replies only after the claim is committed. An error with unknown
+// outcome means that the claim may be granted; the gateway must then not
+// dispatch the request, and may retry the claim with the same attempt ID.
 func (c *Controller) handleClaim(ctx context.Context, request *wire.ClaimRequest) (*wire.ClaimReply, error) {
 	result, err := c.proposeZone(ctx, &zonestate.Command{
 		Kind: zonestate.KindClaim,
@@ -45,13 +45,13 @@
 	return reply, nil
 }
 
-// handleComplete stores the answer of a run.
+// handleComplete stores the answer of an executed request.
 func (c *Controller) handleComplete(ctx context.Context, request *wire.CompleteRequest) (*wire.CompleteReply, error) {
 	status, err := c.proposeOnceOnly(ctx, zonestate.KindComplete, &zonestate.OnceOnlyCommand{
 		Tenant:    request.Tenant,
 		Key:       request.Key,
 		AttemptID: request.AttemptID,
-		Answer:    &onceonly.Answer{Status: request.AnswerStatus, Body: c.shortened(request.AnswerBody)},
+		Answer:    &onceonly.Answer{Status: request.AnswerStatus, Body: c.truncateAnswer(request.AnswerBody)},
 	})
 	if err != nil {
 		return nil, err
@@ -59,15 +59,17 @@
 	return &wire.CompleteReply{Stored: status == onceonly.StatusDone}, nil
 }
 
-// shortened cuts an answer that is too large to be kept to the first length at
-// which the table sees that: the log need not carry the rest.
-func (c *Controller) shortened(body []byte) []byte {
+// truncateAnswer truncates an answer that is too large to be stored to one byte
+// more than the limit: the table of claims still sees that it is too large, and
+// the log need not carry the rest.
+func (c *Controller) truncateAnswer(body []byte) []byte {
 	var limit int
 	c.zoneMachine.Read(func(state *zonestate.State) { limit = state.Parameters().OnceOnly.AnswerBytes })
 	return body[:min(len(body), limit+1)]
 }
 
-// handleRelease gives a claim back or makes it unknown for good.
+// handleRelease releases a claim if its attempt has not run and never will;
+// otherwise it marks the claim unknown permanently.
 func (c *Controller) handleRelease(ctx context.Context, request *wire.ReleaseRequest) (*wire.ReleaseReply, error) {
 	status, err := c.proposeOnceOnly(ctx, zonestate.KindRelease, &zonestate.OnceOnlyCommand{
 		Tenant:    request.Tenant,
--- a/internal/controller/configadoption.go
+++ b/internal/controller/configadoption.go
@@ -13,24 +13,25 @@
 )
 
 const (
-	// configPullWait is how long a source may hold a pull without news.
+	// configPullWait is how long a source may hold a pull request while it has
+	// no newer configuration.
 	configPullWait = 2 * time.Second
-	// configPullMargin is added for the way there and back.
-	configPullMargin = time.Second
-	configPullPause  = 250 * time.Millisecond
-	// maximumConfigSources bounds the pulls that wait at the same time.
+	// configPullMargin is added to configPullWait for the round trip.
+	configPullMargin        = time.Second
+	configPullRetryInterval = 250 * time.Millisecond
+	// maximumConfigSources limits the number of concurrent pulls.
 	maximumConfigSources = 16
 )
 
-// adoptConfiguration offers each newer configuration to the leader's core while
-// a term lasts. It pulls from all config voters and from other zones'
-// controllers at once: one that is cut off itself holds its pull without news
-// and must not keep a newer configuration away.
+// adoptConfiguration offers each newer configuration to the reconcile core
+// during a term. It pulls from all config voters and from other zones'
+// controllers concurrently: a source that is isolated itself holds its pull
+// without a newer configuration, which must not delay one from another source.
 func (c *Controller) adoptConfiguration(ctx context.Context, t *term) {
 	var running sync.WaitGroup
 	defer running.Wait()
 	if c.config != nil {
-		running.Go(c.guard(func() { c.adoptOwnConfiguration(ctx, t) }))
+		running.Go(c.guard(func() { c.adoptLocalConfiguration(ctx, t) }))
 	}
 	for _, address := range c.configSources() {
 		running.Go(c.guard(func() { c.pullConfiguration(ctx, t, address) }))
@@ -53,14 +54,14 @@
 	return others[:min(len(others), maximumConfigSources)]
 }
 
-// adoptOwnConfiguration offers what this controller's own replica of the config
-// group has applied, which is committed.
-func (c *Controller) adoptOwnConfiguration(ctx context.Context, t *term) {
+// adoptLocalConfiguration offers the configurations that this controller's own
+// replica of the config group has applied; these are committed.
+func (c *Controller) adoptLocalConfiguration(ctx context.Context, t *term) {
 	for {
 		changed := c.configMachine.changed.wait()
 		snapshot, err := c.configMachine.configuration()
 		if err != nil {
-			c.logger.Error(failure.Wrap(err, failure.Internal), "configuration can't be read")
+			c.logger.Error(failure.Wrap(err, failure.Internal), "failed to read the configuration")
 		} else if snapshot.Revision > 0 {
 			t.offerConfig(snapshot)
 		}
@@ -76,7 +77,7 @@
 	for ctx.Err() == nil {
 		snapshot, err := c.pullOnce(ctx, address, c.zoneConfigRevision())
 		if err != nil {
-			if !lifecycle.Sleep(ctx, configPullPause) {
+			if !lifecycle.Sleep(ctx, configPullRetryInterval) {
 				return
 			}
 			continue
@@ -89,7 +90,8 @@
 	}
 }
 
-// awaitAdoption keeps the next pull from bringing the same again.
+// awaitAdoption waits until the zone has adopted the revision, for at most the
+// proposal timeout, so that the next pull does not return the same snapshot.
 func (c *Controller) awaitAdoption(ctx context.Context, revision uint64) {
 	timer := time.NewTimer(c.settings.ProposalTimeout)
 	defer timer.Stop()
@@ -125,24 +127,25 @@
 }
 
 // newestConfiguration returns the newest committed configuration that this
-// controller has: of the config group or of its zone.
+// controller has, from the config group or from its zone.
 func (c *Controller) newestConfiguration() (*dynamic.Snapshot, error) {
 	var newest *dynamic.Snapshot
 	c.zoneMachine.Read(func(state *zonestate.State) { newest = state.Config() })
 	if c.config == nil {
 		return newest, nil
 	}
-	own, err := c.configMachine.configuration()
+	local, err := c.configMachine.configuration()
 	if err != nil {
 		return newest, err
 	}
-	if newest == nil || own.Revision > newest.Revision {
-		newest = own
+	if newest == nil || local.Revision > newest.Revision {
+		newest = local
 	}
 	return newest, nil
 }
 
-// handleConfigPull waits until there is a newer configuration than the asker's.
+// handleConfigPull waits for a configuration newer than the requester's. The reply
+// is empty if there is none within the requested time.
 func (c *Controller) handleConfigPull(ctx context.Context, request *wire.ConfigPullRequest) (*wire.ConfigPullReply, error) {
 	if !c.watches.TryAcquire(1) {
 		return nil, failure.New(failure.QueueFull, "too many watches wait")
@@ -173,8 +176,8 @@
 	}
 }
 
-// configChanged is closed at the config group's next change; nil if this
-// controller is no config voter.
+// configChanged returns a channel that is closed at the config group's next
+// change, or nil if this controller is not a config voter.
 func (c *Controller) configChanged() <-chan struct{} {
 	if c.config == nil {
 		return nil
--- a/internal/controller/configapply.go
+++ b/internal/controller/configapply.go
@@ -13,7 +13,7 @@
 	"github.com/pierhaven/pierhaven/internal/failure"
 )
 
-// namedDocument is a document of a whole configuration.
+// namedDocument is one encoded document of a complete configuration.
 type namedDocument struct {
 	kind dynamic.Kind
 	name string
@@ -25,8 +25,8 @@
 	name string
 }
 
-// documentsOf takes a configuration apart, in an order in which what others
-// refer to comes first.
+// documentsOf splits a configuration into documents, ordered so that a document
+// comes before those that refer to it.
 func documentsOf(snapshot *dynamic.Snapshot) []namedDocument {
 	var documents []namedDocument
 	for _, model := range snapshot.Models {
@@ -44,8 +44,9 @@
 	return documents
 }
 
-// encodeDocument can't fail: the types of package dynamic hold only what JSON
-// can express, and were checked when they were decoded.
+// encodeDocument ignores the encoding error, which can't occur: the types of
+// package dynamic contain only values that JSON can represent, and were
+// validated when they were decoded.
 func encodeDocument(kind dynamic.Kind, name string, document any) namedDocument {
 	body, _ := json.Marshal(document)
 	return namedDocument{kind: kind, name: name, body: body}
@@ -55,7 +56,7 @@
 func (c *Controller) ApplyConfiguration(ctx context.Context, change operatorapi.ConfigurationChange) (operatorapi.ApplyResult, error) {
 	result := operatorapi.ApplyResult{RequestID: change.RequestID, Changes: []operatorapi.AppliedDocument{}}
 	wanted := documentsOf(&change.Snapshot)
-	if err := c.checkAll(wanted); err != nil {
+	if err := c.checkDocuments(wanted); err != nil {
 		return result, err
 	}
 	reply, err := c.readDocuments(ctx, "", "")
@@ -63,16 +64,16 @@
 		return result, err
 	}
 	result.Revision = reply.Revision
-	present := map[documentKey]versioned.Document{}
+	existing := map[documentKey]versioned.Document{}
 	for _, document := range reply.Documents {
 		if dynamic.Kind(document.Kind) == kindZoneGroup {
 			continue
 		}
-		present[documentKey{dynamic.Kind(document.Kind), document.Name}] = document
+		existing[documentKey{dynamic.Kind(document.Kind), document.Name}] = document
 	}
 	for _, document := range wanted {
-		current, found := present[documentKey{document.kind, document.name}]
-		delete(present, documentKey{document.kind, document.name})
+		current, found := existing[documentKey{document.kind, document.name}]
+		delete(existing, documentKey{document.kind, document.name})
 		if found && bytes.Equal(current.Body, document.body) {
 			result.Unchanged++
 			continue
@@ -82,13 +83,13 @@
 		}
 	}
 	if change.Prune {
-		return result, c.prune(ctx, &result, present)
+		return result, c.prune(ctx, &result, existing)
 	}
 	return result, nil
 }
 
-// checkAll reports the mistakes of all documents at once.
-func (c *Controller) checkAll(documents []namedDocument) error {
+// checkDocuments reports the errors of all documents at once.
+func (c *Controller) checkDocuments(documents []namedDocument) error {
 	var text string
 	seen := map[documentKey]bool{}
 	for _, document := range documents {
@@ -112,8 +113,9 @@
 	return nil
 }
 
-// applyDocument submits or replaces one document. The name of a submission may
-// have been used before: then the refusal tells the revision to expect.
+// applyDocument submits or replaces one document. If the name of a submitted
+// document belonged to a withdrawn one, the conflict result has the revision to
+// expect, and the submission is repeated with it.
 func (c *Controller) applyDocument(ctx context.Context, result *operatorapi.ApplyResult, document namedDocument, revision uint64, found bool) error {
 	_, pinned, err := checkDocument(document.kind, document.name, document.body)
 	if err != nil {
@@ -134,7 +136,7 @@
 		command.RequestID = applyRequestID(result.RequestID, &command)
 		outcome, err = c.proposeConfig(ctx, command)
 	}
-	return record(result, &command, applied, outcome, err)
+	return recordChange(result, &command, applied, outcome, err)
 }
 
 func (c *Controller) prune(ctx context.Context, result *operatorapi.ApplyResult, surplus map[documentKey]versioned.Document) error {
@@ -152,24 +154,25 @@
 		}
 		command.RequestID = applyRequestID(result.RequestID, &command)
 		outcome, err := c.proposeConfig(ctx, command)
-		if err := record(result, &command, operatorapi.OperationWithdraw, outcome, err); err != nil {
+		if err := recordChange(result, &command, operatorapi.OperationWithdraw, outcome, err); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// applyRequestID names one change of a whole configuration. It is the same for
-// a resend that finds the document at the same revision.
+// applyRequestID derives the request ID of one change from that of the whole
+// configuration. A repeated request that finds the document at the same revision
+// gets the same ID.
 func applyRequestID(requestID string, command *versioned.Command) string {
 	return fmt.Sprintf("%s/%x", requestID, hashOf(fmt.Sprintf("%s/%s/%s/%d", command.Operation, command.Kind, command.Name, command.ExpectedRevision)))
 }
 
-func record(result *operatorapi.ApplyResult, command *versioned.Command, operation operatorapi.Operation, outcome versioned.Result, err error) error {
+func recordChange(result *operatorapi.ApplyResult, command *versioned.Command, operation operatorapi.Operation, outcome versioned.Result, err error) error {
 	if err != nil {
 		return err
 	}
-	if err := refusedChange(command, &outcome); err != nil {
+	if err := changeError(command, &outcome); err != nil {
 		return err
 	}
 	result.Revision = max(result.Revision, outcome.DocumentRevision)
--- a/internal/controller/configchanges.go
+++ b/internal/controller/configchanges.go
@@ -13,8 +13,9 @@
 	"github.com/pierhaven/pierhaven/internal/policy"
 )
 
-// proposeConfig commits a command at the config group's leader, wherever that
-// is. The command's request id makes it safe to send it more than once.
+// proposeConfig commits a command at the config group's leader, which may be
+// another controller. The command's request ID makes it safe to send it more than
+// once.
 func (c *Controller) proposeConfig(ctx context.Context, command versioned.Command) (versioned.Result, error) {
 	data, err := command.Encode()
 	if err != nil {
@@ -41,14 +42,14 @@
 		addresses = unique([]string{c.config.LeaderAddress()}, c.config.MemberAddresses(), addresses)
 	}
 	return &leaderCall{
-		groupName: operatorapi.GroupConfig,
-		addresses: addresses,
-		search:    c.leaderSearchTime(),
-		attempt:   attempt,
+		groupName:  operatorapi.GroupConfig,
+		addresses:  addresses,
+		searchTime: c.leaderSearchTime(),
+		attempt:    attempt,
 	}
 }
 
-// readDocuments reads documents at the config group's leader.
+// readDocuments reads documents from the config group's leader.
 func (c *Controller) readDocuments(ctx context.Context, kind dynamic.Kind, name string) (*peer.DocumentsReply, error) {
 	reply := &peer.DocumentsReply{}
 	call := c.configLeaderCall(func(ctx context.Context, address string) error {
@@ -59,8 +60,9 @@
 	return reply, call.run(ctx)
 }
 
-// checkDocument decodes a document, checks it and returns its canonical form
-// and its pinned property.
+// checkDocument decodes and validates a document. It returns the document's
+// canonical form and its pinned property, which is the home zone of a tenant and
+// empty for other kinds.
 func checkDocument(kind dynamic.Kind, name string, data []byte) (body []byte, pinned string, err error) {
 	document, err := operatorapi.DecodeDocument(kind, name, data)
 	if err != nil {
@@ -130,7 +132,7 @@
 	if err != nil {
 		return operatorapi.ChangeResult{}, err
 	}
-	if err := refusedChange(&command, &result); err != nil {
+	if err := changeError(&command, &result); err != nil {
 		return operatorapi.ChangeResult{}, err
 	}
 	c.logger.Info("configuration changed", "operation", command.Operation, "kind", command.Kind, "name", command.Name,
@@ -142,10 +144,10 @@
 	}, nil
 }
 
-// refusedChange turns an outcome other than applied into an error. All of them
-// mean that nothing was changed.
-func refusedChange(command *versioned.Command, result *versioned.Result) error {
-	refuse := func(kind failure.Kind, format string, arguments ...any) error {
+// changeError returns an error for each outcome other than applied. All of these
+// outcomes mean that nothing was changed.
+func changeError(command *versioned.Command, result *versioned.Result) error {
+	newError := func(kind failure.Kind, format string, arguments ...any) error {
 		prefix := fmt.Sprintf("%s %q: ", command.Kind, command.Name)
 		return failure.New(kind, prefix+fmt.Sprintf(format, arguments...), failure.WithRan(failure.RanNo))
 	}
@@ -153,19 +155,19 @@
 	case versioned.OutcomeApplied:
 		return nil
 	case versioned.OutcomeConflict:
-		return refuse(failure.RevisionConflict, "%s, expected was revision %d", describeRevision(result), command.ExpectedRevision)
+		return newError(failure.RevisionConflict, "%s, expected was revision %d", describeRevision(result), command.ExpectedRevision)
 	case versioned.OutcomeNotFound:
-		return refuse(failure.NotFound, "%s", describeRevision(result))
+		return newError(failure.NotFound, "%s", describeRevision(result))
 	case versioned.OutcomePinned:
-		return refuse(failure.InvalidDocument, "home_zone: can't be changed, not even by withdrawing and submitting")
+		return newError(failure.InvalidDocument, "home_zone: can't be changed, not even by withdrawing and submitting")
 	case versioned.OutcomeRequestReused:
-		return refuse(failure.IdempotencyKeyReused, "request id %q was used for another change", command.RequestID)
+		return newError(failure.IdempotencyKeyReused, "request id %q was used for another change", command.RequestID)
 	case versioned.OutcomeFull:
-		return refuse(failure.InvalidDocument, "the configuration is at its bound")
+		return newError(failure.InvalidDocument, "the configuration is at its bound")
 	case versioned.OutcomeMalformed:
-		return refuse(failure.InvalidDocument, "the document or a name is over its bound")
+		return newError(failure.InvalidDocument, "the document or a name is over its bound")
 	}
-	return refuse(failure.Internal, "unknown outcome %q", result.Outcome)
+	return newError(failure.Internal, "unknown outcome %q", result.Outcome)
 }
 
 func describeRevision(result *versioned.Result) string {
@@ -196,10 +198,10 @@
 	if snapshot == nil {
 		snapshot = &dynamic.Snapshot{}
 	}
-	return operatorapi.Configuration{Freshness: copyFreshness(snapshot, readError), Snapshot: *snapshot}, nil
+	return operatorapi.Configuration{Freshness: localFreshness(snapshot, readError), Snapshot: *snapshot}, nil
 }
 
-func copyFreshness(snapshot *dynamic.Snapshot, problem error) operatorapi.Freshness {
+func localFreshness(snapshot *dynamic.Snapshot, problem error) operatorapi.Freshness {
 	return operatorapi.Freshness{Revision: snapshot.Revision, Source: operatorapi.SourceCopy, Problem: problem.Error()}
 }
 
@@ -207,7 +209,7 @@
 func (c *Controller) Documents(ctx context.Context, kind dynamic.Kind) (operatorapi.DocumentList, error) {
 	reply, readError := c.readDocuments(ctx, "", "")
 	if readError != nil {
-		return c.documentsOfCopy(kind, readError)
+		return c.listLocalDocuments(kind, readError)
 	}
 	list := operatorapi.DocumentList{
 		Freshness: operatorapi.Freshness{Revision: reply.Revision, Source: operatorapi.SourceLeader},
@@ -231,9 +233,9 @@
 	}
 }
 
-// documentsOfCopy lists from this controller's own copy, which knows the
-// documents but not their revisions.
-func (c *Controller) documentsOfCopy(kind dynamic.Kind, problem error) (operatorapi.DocumentList, error) {
+// listLocalDocuments lists the documents of this controller's local copy, which
+// does not contain their revisions.
+func (c *Controller) listLocalDocuments(kind dynamic.Kind, problem error) (operatorapi.DocumentList, error) {
 	snapshot, err := c.newestConfiguration()
 	if err != nil {
 		return operatorapi.DocumentList{}, failure.Wrap(err, failure.Internal)
@@ -241,12 +243,12 @@
 	if snapshot == nil {
 		snapshot = &dynamic.Snapshot{}
 	}
-	list := operatorapi.DocumentList{Freshness: copyFreshness(snapshot, problem), Documents: []operatorapi.Document{}}
-	for _, wanted := range documentsOf(snapshot) {
-		if wanted.kind != kind {
+	list := operatorapi.DocumentList{Freshness: localFreshness(snapshot, problem), Documents: []operatorapi.Document{}}
+	for _, document := range documentsOf(snapshot) {
+		if document.kind != kind {
 			continue
 		}
-		list.Documents = append(list.Documents, operatorapi.Document{Kind: kind, Name: wanted.name, Body: wanted.body})
+		list.Documents = append(list.Documents, operatorapi.Document{Kind: kind, Name: document.name, Body: document.body})
 	}
 	return list, nil
 }
@@ -261,7 +263,7 @@
 		}
 		return operatorDocument(reply.Documents[0]), nil
 	}
-	list, err := c.documentsOfCopy(kind, readError)
+	list, err := c.listLocalDocuments(kind, readError)
 	if err != nil {
 		return operatorapi.Document{}, err
 	}
--- a/internal/controller/configmachine.go
+++ b/internal/controller/configmachine.go
@@ -9,8 +9,8 @@
 	"github.com/pierhaven/pierhaven/internal/config/dynamic"
 )
 
-// configMachine is the config group's state machine: the store of documents,
-// guarded for concurrent readers.
+// configMachine is the config group's state machine: a document store with a
+// mutex for concurrent readers.
 type configMachine struct {
 	changed *broadcast
 
@@ -19,8 +19,8 @@
 	snapshot *dynamic.Snapshot
 }
 
-// maximumConfigurationBytes bounds all documents together. A zone group adopts
-// them in one command, which must stay below replica.DefaultMaxCommandBytes.
+// maximumConfigurationBytes limits the total size of all documents. A zone group
+// adopts them in one command, which must stay below replica.DefaultMaxCommandBytes.
 const maximumConfigurationBytes = 3 << 20
 
 func newConfigMachine() *configMachine {
@@ -33,9 +33,9 @@
 	m.mutex.Lock()
 	before := m.store.Revision()
 	result := m.store.Apply(index, command)
-	moved := m.store.Revision() != before
+	revisionChanged := m.store.Revision() != before
 	m.mutex.Unlock()
-	if moved {
+	if revisionChanged {
 		m.changed.notify()
 	}
 	return result
@@ -56,8 +56,8 @@
 	return m.store.Restore(data)
 }
 
-// documents returns the documents in force, or the one with a name even if it
-// was withdrawn.
+// documents returns the configuration's revision and the current documents. If
+// name is set, it returns only that document, even if it was withdrawn.
 func (m *configMachine) documents(kind, name string) (uint64, []versioned.Document) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -71,14 +71,15 @@
 	return m.revision(), []versioned.Document{document}
 }
 
-// revision is that of the last change by an operator: what the zone groups record here at
-// their founding is no change of the configuration. It is called with the mutex held.
+// revision returns the revision of the last change by an operator. The records that
+// zone groups store here at their founding do not change the configuration. The
+// caller must hold m.mutex.
 func (m *configMachine) revision() uint64 {
 	return m.store.RevisionExcept(string(kindZoneGroup))
 }
 
-// configuration returns the whole configuration. The result is shared: it must
-// not be changed.
+// configuration returns the complete configuration. The result is shared and must
+// not be modified.
 func (m *configMachine) configuration() (*dynamic.Snapshot, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -94,7 +95,7 @@
 	return snapshot, nil
 }
 
-// assemble makes a configuration of documents that are sorted by kind and name.
+// assemble builds a configuration from documents that are sorted by kind and name.
 func assemble(revision uint64, documents []versioned.Document) (*dynamic.Snapshot, error) {
 	snapshot := &dynamic.Snapshot{Revision: revision}
 	for _, document := range documents {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -24,21 +24,23 @@
 	"github.com/pierhaven/pierhaven/internal/zonestate"
 )
 
-// Conditions of readiness.
+// Readiness conditions, folders below the data folder, and timing. The transport
+// timeout is transportTimeoutElections election timeouts, at least
+// minimumTransportTimeout.
 const (
-	conditionZoneLeader    = "zone group has no leader"
-	conditionZoneFounded   = "zone group is not founded"
-	conditionConfigLeader  = "config group has no leader"
-	healthInterval         = 200 * time.Millisecond
-	zoneFolder             = "zone-group"
-	configFolder           = "config-group"
-	transferTimeout        = 5 * time.Second
-	workerReleaseTimeout   = time.Second
-	minimumTransportWait   = 500 * time.Millisecond
-	transportWaitElections = 1
+	conditionZoneLeader       = "zone group has no leader"
+	conditionZoneFounded      = "zone group is not founded"
+	conditionConfigLeader     = "config group has no leader"
+	healthInterval            = 200 * time.Millisecond
+	zoneFolder                = "zone-group"
+	configFolder              = "config-group"
+	transferTimeout           = 5 * time.Second
+	workerReleaseTimeout      = time.Second
+	minimumTransportTimeout   = 500 * time.Millisecond
+	transportTimeoutElections = 1
 )
 
-// Controller is one control machine's process.
+// Controller is the process that runs on one control machine.
 type Controller struct {
 	settings Settings
 	logger   logr.Logger
@@ -54,7 +56,7 @@
 
 	zone          *replication.Group
 	zoneMachine   *zoneMachine
-	config        *replication.Group // nil if this is no config voter
+	config        *replication.Group // nil if this controller is not a config voter
 	configMachine *configMachine
 	term          atomic.Pointer[term]
 	engineEnds    engineEnds
@@ -66,7 +68,7 @@
 }
 
 // New opens the data folder and prepares everything that Run then runs. All
-// mistakes of the settings are reported at once.
+// errors in the settings are reported at once.
 func New(settings Settings) (*Controller, error) {
 	settings = settings.withDefaults()
 	if err := settings.check(); err != nil {
@@ -112,7 +114,7 @@
 	if err != nil {
 		return err
 	}
-	timeout := max(minimumTransportWait, transportWaitElections*c.settings.ElectionTimeout)
+	timeout := max(minimumTransportTimeout, transportTimeoutElections*c.settings.ElectionTimeout)
 	c.transport, err = replication.NewTransport(c.client, c.settings.AdvertiseAddress, timeout, c.logger)
 	return err
 }
@@ -132,7 +134,7 @@
 	return nil
 }
 
-// groups lists the hosted replicas.
+// groups returns the groups of which this controller hosts a replica.
 func (c *Controller) groups() []*replication.Group {
 	if c.config == nil {
 		return []*replication.Group{c.zone}
@@ -140,24 +142,25 @@
 	return []*replication.Group{c.zone, c.config}
 }
 
-// now is the time since the process began, with what the machine was suspended.
+// now returns the time since the process started, including the time for which
+// the machine was suspended.
 func (c *Controller) now() time.Duration { return c.uptime() }
 
-// currentTerm is the present time of leading the zone group, nil if there is
-// none.
+// currentTerm returns the current term as leader of the zone group, or nil if
+// there is none.
 func (c *Controller) currentTerm() *term { return c.term.Load() }
 
-// guard has the log ring written before a panic of a long-lived goroutine ends
-// the process.
+// guard wraps the function of a long-lived goroutine so that the log ring is
+// written before a panic ends the process.
 func (c *Controller) guard(work func()) func() {
 	return eventlog.Guard(c.settings.DumpLog, work)
 }
 
 func hashOf(text string) uint64 { return xxhash.Sum64String(text) }
 
-// Run serves until the context ends, then hands leadership over and returns
-// nil. It returns early, with an error, if a replica fails: after a failed sync
-// the process must not go on.
+// Run serves until the context ends, then transfers leadership and returns nil.
+// It returns early, with an error, if a replica fails: after a failed sync the
+// process must not continue.
 func (c *Controller) Run(ctx context.Context) error {
 	listener, err := listen(c.settings.Listener, c.settings.ListenAddress)
 	if err != nil {
@@ -169,20 +172,20 @@
 	}
 	closeInternal := rpc.RunServer(c.newInternalServer(listener), listener)
 	closeOperators := rpc.RunServer(c.newOperatorServer(operatorListener), operatorListener)
-	background, endBackground := context.WithCancel(context.Background())
+	background, cancelBackground := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	err = c.startGroups(background, &running)
 	if err == nil {
 		running.Go(c.guard(func() { c.followLeadership(background) }))
 		running.Go(c.guard(func() { c.watchHealth(background) }))
-		err = c.waitForEnd(ctx)
+		err = c.waitForStop(ctx)
 	}
 	c.health.SetLeaving()
 	if err == nil {
-		c.handOver()
+		c.transferLeadership()
 	}
 	c.stop()
-	endBackground()
+	cancelBackground()
 	running.Wait()
 	for _, g := range c.groups() {
 		g.Runner.Stop()
@@ -220,12 +223,13 @@
 	return nil
 }
 
-// waitForEnd returns when the context ends or a replica has stopped by itself.
-func (c *Controller) waitForEnd(ctx context.Context) error {
+// waitForStop returns nil when the context ends, or an error when a replica has
+// stopped on its own. Quarantined replicas are logged and then ignored.
+func (c *Controller) waitForStop(ctx context.Context) error {
 	failed := make(chan *replication.Group, len(c.groups()))
 	for _, g := range c.groups() {
 		if g.Runner.Status().Quarantined != nil {
-			c.logger.Error(failure.Wrap(g.Runner.Status().Quarantined, failure.StorageFailed), "replica takes no part", "group", g.Name)
+			c.logger.Error(failure.Wrap(g.Runner.Status().Quarantined, failure.StorageFailed), "replica is quarantined and does not participate in its group", "group", g.Name)
 			continue
 		}
 		go func() {
@@ -243,8 +247,9 @@
 	}
 }
 
-// handOver gives leadership away, so that a planned stop costs no election.
-func (c *Controller) handOver() {
+// transferLeadership transfers the leadership of each group that this controller
+// leads, so that a planned stop causes no election.
+func (c *Controller) transferLeadership() {
 	ctx, cancel := context.WithTimeout(context.Background(), transferTimeout)
 	defer cancel()
 	for _, g := range c.groups() {
@@ -252,12 +257,12 @@
 			continue
 		}
 		if err := g.Runner.Transfer(ctx); err != nil {
-			c.logger.Info("leadership was not handed over", "group", g.Name, "error", err.Error())
+			c.logger.Info("leadership was not transferred", "group", g.Name, "error", err.Error())
 		}
 	}
 }
 
-// watchHealth keeps the conditions of readiness.
+// watchHealth keeps the readiness conditions up to date.
 func (c *Controller) watchHealth(ctx context.Context) {
 	for {
 		founded := false
--- a/internal/controller/founding.go
+++ b/internal/controller/founding.go
@@ -8,14 +8,14 @@
 	"github.com/pierhaven/pierhaven/internal/replication"
 )
 
-// foundGroup founds a group of the settings' first voters, if this controller is
-// the first of them.
+// foundGroup founds a group from the voters in the settings, if this controller
+// is the one whose address sorts first.
 func (c *Controller) foundGroup(ctx context.Context, g *replication.Group, voters []string) {
 	founder := &replication.Founder{Group: g, Client: c.client, Self: c.settings.AdvertiseAddress, Logger: c.logger}
 	founder.Found(ctx, voters)
 }
 
-// handlePromise promises to take part in a founding.
+// handlePromise records this replica's promise to take part in a founding.
 func (c *Controller) handlePromise(ctx context.Context, request *replica.FoundingRequest) (*replica.FoundingPromise, error) {
 	g, err := c.groupByNumber(request.Group)
 	if err != nil {
@@ -24,7 +24,7 @@
 	return g.PromiseFounding(ctx, request)
 }
 
-// handleFound takes part in a founding.
+// handleFound makes this replica a member of a group that it promised to found.
 func (c *Controller) handleFound(ctx context.Context, founding *replica.Founding) (*peer.Empty, error) {
 	g, err := c.groupByNumber(founding.Group)
 	if err != nil {
--- a/internal/controller/generation.go
+++ b/internal/controller/generation.go
@@ -12,20 +12,20 @@
 	"github.com/pierhaven/pierhaven/internal/zonestate"
 )
 
-// kindZoneGroup is the kind of the config group's documents that record each
-// zone group's founding. Operators and gateways don't see them.
+// kindZoneGroup is the kind of the documents in the config group that record the
+// founding of each zone group. Operators and gateways don't see them.
 const kindZoneGroup dynamic.Kind = "zone_group"
 
-// zoneGroupRecord is the last founding of a zone's group.
+// zoneGroupRecord describes the last founding of a zone's group.
 type zoneGroupRecord struct {
-	// Founding is the random token of the founding.
+	// Founding is the random token that identifies the founding.
 	Founding uint64 `json:"founding"`
 	// Generation counts the foundings of the zone's group.
 	Generation uint64 `json:"generation"`
 }
 
-// awaitGeneration asks for the generation until it is known or the context
-// ends. Only a group that is not founded yet may have to wait.
+// awaitGeneration queries the generation until it is known or the context ends.
+// Only a group that is not founded yet may have to wait.
 func (c *Controller) awaitGeneration(ctx context.Context) (generation uint64, known bool) {
 	for {
 		generation, err := c.zoneGeneration(ctx)
@@ -40,10 +40,10 @@
 }
 
 // zoneGeneration returns the generation of this controller's zone group. A
-// group that is not founded yet gets it from the config group, which remembers
-// that there was one before: a group whose disks were all lost has no memory of
-// its fences and claims. The founding's token makes it safe to ask again, also
-// by another leader of the same group.
+// group that is not founded yet gets it from the config group, which records
+// whether the zone had an earlier group: a group whose disks were all lost has
+// no record of its fencing tokens and claims. The founding token makes it safe to
+// repeat the query, also by another leader of the same group.
 func (c *Controller) zoneGeneration(ctx context.Context) (uint64, error) {
 	if generation := c.foundedGeneration(); generation != 0 {
 		return generation, nil
@@ -86,12 +86,13 @@
 		return 0, err
 	}
 	if result.Outcome != versioned.OutcomeApplied {
-		return 0, refusedChange(&command, &result)
+		return 0, changeError(&command, &result)
 	}
 	return record.Generation, nil
 }
 
-// foundedGeneration is the generation of a group that is founded, else 0.
+// foundedGeneration returns the generation of the zone group, or 0 if it is not
+// founded yet.
 func (c *Controller) foundedGeneration() uint64 {
 	var generation uint64
 	c.zoneMachine.Read(func(state *zonestate.State) {
--- a/internal/controller/group.go
+++ b/internal/controller/group.go
@@ -11,8 +11,9 @@
 	"github.com/pierhaven/pierhaven/internal/replication"
 )
 
-// groupNumber is the number of a group on the wire. Zone groups go by their
-// zone, so that all controllers agree without asking each other.
+// groupNumber returns the number that identifies a group on the wire. It is a hash
+// of the name, which is the zone for zone groups, so that all controllers agree
+// without communicating.
 func groupNumber(name string) uint64 {
 	if name == operatorapi.GroupConfig {
 		return xxhash.Sum64String("config")
@@ -20,7 +21,7 @@
 	return xxhash.Sum64String("zone/" + name)
 }
 
-// openGroup opens this controller's replica of a group. It does not start it.
+// openGroup opens this controller's replica of a group without starting it.
 func openGroup(settings Settings, name, folder string, machine replica.StateMachine, transport *replication.Transport) (*replication.Group, error) {
 	return replication.Open(replication.Options{
 		Name:            name,
@@ -36,7 +37,7 @@
 	}, transport)
 }
 
-// groupState describes the replica for operators.
+// groupState describes the hosted replica and its group for operators.
 func groupState(g *replication.Group) operatorapi.GroupState {
 	status := g.Runner.Status()
 	state := operatorapi.GroupState{
@@ -69,5 +70,5 @@
 	return state
 }
 
-// roleJoining is shown of a replica that does not know its group yet.
+// roleJoining is the reported role of a replica that does not know its group yet.
 const roleJoining = "joining"
--- a/internal/controller/grouphandlers.go
+++ b/internal/controller/grouphandlers.go
@@ -12,13 +12,14 @@
 	"github.com/pierhaven/pierhaven/internal/replication"
 )
 
-// membershipTimeout bounds a change of members, which waits until a new replica
+// membershipTimeout bounds a membership change, which waits until a new replica
 // has caught up.
 const membershipTimeout = 2 * time.Minute
 
 var errUnknownAction = errors.New("unknown action on members")
 
-// groupByNumber finds the hosted replica of a group.
+// groupByNumber returns the group with a number if this controller hosts a replica
+// of it.
 func (c *Controller) groupByNumber(number uint64) (*replication.Group, error) {
 	for _, g := range c.groups() {
 		if g.Number == number {
@@ -69,8 +70,8 @@
 	return &state, nil
 }
 
-// handleMembership carries out one change of the members, at the leader. It may
-// be repeated.
+// handleMembership executes one membership change at the group's leader. Callers
+// may repeat it.
 func (c *Controller) handleMembership(ctx context.Context, request *peer.MembershipRequest) (*operatorapi.GroupState, error) {
 	g, err := c.groupByNumber(request.Group)
 	if err != nil {
@@ -78,7 +79,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, membershipTimeout)
 	defer cancel()
-	if err := translateMembership(g, changeMembers(ctx, g, request)); err != nil {
+	if err := translateMembershipError(g, changeMembers(ctx, g, request)); err != nil {
 		return nil, err
 	}
 	state := groupState(g)
@@ -101,8 +102,9 @@
 	return errUnknownAction
 }
 
-// translateMembership gives the refusals of a membership change their kinds.
-func translateMembership(g *replication.Group, err error) error {
+// translateMembershipError sets the failure kind of an error of a membership
+// change.
+func translateMembershipError(g *replication.Group, err error) error {
 	switch {
 	case errors.Is(err, consensus.ErrUnknownMember):
 		return failure.Wrap(err, failure.NotFound)
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -14,14 +14,15 @@
 
 const (
 	tickInterval = 100 * time.Millisecond
-	// minimumTickSpacing bounds the ticks that heartbeats and answers ask for.
+	// minimumTickSpacing is the minimum time between two ticks, since heartbeats,
+	// responses and changes of the zone's state trigger ticks too.
 	minimumTickSpacing = 5 * time.Millisecond
 	planInterval       = time.Second
 	retryTermInterval  = 50 * time.Millisecond
 )
 
-// followLeadership runs a term whenever this controller leads the zone group,
-// and ends it when it does not any more.
+// followLeadership runs a term while this controller leads the zone group. Each
+// leadership change ends the running term.
 func (c *Controller) followLeadership(ctx context.Context) {
 	var running sync.WaitGroup
 	end := func() {}
@@ -36,20 +37,20 @@
 			return
 		case change := <-c.zone.Runner.LeadershipChanges():
 			stop()
-			c.logger.Info("leadership of the zone group", "leads", change.IsSelf, "leader", change.Address, "term", change.Term)
+			c.logger.Info("zone group leadership changed", "leads", change.IsSelf, "leader", change.Address, "term", change.Term)
 			if !change.IsSelf {
 				continue
 			}
 			termContext, cancel := context.WithCancel(ctx)
 			end = cancel
-			running.Go(c.guard(func() { c.lead(termContext, change) }))
+			running.Go(c.guard(func() { c.runTerm(termContext, change) }))
 		}
 	}
 }
 
-// lead runs one term. It begins with a read barrier, so that the core starts
+// runTerm runs one term. It begins with a read barrier, so that the core starts
 // from everything that earlier leaders have committed.
-func (c *Controller) lead(ctx context.Context, change replica.LeadershipChange) {
+func (c *Controller) runTerm(ctx context.Context, change replica.LeadershipChange) {
 	for c.zone.ReadBarrier(ctx) != nil {
 		if !lifecycle.Sleep(ctx, retryTermInterval) {
 			return
@@ -109,7 +110,7 @@
 	defer ticker.Stop()
 	for {
 		changed := c.zoneMachine.changed.wait()
-		c.carryOut(ctx, t, t.tick(c.now(), time.Now().UnixMilli()))
+		c.dispatchOutputs(ctx, t, t.tick(c.now(), time.Now().UnixMilli()))
 		if !lifecycle.Sleep(ctx, minimumTickSpacing) {
 			return
 		}
@@ -123,11 +124,11 @@
 	}
 }
 
-// carryOut starts what a tick asked for. What finds no free worker counts as
-// failed, and is asked for again.
-func (c *Controller) carryOut(ctx context.Context, t *term, outputs reconcile.Outputs) {
+// dispatchOutputs submits the work that a tick requested to the worker pool. Work
+// that finds no free worker counts as failed and is requested again.
+func (c *Controller) dispatchOutputs(ctx context.Context, t *term, outputs reconcile.Outputs) {
 	for _, proposal := range outputs.Proposals {
-		if c.workers.Submit(func() { c.carryOutProposal(ctx, t, proposal) }) != nil {
+		if c.workers.Submit(func() { c.runProposal(ctx, t, proposal) }) != nil {
 			t.proposalEnded(proposal.Key)
 		}
 	}
@@ -148,7 +149,7 @@
 	}
 }
 
-func (c *Controller) carryOutProposal(ctx context.Context, t *term, proposal reconcile.Proposal) {
+func (c *Controller) runProposal(ctx context.Context, t *term, proposal reconcile.Proposal) {
 	defer t.proposalEnded(proposal.Key)
 	result, err := c.proposeZone(ctx, &proposal.Command)
 	if err != nil {
@@ -156,6 +157,6 @@
 		return
 	}
 	if result.Outcome != zonestate.OutcomeDone {
-		c.logger.V(1).Info("proposal refused", "kind", proposal.Command.Kind, "outcome", result.Outcome, "detail", result.Detail)
+		c.logger.V(1).Info("proposal rejected", "kind", proposal.Command.Kind, "outcome", result.Outcome, "detail", result.Detail)
 	}
 }
--- a/internal/controller/leadercall.go
+++ b/internal/controller/leadercall.go
@@ -11,54 +11,55 @@
 )
 
 const (
-	leaderCallPause = 100 * time.Millisecond
-	// leaderCallElections is how many election timeouts the search for a
-	// leader may take.
-	leaderCallElections = 6
-	// leaderCallMinimum is the least time of that search.
-	leaderCallMinimum = 2 * time.Second
+	leaderCallRetryInterval = 100 * time.Millisecond
+	// leaderSearchElections is the number of election timeouts that the search
+	// for a leader may take.
+	leaderSearchElections = 6
+	// minimumLeaderSearchTime is the lower bound of the time allowed for the search.
+	minimumLeaderSearchTime = 2 * time.Second
 )
 
-// leaderCall finds the leader of a group by asking its members, following their
-// hints. The call must carry a request id, or change nothing, since it may
-// arrive more than once.
+// leaderCall finds the leader of a group by calling its members and following
+// their leader hints. The call must carry a request ID or change nothing, since
+// it may arrive more than once.
 type leaderCall struct {
-	groupName string
-	addresses []string
-	search    time.Duration
+	groupName  string
+	addresses  []string
+	searchTime time.Duration
 	// attempt calls the controller at an address.
 	attempt func(ctx context.Context, address string) error
 }
 
-// leaderSearchTime is how long a search for a leader may take.
+// leaderSearchTime returns how long a search for a leader may take.
 func (c *Controller) leaderSearchTime() time.Duration {
-	return max(leaderCallMinimum, leaderCallElections*c.settings.ElectionTimeout)
+	return max(minimumLeaderSearchTime, leaderSearchElections*c.settings.ElectionTimeout)
 }
 
-// run returns the answer of the leader. If none answers it says whether any
-// attempt may have been carried out.
+// run calls the members until the leader answers. If no leader answers, the error
+// says whether any attempt may have been executed.
 func (l *leaderCall) run(ctx context.Context) error {
-	deadline := time.Now().Add(l.search)
-	var last, unknown error
+	deadline := time.Now().Add(l.searchTime)
+	var last, outcomeUnknown error
 	for {
 		for _, address := range l.addresses {
-			err := l.follow(ctx, address)
-			if err == nil || !isWorthAnother(err) {
+			err := l.callFollowingRedirect(ctx, address)
+			if err == nil || !shouldTryNextMember(err) {
 				return err
 			}
 			last = err
 			if failure.AnswerFor(err).Ran != failure.RanNo {
-				unknown = err
+				outcomeUnknown = err
 			}
 		}
-		if time.Now().After(deadline) || !lifecycle.Sleep(ctx, leaderCallPause) {
-			return l.giveUp(last, unknown)
+		if time.Now().After(deadline) || !lifecycle.Sleep(ctx, leaderCallRetryInterval) {
+			return l.noAnswerError(last, outcomeUnknown)
 		}
 	}
 }
 
-// follow calls one address and, if it names the leader, that one.
-func (l *leaderCall) follow(ctx context.Context, address string) error {
+// callFollowingRedirect calls one address and, if its error names another address
+// as the leader, that address.
+func (l *leaderCall) callFollowingRedirect(ctx context.Context, address string) error {
 	err := l.attempt(ctx, address)
 	leader := rpc.LeaderAddress(err)
 	if err == nil || leader == "" || leader == address {
@@ -67,17 +68,18 @@
 	return l.attempt(ctx, leader)
 }
 
-func (l *leaderCall) giveUp(last, unknown error) error {
-	if unknown != nil {
+func (l *leaderCall) noAnswerError(last, outcomeUnknown error) error {
+	if outcomeUnknown != nil {
 		return failure.New(failure.OutcomeUnknown,
-			fmt.Sprintf("the leader of group %s did not answer: %v", l.groupName, unknown))
+			fmt.Sprintf("the leader of group %s did not answer: %v", l.groupName, outcomeUnknown))
 	}
 	return failure.New(failure.NoQuorum,
 		fmt.Sprintf("no leader of group %s was found: %v", l.groupName, last))
 }
 
-// isWorthAnother reports whether another member of the group may know better.
-func isWorthAnother(err error) bool {
+// shouldTryNextMember reports whether another member of the group may be able to
+// answer.
+func shouldTryNextMember(err error) bool {
 	if !rpc.Answered(err) {
 		return true
 	}
--- a/internal/controller/operatorcommands.go
+++ b/internal/controller/operatorcommands.go
@@ -51,11 +51,10 @@
 	if len(addresses) == 0 {
 		return nil, failure.New(failure.NoQuorum, fmt.Sprintf("no controller of zone %q is known", zone))
 	}
-	return &leaderCall{groupName: zone, addresses: addresses, search: c.leaderSearchTime(), attempt: attempt}, nil
+	return &leaderCall{groupName: zone, addresses: addresses, searchTime: c.leaderSearchTime(), attempt: attempt}, nil
 }
 
-// handleEngineChange carries out an operator's action, at the zone group's
-// leader.
+// handleEngineChange executes an operator's action at the zone group's leader.
 func (c *Controller) handleEngineChange(ctx context.Context, request *peer.EngineChangeRequest) (*peer.EngineChangeReply, error) {
 	command, err := c.operatorCommand(request)
 	if err != nil {
@@ -69,7 +68,7 @@
 	if err := refusal(result); err != nil {
 		return nil, err
 	}
-	c.logger.Info("operator's action", "action", request.Action, "engine", request.EngineID, "gateway", request.GatewayID)
+	c.logger.Info("operator action applied", "action", request.Action, "engine", request.EngineID, "gateway", request.GatewayID)
 	return &peer.EngineChangeReply{Index: result.Index}, nil
 }
 
@@ -92,8 +91,9 @@
 	return nil, failure.New(failure.InvalidDocument, "unknown action "+request.Action)
 }
 
-// assignCommand leaves fields that the operator left out to what the engine
-// should run when the command is applied.
+// assignCommand returns a partial command: fields that the operator omitted keep
+// the values of the configuration that the engine should run when the command is
+// applied.
 func (c *Controller) assignCommand(request *peer.EngineChangeRequest) (*zonestate.Command, error) {
 	found, configured := false, false
 	c.zoneMachine.Read(func(state *zonestate.State) {
