--- a/internal/coordinator/builds.go
+++ b/internal/coordinator/builds.go
@@ -24,8 +24,10 @@
 
 // buildReport is a coordinator's report of its own build and of the gateways that poll it.
 type buildReport struct {
-	build       region.Build
-	gateways    []string
+	build    region.Build
+	gateways []string
+	// otherBuilds are the builds of the gateways that run another build than the coordinator. The other
+	// gateways run the coordinator's build.
 	otherBuilds []region.ProcessBuild
 }
 
@@ -117,7 +119,7 @@
 	}
 }
 
-// handleBuilds returns the builds of all processes to another coordinator. Only the leader answers it.
+// handleBuilds returns the builds of all processes to another coordinator. Only the leader has them.
 func (c *Coordinator) handleBuilds(context.Context, *region.BuildsRequest) (*region.Builds, error) {
 	if !c.group.Leads() {
 		return nil, rpc.NotLeader(c.group.LeaderAddress())
--- a/internal/coordinator/configuration.go
+++ b/internal/coordinator/configuration.go
@@ -21,7 +21,7 @@
 )
 
 // Replace validates an operator's configuration and applies it, unless one of the
-// same or a higher version is in force. A nil error means that the given
+// same or a higher version is in effect. A nil error means that the given
 // configuration, or the one of the same or a higher version, is durable. Replace
 // is idempotent.
 func (c *Coordinator) Replace(ctx context.Context, document []byte) error {
@@ -108,8 +108,7 @@
 }
 
 // Current returns the newest configuration as the operator sent it, or nil if
-// there is none. It fails if this coordinator can't confirm that its copy is up to
-// date.
+// there is none. It fails if this coordinator can't confirm that its copy is up to date.
 func (c *Coordinator) Current(ctx context.Context) ([]byte, error) {
 	if err := c.confirmCopy(ctx); err != nil {
 		return nil, failure.Wrap(err, failure.NoQuorum)
--- a/internal/coordinator/doc.go
+++ b/internal/coordinator/doc.go
@@ -1,6 +1,6 @@
 // Package coordinator is the control plane of a region. The region's coordinators
-// form one durable consensus group, which replicates the traffic configuration and
-// the list of replicas, and serve both to the gateways.
+// form one durable consensus group. It replicates the traffic configuration and the
+// list of replicas, and each coordinator serves its copy of both to gateways.
 //
 // One coordinator is the leader. Only the leader polls the platform's list of
 // replicas and changes the group's membership. The others answer from their copy,
--- a/internal/coordinator/freshness.go
+++ b/internal/coordinator/freshness.go
@@ -20,6 +20,8 @@
 	confirmedAt time.Duration
 }
 
+// set records that the copy was complete at a time. Confirmations may overlap, so a time before the
+// recorded one is ignored.
 func (f *freshness) set(at time.Duration) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/coordinator/gatewaylist.go
+++ b/internal/coordinator/gatewaylist.go
@@ -15,8 +15,8 @@
 type gatewayList struct {
 	mutex   sync.Mutex
 	pollers *recentGateways
-	// reports are the gateways that coordinators have reported to this one.
-	reports *recentGateways
+	// reported are the gateways that coordinators have reported to this one as the leader.
+	reported *recentGateways
 	// merged is the union of both. It is rebuilt when one of them has changed;
 	// mergedFrom are the change counts that it was built from.
 	merged     addressList
@@ -36,7 +36,7 @@
 }
 
 func newGatewayList() *gatewayList {
-	return &gatewayList{pollers: newRecentGateways(), reports: newRecentGateways(), merged: newAddressList(nil)}
+	return &gatewayList{pollers: newRecentGateways(), reported: newRecentGateways(), merged: newAddressList(nil)}
 }
 
 // recordPoll records a gateway's poll.
@@ -59,7 +59,7 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	for _, address := range addresses {
-		g.reports.record(now, address)
+		g.reported.record(now, address)
 	}
 }
 
@@ -69,10 +69,10 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.pollers.expire(now)
-	g.reports.expire(now)
-	if from := [2]uint64{g.pollers.changes, g.reports.changes}; from != g.mergedFrom {
+	g.reported.expire(now)
+	if from := [2]uint64{g.pollers.changes, g.reported.changes}; from != g.mergedFrom {
 		g.mergedFrom = from
-		g.merged = newAddressList(union(g.pollers.list().addresses, g.reports.list().addresses))
+		g.merged = newAddressList(union(g.pollers.list().addresses, g.reported.list().addresses))
 	}
 	return g.merged
 }
@@ -106,12 +106,13 @@
 
 // recentGateways holds gateways with the time at which each was last seen. The sorted list of them is
 // cached and rebuilt only when a gateway is added or expires, since each poll of each gateway reads it.
+// It is not safe for concurrent use; gatewayList's mutex guards it.
 type recentGateways struct {
 	lastSeen map[string]time.Duration
 	// changes counts additions and expirations; sortedAt is the count at which sorted was built.
 	changes, sortedAt uint64
 	sorted            addressList
-	expiredAt         time.Duration
+	lastExpiry        time.Duration
 }
 
 // expiryInterval is the minimum time between two searches for expired gateways.
@@ -131,10 +132,10 @@
 // expire deletes the gateways that were last seen more than gatewayRetention ago. It searches for them at
 // most once per expiryInterval.
 func (r *recentGateways) expire(now time.Duration) {
-	if now-r.expiredAt < expiryInterval {
+	if now-r.lastExpiry < expiryInterval {
 		return
 	}
-	r.expiredAt = now
+	r.lastExpiry = now
 	for address, at := range r.lastSeen {
 		if now-at > gatewayRetention {
 			delete(r.lastSeen, address)
--- a/internal/coordinator/group_test.go
+++ b/internal/coordinator/group_test.go
@@ -257,8 +257,8 @@
 	}
 }
 
-// A coordinator whose machine was suspended must not report its copy as fresh: the copy lacks what the other
-// coordinators acknowledged meanwhile.
+// TestSuspensionCountsTowardsAgeOfCopy: a coordinator whose machine was suspended must not report its copy as
+// fresh, since the copy lacks what the other coordinators acknowledged meanwhile.
 func TestSuspensionCountsTowardsAgeOfCopy(t *testing.T) {
 	var suspended atomic.Int64
 	g := newGroupWith(t, func(settings *coordinator.Settings) {
--- a/internal/coordinator/kept.go
+++ b/internal/coordinator/kept.go
@@ -16,8 +16,8 @@
 )
 
 // cacheOwners counts failed queries to the coordinators that own replicas. The owner of a replica is the
-// coordinator that asks it which prefixes it has cached, and tells the other coordinators. It is safe for
-// concurrent use.
+// coordinator that asks it which prefixes it has cached; the other coordinators query the owner instead.
+// It is safe for concurrent use.
 type cacheOwners struct {
 	mutex sync.Mutex
 	// failures is the number of failed calls to each coordinator, by its address.
--- a/internal/coordinator/life_test.go
+++ b/internal/coordinator/life_test.go
@@ -101,7 +101,7 @@
 }
 
 // TestHoldsEndWithTheirIncarnation: a restarted replica was given no order for the 14 s in which an
-// order to its previous process might have been carried out, and counted as unreachable.
+// order to its previous process might have been executed, and counted as unreachable.
 func TestHoldsEndWithTheirIncarnation(t *testing.T) {
 	planner := newTestStagePlanner(nil, newTestStateMachine())
 	now := planner.now()
@@ -117,7 +117,7 @@
 }
 
 // TestReplicaRestartMakesFleetRestless: a restart counts as the removal of one replica and the
-// arrival of another.
+// addition of another.
 func TestReplicaRestartMakesFleetRestless(t *testing.T) {
 	planner := newTestStagePlanner(nil, newTestStateMachine())
 	now := planner.now()
@@ -157,16 +157,16 @@
 // one order. The first order to the new incarnation would bring its count to 1; the old order would then be
 // accepted and undo the new one.
 func TestUnansweredOrderIsNotEnabledByLaterOrder(t *testing.T) {
-	var doubts unansweredOrders
+	var orders unansweredOrders
 	before, after := region.Life{ID: "a", Born: 5}, region.Life{ID: "a", Born: 9}
-	doubts.add(time.Second, before, 1)
-	assert.True(t, doubts.wouldEnableOlder(2*time.Second, after, 0))
-	assert.False(t, doubts.wouldEnableOlder(2*time.Second, after, 1), "the replica rejects the old order from now on")
-	assert.False(t, doubts.wouldEnableOlder(2*time.Second, region.Life{ID: "b", Born: 9}, 0))
-	assert.False(t, doubts.wouldEnableOlder(2*time.Second, before, 0), "that incarnation is given no orders anyway")
-	assert.False(t, doubts.wouldEnableOlder(time.Second+unansweredOrderHold, after, 0))
-	doubts.add(time.Second+unansweredOrderHold, after, 4)
-	assert.Len(t, doubts, 1, "expired doubts are deleted")
+	orders.add(time.Second, before, 1)
+	assert.True(t, orders.wouldEnableOlder(2*time.Second, after, 0))
+	assert.False(t, orders.wouldEnableOlder(2*time.Second, after, 1), "the replica rejects the old order from now on")
+	assert.False(t, orders.wouldEnableOlder(2*time.Second, region.Life{ID: "b", Born: 9}, 0))
+	assert.False(t, orders.wouldEnableOlder(2*time.Second, before, 0), "that incarnation is given no orders anyway")
+	assert.False(t, orders.wouldEnableOlder(time.Second+unansweredOrderHold, after, 0))
+	orders.add(time.Second+unansweredOrderHold, after, 4)
+	assert.Len(t, orders, 1, "expired orders are deleted")
 
 	planner := newTestStagePlanner(reportingEngines{t, EngineReport{Born: 9}}, newTestStateMachine())
 	planner.unanswered.add(planner.now(), before, 1)
--- a/internal/coordinator/limitprojection_test.go
+++ b/internal/coordinator/limitprojection_test.go
@@ -14,9 +14,10 @@
 	"github.com/pierhaven/pierhaven/internal/region"
 )
 
-// A coordinator can receive a limit report of a replica before the replica is listed. The limit service
-// processed a new list before the placement directory did, and passed the limit to a directory that did not
-// have the replica yet and ignored it. Placement then treated the replica as unlimited until its limit changed.
+// TestPlacementHasLimitReportedBeforeListing: a coordinator can receive a limit report of a replica before the
+// replica is listed. The limit service processed a new list before the placement directory did, and passed the
+// limit to a directory that did not have the replica yet and ignored it. Placement then treated the replica as
+// unlimited until its limit changed.
 func TestPlacementHasLimitReportedBeforeListing(t *testing.T) {
 	c, err := New(Settings{
 		Name: "a", Zone: "zone", Address: "127.0.0.1:1", Seeds: func() []string { return nil },
--- a/internal/coordinator/list.go
+++ b/internal/coordinator/list.go
@@ -38,8 +38,8 @@
 
 // listPollDelay returns the time to wait before the list is read again, given how long the last read took.
 // If there are preemptible replicas, which leave with shorter notice than others, the interval is
-// defaultListInterval at most: when the list was read only once a second, a tenth of the on-time answers was
-// lost in the seconds in which 38 of 96 replicas were preempted.
+// defaultListInterval at most, which is two reads a second: when the list was read only once a second, a tenth
+// of the on-time answers was lost in the seconds in which 38 of 96 replicas were preempted.
 func listPollDelay(interval time.Duration, replicas []region.ListedReplica, took time.Duration) time.Duration {
 	if slices.ContainsFunc(replicas, func(each region.ListedReplica) bool { return each.Replica.Preemptible }) {
 		interval = min(interval, defaultListInterval)
@@ -112,7 +112,8 @@
 )
 
 // suppresses reports whether the removals of a change must not be applied. Suspect removals are applied only
-// if those of the previous list were suspect, too; a removal of all replicas without any new one never is.
+// if those of the previous list were suspect, too. The removal of all replicas without any new one is never
+// applied, unless there were fewer than minimumSuspectRemovals.
 func (g *removalGuard) suppresses(before int, change *region.ListCommand) bool {
 	removed := 0
 	if change != nil {
--- a/internal/coordinator/list_test.go
+++ b/internal/coordinator/list_test.go
@@ -16,25 +16,25 @@
 // TestSuspectRemovalsAreSuppressed: the platform returned a truncated list, which left all gateways without a replica until the
 // list was complete again.
 func TestSuspectRemovalsAreSuppressed(t *testing.T) {
-	doubt := &removalGuard{}
-	assert.False(t, doubt.suppresses(10_000, removal(5_000)), "half of the replicas may be removed at once")
-	assert.True(t, doubt.suppresses(10_000, removal(5_001)))
-	assert.False(t, doubt.suppresses(10_000, removal(5_001)), "the next list confirms it")
-	assert.False(t, doubt.suppresses(10_000, removal(6_000)), "so do the lists that follow")
+	guard := &removalGuard{}
+	assert.False(t, guard.suppresses(10_000, removal(5_000)), "half of the replicas may be removed at once")
+	assert.True(t, guard.suppresses(10_000, removal(5_001)))
+	assert.False(t, guard.suppresses(10_000, removal(5_001)), "the next list confirms it")
+	assert.False(t, guard.suppresses(10_000, removal(6_000)), "so do the lists that follow")
 
-	doubt = &removalGuard{}
+	guard = &removalGuard{}
 	for range 5 {
-		assert.True(t, doubt.suppresses(10_000, removal(10_000)), "no replica would be left")
+		assert.True(t, guard.suppresses(10_000, removal(10_000)), "no replica would be left")
 	}
-	assert.False(t, doubt.suppresses(10_000, nil), "the list is complete again")
-	assert.True(t, doubt.suppresses(10_000, removal(9_000)))
-	assert.False(t, doubt.suppresses(5, removal(5)), "few replicas may all be replaced")
+	assert.False(t, guard.suppresses(10_000, nil), "the list is complete again")
+	assert.True(t, guard.suppresses(10_000, removal(9_000)))
+	assert.False(t, guard.suppresses(5, removal(5)), "few replicas may all be replaced")
 
 	replaced := removal(100)
 	replaced.Changed = make([]region.Replica, 100)
-	doubt = &removalGuard{}
-	assert.True(t, doubt.suppresses(100, replaced))
-	assert.False(t, doubt.suppresses(100, replaced), "all replicas have been replaced")
+	guard = &removalGuard{}
+	assert.True(t, guard.suppresses(100, replaced))
+	assert.False(t, guard.suppresses(100, replaced), "all replicas have been replaced")
 }
 
 // TestListIsPolledMoreOftenWithPreemptibleReplicas: on-time answers fell by a tenth for four seconds when the platform preempted
--- a/internal/coordinator/machine.go
+++ b/internal/coordinator/machine.go
@@ -23,7 +23,7 @@
 }
 
 // Apply implements replica.StateMachine. The result is an encoded
-// region.ReplaceReply with the configuration version in force.
+// region.ReplaceReply with the configuration version in effect and the command's log index.
 func (m *stateMachine) Apply(index uint64, encoded []byte) []byte {
 	var command region.Command
 	_, err := command.UnmarshalMsg(encoded)
@@ -108,7 +108,7 @@
 	return m.state, m.changed
 }
 
-// lastCall returns the mark of a duty's last call that this coordinator knows of.
+// lastCall returns what this coordinator knows of a duty's last call.
 func (m *stateMachine) lastCall(of duty) lastCall {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/coordinator/memberzones.go
+++ b/internal/coordinator/memberzones.go
@@ -16,7 +16,8 @@
 	zones map[string]string
 	// legacy are the addresses of the coordinators that report no zone: they run an earlier version.
 	legacy map[string]bool
-	list   memberList
+	// list is the last result of withZones. It is reused as long as members and zones are the same.
+	list memberList
 }
 
 // memberList holds the members of the group with their zones, and the hash of both.
--- a/internal/coordinator/operatorroutes_test.go
+++ b/internal/coordinator/operatorroutes_test.go
@@ -20,7 +20,7 @@
 func TestOperatorsListAndReleaseHeldRequestsAtAnyCoordinator(t *testing.T) {
 	g := newGroup(t)
 	g.replace(g.addresses[0], 1)
-	digest := g.holdOne()
+	digest := g.holdRequest()
 	listener := testnet.Listen(t)
 	closing := rpc.NewClosingListener(listener)
 	engine := server.New(server.WithListener(closing), server.WithTransport(standard.NewTransporter), server.WithExitWaitTime(0))
--- a/internal/coordinator/powerloss_test.go
+++ b/internal/coordinator/powerloss_test.go
@@ -22,18 +22,18 @@
 // disks holds the in-memory disks of a group's coordinators, by address. Tests simulate power loss on them
 // and delete them.
 type disks struct {
-	mutex sync.Mutex
-	of    map[string]*memoryfs.FileSystem
+	mutex     sync.Mutex
+	byAddress map[string]*memoryfs.FileSystem
 }
 
 // adapt sets a coordinator's disk, an empty one if it has none yet.
 func (d *disks) adapt(settings *coordinator.Settings) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if d.of[settings.Address] == nil {
-		d.of[settings.Address] = memoryfs.New()
+	if d.byAddress[settings.Address] == nil {
+		d.byAddress[settings.Address] = memoryfs.New()
 	}
-	settings.FileSystem, settings.DataFolder = storage.FileSystem(d.of[settings.Address]), "/data"
+	settings.FileSystem, settings.DataFolder = storage.FileSystem(d.byAddress[settings.Address]), "/data"
 }
 
 // cutPower stops all coordinators at the same moment. Each loses its unsynced writes, and the one at the
@@ -41,7 +41,7 @@
 func (g *group) cutPower(d *disks, lost string, random *rand.Rand) {
 	g.t.Helper()
 	for address, process := range g.running {
-		d.of[address].Crash(random)
+		d.byAddress[address].Crash(random)
 		process.stop()
 	}
 	for address, process := range g.running {
@@ -51,12 +51,12 @@
 	}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	delete(d.of, lost)
+	delete(d.byAddress, lost)
 }
 
-// holdOne reports that a request has crashed three replicas, waits until the request is held, and returns its
+// holdRequest reports that a request has crashed three replicas, waits until the request is held, and returns its
 // digest.
-func (g *group) holdOne() poison.Digest {
+func (g *group) holdRequest() poison.Digest {
 	g.t.Helper()
 	digest := poison.Content{Body: []byte("ends replicas")}.Digest()
 	client, err := rpc.NewClient(rpc.ClientOptions{})
@@ -83,7 +83,7 @@
 // majority had synced it before.
 func TestAcknowledgedConfigurationSurvivesPowerLossAndDiskLoss(t *testing.T) {
 	random := rand.New(rand.NewPCG(31, 7))
-	stored := &disks{of: map[string]*memoryfs.FileSystem{}}
+	stored := &disks{byAddress: map[string]*memoryfs.FileSystem{}}
 	g := newGroupWith(t, stored.adapt)
 	for round := 1; round <= 4; round++ {
 		acknowledging := g.addresses[random.IntN(len(g.addresses))]
@@ -99,13 +99,14 @@
 	}
 }
 
-// The same right after a request was held: the remaining disks must have the hold.
+// TestHoldsSurvivePowerLossAndDiskLoss: as above, but right after a request was held. The remaining disks must
+// have the hold.
 func TestHoldsSurvivePowerLossAndDiskLoss(t *testing.T) {
 	random := rand.New(rand.NewPCG(32, 7))
-	stored := &disks{of: map[string]*memoryfs.FileSystem{}}
+	stored := &disks{byAddress: map[string]*memoryfs.FileSystem{}}
 	g := newGroupWith(t, stored.adapt)
 	g.replace(g.addresses[0], 1)
-	digest := g.holdOne()
+	digest := g.holdRequest()
 	g.cutPower(stored, g.addresses[random.IntN(len(g.addresses))], random)
 	for _, address := range g.addresses {
 		g.start(address, address, false)
--- a/internal/coordinator/replicalist.go
+++ b/internal/coordinator/replicalist.go
@@ -7,8 +7,8 @@
 	"github.com/pierhaven/pierhaven/internal/region"
 )
 
-// maximumRemovedReplicas bounds the removed replicas that are kept. A gateway that is
-// further behind is sent the complete list.
+// maximumRemovedReplicas bounds the records of replicas that were removed or deactivated.
+// A gateway that is further behind is sent the complete list.
 const maximumRemovedReplicas = 256
 
 func compareReplica(listed region.ListedReplica, id string) int {
@@ -98,7 +98,8 @@
 // listMerge builds the new list while a list change is merged into the old one.
 type listMerge struct {
 	index uint64
-	// standby reports whether added replicas are on standby. If it is false, all replicas become active.
+	// standby reports whether added replicas are on standby. If it is false, the change comes from a leader of
+	// an earlier build without standby replicas, and all replicas become active.
 	standby  bool
 	replicas []region.ListedReplica
 	removed  []string
@@ -206,6 +207,7 @@
 	started := region.StageChange{Replica: change.Replica, Born: change.Born, Stage: change.Stage, Fence: index}
 	replica, found := findListed(m.state.Replicas, change.Replica)
 	if change.Born == 0 {
+		// The command is from a coordinator of an earlier version, or the replica's start time is not reported.
 		started.Born = replica.Born
 	}
 	if found && replica.Born != started.Born {
@@ -216,7 +218,7 @@
 }
 
 // isFinished reports whether the list shows the stage that was ordered, or no longer
-// shows the incarnation that it was ordered from.
+// shows the incarnation that was ordered to change.
 func isFinished(change region.StageChange, replicas []region.ListedReplica) bool {
 	replica, found := findListed(replicas, change.Replica)
 	return !found || replica.Life() != change.Life() || replica.Stage == change.Stage
--- a/internal/coordinator/settings.go
+++ b/internal/coordinator/settings.go
@@ -51,8 +51,8 @@
 	// PlacementGatewayThreshold is the number of gateways above which coordinators choose replicas for
 	// them. If it is negative, they never do.
 	PlacementGatewayThreshold int
-	// MinimumActiveReplicas is the minimum number of active replicas of a service in a region, 0 for the
-	// default.
+	// MinimumActiveReplicas is the number of replicas of a service in a region that are active at any load,
+	// 0 for the default.
 	MinimumActiveReplicas int
 	// LinkBitsPerSecond is the speed of the machine's network link, 0 if it is unknown.
 	LinkBitsPerSecond float64
@@ -60,7 +60,7 @@
 	// regions, in bytes a second; 0 for the default.
 	OtherRegionsBytesPerSecond float64
 	// PrefixSource reports which prefixes replicas have cached. If it is nil, replicas are not asked for
-	// them.
+	// them, and what they cached before the start is only found out from later requests.
 	PrefixSource placement.PrefixSource
 	// Lease is the minimum time between calls of two different holders of a duty.
 	Lease time.Duration
@@ -73,6 +73,7 @@
 	Codec             traffic.Codec
 	// ContactTime is the maximum time until information that one process has reaches the processes
 	// connected with it. EvidenceHoldTime is the time for which a request that replicas have crashed under is held.
+	// If one is 0, its default applies.
 	ContactTime      time.Duration
 	EvidenceHoldTime time.Duration
 	// Now returns the time of a clock that includes time for which the machine is suspended; nil for
