--- a/bench/manygateways/deciders.go
+++ b/bench/manygateways/deciders.go
@@ -58,7 +58,7 @@
 		}
 		d.sequence++
 		message.Gateway, message.Life, message.Sequence = asking.name, 1, d.sequence
-		return d.server.Take(message)
+		return d.server.HandleMessage(message)
 	}
 	return &relay.RemotePlacement{
 		Ask: func(_ context.Context, question *region.PlacementQuestion, _ time.Duration) (*region.PlacementAnswer, string, error) {
--- a/internal/coordinator/activity_test.go
+++ b/internal/coordinator/activity_test.go
@@ -180,7 +180,7 @@
 	state, _ := m.read()
 	services, spares := modelReplicas(state, func(string) string { return "" })
 	assert.Len(t, services["model"], 2)
-	assert.Equal(t, stageplan.Spares{Readers: 399, Generators: 599}, spares[stageGroup{service: "model"}])
+	assert.Equal(t, stageplan.Standby{Prefill: 399, Decode: 599}, spares[stageGroup{service: "model"}])
 	assert.Equal(t, 998, state.StandbyCount)
 	snapshot, err := m.Snapshot()
 	require.NoError(t, err)
--- a/internal/coordinator/arrivals.go
+++ b/internal/coordinator/arrivals.go
@@ -22,7 +22,7 @@
 	sum := 0
 	for group, spare := range k.spares {
 		if group.service == service {
-			sum += spare.Readers + spare.Generators
+			sum += spare.Prefill + spare.Decode
 		}
 	}
 	return sum
--- a/internal/coordinator/demand_test.go
+++ b/internal/coordinator/demand_test.go
@@ -42,12 +42,12 @@
 func TestFleetLoadIsComputedFromGatewayReports(t *testing.T) {
 	demand := region.ServiceDemand{Gateways: 2, Generating: 32, Reading: 2, Kept: 4, Prompts: 20, Slack: 18, Squares: 0.2, Delayed: 1}
 	load := loadOf(addDemand([]region.ServiceDemand{demand}, demand)[0], 64)
-	assert.True(t, load.Told)
+	assert.True(t, load.Reported)
 	assert.InDelta(t, 5, load.Busy, 1e-9, "four replicas are busy with prefill, and one with decoding")
-	assert.InDelta(t, 8, load.Kept, 1e-9)
+	assert.InDelta(t, 8, load.CacheSavings, 1e-9)
 	assert.InDelta(t, 40, load.Prompts, 1e-9)
 	assert.InDelta(t, 2, load.Delayed, 1e-9)
 	assert.Equal(t, 900*time.Millisecond, load.Slack)
-	assert.Equal(t, 50*time.Millisecond, load.Reading, "the mean remaining time of a prefill of 100 ms")
+	assert.Equal(t, 50*time.Millisecond, load.ResidualPrefill, "the mean remaining time of a prefill of 100 ms")
 	assert.Zero(t, loadOf(region.ServiceDemand{}, 64))
 }
--- a/internal/coordinator/fleet.go
+++ b/internal/coordinator/fleet.go
@@ -67,7 +67,7 @@
 		for _, order := range planner.Step(k.now(), input) {
 			k.order(ctx, service, planner, order)
 		}
-		k.outlooks.note(service, planner.Outlook())
+		k.outlooks.note(service, planner.Explanation())
 	}
 }
 
@@ -133,7 +133,7 @@
 		} else {
 			zone.Serving[kindOf(replica.Preemptible)]++
 			if replica.Stage == region.StagePrefill {
-				input.Readers++
+				input.PrefillReplicas++
 			}
 		}
 	}
@@ -162,15 +162,15 @@
 // loadOf converts the reported demand for a service to the planner's load.
 func loadOf(demand region.ServiceDemand, slots int) fleetplan.Load {
 	load := fleetplan.Load{
-		Told:    demand.Gateways > 0,
-		Busy:    demand.Reading + demand.Generating/float64(slots),
-		Kept:    demand.Kept,
-		Prompts: demand.Prompts,
-		Delayed: demand.Delayed,
+		Reported:     demand.Gateways > 0,
+		Busy:         demand.Reading + demand.Generating/float64(slots),
+		CacheSavings: demand.Kept,
+		Prompts:      demand.Prompts,
+		Delayed:      demand.Delayed,
 	}
 	if demand.Prompts > 0 && demand.Reading > 0 {
 		load.Slack = seconds(demand.Slack / demand.Prompts)
-		load.Reading = seconds(demand.Squares / demand.Reading / 2)
+		load.ResidualPrefill = seconds(demand.Squares / demand.Reading / 2)
 	}
 	return load
 }
@@ -199,18 +199,18 @@
 	if err == nil {
 		err = k.settings.Platform.OrderFleet(bounded, DutyCall{Holder: k.settings.Name, Fence: fence}, order)
 	}
-	outlook := planner.Outlook()
+	outlook := planner.Explanation()
 	k.logger.Info(event.FleetOrdered, "service", service, "zone", order.Zone, "preemptible", order.Preemptible, "count", order.Count,
-		"reason", planned.Reason, "learned", outlook.Learned, "wanted", outlook.Wanted, "enough", outlook.Enough, "busy", outlook.Load.Busy,
-		"kept", outlook.Load.Kept, "readers", outlook.Readers, "prompts", outlook.Load.Prompts, "delayed", outlook.Load.Delayed, "trust", outlook.Trust, "slack_ms", outlook.Load.Slack.Milliseconds(),
-		"reading_ms", outlook.Load.Reading.Milliseconds(), "late", outlook.Late, "next_worth", outlook.NextWorth, "next_price", outlook.NextPrice,
+		"reason", planned.Reason, "learned", outlook.Learned, "wanted", outlook.Wanted, "enough", outlook.Sufficient, "busy", outlook.Load.Busy,
+		"kept", outlook.Load.CacheSavings, "readers", outlook.PrefillReplicas, "prompts", outlook.Load.Prompts, "delayed", outlook.Load.Delayed, "trust", outlook.DelayRatio, "slack_ms", outlook.Load.Slack.Milliseconds(),
+		"reading_ms", outlook.Load.ResidualPrefill.Milliseconds(), "late", outlook.Late, "next_worth", outlook.NextWorth, "next_price", outlook.NextPrice,
 		"fence", fence, "term", k.term, "error", failure.Text(err))
 	switch {
 	case err == nil:
-		planner.Ordered(k.now(), planned)
+		planner.OrderAccepted(k.now(), planned)
 	case errors.Is(err, ErrNoMoreReplicas):
-		planner.Refused(k.now(), planned)
+		planner.OrderRefused(k.now(), planned)
 	default:
-		planner.Lost(planned)
+		planner.OrderUnanswered(planned)
 	}
 }
--- a/internal/coordinator/fleetreport.go
+++ b/internal/coordinator/fleetreport.go
@@ -41,19 +41,19 @@
 // fleetOutlooks holds the leader's planning results by service.
 type fleetOutlooks struct {
 	mutex    sync.Mutex
-	services map[string]fleetplan.Outlook
+	services map[string]fleetplan.Explanation
 }
 
-func (f *fleetOutlooks) note(service string, outlook fleetplan.Outlook) {
+func (f *fleetOutlooks) note(service string, outlook fleetplan.Explanation) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if f.services == nil {
-		f.services = map[string]fleetplan.Outlook{}
+		f.services = map[string]fleetplan.Explanation{}
 	}
 	f.services[service] = outlook
 }
 
-func (f *fleetOutlooks) all() map[string]fleetplan.Outlook {
+func (f *fleetOutlooks) all() map[string]fleetplan.Explanation {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return maps.Clone(f.services)
@@ -70,8 +70,8 @@
 			Service:   service,
 			Learned:   outlook.Learned,
 			Wanted:    outlook.Wanted,
-			Readers:   outlook.Readers,
-			Enough:    outlook.Enough,
+			Readers:   outlook.PrefillReplicas,
+			Enough:    outlook.Sufficient,
 			Busy:      outlook.Load.Busy,
 			Prompts:   outlook.Load.Prompts,
 			Delayed:   outlook.Load.Delayed,
--- a/internal/coordinator/life_test.go
+++ b/internal/coordinator/life_test.go
@@ -113,7 +113,7 @@
 	changes := []region.StageChange{{Replica: "a", Born: 5, Stage: region.StagePrefill}}
 	assert.Empty(t, planner.inputsFor(now, "model", []region.Replica{before}, changes)[0].Replicas)
 	planned := planner.inputsFor(now, "model", []region.Replica{after}, changes)[0].Replicas
-	assert.Equal(t, []stageplan.Replica{{ID: after.Life().Name(), Slots: 4, Generates: true}}, planned)
+	assert.Equal(t, []stageplan.Replica{{ID: after.Life().Name(), Slots: 4, Decodes: true}}, planned)
 }
 
 // TestReplicaRestartMakesFleetRestless: a restart counts as the removal of one replica and the
@@ -127,7 +127,7 @@
 		restless bool
 	}{{5, false}, {5, false}, {9, true}} {
 		input := planner.inputsFor(now, "model", []region.Replica{engineAt(step.born, region.StageDecode)}, nil)[0]
-		assert.Equal(t, step.restless, input.Restless)
+		assert.Equal(t, step.restless, input.Unstable)
 	}
 }
 
--- a/internal/coordinator/metrics.go
+++ b/internal/coordinator/metrics.go
@@ -75,7 +75,7 @@
 		return float64(c.placement.server.Counts().Leases)
 	})
 	registry.GaugeFunc("placement_questions", "Questions for a replica that were answered since the start.", func() float64 {
-		return float64(c.placement.server.Counts().Questions)
+		return float64(c.placement.server.Counts().Queries)
 	})
 	registry.GaugeFunc("placement_ignored", "Messages on placements that were not answered since the start.", func() float64 {
 		return float64(c.placement.server.Counts().Ignored)
--- a/internal/coordinator/stageinput.go
+++ b/internal/coordinator/stageinput.go
@@ -69,10 +69,10 @@
 // inputFor returns the planner's input for the replicas of a group and the demand for them.
 func (k *stagePlanner) inputFor(now time.Duration, group stageGroup, demand region.ServiceDemand, replicas []region.Replica, changes []region.StageChange) stageplan.Input {
 	input := stageplan.Input{
-		Generating: demand.Generating,
-		Expected:   demand.Expected,
-		Reading:    demand.Reading,
-		Spares:     k.spares[group],
+		RunningStreams:  demand.Generating,
+		ExpectedStreams: demand.Expected,
+		PrefillLoad:     demand.Reading,
+		Standby:         k.spares[group],
 	}
 	unreachable, refusing := reportedByEnough(demand.Unreachable), reportedByEnough(demand.Refusing)
 	if demand.Gateways > 0 {
@@ -80,28 +80,28 @@
 	}
 	k.noteListChange(now, group, replicas)
 	changedAt, any := k.listChangedAt[group]
-	input.Restless = any && now-changedAt < listChangeHold
-	if input.Generating > 0 {
+	input.Unstable = any && now-changedAt < listChangeHold
+	if input.RunningStreams > 0 {
 		if _, reported := k.demandSince[group]; !reported {
 			k.demandSince[group] = now
 		}
 	}
 	since, reported := k.demandSince[group]
-	input.Known = reported && now-since > demandSettleTime
+	input.DemandKnown = reported && now-since > demandSettleTime
 	for _, replica := range replicas {
 		incarnation := replica.Life()
 		name := incarnation.Name()
 		if now < k.ordersHeldUntil[name] {
 			continue
 		}
-		planned := stageplan.Replica{ID: name, Slots: replica.Slots, Generates: replica.Stage == region.StageDecode}
+		planned := stageplan.Replica{ID: name, Slots: replica.Slots, Decodes: replica.Stage == region.StageDecode}
 		planned.Unsettled = unreachable[name]
-		planned.Refuses = refusing[name]
-		input.Restless = input.Restless || planned.Unsettled
+		planned.Rejects = refusing[name]
+		input.Unstable = input.Unstable || planned.Unsettled
 		for _, change := range changes {
 			if change.Life() == incarnation {
 				planned.Changing = true
-				planned.Generates = change.Stage == region.StageDecode
+				planned.Decodes = change.Stage == region.StageDecode
 			}
 		}
 		input.Replicas = append(input.Replicas, planned)
--- a/internal/coordinator/stageinput_test.go
+++ b/internal/coordinator/stageinput_test.go
@@ -48,10 +48,10 @@
 	require.Len(t, inputs, 2)
 	assert.Equal(t, "north", inputs[0].Region)
 	assert.Len(t, inputs[0].Replicas, 8)
-	assert.InDelta(t, 6, inputs[0].Generating, 1e-9)
-	assert.InDelta(t, 3, inputs[0].Reading, 1e-9)
+	assert.InDelta(t, 6, inputs[0].RunningStreams, 1e-9)
+	assert.InDelta(t, 3, inputs[0].PrefillLoad, 1e-9)
 	assert.Len(t, inputs[1].Replicas, 4)
-	assert.InDelta(t, 7, inputs[1].Generating, 1e-9)
+	assert.InDelta(t, 7, inputs[1].RunningStreams, 1e-9)
 	assert.InDelta(t, 13, planner.demandFor(now, "s").Generating, 1e-9, "the fleet is planned over all regions")
 }
 
@@ -62,7 +62,7 @@
 	require.Len(t, inputs, 1, "also before any demand is reported")
 	assert.Len(t, inputs[0].Replicas, 12)
 	planner.reportDemand("", 3, 2, 1)
-	assert.InDelta(t, 6, planner.inputsFor(now, "s", replicas, nil)[0].Generating, 1e-9)
+	assert.InDelta(t, 6, planner.inputsFor(now, "s", replicas, nil)[0].RunningStreams, 1e-9)
 }
 
 // When a region was partitioned from the leader and its gateways' reports expired, replicas in that
@@ -82,7 +82,7 @@
 	inputs := planner.inputsFor(now, "s", replicas, nil)
 	require.Len(t, inputs, 1)
 	assert.Equal(t, "north", inputs[0].Region)
-	assert.InDelta(t, 6, inputs[0].Generating, 1e-9)
+	assert.InDelta(t, 6, inputs[0].RunningStreams, 1e-9)
 
 	planner.reportDemand("south", 1, 5, 1)
 	inputs = planner.inputsFor(now, "s", replicas, nil)
@@ -99,15 +99,15 @@
 	planner.reportDemand("north", 2, 2, 1)
 	planner.reportDemand("south", 2, 5, 1)
 	inputs := planner.inputsFor(now, "s", replicas, nil)
-	assert.InDelta(t, 8, inputs[0].Generating, 1e-9)
-	assert.InDelta(t, 10, inputs[1].Generating, 1e-9)
+	assert.InDelta(t, 8, inputs[0].RunningStreams, 1e-9)
+	assert.InDelta(t, 10, inputs[1].RunningStreams, 1e-9)
 	now += 3 * gatewayRetention
 	for range 2 {
 		planner.reportDemand("north", 2, 2, 1)
 		inputs = planner.inputsFor(now, "s", replicas, nil)
 		now += gatewayRetention
 	}
-	assert.InDelta(t, 4, inputs[0].Generating, 1e-9, "they have been removed")
+	assert.InDelta(t, 4, inputs[0].RunningStreams, 1e-9, "they have been removed")
 }
 
 func TestNewLeaderPlansOnlyRegionsThatReportDemand(t *testing.T) {
--- a/internal/coordinator/stagepolicy.go
+++ b/internal/coordinator/stagepolicy.go
@@ -42,7 +42,7 @@
 	zone := policy.Zone{Name: k.settings.Zone, Gateways: len(k.gateways.all(k.now()).addresses)}
 	for _, input := range all {
 		for _, replica := range input.Replicas {
-			zone.AddEngine(string(roleOf(replica.Generates)), replica.Changing)
+			zone.AddEngine(string(roleOf(replica.Decodes)), replica.Changing)
 		}
 	}
 	return zone
@@ -56,17 +56,17 @@
 }
 
 func changeVariables(service string, change stageplan.Change, input stageplan.Input) policy.Change {
-	readers := max(len(input.Replicas)-change.Generators, 1)
+	readers := max(len(input.Replicas)-change.DecodeReplicas, 1)
 	slots := 1
 	for _, replica := range input.Replicas {
 		slots = max(slots, replica.Slots)
 	}
 	return policy.Change{
 		Model:              service,
-		From:               string(roleOf(!change.Generates)),
-		To:                 string(roleOf(change.Generates)),
-		PrefillUtilisation: change.Reading / float64(readers),
-		DecodeUtilisation:  change.Generating / float64(slots*max(change.Generators, 1)),
+		From:               string(roleOf(!change.Decodes)),
+		To:                 string(roleOf(change.Decodes)),
+		PrefillUtilisation: change.PrefillPeak / float64(readers),
+		DecodeUtilisation:  change.StreamPeak / float64(slots*max(change.DecodeReplicas, 1)),
 		SinceLast:          change.SinceLast.Seconds(),
 	}
 }
--- a/internal/coordinator/stages.go
+++ b/internal/coordinator/stages.go
@@ -96,7 +96,7 @@
 	listChangedAt map[stageGroup]time.Duration
 	lastReplicas  map[stageGroup]string
 	// spares are the numbers of replicas on standby at the last step.
-	spares map[stageGroup]stageplan.Spares
+	spares map[stageGroup]stageplan.Standby
 	// replicaCounts are the numbers of replicas on the list, by service.
 	replicaCounts map[string]replicaCount
 }
@@ -172,7 +172,7 @@
 		if change == nil {
 			return
 		}
-		planner.Choose(now, change, k.leastBusy(ctx, replicas, change.Candidates))
+		planner.ReplaceCandidate(now, change, k.leastBusy(ctx, replicas, change.Candidates))
 		k.orderStage(ctx, input.Region, replicas, change)
 		input.NoteChange(change)
 	}
@@ -181,8 +181,8 @@
 func (k *stagePlanner) planFor(service string) *stageplan.Regions {
 	plan, found := k.plans[service]
 	if !found {
-		plan = &stageplan.Regions{New: func() *stageplan.Planner {
-			return &stageplan.Planner{IgnoreForecast: k.settings.DisabledMechanisms[mechanism.Forecast], UnevenShortage: k.settings.DisabledMechanisms[mechanism.EvenShortage]}
+		plan = &stageplan.Regions{NewPlanner: func() *stageplan.Planner {
+			return &stageplan.Planner{IgnoreForecast: k.settings.DisabledMechanisms[mechanism.Forecast], DecodeFirst: k.settings.DisabledMechanisms[mechanism.EvenShortage]}
 		}}
 		k.plans[service] = plan
 	}
@@ -191,9 +191,9 @@
 
 // modelReplicas returns the active replicas with a stage that are not leaving, by service, and the numbers
 // of those on standby.
-func modelReplicas(state region.State, groupOf func(zone string) string) (services map[string][]region.Replica, spares map[stageGroup]stageplan.Spares) {
+func modelReplicas(state region.State, groupOf func(zone string) string) (services map[string][]region.Replica, spares map[stageGroup]stageplan.Standby) {
 	services = map[string][]region.Replica{}
-	spares = map[stageGroup]stageplan.Spares{}
+	spares = map[stageGroup]stageplan.Standby{}
 	for _, listed := range state.Replicas {
 		replica := listed.Replica
 		switch {
@@ -204,9 +204,9 @@
 			group := stageGroup{service: replica.Service, region: groupOf(replica.Zone)}
 			spare := spares[group]
 			if replica.Stage == region.StagePrefill {
-				spare.Readers++
+				spare.Prefill++
 			} else {
-				spare.Generators++
+				spare.Decode++
 			}
 			spares[group] = spare
 		}
@@ -254,12 +254,12 @@
 		return
 	}
 	stage := region.StagePrefill
-	if change.Generates {
+	if change.Decodes {
 		stage = region.StageDecode
 	}
 	err := k.order(ctx, replica, stage)
 	k.logger.Info(event.Order, "replica", replica.ID, "region", regionName, "stage", stage, "reason", change.Reason, "term", k.term,
-		"generating", change.Generating, "reading", change.Reading, "generators", change.Generators, "replicas", len(replicas),
+		"generating", change.StreamPeak, "reading", change.PrefillPeak, "generators", change.DecodeReplicas, "replicas", len(replicas),
 		"error", failure.Text(err))
 	switch {
 	case err == nil:
--- a/internal/fleetplan/plan.go
+++ b/internal/fleetplan/plan.go
@@ -51,8 +51,8 @@
 	// PreemptiblePrice is the price of a preemptible replica as a share of that of a stable one, or
 	// 0 if there are no preemptible replicas.
 	PreemptiblePrice float64
-	// Readers is the number of prefill replicas.
-	Readers int
+	// PrefillReplicas is the number of prefill replicas.
+	PrefillReplicas int
 	// Load is the present load, or zero while it is unknown.
 	Load Load
 }
@@ -65,18 +65,18 @@
 	Reason string
 }
 
-// Outlook explains the planned number of replicas.
-type Outlook struct {
+// Explanation explains the planned number of replicas.
+type Explanation struct {
 	// Learned is false while the number of replicas at the start is taken to be sufficient.
 	Learned bool
-	// Wanted is the planned number of replicas, and Enough the number above which stable ones are
+	// Wanted is the planned number of replicas, and Sufficient the number above which stable ones are
 	// not worth their price.
-	Wanted, Enough int
-	// Trust is the number of prompts recently delayed, divided by the number expected.
-	Trust float64
-	// Readers is the number of prefill replicas, and Load the present load.
-	Readers int
-	Load    Load
+	Wanted, Sufficient int
+	// DelayRatio is the number of prompts recently delayed, divided by the number expected.
+	DelayRatio float64
+	// PrefillReplicas is the number of prefill replicas, and Load the present load.
+	PrefillReplicas int
+	Load            Load
 	// Late is the number of prompts a second that are expected to miss their objective. NextWorth
 	// is the number by which one more replica would reduce it, and NextPrice the replica's cost in
 	// the same unit, for the replica that adds most to its cost. They are set once Learned is true.
@@ -139,7 +139,7 @@
 	onlyStable bool
 	// adoptedMix is set once the mix ordered by an earlier planner, if any, has been adopted.
 	adoptedMix bool
-	outlook    Outlook
+	outlook    Explanation
 }
 
 type orderKey struct {
@@ -161,26 +161,26 @@
 // Base is the number of replicas that is taken to be sufficient, or 0 while it is being learned.
 func (p *Planner) Base() int { return p.base }
 
-// Ordered records that an order was accepted.
-func (p *Planner) Ordered(now time.Duration, order Order) {
+// OrderAccepted records that an order was accepted.
+func (p *Planner) OrderAccepted(now time.Duration, order Order) {
 	at := orderKey{order.Zone, order.Kind}
 	p.orderedAt[at] = now
 	delete(p.refusedUntil, at)
 }
 
-// Lost records that it is unknown whether an order was accepted: the order becomes due again.
-func (p *Planner) Lost(order Order) {
+// OrderUnanswered records that it is unknown whether an order was accepted: the order becomes due again.
+func (p *Planner) OrderUnanswered(order Order) {
 	delete(p.orderedAt, orderKey{order.Zone, order.Kind})
 }
 
-// Refused records that no further replicas are available.
-func (p *Planner) Refused(now time.Duration, order Order) {
+// OrderRefused records that no further replicas are available.
+func (p *Planner) OrderRefused(now time.Duration, order Order) {
 	p.refusedUntil[orderKey{order.Zone, order.Kind}] = now + refusalDelay
 	delete(p.orderedAt, orderKey{order.Zone, order.Kind})
 }
 
-// Outlook explains the planned number of replicas.
-func (p *Planner) Outlook() Outlook { return p.outlook }
+// Explanation explains the planned number of replicas.
+func (p *Planner) Explanation() Explanation { return p.outlook }
 
 // Step returns the orders to make now, those that add replicas first.
 func (p *Planner) Step(now time.Duration, input Input) []Order {
--- a/internal/fleetplan/plan_test.go
+++ b/internal/fleetplan/plan_test.go
@@ -81,16 +81,16 @@
 		present := zone.Serving[order.Kind] + len(c.booting[at])
 		if order.Kind == fleetplan.Preemptible && order.Count > present && c.now < c.unavailableUntil {
 			zone.Ordered[order.Kind] = order.Count
-			c.planner.Refused(c.now, order)
+			c.planner.OrderRefused(c.now, order)
 			return
 		}
 		zone.Ordered[order.Kind] = order.Count
 		if c.unansweredOrders > 0 {
 			c.unansweredOrders--
-			c.planner.Lost(order)
+			c.planner.OrderUnanswered(order)
 			return
 		}
-		c.planner.Ordered(c.now, order)
+		c.planner.OrderAccepted(c.now, order)
 		for ; present < order.Count; present++ {
 			c.booting[at] = append(c.booting[at], c.now+bootTime)
 		}
@@ -279,8 +279,8 @@
 // much again, and with a few delayed prompts.
 func newLoad(busy float64) fleetplan.Load {
 	return fleetplan.Load{
-		Told: true, Busy: busy, Kept: busy, Prompts: 10 * busy, Delayed: busy / 10,
-		Slack: 600 * time.Millisecond, Reading: 150 * time.Millisecond,
+		Reported: true, Busy: busy, CacheSavings: busy, Prompts: 10 * busy, Delayed: busy / 10,
+		Slack: 600 * time.Millisecond, ResidualPrefill: 150 * time.Millisecond,
 	}
 }
 
@@ -298,8 +298,8 @@
 func TestReplicasNotWorthTheirPriceAreReleased(t *testing.T) {
 	c := newPlatformWithKnownLoad(t, 10)
 	assert.Less(t, c.totalServing(), 60)
-	assert.True(t, c.planner.Outlook().Learned)
-	assert.Less(t, c.planner.Outlook().NextWorth, c.planner.Outlook().NextPrice)
+	assert.True(t, c.planner.Explanation().Learned)
+	assert.Less(t, c.planner.Explanation().NextWorth, c.planner.Explanation().NextPrice)
 	orders := c.orders
 	c.run(c.now+60*time.Second, nil)
 	assert.Equal(t, orders, c.orders, "a steady load changes nothing")
@@ -331,7 +331,7 @@
 	c.input.Load = newLoad(40)
 	c.run(c.now+12*time.Second, func() {
 		assert.Greater(t, c.totalServing(), 53, "at %s", c.now)
-		assert.LessOrEqual(t, c.serving(fleetplan.Stable), max(stable, c.planner.Outlook().Enough), "at %s", c.now)
+		assert.LessOrEqual(t, c.serving(fleetplan.Stable), max(stable, c.planner.Explanation().Sufficient), "at %s", c.now)
 	})
 	assert.GreaterOrEqual(t, c.totalServing(), 90)
 	c.input.Load = newLoad(30)
@@ -351,7 +351,7 @@
 func TestNewLeaderKeepsOrderedMixUntilLoadIsKnown(t *testing.T) {
 	c := newPlatformWithKnownLoad(t, 15)
 	before, orders := c.totalServing(), c.orders
-	for _, reported := range []fleetplan.Load{{}, newLoad(15), {Told: true}} {
+	for _, reported := range []fleetplan.Load{{}, newLoad(15), {Reported: true}} {
 		c.planner = fleetplan.New(c.planner.Base())
 		c.input.Load = reported
 		c.run(c.now+60*time.Second, nil)
@@ -371,7 +371,7 @@
 	c.input.Load = fleetplan.Load{}
 	c.run(c.now+60*time.Second, nil)
 	assert.Equal(t, before, c.totalServing())
-	c.input.Load.Told = true
+	c.input.Load.Reported = true
 	c.run(c.now+60*time.Second, nil)
 	assert.Greater(t, c.totalServing(), before/3)
 }
--- a/internal/fleetplan/planmix.go
+++ b/internal/fleetplan/planmix.go
@@ -13,9 +13,9 @@
 		p.mix = input.orderedMix()
 	}
 	window := time.Duration(shrinkBootTimes * float64(input.BootTime))
-	if input.Load.Told && (input.Load.known() || p.loads.loads != nil) {
+	if input.Load.Reported && (input.Load.known() || p.loads.loads != nil) {
 		load := input.Load
-		load.Replicas, load.Readers = float64(input.serving()), float64(input.Readers)
+		load.Replicas, load.Readers = float64(input.serving()), float64(input.PrefillReplicas)
 		p.loads.add(now, window, load)
 		p.recent.add(now, input.BootTime, load)
 	}
@@ -123,13 +123,13 @@
 
 // updateOutlook records why the planner wants its number of replicas.
 func (p *Planner) updateOutlook(input Input, target [][kinds]int) {
-	p.outlook = Outlook{
-		Learned: p.mix != nil,
-		Wanted:  total(target),
-		Enough:  p.sufficient(input),
-		Trust:   p.loads.delayRatio,
-		Readers: input.Readers,
-		Load:    input.Load,
+	p.outlook = Explanation{
+		Learned:         p.mix != nil,
+		Wanted:          total(target),
+		Sufficient:      p.sufficient(input),
+		DelayRatio:      p.loads.delayRatio,
+		PrefillReplicas: input.PrefillReplicas,
+		Load:            input.Load,
 	}
 	if p.mix == nil {
 		return
--- a/internal/fleetplan/worth.go
+++ b/internal/fleetplan/worth.go
@@ -7,13 +7,13 @@
 
 // Load is the demand of the prompts on a service's replicas.
 type Load struct {
-	// Told is false while no gateway reports its load.
-	Told bool
+	// Reported is false while no gateway reports its load.
+	Reported bool
 	// Busy is the number of replicas that the work would keep fully busy.
 	Busy float64
-	// Kept is the number of replicas that prefill would keep busy in addition to Busy if no replica
+	// CacheSavings is the number of replicas that prefill would keep busy in addition to Busy if no replica
 	// had prefixes cached.
-	Kept float64
+	CacheSavings float64
 	// Prompts is the number of prompts a second.
 	Prompts float64
 	// Delayed is the number of prompts a second that are late because no replica was free.
@@ -23,13 +23,13 @@
 	Replicas, Readers float64
 	// Slack is the average time that a prompt may wait and still be answered within its objective.
 	Slack time.Duration
-	// Reading is the average time that a prompt waits for the prefill in progress before it: half
+	// ResidualPrefill is the average time that a prompt waits for the prefill in progress before it: half
 	// the mean square of the prefill times divided by their mean.
-	Reading time.Duration
+	ResidualPrefill time.Duration
 }
 
 // known reports whether there is enough data to estimate what a further replica would add.
-func (l Load) known() bool { return l.Prompts > 0 && l.Busy > 0 && l.Reading > 0 }
+func (l Load) known() bool { return l.Prompts > 0 && l.Busy > 0 && l.ResidualPrefill > 0 }
 
 const (
 	// maximumPrefillShare is the share of the replicas that can be used for prefill: at least a
@@ -53,7 +53,7 @@
 // replicas.
 //
 // A prompt waits if all replicas that suit it are busy. The wait is exponential with a mean of
-// Reading / (1 - utilization), thus longer the busier the replicas are (the tail of an M/M/n queue:
+// ResidualPrefill / (1 - utilization), thus longer the busier the replicas are (the tail of an M/M/n queue:
 // Kleinrock, Queueing Systems 1, 3.5). Load beyond what the replicas can serve at all is lost in
 // addition. delayRatio is the observed number of delayed prompts as a share of the number that this
 // model predicts.
@@ -63,7 +63,7 @@
 	}
 	load := l.Busy / prefilling
 	utilization := min(load, saturationLoad)
-	normalizedSlack := l.Slack.Seconds() / l.Reading.Seconds()
+	normalizedSlack := l.Slack.Seconds() / l.ResidualPrefill.Seconds()
 	late := 1 - math.Pow(1-math.Pow(utilization, prefillCandidates)*math.Exp(-(1-utilization)*normalizedSlack), delayRatio)
 	if load <= saturationLoad {
 		return late
@@ -82,7 +82,7 @@
 // afterLoss is the load after a share of the replicas has been lost with their cached prefixes,
 // until these have been prefilled again.
 func (l Load) afterLoss(share float64) Load {
-	l.Busy += share * l.Kept
+	l.Busy += share * l.CacheSavings
 	return l
 }
 
--- a/internal/fleetplan/worth_test.go
+++ b/internal/fleetplan/worth_test.go
@@ -11,8 +11,8 @@
 // as much again.
 func newTestLoad(busy float64) Load {
 	return Load{
-		Told: true, Busy: busy, Kept: busy, Prompts: 10 * busy,
-		Slack: 600 * time.Millisecond, Reading: 150 * time.Millisecond,
+		Reported: true, Busy: busy, CacheSavings: busy, Prompts: 10 * busy,
+		Slack: 600 * time.Millisecond, ResidualPrefill: 150 * time.Millisecond,
 	}
 }
 
@@ -93,8 +93,8 @@
 	for span := range historySpans {
 		busy := 20 * (0.8 + 0.4*float64(span%4)/3)
 		recorded.loads = append(recorded.loads, Load{
-			Told: true, Busy: busy, Kept: 1.5 * busy, Prompts: 9 * busy, Replicas: 100, Readers: 40,
-			Slack: 610 * time.Millisecond, Reading: 165 * time.Millisecond,
+			Reported: true, Busy: busy, CacheSavings: 1.5 * busy, Prompts: 9 * busy, Replicas: 100, Readers: 40,
+			Slack: 610 * time.Millisecond, ResidualPrefill: 165 * time.Millisecond,
 		})
 	}
 	planner := New(90)
--- a/internal/placement/client.go
+++ b/internal/placement/client.go
@@ -69,9 +69,9 @@
 
 // ClientCounts counts the queries of a client since its start.
 type ClientCounts struct {
-	// Asked is the number of queries begun, of which Unanswered were not answered in time.
+	// Queries is the number of queries begun, of which Unanswered were not answered in time.
 	// Suspended were not sent because the coordinator had not answered before.
-	Asked, Unanswered, Suspended uint64
+	Queries, Unanswered, Suspended uint64
 }
 
 // NewClient returns a client for the gateway of a name. incarnation is the start time of the
@@ -130,8 +130,8 @@
 	return true
 }
 
-// Asks reports whether there is a coordinator to query.
-func (c *Client) Asks() bool {
+// HasCoordinator reports whether there is a coordinator to query.
+func (c *Client) HasCoordinator() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.coordinator.IsValid()
@@ -196,7 +196,7 @@
 		query.Lease = c.lastLease
 		c.openLeases[query.Lease] = true
 	}
-	c.counts.Asked++
+	c.counts.Queries++
 	answers := make(chan *region.PlacementAnswer, 1)
 	c.pending[query.Lease] = answers
 	return answers, c.coordinator, nil
--- a/internal/placement/client_test.go
+++ b/internal/placement/client_test.go
@@ -114,7 +114,7 @@
 	require.Eventually(t, func() bool {
 		lease := first.prefill(t, "probe")
 		defer lease.Release()
-		return server.Counts().Questions > 0
+		return server.Counts().Queries > 0
 	}, waitLimit, 10*time.Millisecond)
 	require.Eventually(t, leaseCountIs(server, 0), waitLimit, 5*time.Millisecond)
 	one, other := first.prefill(t, "x"), second.prefill(t, "y")
@@ -170,14 +170,14 @@
 		lease := a.prefill(t, "x")
 		defer lease.Release()
 		assert.Contains(t, []string{"c", "g"}, lease.Replica.ID)
-		return server.Counts().Questions > 0
+		return server.Counts().Queries > 0
 	}, waitLimit, 10*time.Millisecond)
 	require.Eventually(t, leaseCountIs(server, 0), waitLimit, 5*time.Millisecond)
 }
 
 // The gateway knows that replicas have restarted, and the coordinator does not know it yet: the
 // leases that it grants are for processes that have ended.
-func TestALeaseOnALifeThatHasEndedIsGivenBack(t *testing.T) {
+func TestLeaseOnEndedIncarnationIsReturned(t *testing.T) {
 	server, socket := startServer(t, testnet.Address(t), 1)
 	a := startGateway(t, "gateway")
 	restarted := fleet()
@@ -190,7 +190,7 @@
 		lease := a.prefill(t, "x")
 		defer lease.Release()
 		assert.EqualValues(t, 9, lease.Replica.Born)
-		return server.Counts().Questions > 0
+		return server.Counts().Queries > 0
 	}, waitLimit, 10*time.Millisecond)
 	require.Eventually(t, leaseCountIs(server, 0), waitLimit, 5*time.Millisecond)
 }
@@ -218,7 +218,7 @@
 	require.Eventually(t, func() bool {
 		lease := a.prefill(t, "x")
 		defer lease.Release()
-		return a.Counts().Asked > a.Counts().Unanswered
+		return a.Counts().Queries > a.Counts().Unanswered
 	}, waitLimit, 10*time.Millisecond)
 	lease := a.prefill(t, "x")
 	require.Equal(t, "b", lease.Replica.ID)
--- a/internal/placement/server.go
+++ b/internal/placement/server.go
@@ -44,9 +44,9 @@
 
 // ServerCounts counts what a server has done since its start.
 type ServerCounts struct {
-	// Questions is the number of queries answered with a lease or a refusal. Ignored is the number
+	// Queries is the number of queries answered with a lease or a refusal. Ignored is the number
 	// of messages that were rejected or whose query was not answered.
-	Questions, Ignored uint64
+	Queries, Ignored uint64
 	// Expired is the number of leases that were not ended by their gateway.
 	Expired uint64
 	// Leases is the number of leases held now.
@@ -84,7 +84,7 @@
 		if _, err := message.UnmarshalMsg(payload); err != nil {
 			return err
 		}
-		if reply := s.Take(&message); reply != nil {
+		if reply := s.HandleMessage(&message); reply != nil {
 			socket.Send(datagram.KindPlacementReply, reply, from)
 		}
 		return nil
@@ -109,8 +109,8 @@
 	return counts
 }
 
-// Take handles a gateway's message, and returns the reply, or nil if there is none.
-func (s *Server) Take(message *region.PlacementMessage) *region.PlacementReply {
+// HandleMessage handles a gateway's message, and returns the reply, or nil if there is none.
+func (s *Server) HandleMessage(message *region.PlacementMessage) *region.PlacementReply {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	gateway := s.leasesOf(message)
@@ -132,7 +132,7 @@
 			s.counts.Ignored++
 			return nil
 		}
-		s.counts.Questions++
+		s.counts.Queries++
 		return reply
 	}
 	if message.Whole {
--- a/internal/placement/server_benchmark_test.go
+++ b/internal/placement/server_benchmark_test.go
@@ -7,10 +7,10 @@
 	"github.com/pierhaven/pierhaven/internal/region"
 )
 
-// BenchmarkQuestion measures a query for a prefill and the release of its lease, with the encoding
+// BenchmarkQuery measures a query for a prefill and the release of its lease, with the encoding
 // and decoding of messages, for several numbers of replicas of which 23 in 100 are prefill
 // replicas.
-func BenchmarkQuestion(b *testing.B) {
+func BenchmarkQuery(b *testing.B) {
 	for _, size := range []int{32, 160, 3700} {
 		b.Run(fmt.Sprint(size, " replicas"), func(b *testing.B) {
 			var replicas []region.Replica
@@ -27,7 +27,7 @@
 			for b.Loop() {
 				sequence++
 				asked := &region.PlacementMessage{Gateway: "gateway", Life: 1, Sequence: sequence, Question: newPrefillQuery(sequence, "shared")}
-				reply := s.Take(overTheWire(b, asked))
+				reply := s.HandleMessage(overTheWire(b, asked))
 				if reply == nil || reply.Answer.Outcome != region.PlacementGranted {
 					b.Fatal("no lease")
 				}
@@ -35,7 +35,7 @@
 					b.Fatal(err)
 				}
 				sequence++
-				s.Take(overTheWire(b, &region.PlacementMessage{Gateway: "gateway", Life: 1, Sequence: sequence, Events: []region.LeaseEvent{
+				s.HandleMessage(overTheWire(b, &region.PlacementMessage{Gateway: "gateway", Life: 1, Sequence: sequence, Events: []region.LeaseEvent{
 					{Lease: sequence - 1, Kind: region.LeaseReleased},
 				}}))
 			}
--- a/internal/placement/server_test.go
+++ b/internal/placement/server_test.go
@@ -56,7 +56,7 @@
 	if message.Life == 0 {
 		message.Life = 1
 	}
-	return s.Take(&message)
+	return s.HandleMessage(&message)
 }
 
 func (s *testServer) query(t *testing.T, gateway string, query *region.PlacementQuestion) *region.PlacementAnswer {
@@ -112,7 +112,7 @@
 	s.sequences["gateway"] = 5
 	s.send("gateway", region.PlacementMessage{Whole: true})
 	late := region.PlacementMessage{Gateway: "gateway", Life: 1, Sequence: 3, Question: newPrefillQuery(1, "x")}
-	assert.Nil(t, s.Take(&late), "the gateway has abandoned the query")
+	assert.Nil(t, s.HandleMessage(&late), "the gateway has abandoned the query")
 	assert.Zero(t, s.Counts().Leases)
 }
 
@@ -122,13 +122,13 @@
 	s.send("gateway", region.PlacementMessage{Life: 2, Question: newPrefillQuery(1, "y")})
 	assert.Equal(t, 1, s.Counts().Leases)
 	old := region.PlacementMessage{Gateway: "gateway", Life: 1, Sequence: 99, Question: newPrefillQuery(7, "x")}
-	assert.Nil(t, s.Take(&old), "queries of an older incarnation are ignored")
+	assert.Nil(t, s.HandleMessage(&old), "queries of an older incarnation are ignored")
 	assert.Equal(t, 1, s.Counts().Leases)
 }
 
 // The leases of an incarnation that has ended must not count for the next one: the new process
 // appeared busy until the gateways' leases of the old one had expired.
-func TestALeaseOfALifeThatHasEndedDoesNotCountForTheNext(t *testing.T) {
+func TestLeaseOfEndedIncarnationDoesNotCountForNext(t *testing.T) {
 	s := newTestServer(fleet()...)
 	first := s.query(t, "gateway-1", newPrefillQuery(1, "x"))
 	restarted := fleet()
--- a/internal/placement/warmup.go
+++ b/internal/placement/warmup.go
@@ -16,7 +16,7 @@
 // PrefixSource returns the parts of prompts that an incarnation of a replica has cached. It fails
 // if another incarnation answers.
 type PrefixSource interface {
-	Kept(ctx context.Context, replica region.Replica) ([]relay.PromptPart, error)
+	Cached(ctx context.Context, replica region.Replica) ([]relay.PromptPart, error)
 }
 
 const (
@@ -70,7 +70,7 @@
 func (w *Warmup) query(ctx context.Context, replica region.Replica) {
 	ctx, cancel := context.WithTimeout(ctx, warmupCallTimeout)
 	defer cancel()
-	parts, err := w.Source.Kept(ctx, replica)
+	parts, err := w.Source.Cached(ctx, replica)
 	if err != nil {
 		w.Logger.V(1).Info(event.PrefixesUnknown, "replica", replica.ID, "error", err.Error())
 		return
--- a/internal/placement/warmup_test.go
+++ b/internal/placement/warmup_test.go
@@ -21,7 +21,7 @@
 	queried   []region.Life
 }
 
-func (s *restartingSource) Kept(_ context.Context, replica region.Replica) ([]relay.PromptPart, error) {
+func (s *restartingSource) Cached(_ context.Context, replica region.Replica) ([]relay.PromptPart, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.queried = append(s.queried, replica.Life())
@@ -36,7 +36,7 @@
 
 // Each incarnation of a replica is queried: the answer of the previous incarnation was recorded for
 // the new one, which was not queried any more.
-func TestEachLifeIsAskedWhatItKeeps(t *testing.T) {
+func TestEachIncarnationIsQueriedForCachedPrefixes(t *testing.T) {
 	s := newTestServer(region.Replica{ID: "g", Born: 5, Service: "s", Address: "g:1", Zone: "z", Slots: 4, Stage: region.StageDecode})
 	ctx, cancel := context.WithCancel(t.Context())
 	source := &restartingSource{directory: s.directory, stop: cancel}
--- a/internal/relay/daemon/daemon.go
+++ b/internal/relay/daemon/daemon.go
@@ -158,7 +158,7 @@
 		return float64(d.directory.LimitsDropped())
 	})
 	registry.GaugeFunc("placements_asked", "Questions to coordinators for a replica since the start.", func() float64 {
-		return float64(d.placement.Counts().Asked)
+		return float64(d.placement.Counts().Queries)
 	})
 	registry.GaugeFunc("placements_unanswered", "Questions to coordinators that were not answered in time since the start.", func() float64 {
 		return float64(d.placement.Counts().Unanswered)
@@ -261,7 +261,7 @@
 			return
 		}
 	}
-	if !d.placement.Asks() {
+	if !d.placement.HasCoordinator() {
 		d.warmup.Run(ctx)
 	}
 }
--- a/internal/relay/daemon/deciders_test.go
+++ b/internal/relay/daemon/deciders_test.go
@@ -29,17 +29,17 @@
 	many := &region.View{Places: true}
 
 	mode.update(time.Second, "10.0.1.1:1", few)
-	assert.False(t, mode.client.Asks())
+	assert.False(t, mode.client.HasCoordinator())
 	assert.EqualValues(t, 7, mode.peers.Known())
 
 	mode.update(2*time.Second, "10.0.1.1:1", many)
-	assert.True(t, mode.client.Asks())
+	assert.True(t, mode.client.HasCoordinator())
 	assert.Zero(t, mode.peers.Known(), "the gateway reports to no peers any more")
 
 	mode.update(3*time.Second, "10.0.1.2:1", few)
-	assert.True(t, mode.client.Asks(), "the coordinator has not counted the gateways yet")
+	assert.True(t, mode.client.HasCoordinator(), "the coordinator has not counted the gateways yet")
 
 	mode.update(2*time.Second+placesHoldTime+1, "10.0.1.2:1", few)
-	assert.False(t, mode.client.Asks(), "the coordinator still reports few gateways after the hold time")
+	assert.False(t, mode.client.HasCoordinator(), "the coordinator still reports few gateways after the hold time")
 	assert.EqualValues(t, 7, mode.peers.Known())
 }
--- a/internal/stageplan/plan.go
+++ b/internal/stageplan/plan.go
@@ -16,45 +16,46 @@
 // Replica is the planner's view of a replica.
 type Replica struct {
 	ID string
-	// Generates is true for decode replicas and false for prefill replicas.
-	Generates bool
-	Slots     int
-	// Changing replicas are moving to the other stage; Generates is their future stage.
+	// Decodes is true for decode replicas and false for prefill replicas.
+	Decodes bool
+	Slots   int
+	// Changing replicas are moving to the other stage; Decodes is their future stage.
 	Changing bool
 	// Unsettled replicas do not respond, or have rejected everything for some time: they do not
 	// count as capacity and are not changed.
 	Unsettled bool
-	// Refuses is set for a replica that has rejected requests recently: it would be of no use in
+	// Rejects is set for a replica that has rejected requests recently: it would be of no use in
 	// another stage.
-	Refuses bool
+	Rejects bool
 }
 
 // Input is the state that Step decides on.
 type Input struct {
 	Replicas []Replica
-	// Generating is the number of running streams, and Expected the number towards which it tends.
-	Generating float64
-	Expected   float64
-	// Reading is the number of replicas that the prompts to be prefilled keep busy.
-	Reading float64
-	// Known is false until demand has been reported.
-	Known bool
-	// Restless is set while replicas are being added or removed. One more replica is then left to
+	// RunningStreams is the number of running streams, and ExpectedStreams the number towards which it
+	// tends.
+	RunningStreams  float64
+	ExpectedStreams float64
+	// PrefillLoad is the number of replicas that the prompts to be prefilled keep busy.
+	PrefillLoad float64
+	// DemandKnown is false until demand has been reported.
+	DemandKnown bool
+	// Unstable is set while replicas are being added or removed. One more replica is then left to
 	// decode, since present ones may be removed soon.
-	Restless bool
+	Unstable bool
 	// OtherRegions are the service's replicas in other regions.
 	OtherRegions OtherRegions
-	// Spares are the replicas on standby.
-	Spares Spares
-	Rules  Rules
+	// Standby are the replicas on standby.
+	Standby Standby
+	Rules   Rules
 }
 
-// Spares counts the replicas on standby by stage. No active replica has to change its stage for
+// Standby counts the replicas on standby by stage. No active replica has to change its stage for
 // work that a standby replica could do.
-type Spares struct{ Readers, Generators int }
+type Standby struct{ Prefill, Decode int }
 
 // available reports whether any replica is on standby.
-func (s Spares) available() bool { return s.Readers+s.Generators > 0 }
+func (s Standby) available() bool { return s.Prefill+s.Decode > 0 }
 
 // OtherRegions counts the replicas of a service that are planned by other planners. The bounds on
 // concurrent changes apply to all of them together.
@@ -80,14 +81,14 @@
 	// ReplicaID identifies the replica, the first of Candidates, all of which are equally suitable.
 	ReplicaID  string
 	Candidates []string
-	Generates  bool
+	Decodes    bool
 	Reason     string
-	// Generating and Reading are the demand behind the decision: the peak of the running streams,
+	// StreamPeak and PrefillPeak are the demand behind the decision: the peak of the running streams,
 	// and the number of replicas that prefill keeps busy.
-	Generating float64
-	Reading    float64
-	// Generators is the number of decode replicas before the change.
-	Generators int
+	StreamPeak  float64
+	PrefillPeak float64
+	// DecodeReplicas is the number of decode replicas before the change.
+	DecodeReplicas int
 	// SinceLast is the time since the last change of the service.
 	SinceLast time.Duration
 }
@@ -123,10 +124,10 @@
 
 // Planner plans the stages of one service.
 type Planner struct {
-	// IgnoreForecast plans for the running streams only. UnevenShortage serves decode first when
+	// IgnoreForecast plans for the running streams only. DecodeFirst serves decode first when
 	// there are too few replicas for both stages.
 	IgnoreForecast bool
-	UnevenShortage bool
+	DecodeFirst    bool
 
 	streamPeak  float64
 	prefillPeak float64
@@ -152,9 +153,9 @@
 	}
 	target := p.targetDecodeReplicas(input, decoding)
 	switch {
-	case target > decoding && input.Spares.Generators == 0:
+	case target > decoding && input.Standby.Decode == 0:
 		return p.change(now, input, true, "too few decode replicas")
-	case target < decoding && input.Spares.Readers == 0:
+	case target < decoding && input.Standby.Prefill == 0:
 		return p.change(now, input, false, "more replicas can be used for prefill")
 	}
 	return nil
@@ -175,16 +176,16 @@
 	decay := math.Exp(-(now - p.observedAt).Seconds() / peakDecayTime.Seconds())
 	p.observedAt = now
 	p.streamPeak = max(p.streamDemand(input), p.streamPeak*decay)
-	p.prefillPeak = max(input.Reading, p.prefillPeak*decay)
+	p.prefillPeak = max(input.PrefillLoad, p.prefillPeak*decay)
 }
 
 // streamDemand is the decode demand in streams. It is never less than the number of running
 // streams: streams run longer the more of them there are, which makes a forecast too low.
 func (p *Planner) streamDemand(input Input) float64 {
 	if p.IgnoreForecast {
-		return input.Generating
+		return input.RunningStreams
 	}
-	return max(input.Expected, input.Generating)
+	return max(input.ExpectedStreams, input.RunningStreams)
 }
 
 // targetDecodeReplicas is the number of replicas that should decode.
@@ -194,22 +195,22 @@
 	maximum := max(total-minimumReplicas, minimum)
 	slots := float64(maximumSlots(input.Replicas))
 	needed := min(max(int(math.Ceil(p.streamPeak/(slots*fullOccupancy))), minimum), maximum)
-	if !input.Known {
-		if input.Spares.available() {
+	if !input.DemandKnown {
+		if input.Standby.available() {
 			return max(decoding, needed)
 		}
 		initial := int(math.Ceil(initialDecodeShare * float64(total)))
 		return min(max(initial, needed), maximum)
 	}
 	floor := max(int(math.Ceil(minimumDecodeShare*float64(total))), minimum)
-	if split, short := p.splitShortage(slots, total); short && !p.UnevenShortage {
+	if split, short := p.splitShortage(slots, total); short && !p.DecodeFirst {
 		return min(max(split, min(floor, decoding)), maximum)
 	}
 	if decoding < needed {
 		return needed
 	}
 	comfortable := max(int(math.Ceil(p.streamPeak/(slots*targetOccupancy))), floor)
-	if input.Restless {
+	if input.Unstable {
 		comfortable++
 	}
 	comfortable = min(comfortable, maximum)
@@ -253,14 +254,14 @@
 	}
 	decoding, _ := countDecode(input.Replicas)
 	change := Change{
-		ReplicaID:  candidates[0],
-		Candidates: candidates,
-		Generates:  decodes,
-		Reason:     reason,
-		Generating: p.streamPeak,
-		Reading:    p.prefillPeak,
-		Generators: decoding,
-		SinceLast:  now - p.lastChange,
+		ReplicaID:      candidates[0],
+		Candidates:     candidates,
+		Decodes:        decodes,
+		Reason:         reason,
+		StreamPeak:     p.streamPeak,
+		PrefillPeak:    p.prefillPeak,
+		DecodeReplicas: decoding,
+		SinceLast:      now - p.lastChange,
 	}
 	if input.Rules.Permits != nil && !input.Rules.Permits(change) {
 		return nil
@@ -273,7 +274,7 @@
 func (i Input) NoteChange(change *Change) {
 	for index := range i.Replicas {
 		if i.Replicas[index].ID == change.ReplicaID {
-			i.Replicas[index].Generates = change.Generates
+			i.Replicas[index].Decodes = change.Decodes
 			i.Replicas[index].Changing = true
 		}
 	}
@@ -283,14 +284,14 @@
 // replicas.
 func (i Input) decodeOverloaded() bool {
 	decoding, _ := countDecode(i.Replicas)
-	return i.Generating > float64(decoding*maximumSlots(i.Replicas))
+	return i.RunningStreams > float64(decoding*maximumSlots(i.Replicas))
 }
 
 // candidates are the replicas that may be moved to a stage.
 func (p *Planner) candidates(now time.Duration, input Input, decodes bool) []string {
 	var ids []string
 	for _, replica := range input.Replicas {
-		if replica.Generates == decodes || replica.Changing || replica.Unsettled || replica.Refuses || p.withinDwell(now, replica.ID, input.Rules) {
+		if replica.Decodes == decodes || replica.Changing || replica.Unsettled || replica.Rejects || p.withinDwell(now, replica.ID, input.Rules) {
 			continue
 		}
 		ids = append(ids, replica.ID)
@@ -298,14 +299,14 @@
 	return ids
 }
 
-// Choose replaces the replica of a change by another of its candidates.
-func (p *Planner) Choose(now time.Duration, change *Change, id string) {
+// ReplaceCandidate replaces the replica of a change by another of its candidates.
+func (p *Planner) ReplaceCandidate(now time.Duration, change *Change, id string) {
 	if id == change.ReplicaID {
 		return
 	}
 	delete(p.changedAt, change.ReplicaID)
 	change.ReplicaID = id
-	p.recordChange(now, id, change.Generates)
+	p.recordChange(now, id, change.Decodes)
 }
 
 // withinDwell reports whether a replica has to stay in its stage for now.
@@ -327,7 +328,7 @@
 
 func countDecode(replicas []Replica) (decoding, changing int) {
 	for _, replica := range replicas {
-		if replica.Generates && !replica.Unsettled {
+		if replica.Decodes && !replica.Unsettled {
 			decoding++
 		}
 		if replica.Changing {
--- a/internal/stageplan/plan_test.go
+++ b/internal/stageplan/plan_test.go
@@ -16,7 +16,7 @@
 	var replicas []stageplan.Replica
 	for index := range prefilling + decoding {
 		replicas = append(replicas, stageplan.Replica{
-			ID: fmt.Sprintf("r%d", index), Slots: 32, Generates: index >= prefilling,
+			ID: fmt.Sprintf("r%d", index), Slots: 32, Decodes: index >= prefilling,
 		})
 	}
 	return replicas
@@ -24,7 +24,7 @@
 
 func countDecode(replicas []stageplan.Replica) (decoding int) {
 	for _, replica := range replicas {
-		if replica.Generates {
+		if replica.Decodes {
 			decoding++
 		}
 	}
@@ -46,7 +46,7 @@
 		require.Less(t, changes, 100, "the planner does not settle")
 		for index := range input.Replicas {
 			if input.Replicas[index].ID == change.ReplicaID {
-				input.Replicas[index].Generates = change.Generates
+				input.Replicas[index].Decodes = change.Decodes
 			}
 		}
 	}
@@ -61,36 +61,36 @@
 }
 
 func TestDecodeDemandTakesPrecedence(t *testing.T) {
-	input := stageplan.Input{Replicas: fleet(12, 6), Generating: 160, Reading: 9, Known: true}
+	input := stageplan.Input{Replicas: fleet(12, 6), RunningStreams: 160, PrefillLoad: 9, DemandKnown: true}
 	settle(t, &stageplan.Planner{}, 0, input)
 	assert.Equal(t, 7, countDecode(input.Replicas), "160 streams in batches three quarters full")
 }
 
 func TestPrefillReplicasAreAddedOnlyUnderLoad(t *testing.T) {
-	idle := stageplan.Input{Replicas: fleet(4, 14), Generating: 20, Reading: 1, Known: true}
+	idle := stageplan.Input{Replicas: fleet(4, 14), RunningStreams: 20, PrefillLoad: 1, DemandKnown: true}
 	changes, _ := settle(t, &stageplan.Planner{}, 0, idle)
 	assert.Zero(t, changes)
 
-	busy := stageplan.Input{Replicas: fleet(4, 14), Generating: 20, Reading: 6, Known: true}
+	busy := stageplan.Input{Replicas: fleet(4, 14), RunningStreams: 20, PrefillLoad: 6, DemandKnown: true}
 	settle(t, &stageplan.Planner{}, 0, busy)
 	assert.Less(t, countDecode(busy.Replicas), 14)
 	assert.GreaterOrEqual(t, countDecode(busy.Replicas), 4, "a minimum share decodes")
 }
 
-func TestADemandThatSwingsDoesNotChangeReplicasBackAndForth(t *testing.T) {
+func TestOscillatingDemandCausesFewChanges(t *testing.T) {
 	planner := &stageplan.Planner{}
 	replicas := fleet(9, 9)
 	changes := 0
 	for step := range 400 {
-		input := stageplan.Input{Replicas: replicas, Generating: 60, Reading: 2, Known: true}
+		input := stageplan.Input{Replicas: replicas, RunningStreams: 60, PrefillLoad: 2, DemandKnown: true}
 		if step/10%2 == 1 {
-			input.Generating, input.Reading = 20, 6
+			input.RunningStreams, input.PrefillLoad = 20, 6
 		}
 		if change := planner.Step(time.Duration(step)*300*time.Millisecond, input); change != nil {
 			changes++
 			for index := range replicas {
 				if replicas[index].ID == change.ReplicaID {
-					replicas[index].Generates = change.Generates
+					replicas[index].Decodes = change.Decodes
 				}
 			}
 		}
@@ -109,7 +109,7 @@
 		for index := range replicas {
 			if replicas[index].ID == change.ReplicaID {
 				replicas[index].Changing = true
-				replicas[index].Generates = change.Generates
+				replicas[index].Decodes = change.Decodes
 			}
 		}
 	}
@@ -123,11 +123,11 @@
 }
 
 func TestForecastDemandIsMet(t *testing.T) {
-	rising := stageplan.Input{Replicas: fleet(12, 6), Generating: 60, Expected: 190, Known: true}
+	rising := stageplan.Input{Replicas: fleet(12, 6), RunningStreams: 60, ExpectedStreams: 190, DemandKnown: true}
 	settle(t, &stageplan.Planner{}, 0, rising)
 	assert.Equal(t, 8, countDecode(rising.Replicas), "before the streams have started")
 
-	falling := stageplan.Input{Replicas: fleet(4, 14), Generating: 190, Expected: 40, Reading: 6, Known: true}
+	falling := stageplan.Input{Replicas: fleet(4, 14), RunningStreams: 190, ExpectedStreams: 40, PrefillLoad: 6, DemandKnown: true}
 	settle(t, &stageplan.Planner{}, 0, falling)
 	assert.Equal(t, 10, countDecode(falling.Replicas), "running streams keep their batch slots")
 }
@@ -135,7 +135,7 @@
 // A forecast below the number of running streams is ignored: full decode replicas are slow, so that
 // their streams end later than those from which the forecast is made.
 func TestForecastBelowRunningStreamsIsIgnored(t *testing.T) {
-	full := stageplan.Input{Replicas: fleet(15, 5), Generating: 150, Expected: 60, Reading: 3, Known: true}
+	full := stageplan.Input{Replicas: fleet(15, 5), RunningStreams: 150, ExpectedStreams: 60, PrefillLoad: 3, DemandKnown: true}
 	settle(t, &stageplan.Planner{}, 0, full)
 	assert.Greater(t, countDecode(full.Replicas), 5)
 }
@@ -143,7 +143,7 @@
 func TestOverloadedDecodeBypassesReversalDelay(t *testing.T) {
 	for name, generating := range map[string]float64{"calm": 60, "overflowing": 400} {
 		planner := &stageplan.Planner{}
-		input := stageplan.Input{Replicas: fleet(4, 14), Generating: 40, Reading: 8, Known: true}
+		input := stageplan.Input{Replicas: fleet(4, 14), RunningStreams: 40, PrefillLoad: 8, DemandKnown: true}
 		now := time.Duration(0)
 		for range 9 {
 			now += 100 * time.Millisecond
@@ -152,22 +152,22 @@
 			}
 		}
 		require.Less(t, countDecode(input.Replicas), 14)
-		input.Generating = generating
-		input.Expected = 400
+		input.RunningStreams = generating
+		input.ExpectedStreams = 400
 		change := planner.Step(now+100*time.Millisecond, input)
-		assert.Equal(t, name == "overflowing", change != nil && change.Generates, name)
+		assert.Equal(t, name == "overflowing", change != nil && change.Decodes, name)
 	}
 }
 
 func TestChooseReplacesCandidate(t *testing.T) {
 	planner := &stageplan.Planner{}
 	rules := stageplan.Rules{MinimumDwell: time.Minute}
-	input := stageplan.Input{Replicas: fleet(4, 14), Reading: 9, Generating: 20, Known: true, Rules: rules}
+	input := stageplan.Input{Replicas: fleet(4, 14), PrefillLoad: 9, RunningStreams: 20, DemandKnown: true, Rules: rules}
 	change := planner.Step(time.Second, input)
 	require.NotNil(t, change)
 	require.Len(t, change.Candidates, 14)
 	assert.Equal(t, change.Candidates[0], change.ReplicaID)
-	planner.Choose(time.Second, change, change.Candidates[5])
+	planner.ReplaceCandidate(time.Second, change, change.Candidates[5])
 	assert.Equal(t, change.Candidates[5], change.ReplicaID)
 	next := planner.Step(2*time.Second, input)
 	require.NotNil(t, next)
@@ -176,11 +176,11 @@
 }
 
 func TestShortageIsSplitBetweenStages(t *testing.T) {
-	input := stageplan.Input{Replicas: fleet(14, 4), Generating: 300, Reading: 20, Known: true}
+	input := stageplan.Input{Replicas: fleet(14, 4), RunningStreams: 300, PrefillLoad: 20, DemandKnown: true}
 	settle(t, &stageplan.Planner{}, 0, input)
 	assert.Equal(t, 7, countDecode(input.Replicas), "each stage gets the same share of the 38 needed replicas, 16 of them for decode")
 
-	streams := stageplan.Input{Replicas: fleet(14, 4), Generating: 600, Reading: 2, Known: true}
+	streams := stageplan.Input{Replicas: fleet(14, 4), RunningStreams: 600, PrefillLoad: 2, DemandKnown: true}
 	settle(t, &stageplan.Planner{}, 0, streams)
 	assert.Equal(t, 16, countDecode(streams.Replicas))
 }
@@ -189,28 +189,28 @@
 func apply(replicas []stageplan.Replica, change *stageplan.Change) {
 	for index := range replicas {
 		if replicas[index].ID == change.ReplicaID {
-			replicas[index].Generates = change.Generates
+			replicas[index].Decodes = change.Decodes
 		}
 	}
 }
 
 func TestSingleReplicaKeepsStage(t *testing.T) {
-	changes, _ := settle(t, &stageplan.Planner{}, 0, stageplan.Input{Replicas: fleet(0, 1), Reading: 5, Known: true})
+	changes, _ := settle(t, &stageplan.Planner{}, 0, stageplan.Input{Replicas: fleet(0, 1), PrefillLoad: 5, DemandKnown: true})
 	assert.Zero(t, changes)
 }
 
-func TestALostGeneratorIsNotReplacedByABusyReader(t *testing.T) {
+func TestLostDecodeReplicaIsNotReplacedWhilePrefillIsShort(t *testing.T) {
 	replicas := fleet(12, 6)
 	for index := 12; index < 15; index++ {
 		replicas[index].Unsettled = true
 	}
-	input := stageplan.Input{Replicas: replicas, Generating: 40, Reading: 20, Known: true, Restless: true}
+	input := stageplan.Input{Replicas: replicas, RunningStreams: 40, PrefillLoad: 20, DemandKnown: true, Unstable: true}
 	changes, _ := settle(t, &stageplan.Planner{}, 0, input)
 	assert.Zero(t, changes, "3 decode replicas suffice for 40 streams, and there are too few prefill replicas")
 }
 
 func TestFullDecodeReplicasAreRelievedBeforeDemandIsKnown(t *testing.T) {
-	input := stageplan.Input{Replicas: fleet(12, 6), Generating: 190}
+	input := stageplan.Input{Replicas: fleet(12, 6), RunningStreams: 190}
 	settle(t, &stageplan.Planner{}, 0, input)
 	assert.Equal(t, 8, countDecode(input.Replicas))
 }
@@ -230,8 +230,8 @@
 		return false
 	}}))
 	if assert.NotEmpty(t, proposed) {
-		assert.Equal(t, 16, proposed[0].Generators)
-		assert.False(t, proposed[0].Generates)
+		assert.Equal(t, 16, proposed[0].DecodeReplicas)
+		assert.False(t, proposed[0].Decodes)
 	}
 }
 
@@ -241,7 +241,7 @@
 	input := stageplan.Input{Replicas: fleet(1, 3), Rules: rules}
 	_, now := settle(t, planner, 0, input)
 	assert.Equal(t, 2, countDecode(input.Replicas))
-	input.Generating = 32 * 3
+	input.RunningStreams = 32 * 3
 	changes, now := settle(t, planner, now, input)
 	assert.Equal(t, 0, changes, "both prefill replicas are kept: one by the minimum number, one by its dwell")
 	input.Replicas = append(input.Replicas, fleet(3, 0)[2])
@@ -252,9 +252,9 @@
 // Step is called repeatedly for the same moment: each change selects another replica, and the
 // changes stop where they would with one change per step, at the bound on concurrent changes.
 func TestRepeatedStepsAtOneTimeChangeDifferentReplicas(t *testing.T) {
-	input := stageplan.Input{Known: true, Generating: 10, Expected: 10, Reading: 60}
+	input := stageplan.Input{DemandKnown: true, RunningStreams: 10, ExpectedStreams: 10, PrefillLoad: 60}
 	for number := range 100 {
-		input.Replicas = append(input.Replicas, stageplan.Replica{ID: fmt.Sprint("r", number), Generates: true, Slots: 64})
+		input.Replicas = append(input.Replicas, stageplan.Replica{ID: fmt.Sprint("r", number), Decodes: true, Slots: 64})
 	}
 	planner := &stageplan.Planner{}
 	changed := map[string]bool{}
@@ -275,7 +275,7 @@
 // a third of them, the others could not serve the load until more had changed, and half of the
 // prompts were late.
 func TestPrefillCapacityIsReservedForZoneLoss(t *testing.T) {
-	input := stageplan.Input{Replicas: fleet(50, 49), Generating: 68, Reading: 20, Known: true}
+	input := stageplan.Input{Replicas: fleet(50, 49), RunningStreams: 68, PrefillLoad: 20, DemandKnown: true}
 	settle(t, &stageplan.Planner{}, 0, input)
 	assert.LessOrEqual(t, countDecode(input.Replicas), 33, "67 prefill replicas are at 0.3 utilization")
 }
@@ -285,15 +285,15 @@
 // orders at 300 replicas and 251 at 1,000, for a load that a few replicas could serve.
 func TestStandbyReplicasPreventStageChanges(t *testing.T) {
 	for _, size := range []int{300, 1_000, 3_000} {
-		spares := stageplan.Spares{Readers: size / 3, Generators: size / 3}
-		input := stageplan.Input{Replicas: fleet(128, 128), Spares: spares}
+		spares := stageplan.Standby{Prefill: size / 3, Decode: size / 3}
+		input := stageplan.Input{Replicas: fleet(128, 128), Standby: spares}
 		changes, now := settle(t, &stageplan.Planner{}, 0, input)
 		assert.Zero(t, changes, "before demand is known, %d replicas", size)
 
-		busy := stageplan.Input{Replicas: fleet(128, 128), Spares: spares, Known: true, Reading: 120, Generating: 10}
+		busy := stageplan.Input{Replicas: fleet(128, 128), Standby: spares, DemandKnown: true, PrefillLoad: 120, RunningStreams: 10}
 		changes, _ = settle(t, &stageplan.Planner{}, now, busy)
 		assert.Zero(t, changes, "prefill replicas are on standby")
-		busy.Spares.Readers = 0
+		busy.Standby.Prefill = 0
 		changes, _ = settle(t, &stageplan.Planner{}, now, busy)
 		assert.Positive(t, changes, "no prefill replica is on standby any more")
 	}
@@ -303,7 +303,7 @@
 // both stages: they are split between them. When all replicas were counted, no shortage was
 // detected and only one replica was left for prefill.
 func TestUnsettledReplicasAreExcludedFromSplit(t *testing.T) {
-	input := stageplan.Input{Replicas: fleet(15, 3), Known: true, Generating: 100, Expected: 100, Reading: 4}
+	input := stageplan.Input{Replicas: fleet(15, 3), DemandKnown: true, RunningStreams: 100, ExpectedStreams: 100, PrefillLoad: 4}
 	for index := range input.Replicas {
 		input.Replicas[index].Unsettled = index >= 6
 	}
@@ -316,9 +316,9 @@
 // The least busy replica is changed first, and one that rejects everything is idle; it would reject
 // requests in its new stage, too.
 func TestRejectingReplicaIsNotChanged(t *testing.T) {
-	input := stageplan.Input{Replicas: fleet(6, 2), Known: true, Generating: 200, Expected: 200}
+	input := stageplan.Input{Replicas: fleet(6, 2), DemandKnown: true, RunningStreams: 200, ExpectedStreams: 200}
 	for index := range 3 {
-		input.Replicas[index].Refuses = true
+		input.Replicas[index].Rejects = true
 	}
 	change := (&stageplan.Planner{}).Step(time.Second, input)
 	require.NotNil(t, change)
--- a/internal/stageplan/regions.go
+++ b/internal/stageplan/regions.go
@@ -5,8 +5,8 @@
 // Regions plans a service whose replicas run in several regions. Each region is planned from its
 // own demand, since the KV cache of a prefilled prompt is slow to transfer out of a region.
 type Regions struct {
-	// New returns the planner of a region.
-	New func() *Planner
+	// NewPlanner returns the planner of a region.
+	NewPlanner func() *Planner
 
 	planners map[string]*Planner
 	// nextIndex is the index of the region that may change a replica first. It rotates, so that
@@ -56,7 +56,7 @@
 		if r.planners == nil {
 			r.planners = map[string]*Planner{}
 		}
-		planner = r.New()
+		planner = r.NewPlanner()
 		r.planners[region] = planner
 	}
 	return planner
--- a/internal/stageplan/regions_test.go
+++ b/internal/stageplan/regions_test.go
@@ -13,12 +13,12 @@
 )
 
 func newRegions() *stageplan.Regions {
-	return &stageplan.Regions{New: func() *stageplan.Planner { return &stageplan.Planner{} }}
+	return &stageplan.Regions{NewPlanner: func() *stageplan.Planner { return &stageplan.Planner{} }}
 }
 
 // newRegionInput returns a region with a fleet whose replica ids are unique to the region.
 func newRegionInput(name string, prefilling, decoding int) *stageplan.RegionInput {
-	input := &stageplan.RegionInput{Region: name, Input: stageplan.Input{Replicas: fleet(prefilling, decoding), Known: true}}
+	input := &stageplan.RegionInput{Region: name, Input: stageplan.Input{Replicas: fleet(prefilling, decoding), DemandKnown: true}}
 	for index := range input.Replicas {
 		input.Replicas[index].ID = fmt.Sprint(name, "-", index)
 	}
@@ -54,9 +54,9 @@
 	changes := 0
 	for step := range 2000 {
 		now += 300 * time.Millisecond
-		alone.Generating, alone.Reading = random.Float64()*300, random.Float64()*12
-		alone.Known, alone.Restless = step > 5, random.IntN(9) == 0
-		one.Generating, one.Reading, one.Known, one.Restless = alone.Generating, alone.Reading, alone.Known, alone.Restless
+		alone.RunningStreams, alone.PrefillLoad = random.Float64()*300, random.Float64()*12
+		alone.DemandKnown, alone.Unstable = step > 5, random.IntN(9) == 0
+		one.RunningStreams, one.PrefillLoad, one.DemandKnown, one.Unstable = alone.RunningStreams, alone.PrefillLoad, alone.DemandKnown, alone.Unstable
 		want := planner.Step(now, alone)
 		_, got, _ := plan.Step(now, []*stageplan.RegionInput{one})
 		require.Equal(t, want, got)
@@ -76,8 +76,8 @@
 
 func TestRegionsArePlannedFromTheirOwnDemand(t *testing.T) {
 	long, short := newRegionInput("long", 10, 10), newRegionInput("short", 10, 10)
-	long.Reading, long.Generating = 12, 20
-	short.Reading, short.Generating = 2, 360
+	long.PrefillLoad, long.RunningStreams = 12, 20
+	short.PrefillLoad, short.RunningStreams = 2, 360
 	settleRegions(t, newRegions(), long, short)
 	assert.Equal(t, 5, countDecode(long.Replicas), "prompts keep prefill replicas busy")
 	assert.Equal(t, 15, countDecode(short.Replicas), "answers are long")
@@ -88,7 +88,7 @@
 	var regions []*stageplan.RegionInput
 	for index := range 3 {
 		each := newRegionInput(fmt.Sprint("region", index), 18, 2)
-		each.Generating = 600
+		each.RunningStreams = 600
 		each.Rules = stageplan.Rules{Bounded: true, MaximumAway: 4}
 		regions = append(regions, each)
 	}
