--- a/internal/cli/regional.go
+++ b/internal/cli/regional.go
@@ -151,7 +151,7 @@
 		Zone: settings.Zone,
 
 		Topology: settings.Topology(),
-		Quota:    settings.QuotaTerms(),
+		Quota:    settings.QuotaEnforcement(),
 
 		LinkBitsPerSecond:          settings.LinkMegabits * bitsPerMegabit,
 		OtherRegionsBytesPerSecond: settings.OtherRegionsRate,
@@ -240,7 +240,7 @@
 		EvidenceHoldTime:  settings.Hold(),
 
 		Topology: settings.Topology(),
-		Quota:    settings.QuotaTerms(),
+		Quota:    settings.QuotaEnforcement(),
 
 		PlacementGatewayThreshold:  settings.PlacesFrom(),
 		MinimumActiveReplicas:      settings.ActiveReplicas,
--- a/internal/config/regional/settings.go
+++ b/internal/config/regional/settings.go
@@ -272,12 +272,12 @@
 // Topology are the regions of the zones.
 func (s *Settings) Topology() topology.Map { return topology.Map{Regions: s.Zones} }
 
-// QuotaTerms are by how much tenants' limits may be overrun.
-func (s *Settings) QuotaTerms() quota.Terms {
-	return quota.Terms{
-		Window: time.Duration(s.QuotaWindowSeconds * float64(time.Second)),
-		Over:   s.QuotaOver,
-		Slack:  s.QuotaSlack,
+// QuotaEnforcement are by how much tenants' limits may be overrun.
+func (s *Settings) QuotaEnforcement() quota.Enforcement {
+	return quota.Enforcement{
+		Window:            time.Duration(s.QuotaWindowSeconds * float64(time.Second)),
+		RelativeTolerance: s.QuotaOver,
+		AbsoluteTolerance: s.QuotaSlack,
 	}
 }
 
--- a/internal/coordinator/pool.go
+++ b/internal/coordinator/pool.go
@@ -45,17 +45,17 @@
 	requestCount, deniedCount, holderTimeoutCount uint64
 }
 
-func newPoolService(c *Coordinator, socket *datagram.Socket, limitsOf string, kinds messageKinds, terms quota.Terms) *poolService {
+func newPoolService(c *Coordinator, socket *datagram.Socket, limitsOf string, kinds messageKinds, enforcement quota.Enforcement) *poolService {
 	service := &poolService{
 		Coordinator: c,
 		socket:      socket,
 		kinds:       kinds,
 		limitsOf:    limitsOf,
 		pool: quota.NewPool(c.now(), quota.Options{
-			Address: c.settings.Address,
-			Life:    time.Now().UnixNano(),
-			Lease:   time.Duration(poolLeaseShare * float64(c.settings.ContactTime)),
-			Terms:   terms,
+			Address:     c.settings.Address,
+			Incarnation: time.Now().UnixNano(),
+			Lease:       time.Duration(poolLeaseShare * float64(c.settings.ContactTime)),
+			Enforcement: enforcement,
 		}),
 		wakeups: make(chan struct{}, 1),
 		refresh: func() {},
@@ -107,10 +107,10 @@
 	defer p.mutex.Unlock()
 	now := p.now()
 	for _, each := range message.Amounts {
-		p.pool.Give(now, each)
+		p.pool.Adjust(now, each)
 	}
-	for _, each := range message.Questions {
-		p.pool.Ask(now, from.String(), each)
+	for _, each := range message.Queries {
+		p.pool.HandleQuery(now, from.String(), each)
 	}
 	p.send()
 	p.wakeUp()
@@ -143,15 +143,15 @@
 func (p *poolService) send() {
 	ready := p.pool.Ready()
 	for index := range ready.Messages {
-		if to, err := netip.ParseAddrPort(ready.To[index]); err == nil {
+		if to, err := netip.ParseAddrPort(ready.Recipients[index]); err == nil {
 			p.socket.Send(p.kinds.peer, &ready.Messages[index], to)
 		}
 	}
 	for _, each := range ready.Decisions {
 		p.reply(each)
 	}
-	for _, each := range ready.Modes {
-		p.logger.Info(event.QuotaMode, "limits_of", p.limitsOf, "mode", string(each.Mode), "parts", each.Parts, "members", each.Of, "holder", each.Holder)
+	for _, each := range ready.ModeChanges {
+		p.logger.Info(event.QuotaMode, "limits_of", p.limitsOf, "mode", string(each.Mode), "parts", each.Shares, "members", each.Members, "holder", each.Holder)
 	}
 }
 
@@ -170,14 +170,14 @@
 
 // count counts a decision unless it was counted before. The caller must hold p.mutex.
 func (p *poolService) count(decision quota.Decision) {
-	if decision.Again {
+	if decision.Repeated {
 		return
 	}
 	p.requestCount++
 	if !decision.Answer.Admitted {
 		p.deniedCount++
 	}
-	if decision.Silent {
+	if decision.HolderTimedOut {
 		p.holderTimeoutCount++
 	}
 }
--- a/internal/coordinator/replicalimits.go
+++ b/internal/coordinator/replicalimits.go
@@ -48,7 +48,7 @@
 func newLimitService(c *Coordinator, socket *datagram.Socket) *limitService {
 	kinds := messageKinds{request: datagram.KindLimit, reply: datagram.KindLimitReply, peer: datagram.KindLimitPeer}
 	service := &limitService{
-		poolService: newPoolService(c, socket, "replicas", kinds, ratelimit.Terms()),
+		poolService: newPoolService(c, socket, "replicas", kinds, ratelimit.PoolEnforcement()),
 		table:       ratelimit.NewTable(),
 		viewChanged: make(chan struct{}),
 		sentAllAt:   map[netip.AddrPort]time.Duration{},
@@ -109,8 +109,8 @@
 // noteDecision keeps this coordinator from placing requests at a replica whose limit has denied one, until it is
 // expected to have capacity again. The caller must hold l.mutex.
 func (l *limitService) noteDecision(decision quota.Decision) {
-	if !decision.Answer.Admitted && !decision.Again {
-		l.placement.directory.NoteDenial(decision.Question.Account, decision.Question.Rank, time.Duration(decision.Answer.WaitMicros)*time.Microsecond)
+	if !decision.Answer.Admitted && !decision.Repeated {
+		l.placement.directory.NoteDenial(decision.Query.Account, decision.Query.Rank, time.Duration(decision.Answer.WaitMicros)*time.Microsecond)
 	}
 }
 
--- a/internal/coordinator/replicalimits_test.go
+++ b/internal/coordinator/replicalimits_test.go
@@ -55,7 +55,7 @@
 func (a *limitClient) requestPermit(coordinator, replica string) quota.Answer {
 	a.t.Helper()
 	a.lastID++
-	question := &quota.GatewayMessage{Questions: []quota.Question{{ID: a.lastID, Account: replica, Units: 1}}}
+	question := &quota.GatewayMessage{Queries: []quota.Query{{ID: a.lastID, Account: replica, Units: 1}}}
 	deadline := time.After(30 * time.Second)
 	for {
 		a.socket.Send(datagram.KindLimit, question, netip.MustParseAddrPort(coordinator))
--- a/internal/coordinator/settings.go
+++ b/internal/coordinator/settings.go
@@ -24,7 +24,7 @@
 	// Topology maps zones to regions.
 	Topology topology.Map
 	// Quota sets by how much tenants' limits may be exceeded.
-	Quota quota.Terms
+	Quota quota.Enforcement
 	// Address is the IP:port for other coordinators and for gateways.
 	Address string
 	// Listen is the IP:port to listen on for them; Address if it is empty.
--- a/internal/fleetplan/planmix.go
+++ b/internal/fleetplan/planmix.go
@@ -15,7 +15,7 @@
 	window := time.Duration(shrinkBootTimes * float64(input.BootTime))
 	if input.Load.Reported && (input.Load.known() || p.loads.loads != nil) {
 		load := input.Load
-		load.Replicas, load.Readers = float64(input.serving()), float64(input.PrefillReplicas)
+		load.Replicas, load.PrefillReplicas = float64(input.serving()), float64(input.PrefillReplicas)
 		p.loads.add(now, window, load)
 		p.recent.add(now, input.BootTime, load)
 	}
--- a/internal/fleetplan/worth.go
+++ b/internal/fleetplan/worth.go
@@ -18,9 +18,9 @@
 	Prompts float64
 	// Delayed is the number of prompts a second that are late because no replica was free.
 	Delayed float64
-	// Replicas is the number of replicas that served, and Readers that of the prefill replicas
+	// Replicas is the number of replicas that served, and PrefillReplicas that of the prefill replicas
 	// among them.
-	Replicas, Readers float64
+	Replicas, PrefillReplicas float64
 	// Slack is the average time that a prompt may wait and still be answered within its objective.
 	Slack time.Duration
 	// ResidualPrefill is the average time that a prompt waits for the prefill in progress before it: half
@@ -73,10 +73,10 @@
 
 // prefillShare is the share of the replicas that are prefill replicas.
 func (l Load) prefillShare() float64 {
-	if l.Replicas <= 0 || l.Readers <= 0 {
+	if l.Replicas <= 0 || l.PrefillReplicas <= 0 {
 		return maximumPrefillShare
 	}
-	return l.Readers / l.Replicas
+	return l.PrefillReplicas / l.Replicas
 }
 
 // afterLoss is the load after a share of the replicas has been lost with their cached prefixes,
--- a/internal/fleetplan/worth_test.go
+++ b/internal/fleetplan/worth_test.go
@@ -93,7 +93,7 @@
 	for span := range historySpans {
 		busy := 20 * (0.8 + 0.4*float64(span%4)/3)
 		recorded.loads = append(recorded.loads, Load{
-			Reported: true, Busy: busy, CacheSavings: 1.5 * busy, Prompts: 9 * busy, Replicas: 100, Readers: 40,
+			Reported: true, Busy: busy, CacheSavings: 1.5 * busy, Prompts: 9 * busy, Replicas: 100, PrefillReplicas: 40,
 			Slack: 610 * time.Millisecond, ResidualPrefill: 165 * time.Millisecond,
 		})
 	}
--- a/internal/quota/benchmark_test.go
+++ b/internal/quota/benchmark_test.go
@@ -18,18 +18,18 @@
 	batchSize = 6
 )
 
-// BenchmarkQuestion measures the cost of one request of a tenant with a limit: at the coordinator
+// BenchmarkQuery measures the cost of one request of a tenant with a limit: at the coordinator
 // that is asked, including the encoding of messages, and at the holder, which gets queries in batches.
-func BenchmarkQuestion(b *testing.B) {
+func BenchmarkQuery(b *testing.B) {
 	b.Run("asked", func(b *testing.B) {
 		pool := targetPool()
 		sent := 0
 		b.ReportAllocs()
 		for number := 0; b.Loop(); number++ {
-			message := &quota.GatewayMessage{Questions: []quota.Question{targetQuery(number)}}
+			message := &quota.GatewayMessage{Queries: []quota.Query{targetQuery(number)}}
 			var read quota.GatewayMessage
 			sent += roundTrip(b, message, &read)
-			pool.Ask(time.Minute, "10.0.0.1:7400", read.Questions[0])
+			pool.HandleQuery(time.Minute, "10.0.0.1:7400", read.Queries[0])
 			for _, each := range pool.Ready().Decisions {
 				reply := &quota.GatewayReply{Answers: []quota.Answer{each.Answer}, Mode: each.Mode}
 				sent += roundTrip(b, reply, &quota.GatewayReply{})
@@ -44,7 +44,7 @@
 		for number := 0; b.Loop(); number++ {
 			message := &quota.PeerMessage{From: "10.0.0.2:7400", Incarnation: 2, Time: int64(number)}
 			for question := range batchSize {
-				message.Questions = append(message.Questions, targetQuery(number*batchSize+question))
+				message.Queries = append(message.Queries, targetQuery(number*batchSize+question))
 			}
 			var read quota.PeerMessage
 			sent += roundTrip(b, message, &read)
@@ -60,7 +60,7 @@
 
 // targetPool returns the pool of a leader at the target size.
 func targetPool() *quota.Pool {
-	pool := quota.NewPool(0, quota.Options{Address: "10.0.0.1:7400", Life: 1, Lease: lease, Terms: terms})
+	pool := quota.NewPool(0, quota.Options{Address: "10.0.0.1:7400", Incarnation: 1, Lease: lease, Enforcement: enforcement})
 	limits := map[string]quota.Limit{}
 	for number := range targetTenants {
 		limits[fmt.Sprint("tenant-", number)] = quota.Limit{Rate: 1e9, Burst: 1e9}
@@ -74,8 +74,8 @@
 	return pool
 }
 
-func targetQuery(number int) quota.Question {
-	return quota.Question{ID: uint64(number + 1), Account: fmt.Sprint("tenant-", number%targetTenants), Units: 200, Rank: number % 3}
+func targetQuery(number int) quota.Query {
+	return quota.Query{ID: uint64(number + 1), Account: fmt.Sprint("tenant-", number%targetTenants), Units: 200, Rank: number % 3}
 }
 
 // roundTrip encodes and decodes a message, and returns its encoded size.
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -50,7 +50,7 @@
 	fullMaxDebt float64
 	// window bounds the retry delay.
 	window time.Duration
-	// strict is Terms.Strict.
+	// strict is Enforcement.Strict.
 	strict bool
 	// retryAfter is the time within which a pool that counts no share counts one again, or is
 	// attached to a pool that does.
@@ -98,7 +98,7 @@
 }
 
 // decide charges a request, or refuses it.
-func (b *bucket) decide(now time.Duration, q Question, a allowance) Answer {
+func (b *bucket) decide(now time.Duration, q Query, a allowance) Answer {
 	b.refill(now, a)
 	answer := Answer{ID: q.ID, Level: b.level, Rate: max(b.rate(a), b.sustainedRate(a))}
 	answer.Admitted = b.fits(q, a)
@@ -114,7 +114,7 @@
 }
 
 // fits reports whether a request may pass now.
-func (b *bucket) fits(q Question, a allowance) bool {
+func (b *bucket) fits(q Query, a allowance) bool {
 	if b.level+a.unacknowledged-q.Units >= -q.usableDebt(a, a.maxDebt) {
 		return true
 	}
@@ -129,7 +129,7 @@
 // usableDebt is the part of a debt that a request may use, by its rank. A small request may use all
 // of it: to refuse it would save next to nothing for others. Under strict limits all requests are of
 // one size, and only their ranks differ.
-func (q *Question) usableDebt(a allowance, maxDebt float64) float64 {
+func (q *Query) usableDebt(a allowance, maxDebt float64) float64 {
 	if !a.strict && q.Units <= smallRequestFraction*maxDebt {
 		return maxDebt
 	}
@@ -138,7 +138,7 @@
 
 // retryAfter returns the time after which a refused request should fit if those refused before it
 // retry first. Callers that are told the same time would retry together, and be refused together.
-func (b *bucket) retryAfter(now time.Duration, q Question, a allowance) time.Duration {
+func (b *bucket) retryAfter(now time.Duration, q Query, a allowance) time.Duration {
 	rate, sustainedRate := b.rate(a), b.sustainedRate(a)
 	if a.strict && rate <= 0 {
 		return a.retryAfter
--- a/internal/quota/group_test.go
+++ b/internal/quota/group_test.go
@@ -23,8 +23,8 @@
 	electionDelay = time.Second
 )
 
-// terms are those of a deployment with some tolerance.
-var terms = quota.Terms{Window: 8 * time.Second, Over: 0.1, Slack: 190_000}
+// enforcement is that of a deployment with some tolerance.
+var enforcement = quota.Enforcement{Window: 8 * time.Second, RelativeTolerance: 0.1, AbsoluteTolerance: 190_000}
 
 // simulation runs the pools of some coordinators in virtual time. Datagrams take delay; tests change
 // the state of coordinators and links in plain fields.
@@ -34,7 +34,7 @@
 	now          time.Duration
 	incarnations int64
 	limit        quota.Limit
-	terms        quota.Terms
+	enforcement  quota.Enforcement
 	names        []string
 	nodes        map[string]*coordinator
 	events       eventHeap
@@ -43,10 +43,10 @@
 	isLost func(from, to string) bool
 	// gateways is the number of gateways that ask; localLimiters are their own buckets.
 	gateways      int
-	localLimiters []*quota.Local
+	localLimiters []*quota.LocalLimiter
 	// decideLocally decides at a gateway that reaches no coordinator. onCoordinatorAnswer, which
 	// may be nil, is called when a coordinator has answered a gateway.
-	decideLocally       func(gateway int, q quota.Question) quota.Answer
+	decideLocally       func(gateway int, q quota.Query) quota.Answer
 	onCoordinatorAnswer func(gateway int)
 	// onAnswer is called with each answer, and the gateway that had asked. It may be nil.
 	onAnswer     func(gateway int, answer quota.Answer)
@@ -77,12 +77,12 @@
 }
 
 func newSimulation(t *testing.T, seed uint64, coordinators, gateways int, limit quota.Limit) *simulation {
-	return newSimulationWithTerms(t, seed, coordinators, gateways, limit, terms)
+	return newSimulationWithEnforcement(t, seed, coordinators, gateways, limit, enforcement)
 }
 
-func newSimulationWithTerms(t *testing.T, seed uint64, coordinators, gateways int, limit quota.Limit, terms quota.Terms) *simulation {
+func newSimulationWithEnforcement(t *testing.T, seed uint64, coordinators, gateways int, limit quota.Limit, enforcement quota.Enforcement) *simulation {
 	g := &simulation{
-		t: t, random: rand.New(rand.NewPCG(seed, 1)), limit: limit, terms: terms, gateways: gateways,
+		t: t, random: rand.New(rand.NewPCG(seed, 1)), limit: limit, enforcement: enforcement, gateways: gateways,
 		nodes: map[string]*coordinator{}, isLost: func(string, string) bool { return false },
 	}
 	for index := range coordinators {
@@ -91,10 +91,10 @@
 		g.nodes[name] = &coordinator{}
 	}
 	for range gateways {
-		g.localLimiters = append(g.localLimiters, quota.NewLocal(g.terms))
+		g.localLimiters = append(g.localLimiters, quota.NewLocalLimiter(g.enforcement))
 	}
-	g.decideLocally = func(gateway int, q quota.Question) quota.Answer {
-		return g.localLimiters[gateway].Ask(g.now, g.limit, g.gateways, q)
+	g.decideLocally = func(gateway int, q quota.Query) quota.Answer {
+		return g.localLimiters[gateway].Decide(g.now, g.limit, g.gateways, q)
 	}
 	for _, name := range g.names {
 		g.start(name)
@@ -138,7 +138,7 @@
 func (g *simulation) start(name string) {
 	g.incarnations++
 	started := &coordinator{leader: g.nodes[name].leader}
-	started.pool = quota.NewPool(g.now, quota.Options{Address: name, Life: g.incarnations, Lease: lease, Terms: g.terms})
+	started.pool = quota.NewPool(g.now, quota.Options{Address: name, Incarnation: g.incarnations, Lease: lease, Enforcement: g.enforcement})
 	started.pool.SetLimits(g.now, map[string]quota.Limit{tenant: g.limit})
 	g.nodes[name] = started
 	g.tick(name, started)
@@ -195,7 +195,7 @@
 func (g *simulation) flush(name string) {
 	ready := g.nodes[name].pool.Ready()
 	for index := range ready.Messages {
-		message, to := ready.Messages[index], ready.To[index]
+		message, to := ready.Messages[index], ready.Recipients[index]
 		if !g.isLost(name, to) {
 			g.schedule(g.now+delay, func() {
 				g.deliver(to, func(n *coordinator) { n.pool.Receive(g.now, &message) })
@@ -228,7 +228,7 @@
 func (g *simulation) request(gateway int, units float64, rank int) {
 	first := g.names[gateway%len(g.names)]
 	second := g.names[(gateway+1+g.random.IntN(len(g.names)-1))%len(g.names)]
-	q := quota.Question{Account: tenant, Units: units, Rank: rank}
+	q := quota.Query{Account: tenant, Units: units, Rank: rank}
 	g.queryCoordinator(gateway, first, q, func() {
 		g.queryCoordinator(gateway, second, q, func() {
 			answer := g.decideLocally(gateway, q)
@@ -242,7 +242,7 @@
 
 const answerTimeout = lease / 5
 
-func (g *simulation) queryCoordinator(gateway int, name string, q quota.Question, onTimeout func()) {
+func (g *simulation) queryCoordinator(gateway int, name string, q quota.Query, onTimeout func()) {
 	id := uint64(len(openQueries) + 1)
 	q.ID = id
 	query := &openQuery{open: true, onAnswer: func(answer quota.Answer) {
@@ -262,7 +262,7 @@
 	send := func() {
 		if query.open && !g.isLost("gateways", name) {
 			g.schedule(g.now+delay, func() {
-				g.deliver(name, func(n *coordinator) { n.pool.Ask(g.now, "gateway", q) })
+				g.deliver(name, func(n *coordinator) { n.pool.HandleQuery(g.now, "gateway", q) })
 			})
 		}
 	}
@@ -307,7 +307,7 @@
 // requireBound compares every window with the limit and its tolerance.
 func (g *simulation) requireBound() {
 	g.t.Helper()
-	allowed := (g.limit.Rate*g.terms.Window.Seconds()+g.limit.Burst)*(1+g.terms.Over) + g.terms.Slack
+	allowed := (g.limit.Rate*g.enforcement.Window.Seconds()+g.limit.Burst)*(1+g.enforcement.RelativeTolerance) + g.enforcement.AbsoluteTolerance
 	most, at := g.mostInWindow()
 	require.LessOrEqual(g.t, most, allowed, "admitted within a window that begins at %s", at)
 }
@@ -318,7 +318,7 @@
 	first, sum := 0, 0.0
 	for _, each := range g.admissions {
 		sum += each.units
-		for each.at-g.admissions[first].at > g.terms.Window {
+		for each.at-g.admissions[first].at > g.enforcement.Window {
 			sum -= g.admissions[first].units
 			first++
 		}
--- a/internal/quota/local.go
+++ b/internal/quota/local.go
@@ -2,36 +2,38 @@
 
 import "time"
 
-// Local limits what a gateway admits locally, while no coordinator answers: its part of the
+// LocalLimiter limits what a gateway admits locally, while no coordinator answers: its part of the
 // tolerance, so that all gateways together stay within it.
-type Local struct {
-	terms   Terms
-	buckets map[string]*bucket
+type LocalLimiter struct {
+	enforcement Enforcement
+	buckets     map[string]*bucket
 }
 
-// NewLocal returns a Local without buckets; an account's bucket begins full.
-func NewLocal(terms Terms) *Local { return &Local{terms: terms, buckets: map[string]*bucket{}} }
+// NewLocalLimiter returns a LocalLimiter without buckets; an account's bucket begins full.
+func NewLocalLimiter(enforcement Enforcement) *LocalLimiter {
+	return &LocalLimiter{enforcement: enforcement, buckets: map[string]*bucket{}}
+}
 
-// Ask decides on a request; gateways is the number of gateways in the region.
-func (l *Local) Ask(now time.Duration, limit Limit, gateways int, q Question) Answer {
+// Decide decides on a request; gateways is the number of gateways in the region.
+func (l *LocalLimiter) Decide(now time.Duration, limit Limit, gateways int, q Query) Answer {
 	// Half of the gateway's part is the bucket's capacity, and half is refilled within a window.
-	bucketUnits := l.terms.tolerance(limit) * gatewayFraction / float64(max(gateways, 1)) / 2
-	localLimit := Limit{Rate: bucketUnits / l.terms.window().Seconds(), Burst: bucketUnits}
+	bucketUnits := l.enforcement.tolerance(limit) * gatewayFraction / float64(max(gateways, 1)) / 2
+	localLimit := Limit{Rate: bucketUnits / l.enforcement.window().Seconds(), Burst: bucketUnits}
 	b, known := l.buckets[q.Account]
 	if !known {
 		b = &bucket{level: bucketUnits, updatedAt: now}
 		l.buckets[q.Account] = b
 	}
 	b.limit = localLimit
-	answer := b.decide(now, q, allowance{fraction: 1, window: l.terms.window()})
+	answer := b.decide(now, q, allowance{fraction: 1, window: l.enforcement.window()})
 	// Whether a request can ever fit is decided by a coordinator, which knows the whole limit: one
 	// answers again long before this small bucket has refilled.
 	answer.Never = false
 	return answer
 }
 
-// Keep deletes the buckets of tenants that no longer have a limit.
-func (l *Local) Keep(limited func(tenant string) bool) {
+// RemoveUnlimited deletes the buckets of tenants that no longer have a limit.
+func (l *LocalLimiter) RemoveUnlimited(limited func(tenant string) bool) {
 	for tenant := range l.buckets {
 		if !limited(tenant) {
 			delete(l.buckets, tenant)
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -2,7 +2,7 @@
 
 //go:generate go tool msgp -file messages.go -tests=false -io=false
 //msgp:limit arrays:4096 maps:4096
-//msgp:tuple Question Answer Amount GatewayMessage GatewayReply PeerMessage
+//msgp:tuple Query Answer Amount GatewayMessage GatewayReply PeerMessage
 
 // Mode is how a pool decides.
 type Mode string
@@ -16,8 +16,8 @@
 	ModeHolding Mode = "holding"
 )
 
-// Question is a query whether a request may run.
-type Question struct {
+// Query asks whether a request may run.
+type Query struct {
 	// ID identifies the query among those of its sender.
 	ID uint64 `msg:"id"`
 	// Account is whose limit the request counts against: a tenant's name, or that of a replica's
@@ -54,7 +54,7 @@
 
 // GatewayMessage is what a gateway sends to a coordinator.
 type GatewayMessage struct {
-	Questions []Question `msg:"questions"`
+	Queries []Query `msg:"questions"`
 	// Amounts correct the charges of requests admitted before: units of those that never ran are
 	// returned, and further runs are charged.
 	Amounts []Amount `msg:"amounts"`
@@ -82,9 +82,9 @@
 	EchoIncarnation int64 `msg:"echo_life"`
 	EchoTime        int64 `msg:"echo_time"`
 	// Amounts are moved to the holder: the levels of an attached pool, including debts.
-	Amounts   []Amount   `msg:"amounts"`
-	Questions []Question `msg:"questions"`
-	Answers   []Answer   `msg:"answers"`
+	Amounts []Amount `msg:"amounts"`
+	Queries []Query  `msg:"questions"`
+	Answers []Answer `msg:"answers"`
 }
 
 // StatusRequest asks the holder for its Status.
--- a/internal/quota/messages_gen.go
+++ b/internal/quota/messages_gen.go
@@ -196,11 +196,11 @@
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 2
 	o = append(o, 0x92)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Questions)))
-	for za0001 := range z.Questions {
-		o, err = z.Questions[za0001].MarshalMsg(o)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Queries)))
+	for za0001 := range z.Queries {
+		o, err = z.Queries[za0001].MarshalMsg(o)
 		if err != nil {
-			err = msgp.WrapError(err, "Questions", za0001)
+			err = msgp.WrapError(err, "Queries", za0001)
 			return
 		}
 	}
@@ -229,22 +229,22 @@
 	var zb0002 uint32
 	zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Questions")
+		err = msgp.WrapError(err, "Queries")
 		return
 	}
 	if zb0002 > z2c18a699limitArrays {
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	if cap(z.Questions) >= int(zb0002) {
-		z.Questions = (z.Questions)[:zb0002]
+	if cap(z.Queries) >= int(zb0002) {
+		z.Queries = (z.Queries)[:zb0002]
 	} else {
-		z.Questions = make([]Question, zb0002)
+		z.Queries = make([]Query, zb0002)
 	}
-	for za0001 := range z.Questions {
-		bts, err = z.Questions[za0001].UnmarshalMsg(bts)
+	for za0001 := range z.Queries {
+		bts, err = z.Queries[za0001].UnmarshalMsg(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "Questions", za0001)
+			err = msgp.WrapError(err, "Queries", za0001)
 			return
 		}
 	}
@@ -292,8 +292,8 @@
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *GatewayMessage) Msgsize() (s int) {
 	s = 1 + msgp.ArrayHeaderSize
-	for za0001 := range z.Questions {
-		s += z.Questions[za0001].Msgsize()
+	for za0001 := range z.Queries {
+		s += z.Queries[za0001].Msgsize()
 	}
 	s += msgp.ArrayHeaderSize
 	for za0002 := range z.Amounts {
@@ -422,11 +422,11 @@
 		o = msgp.AppendString(o, z.Amounts[za0001].Account)
 		o = msgp.AppendFloat64(o, z.Amounts[za0001].Units)
 	}
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Questions)))
-	for za0002 := range z.Questions {
-		o, err = z.Questions[za0002].MarshalMsg(o)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Queries)))
+	for za0002 := range z.Queries {
+		o, err = z.Queries[za0002].MarshalMsg(o)
 		if err != nil {
-			err = msgp.WrapError(err, "Questions", za0002)
+			err = msgp.WrapError(err, "Queries", za0002)
 			return
 		}
 	}
@@ -523,22 +523,22 @@
 	var zb0004 uint32
 	zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Questions")
+		err = msgp.WrapError(err, "Queries")
 		return
 	}
 	if zb0004 > z2c18a699limitArrays {
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	if cap(z.Questions) >= int(zb0004) {
-		z.Questions = (z.Questions)[:zb0004]
+	if cap(z.Queries) >= int(zb0004) {
+		z.Queries = (z.Queries)[:zb0004]
 	} else {
-		z.Questions = make([]Question, zb0004)
+		z.Queries = make([]Query, zb0004)
 	}
-	for za0002 := range z.Questions {
-		bts, err = z.Questions[za0002].UnmarshalMsg(bts)
+	for za0002 := range z.Queries {
+		bts, err = z.Queries[za0002].UnmarshalMsg(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "Questions", za0002)
+			err = msgp.WrapError(err, "Queries", za0002)
 			return
 		}
 	}
@@ -575,8 +575,8 @@
 		s += 1 + msgp.StringPrefixSize + len(z.Amounts[za0001].Account) + msgp.Float64Size
 	}
 	s += msgp.ArrayHeaderSize
-	for za0002 := range z.Questions {
-		s += z.Questions[za0002].Msgsize()
+	for za0002 := range z.Queries {
+		s += z.Queries[za0002].Msgsize()
 	}
 	s += msgp.ArrayHeaderSize
 	for za0003 := range z.Answers {
@@ -586,7 +586,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Question) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *Query) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 4
 	o = append(o, 0x94)
@@ -598,7 +598,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Question) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *Query) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var zb0001 uint32
 	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
@@ -634,7 +634,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Question) Msgsize() (s int) {
+func (z *Query) Msgsize() (s int) {
 	s = 1 + msgp.Uint64Size + msgp.StringPrefixSize + len(z.Account) + msgp.Float64Size + msgp.IntSize
 	return
 }
--- a/internal/quota/parts.go
+++ b/internal/quota/parts.go
@@ -48,7 +48,7 @@
 
 // countShares returns the number of shares that count here at a time.
 func (p *Pool) countShares(now time.Duration) shareCount {
-	window := p.options.Terms.window()
+	window := p.options.Enforcement.window()
 	mode := p.Mode(now)
 	countsOwn := mode != ModeAttached && now >= p.leaseEnd && slices.Contains(p.members, p.options.Address)
 	if countsOwn && !p.countsOwn {
@@ -84,7 +84,7 @@
 	p.shares = counted
 	p.refillAll(now)
 	if counted.total != previous.total {
-		p.output.Modes = append(p.output.Modes, ModeChange{Mode: p.Mode(now), Parts: counted.total, Of: len(p.members), Holder: p.holder})
+		p.output.ModeChanges = append(p.output.ModeChanges, ModeChange{Mode: p.Mode(now), Shares: counted.total, Members: len(p.members), Holder: p.holder})
 	}
 }
 
@@ -98,14 +98,14 @@
 // allowance returns the part of a tenant's limit that may be used here.
 func (p *Pool) allowance(tenant string) allowance {
 	members := float64(max(len(p.members), 1))
-	fullMaxDebt := p.options.Terms.tolerance(p.limits[tenant]) * debtFraction
+	fullMaxDebt := p.options.Enforcement.tolerance(p.limits[tenant]) * debtFraction
 	current := allowance{
 		fraction:       float64(p.shares.total) / members,
 		matureFraction: float64(p.shares.mature) / members,
 		maxDebt:        fullMaxDebt * p.shares.ageWeighted / members,
 		fullMaxDebt:    fullMaxDebt,
-		window:         p.options.Terms.window(),
-		strict:         p.options.Terms.Strict,
+		window:         p.options.Enforcement.window(),
+		strict:         p.options.Enforcement.Strict,
 		retryAfter:     p.options.Lease,
 	}
 	if current.strict {
@@ -118,11 +118,11 @@
 // not answer.
 func (p *Pool) holderTimeoutAllowance(tenant string) allowance {
 	return allowance{
-		fullMaxDebt: p.options.Terms.tolerance(p.limits[tenant]) * debtFraction,
+		fullMaxDebt: p.options.Enforcement.tolerance(p.limits[tenant]) * debtFraction,
 
-		maxDebt:    p.options.Terms.tolerance(p.limits[tenant]) * holderTimeoutFraction / float64(max(len(p.members), 1)),
-		window:     p.options.Terms.window(),
-		strict:     p.options.Terms.Strict,
+		maxDebt:    p.options.Enforcement.tolerance(p.limits[tenant]) * holderTimeoutFraction / float64(max(len(p.members), 1)),
+		window:     p.options.Enforcement.window(),
+		strict:     p.options.Enforcement.Strict,
 		retryAfter: p.options.Lease,
 	}
 }
--- a/internal/quota/peer.go
+++ b/internal/quota/peer.go
@@ -26,14 +26,14 @@
 	// message that was delayed in the network attaches nobody.
 	until := time.Duration(message.EchoTime) + p.options.Lease
 	isMember := slices.Contains(p.members, message.From)
-	if isMember && message.EchoIncarnation == p.options.Life && now < until {
+	if isMember && message.EchoIncarnation == p.options.Incarnation && now < until {
 		p.extendLease(now, message.From, until)
 	}
 	for _, each := range message.Amounts {
-		p.Give(now, each)
+		p.Adjust(now, each)
 	}
 	reply := PeerMessage{EchoIncarnation: message.Incarnation, EchoTime: message.Time}
-	for _, each := range message.Questions {
+	for _, each := range message.Queries {
 		reply.Answers = append(reply.Answers, p.answerPeer(now, message.From, each))
 	}
 	p.send(now, message.From, reply)
@@ -50,7 +50,7 @@
 }
 
 // answerPeer decides a query of an attached pool, once.
-func (p *Pool) answerPeer(now time.Duration, from string, q Question) Answer {
+func (p *Pool) answerPeer(now time.Duration, from string, q Query) Answer {
 	if answer, known := p.answers.reserve(now, queryKey{from, q.ID}); known && answer != nil {
 		return *answer
 	}
@@ -64,7 +64,7 @@
 
 // receiveFromHolder handles the holder's answers, and renews the lease.
 func (p *Pool) receiveFromHolder(now time.Duration, message *PeerMessage) {
-	if message.EchoIncarnation == p.options.Life {
+	if message.EchoIncarnation == p.options.Incarnation {
 		p.acknowledge(message.EchoTime)
 	}
 	if p.isNewer(message) {
@@ -116,7 +116,7 @@
 	}
 	if late, found := p.timedOut[answer.ID]; found && answer.Admitted {
 		delete(p.timedOut, answer.ID)
-		p.Give(now, late.amount)
+		p.Adjust(now, late.amount)
 	}
 }
 
@@ -201,7 +201,7 @@
 			continue
 		}
 		delete(p.pending, id)
-		p.outgoing = slices.DeleteFunc(p.outgoing, func(q Question) bool { return q.ID == id })
+		p.outgoing = slices.DeleteFunc(p.outgoing, func(q Query) bool { return q.ID == id })
 		p.timedOut[id] = timedOutQuery{
 			amount: Amount{Account: forwarded.query.Account, Units: forwarded.query.Units},
 			until:  now + p.options.Lease,
@@ -215,7 +215,7 @@
 	p.heartbeatAt = now + time.Duration(heartbeatFraction*float64(p.options.Lease))
 	amounts := p.takeAmounts(now)
 	for {
-		message := PeerMessage{Amounts: takeBatch(&amounts), Questions: takeBatch(&p.outgoing)}
+		message := PeerMessage{Amounts: takeBatch(&amounts), Queries: takeBatch(&p.outgoing)}
 		if p.holder == p.leader {
 			message.EchoIncarnation, message.EchoTime = p.holderIncarnation, p.holderTime
 		}
@@ -270,11 +270,11 @@
 func (p *Pool) send(now time.Duration, to string, message PeerMessage) {
 	message.From = p.options.Address
 	message.Holding = p.Mode(now) == ModeHolding
-	message.Incarnation = p.options.Life
+	message.Incarnation = p.options.Incarnation
 	p.sentAt = max(int64(now), p.sentAt+1)
 	message.Time = p.sentAt
 	p.output.Messages = append(p.output.Messages, message)
-	p.output.To = append(p.output.To, to)
+	p.output.Recipients = append(p.output.Recipients, to)
 }
 
 // Ready returns what is to be sent, once.
--- a/internal/quota/pool.go
+++ b/internal/quota/pool.go
@@ -26,12 +26,12 @@
 
 // Options configure a Pool.
 type Options struct {
-	// Address is the coordinator's, and Life the start time of its process.
-	Address string
-	Life    int64
+	// Address is the coordinator's, and Incarnation the start time of its process.
+	Address     string
+	Incarnation int64
 	// Lease is for how long a share counts at the holder after the sender's last message.
-	Lease time.Duration
-	Terms Terms
+	Lease       time.Duration
+	Enforcement Enforcement
 }
 
 // Pool is a coordinator's count of what tenants use. Its methods take the time on one clock that is
@@ -69,7 +69,7 @@
 	lastID uint64
 	// pending are the queries that are waiting for the holder's answer, and outgoing those to be sent.
 	pending  map[uint64]pendingQuery
-	outgoing []Question
+	outgoing []Query
 	// timedOut are queries that were decided here because the holder did not answer in time.
 	timedOut map[uint64]timedOutQuery
 	// answers are those to queries of gateways, and at the holder also to those of coordinators.
@@ -85,7 +85,7 @@
 // pendingQuery is a gateway's query that was forwarded to the holder.
 type pendingQuery struct {
 	from  string
-	query Question
+	query Query
 	until time.Duration
 	// resendAt is when the query is sent to the holder once more, 0 once it has been.
 	resendAt time.Duration
@@ -101,30 +101,30 @@
 type Output struct {
 	Decisions []Decision
 	Messages  []PeerMessage
-	// To are the recipients of Messages, one each.
-	To []string
-	// Modes are the changes of the number of shares that count here, oldest first.
-	Modes []ModeChange
+	// Recipients are the recipients of Messages, one each.
+	Recipients []string
+	// ModeChanges are the changes of the number of shares that count here, oldest first.
+	ModeChanges []ModeChange
 }
 
 // Decision is the answer to a gateway's query.
 type Decision struct {
-	From     string
-	Question Question
-	Answer   Answer
-	Mode     Mode
-	// Silent means that the holder was to decide and did not answer in time.
-	Silent bool
-	// Again means that the query was received before, and gets the same answer.
-	Again bool
+	From   string
+	Query  Query
+	Answer Answer
+	Mode   Mode
+	// HolderTimedOut means that the holder was to decide and did not answer in time.
+	HolderTimedOut bool
+	// Repeated means that the query was received before, and gets the same answer.
+	Repeated bool
 }
 
 // ModeChange reports that the number of shares that count here has changed.
 type ModeChange struct {
-	Mode   Mode
-	Parts  int
-	Of     int
-	Holder string
+	Mode    Mode
+	Shares  int
+	Members int
+	Holder  string
 }
 
 // NewPool returns the pool of a process that begins now, with empty buckets: what an earlier process
@@ -140,7 +140,7 @@
 		timedOut:       map[uint64]timedOutQuery{},
 		unacknowledged: map[int64][]Amount{},
 		// IDs of an earlier process's queries are never used again.
-		lastID:  uint64(options.Life),
+		lastID:  uint64(options.Incarnation),
 		answers: newAnswerCache(options.Lease),
 	}
 }
@@ -204,16 +204,16 @@
 	p.refillAll(now)
 }
 
-// Ask handles a gateway's query. A coordinator that does not know the group yet gives no answer: it
+// HandleQuery handles a gateway's query. A coordinator that does not know the group yet gives no answer: it
 // does not know its share, and the gateway asks another one.
-func (p *Pool) Ask(now time.Duration, from string, q Question) {
+func (p *Pool) HandleQuery(now time.Duration, from string, q Query) {
 	if len(p.members) == 0 {
 		return
 	}
 	p.updateShares(now)
 	if answer, known := p.answers.reserve(now, queryKey{from, q.ID}); known {
 		if answer != nil {
-			p.output.Decisions = append(p.output.Decisions, Decision{From: from, Question: q, Answer: *answer, Mode: p.Mode(now), Again: true})
+			p.output.Decisions = append(p.output.Decisions, Decision{From: from, Query: q, Answer: *answer, Mode: p.Mode(now), Repeated: true})
 		}
 		return
 	}
@@ -236,14 +236,14 @@
 		answer.Unsure = !answer.Admitted
 	}
 	p.respond(now, forwarded.from, forwarded.query, answer)
-	p.output.Decisions[len(p.output.Decisions)-1].Silent = true
+	p.output.Decisions[len(p.output.Decisions)-1].HolderTimedOut = true
 }
 
 // answerWithoutLimit returns the answer for an account without a limit. With strict limits, the sender
 // knows of a limit that has not been received here yet: admitting the request would admit all requests
 // for the account until then.
-func (p *Pool) answerWithoutLimit(q Question) Answer {
-	if p.options.Terms.Strict {
+func (p *Pool) answerWithoutLimit(q Query) Answer {
+	if p.options.Enforcement.Strict {
 		return Answer{ID: q.ID, WaitMicros: p.options.Lease.Microseconds()}
 	}
 	return Answer{ID: q.ID, Admitted: true}
@@ -251,7 +251,7 @@
 
 // decideFromBucket decides with the shares that count here; without any, it uses the part of the
 // tolerance for holder timeouts.
-func (p *Pool) decideFromBucket(now time.Duration, b *bucket, q Question) Answer {
+func (p *Pool) decideFromBucket(now time.Duration, b *bucket, q Query) Answer {
 	if p.shares.total == 0 {
 		// A debt counts here until it is known to count at the holder: otherwise the pool could use
 		// up its part of the tolerance again with each message that is lost.
@@ -262,14 +262,14 @@
 	return b.decide(now, q, p.allowance(q.Account))
 }
 
-func (p *Pool) respond(now time.Duration, from string, q Question, answer Answer) {
+func (p *Pool) respond(now time.Duration, from string, q Query, answer Answer) {
 	answer.ID = q.ID
 	p.answers.store(queryKey{from, q.ID}, answer)
-	p.output.Decisions = append(p.output.Decisions, Decision{From: from, Question: q, Answer: answer, Mode: p.Mode(now)})
+	p.output.Decisions = append(p.output.Decisions, Decision{From: from, Query: q, Answer: answer, Mode: p.Mode(now)})
 }
 
 // forward sends a query on to the holder.
-func (p *Pool) forward(now time.Duration, from string, q Question) {
+func (p *Pool) forward(now time.Duration, from string, q Query) {
 	p.lastID++
 	wait := p.holderWait()
 	p.pending[p.lastID] = pendingQuery{from: from, query: q, until: now + wait, resendAt: now + wait/2}
@@ -277,7 +277,7 @@
 }
 
 // enqueueForHolder adds a query to the next message, under the pool's own ID for it.
-func (p *Pool) enqueueForHolder(now time.Duration, id uint64, q Question) {
+func (p *Pool) enqueueForHolder(now time.Duration, id uint64, q Query) {
 	if len(p.outgoing) == 0 {
 		p.flushAt = now + batchDelay
 	}
@@ -289,8 +289,8 @@
 	return time.Duration(holderWaitFraction * float64(p.options.Lease))
 }
 
-// Give returns units that were charged, or charges further ones if they are negative.
-func (p *Pool) Give(now time.Duration, amount Amount) {
+// Adjust returns units that were charged, or charges further ones if they are negative.
+func (p *Pool) Adjust(now time.Duration, amount Amount) {
 	p.updateShares(now)
 	b := p.buckets[amount.Account]
 	if b == nil {
--- a/internal/quota/status.go
+++ b/internal/quota/status.go
@@ -30,14 +30,14 @@
 }
 
 func (p *Pool) tenantStatus(now time.Duration, tenant string) TenantStatus {
-	limit, window := p.limits[tenant], p.options.Terms.window()
+	limit, window := p.limits[tenant], p.options.Enforcement.window()
 	status := TenantStatus{
 		Tenant:    tenant,
 		Rate:      limit.Rate,
 		Burst:     limit.Burst,
 		WindowS:   window.Seconds(),
 		Debt:      p.allowance(tenant).maxDebt,
-		Tolerance: p.options.Terms.tolerance(limit),
+		Tolerance: p.options.Enforcement.tolerance(limit),
 	}
 	if b := p.buckets[tenant]; b != nil {
 		// A copy, since reading the status must not change a bucket.
--- a/internal/quota/strict_test.go
+++ b/internal/quota/strict_test.go
@@ -25,24 +25,24 @@
 	rate float64
 	// deniedUntil is indexed by gateway.
 	deniedUntil    []time.Duration
-	permitLimiters []*ratelimit.Lone
+	permitLimiters []*ratelimit.LocalLimiter
 	queries        int
 }
 
 func newLimitedReplica(t *testing.T, seed uint64, coordinators, gateways int, rate float64) *limitedReplica {
 	r := &limitedReplica{
-		simulation:  newSimulationWithTerms(t, seed, coordinators, gateways, ratelimit.PoolLimit(rate, contactTime), ratelimit.Terms()),
+		simulation:  newSimulationWithEnforcement(t, seed, coordinators, gateways, ratelimit.PoolLimit(rate, contactTime), ratelimit.PoolEnforcement()),
 		rate:        rate,
 		deniedUntil: make([]time.Duration, gateways),
 	}
 	for range gateways {
-		r.permitLimiters = append(r.permitLimiters, ratelimit.NewLone(r.random.Float64))
+		r.permitLimiters = append(r.permitLimiters, ratelimit.NewLocalLimiter(r.random.Float64))
 	}
-	r.decideLocally = func(gateway int, q quota.Question) quota.Answer {
-		granted, wait := r.permitLimiters[gateway].Ask(r.now, q.Account, r.rate, gateways)
+	r.decideLocally = func(gateway int, q quota.Query) quota.Answer {
+		granted, wait := r.permitLimiters[gateway].Allow(r.now, q.Account, r.rate, gateways)
 		return quota.Answer{Admitted: granted, WaitMicros: wait.Microseconds()}
 	}
-	r.onCoordinatorAnswer = func(gateway int) { r.permitLimiters[gateway].Forget() }
+	r.onCoordinatorAnswer = func(gateway int) { r.permitLimiters[gateway].Reset() }
 	r.onAnswer = func(gateway int, answer quota.Answer) {
 		if !answer.Admitted {
 			r.deniedUntil[gateway] = r.now + time.Duration(answer.WaitMicros)*time.Microsecond
@@ -85,7 +85,7 @@
 
 // Whatever the number of gateways, a replica gets its declared rate while there is demand for it, and no
 // more. A limit below one request a second does not depend on any gateway's share of it.
-func TestAReplicaGetsWhatItNamesWhateverTheNumberOfGateways(t *testing.T) {
+func TestReplicaGetsItsDeclaredRateFromAnyNumberOfGateways(t *testing.T) {
 	for _, gateways := range []int{1, 9, 65, 985} {
 		for _, rate := range []float64{0.5, 1, 5.9, 40} {
 			t.Run(fmt.Sprint(gateways, " gateways, ", rate, " a second"), func(t *testing.T) {
@@ -105,7 +105,7 @@
 
 // Kills and freezes of the holder, loss of all coordinators, partitions and lost datagrams at random
 // times do not overrun a limit, while the demand is far above it.
-func TestNoFaultOfThoseWhoCountOverrunsALimit(t *testing.T) {
+func TestStrictLimitHoldsUnderFaults(t *testing.T) {
 	faults := map[string]func(r *limitedReplica, at time.Duration){
 		"holder is killed": func(r *limitedReplica, at time.Duration) {
 			r.schedule(at, func() { r.nodes["a"].down = true })
@@ -157,7 +157,7 @@
 }
 
 // The next holder begins with empty buckets, and goes on at the limit.
-func TestALimitIsUsedAgainAfterWhoCountsHasGone(t *testing.T) {
+func TestStrictLimitIsUsedAfterHolderIsKilled(t *testing.T) {
 	r := newLimitedReplica(t, 3, 3, 9, 5)
 	r.generateDemand(warmUp, warmUp+25*time.Second, 60)
 	r.schedule(warmUp+5*time.Second, func() { r.nodes["a"].down = true })
@@ -189,7 +189,7 @@
 
 // Compares the pools with static shares of a limit, and logs for both the most requests sent within a
 // window and the fraction of the limit used.
-func TestWaysToKeepALimitCompared(t *testing.T) {
+func TestPoolsComparedWithStaticShares(t *testing.T) {
 	const seconds = 30
 	for _, gateways := range []int{9, 985} {
 		for _, rate := range []float64{0.5, 5} {
--- a/internal/ratelimit/doc.go
+++ b/internal/ratelimit/doc.go
@@ -2,8 +2,8 @@
 // overloaded replica declares in its responses how many requests a second it accepts from all of them.
 //
 // A Table holds the declared limits; processes exchange them as Reports (limit reports), and the newest
-// response counts. Quota pools count how much of a limit is used, under the Terms and the Limit of this
-// package. Lone limits what a gateway sends on its own while it reaches no pool.
+// response counts. Quota pools count how much of a limit is used, under the PoolEnforcement and PoolLimit of this
+// package. A LocalLimiter limits what a gateway sends on its own while it reaches no pool.
 //
 // The package is pure: it takes the time and an input, and has no clock or sockets.
 // docs/design/replica-limits.md describes the alternatives considered, and gives the bound.
--- a/internal/ratelimit/limit.go
+++ b/internal/ratelimit/limit.go
@@ -25,9 +25,9 @@
 	PermitTime = time.Second
 )
 
-// Terms returns the terms of the quota pools that count the requests sent to replicas.
-func Terms() quota.Terms {
-	return quota.Terms{Window: Window, Over: overrunShare, Slack: overrunSlack, Strict: true}
+// PoolEnforcement returns the enforcement of the quota pools that count the requests sent to replicas.
+func PoolEnforcement() quota.Enforcement {
+	return quota.Enforcement{Window: Window, RelativeTolerance: overrunShare, AbsoluteTolerance: overrunSlack, Strict: true}
 }
 
 // PoolLimit is the limit that a pool enforces for a replica that declares a rate. Even a replica that declares
--- a/internal/ratelimit/limit_test.go
+++ b/internal/ratelimit/limit_test.go
@@ -19,13 +19,13 @@
 // At any declared rate, the pools and the gateways without a pool together send at most 1.5 times the limit
 // and 5 requests in a window, even if each request was permitted up to PermitTime earlier.
 func TestAllSharesOfALimitFitIntoTheWindow(t *testing.T) {
-	terms := ratelimit.Terms()
+	enforcement := ratelimit.PoolEnforcement()
 	for _, rate := range []float64{0, 1e-9, 0.1, 1.0 / 3, 0.5, 1, 2, 5.9, 20, 400, 1e9} {
 		limit := ratelimit.PoolLimit(rate, contact)
-		overrun := (limit.Rate*terms.Window.Seconds()+limit.Burst)*terms.Over + terms.Slack
-		pools := limit.Rate*(terms.Window+ratelimit.PermitTime).Seconds() + limit.Burst + overrun
-		withoutPool := rate / 8 * terms.Window.Seconds()
-		assert.LessOrEqual(t, pools+withoutPool, 1.5*rate*terms.Window.Seconds()+5, "rate %g", rate)
+		overrun := (limit.Rate*enforcement.Window.Seconds()+limit.Burst)*enforcement.RelativeTolerance + enforcement.AbsoluteTolerance
+		pools := limit.Rate*(enforcement.Window+ratelimit.PermitTime).Seconds() + limit.Burst + overrun
+		withoutPool := rate / 8 * enforcement.Window.Seconds()
+		assert.LessOrEqual(t, pools+withoutPool, 1.5*rate*enforcement.Window.Seconds()+5, "rate %g", rate)
 		assert.GreaterOrEqual(t, limit.Burst, 1.0, "one request passes")
 	}
 }
@@ -39,9 +39,9 @@
 		inSecond := make([]int, seconds)
 		for gateway := range gateways {
 			random := rand.New(rand.NewPCG(uint64(gateway), 1))
-			fallback := ratelimit.NewLone(random.Float64)
+			fallback := ratelimit.NewLocalLimiter(random.Float64)
 			for at := time.Duration(0); at < seconds*time.Second; at += 20 * time.Millisecond {
-				if granted, wait := fallback.Ask(at, "r", rate, gateways); granted {
+				if granted, wait := fallback.Allow(at, "r", rate, gateways); granted {
 					sent++
 					inSecond[at/time.Second]++
 				} else if wait <= 0 {
@@ -56,7 +56,7 @@
 
 func TestALimitOfZeroIsProbed(t *testing.T) {
 	assert.InDelta(t, 1/contact.Seconds(), ratelimit.PoolLimit(0, contact).Rate, 1e-9)
-	granted, _ := ratelimit.NewLone(func() float64 { return 0.999 }).Ask(time.Hour, "r", 0, 1)
+	granted, _ := ratelimit.NewLocalLimiter(func() float64 { return 0.999 }).Allow(time.Hour, "r", 0, 1)
 	assert.False(t, granted)
 }
 
--- a/internal/ratelimit/lone.go
+++ b/internal/ratelimit/lone.go
@@ -2,35 +2,37 @@
 
 import "time"
 
-// loneShare is the share of a limit that all gateways without a pool may use together, each an equal part: the
+// localShare is the share of a limit that all gateways without a pool may use together, each an equal part: the
 // pools don't count it, so it has to fit in addition to what they allow.
-const loneShare = 0.125
+const localShare = 0.125
 
-// Lone limits what a gateway sends to replicas with limits while it reaches no pool. It holds a token bucket of
+// LocalLimiter limits what a gateway sends to replicas with limits while it reaches no pool. It holds a token bucket of
 // one request for each replica.
-type Lone struct {
+type LocalLimiter struct {
 	// draw returns a random number in [0, 1).
 	draw    func() float64
-	buckets map[string]loneBucket
+	buckets map[string]localBucket
 }
 
-// loneBucket is a gateway's token bucket for one replica, as of a time.
-type loneBucket struct {
+// localBucket is a gateway's token bucket for one replica, as of a time.
+type localBucket struct {
 	requests float64
 	at       time.Duration
 }
 
-// NewLone returns a Lone without buckets.
-func NewLone(draw func() float64) *Lone { return &Lone{draw: draw, buckets: map[string]loneBucket{}} }
+// NewLocalLimiter returns a LocalLimiter without buckets.
+func NewLocalLimiter(draw func() float64) *LocalLimiter {
+	return &LocalLimiter{draw: draw, buckets: map[string]localBucket{}}
+}
 
-// Ask reports whether a request may be sent now to a replica that declares a rate, by one of the given number
+// Allow reports whether a request may be sent now to a replica that declares a rate, by one of the given number
 // of gateways, and otherwise after how long to ask again.
-func (l *Lone) Ask(now time.Duration, replica string, rate float64, gateways int) (granted bool, wait time.Duration) {
-	refill := rate * loneShare / float64(max(gateways, 1))
+func (l *LocalLimiter) Allow(now time.Duration, replica string, rate float64, gateways int) (granted bool, wait time.Duration) {
+	refill := rate * localShare / float64(max(gateways, 1))
 	bucket, known := l.buckets[replica]
 	if !known {
 		// A random initial level spreads the first requests of gateways that lose the pools together.
-		bucket = loneBucket{requests: l.draw(), at: now}
+		bucket = localBucket{requests: l.draw(), at: now}
 	}
 	bucket.requests = min(bucket.requests+refill*(now-bucket.at).Seconds(), 1)
 	bucket.at = now
@@ -45,5 +47,5 @@
 	return false, max(time.Duration(min((1-bucket.requests)/refill, Window.Seconds())*float64(time.Second)), time.Nanosecond)
 }
 
-// Forget deletes all buckets, once pools are reachable again.
-func (l *Lone) Forget() { clear(l.buckets) }
+// Reset deletes all buckets, once pools are reachable again.
+func (l *LocalLimiter) Reset() { clear(l.buckets) }
--- a/internal/relay/daemon/endingrequests_test.go
+++ b/internal/relay/daemon/endingrequests_test.go
@@ -202,7 +202,7 @@
 
 // toleratedOverrun lets a tenant with a limit of almost zero send 14 requests, and none after that
 // while the test runs.
-var toleratedOverrun = quota.Terms{Slack: 40}
+var toleratedOverrun = quota.Enforcement{AbsoluteTolerance: 40}
 
 func newTestRegion(t *testing.T, replicas, gateways int, tenants ...traffic.Tenant) *testRegion {
 	t.Helper()
--- a/internal/relay/daemon/poolclient.go
+++ b/internal/relay/daemon/poolclient.go
@@ -131,7 +131,7 @@
 
 // decide asks coordinators to decide on a question about a request. It returns false if none has
 // decided, and an error if the request's caller has disconnected.
-func (p *poolClient) decide(ctx context.Context, request string, question quota.Question) (poolDecision, bool, error) {
+func (p *poolClient) decide(ctx context.Context, request string, question quota.Query) (poolDecision, bool, error) {
 	candidates := p.candidates()
 	if !p.shouldAsk(candidates) {
 		return poolDecision{}, false, nil
@@ -167,7 +167,7 @@
 }
 
 // newCharge returns the charge of a request that a coordinator has admitted.
-func (p *poolClient) newCharge(question quota.Question, coordinator netip.AddrPort) *charge {
+func (p *poolClient) newCharge(question quota.Query, coordinator netip.AddrPort) *charge {
 	return &charge{client: p, amount: quota.Amount{Account: question.Account, Units: question.Units}, coordinator: coordinator}
 }
 
@@ -214,14 +214,14 @@
 }
 
 // ask asks one coordinator, sending the question up to poolAttempts times.
-func (p *poolClient) ask(ctx context.Context, coordinator netip.AddrPort, question quota.Question) (quota.GatewayReply, bool) {
+func (p *poolClient) ask(ctx context.Context, coordinator netip.AddrPort, question quota.Query) (quota.GatewayReply, bool) {
 	answers := make(chan quota.GatewayReply, 1)
 	p.mutex.Lock()
 	p.lastID++
 	question.ID = p.lastID
 	p.pending[question.ID] = answers
 	p.mutex.Unlock()
-	message := &quota.GatewayMessage{Questions: []quota.Question{question}}
+	message := &quota.GatewayMessage{Queries: []quota.Query{question}}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for range poolAttempts {
@@ -239,7 +239,7 @@
 }
 
 // abandon stops waiting for a question, unless its answer has just arrived.
-func (p *poolClient) abandon(ctx context.Context, coordinator netip.AddrPort, question quota.Question, answers chan quota.GatewayReply) (quota.GatewayReply, bool) {
+func (p *poolClient) abandon(ctx context.Context, coordinator netip.AddrPort, question quota.Query, answers chan quota.GatewayReply) (quota.GatewayReply, bool) {
 	now := p.clock()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/relay/daemon/poolclient_test.go
+++ b/internal/relay/daemon/poolclient_test.go
@@ -53,7 +53,7 @@
 	}, 10*time.Second, time.Millisecond)
 	decideAll := func(requests int) {
 		for number := range requests {
-			_, decided, err := client.decide(t.Context(), fmt.Sprint("r-", number), quota.Question{Account: "tenant", Units: 1})
+			_, decided, err := client.decide(t.Context(), fmt.Sprint("r-", number), quota.Query{Account: "tenant", Units: 1})
 			require.NoError(t, err)
 			require.False(t, decided)
 		}
--- a/internal/relay/daemon/quotas.go
+++ b/internal/relay/daemon/quotas.go
@@ -19,13 +19,13 @@
 	*poolClient
 	// localMutex guards local.
 	localMutex sync.Mutex
-	local      *quota.Local
+	local      *quota.LocalLimiter
 }
 
 func newQuotaClient(settings Settings, socket *datagram.Socket, views *viewClient) *quotaClient {
 	return &quotaClient{
 		poolClient: newPoolClient(settings, socket, views, datagram.KindQuota, datagram.KindQuotaReply),
-		local:      quota.NewLocal(settings.Quota),
+		local:      quota.NewLocalLimiter(settings.Quota),
 	}
 }
 
@@ -35,7 +35,7 @@
 	if owner == nil || owner.Quota == nil || q.settings.DisabledMechanisms[mechanism.Quotas] {
 		return nil, nil
 	}
-	question := quota.Question{Account: owner.Name, Units: owner.Quota.Units(tokens), Rank: rank}
+	question := quota.Query{Account: owner.Name, Units: owner.Quota.Units(tokens), Rank: rank}
 	decision, decided, err := q.decide(ctx, id, question)
 	if err != nil {
 		return nil, err
@@ -47,7 +47,7 @@
 }
 
 // enforce returns the charge of an admitted request, or the error for a refused one.
-func (q *quotaClient) enforce(id string, question quota.Question, decision poolDecision) (*charge, error) {
+func (q *quotaClient) enforce(id string, question quota.Query, decision poolDecision) (*charge, error) {
 	if decision.Admitted {
 		return q.newCharge(question, decision.coordinator), nil
 	}
@@ -63,10 +63,10 @@
 }
 
 // decideLocally decides on a request while no coordinator answers.
-func (q *quotaClient) decideLocally(limit quota.Limit, question quota.Question) quota.Answer {
+func (q *quotaClient) decideLocally(limit quota.Limit, question quota.Query) quota.Answer {
 	gateways := q.views.gatewayCount()
 	q.localMutex.Lock()
-	answer := q.local.Ask(q.clock(), limit, gateways, question)
+	answer := q.local.Decide(q.clock(), limit, gateways, question)
 	q.localMutex.Unlock()
 	q.countDecision(answer.Admitted, true)
 	q.logger.V(1).Info(event.QuotaLocal, "tenant", question.Account, "units", question.Units, "admitted", answer.Admitted,
@@ -82,5 +82,5 @@
 	}
 	q.localMutex.Lock()
 	defer q.localMutex.Unlock()
-	q.local.Keep(func(tenant string) bool { return limited[tenant] })
+	q.local.RemoveUnlimited(func(tenant string) bool { return limited[tenant] })
 }
--- a/internal/relay/daemon/quotas_test.go
+++ b/internal/relay/daemon/quotas_test.go
@@ -34,7 +34,7 @@
 	r := newTestRegion(t, replicas, gateways, owner)
 	require.Eventually(t, func() bool {
 		status := r.running.Quotas(t.Context())
-		return status.Parts == 1 && len(status.Tenants) == 1 && status.Tenants[0].Debt > toleratedOverrun.Slack*0.3499
+		return status.Parts == 1 && len(status.Tenants) == 1 && status.Tenants[0].Debt > toleratedOverrun.AbsoluteTolerance*0.3499
 	}, time.Minute, 20*time.Millisecond)
 	return r
 }
--- a/internal/relay/daemon/replicalimits.go
+++ b/internal/relay/daemon/replicalimits.go
@@ -35,7 +35,7 @@
 	reported map[string]reportedLimit
 	// allReportedAt is when all known limits were last reported.
 	allReportedAt time.Duration
-	fallback      *ratelimit.Lone
+	fallback      *ratelimit.LocalLimiter
 }
 
 // reportedLimit is the content and time of a limit report.
@@ -50,7 +50,7 @@
 		poolClient: newPoolClient(settings, socket, views, datagram.KindLimit, datagram.KindLimitReply),
 		directory:  directory,
 		reported:   map[string]reportedLimit{},
-		fallback:   ratelimit.NewLone(rand.Float64),
+		fallback:   ratelimit.NewLocalLimiter(rand.Float64),
 	}
 	directory.OnLimit(created.report)
 	return created
@@ -118,7 +118,7 @@
 
 // requestPermit asks whether a request may be sent to a replica that declares a limit.
 func (l *limitClient) requestPermit(ctx context.Context, limitQuestion relay.PermitRequest) relay.Permit {
-	question := quota.Question{Account: limitQuestion.Life, Units: 1, Rank: limitQuestion.Rank}
+	question := quota.Query{Account: limitQuestion.Life, Units: 1, Rank: limitQuestion.Rank}
 	decision, decided, err := l.decide(ctx, limitQuestion.Request, question)
 	if err != nil {
 		return relay.Permit{}
@@ -127,7 +127,7 @@
 		return l.decideLocally(limitQuestion)
 	}
 	l.stateMutex.Lock()
-	l.fallback.Forget()
+	l.fallback.Reset()
 	l.stateMutex.Unlock()
 	return relay.Permit{
 		Granted: decision.Admitted,
@@ -140,7 +140,7 @@
 // decideLocally decides while no coordinator answers.
 func (l *limitClient) decideLocally(limitQuestion relay.PermitRequest) relay.Permit {
 	l.stateMutex.Lock()
-	granted, wait := l.fallback.Ask(l.clock(), limitQuestion.Life, limitQuestion.Rate, l.views.gatewayCount())
+	granted, wait := l.fallback.Allow(l.clock(), limitQuestion.Life, limitQuestion.Rate, l.views.gatewayCount())
 	l.stateMutex.Unlock()
 	l.countDecision(granted, true)
 	return relay.Permit{Granted: granted, Wait: wait, By: "self", Return: func() {}}
--- a/internal/relay/daemon/settings.go
+++ b/internal/relay/daemon/settings.go
@@ -23,7 +23,7 @@
 	// Topology maps zones to regions.
 	Topology topology.Map
 	// Quota sets by how much the gateways together may overrun tenants' limits.
-	Quota quota.Terms
+	Quota quota.Enforcement
 	// Listen is the address for callers' requests; ReadyListen is the address of the readiness
 	// probe.
 	Listen      string
--- a/internal/relay/limited_load_test.go
+++ b/internal/relay/limited_load_test.go
@@ -27,7 +27,7 @@
 
 func newLimitedReplay(readers int) *limitedReplay {
 	r := &limitedReplay{replay: newReplay(readers), rates: map[string]float64{}, sent: map[string][]time.Duration{}}
-	r.pool = quota.NewPool(0, quota.Options{Address: "a", Life: 1, Lease: time.Second, Terms: ratelimit.Terms()})
+	r.pool = quota.NewPool(0, quota.Options{Address: "a", Incarnation: 1, Lease: time.Second, Enforcement: ratelimit.PoolEnforcement()})
 	r.pool.SetGroup(0, "a", []string{"a"})
 	r.place = r.placeWithinLimits
 	// A new pool grants nothing for one lease time, in which another pool may still count its share.
@@ -59,7 +59,7 @@
 			return lease, nil
 		}
 		r.asked++
-		r.pool.Ask(r.now, "gateway", quota.Question{ID: r.asked, Account: id, Units: 1, Rank: request.Rank})
+		r.pool.HandleQuery(r.now, "gateway", quota.Query{ID: r.asked, Account: id, Units: 1, Rank: request.Rank})
 		answer := r.pool.Ready().Decisions[0].Answer
 		if answer.Admitted {
 			r.sent[id] = append(r.sent[id], r.now)
--- a/internal/relay/rest_load_test.go
+++ b/internal/relay/rest_load_test.go
@@ -331,7 +331,7 @@
 
 // newBackoffLimits returns a backoffLimits without limits.
 func newBackoffLimits() *backoffLimits {
-	pool := quota.NewPool(0, quota.Options{Address: "a", Life: 1, Lease: time.Second, Terms: ratelimit.Terms()})
+	pool := quota.NewPool(0, quota.Options{Address: "a", Incarnation: 1, Lease: time.Second, Enforcement: ratelimit.PoolEnforcement()})
 	pool.SetGroup(0, "a", []string{"a"})
 	return &backoffLimits{pool: pool, ends: map[string]time.Duration{}}
 }
@@ -356,7 +356,7 @@
 		return true
 	}
 	l.asked++
-	l.pool.Ask(now, "gateway", quota.Question{ID: l.asked, Account: lease.Replica.ID, Units: 1})
+	l.pool.HandleQuery(now, "gateway", quota.Query{ID: l.asked, Account: lease.Replica.ID, Units: 1})
 	return l.pool.Ready().Decisions[0].Answer.Admitted
 }
 
