--- a/bench/simulation/front.go
+++ b/bench/simulation/front.go
@@ -133,7 +133,7 @@
 }
 
 func (a *spillAnswer) fail(refusal *callError) {
-	if a.begun || refusal.ran != failure.RanNo || !spills(refusal.kind) || !a.gateway.guard.MayLeave(&a.asked) {
+	if a.begun || refusal.ran != failure.RanNo || !spills(refusal.kind) || !a.gateway.guard.MayForward(&a.asked) {
 		a.modelAnswer.fail(refusal)
 		return
 	}
--- a/bench/simulation/gatewaysession.go
+++ b/bench/simulation/gatewaysession.go
@@ -50,7 +50,7 @@
 					return
 				}
 				answered := reply.(*wire.HeartbeatReply)
-				g.guard.Take(answered.Poison)
+				g.guard.ApplyNews(answered.Poison)
 				g.feed(func() { g.session.HeartbeatAnswered(g.now(), call.Number, answered) })
 			})
 	case call.Watch != nil:
--- a/bench/simulation/modelrun.go
+++ b/bench/simulation/modelrun.go
@@ -131,7 +131,7 @@
 		r.cancel(asked)
 	case request.Finish:
 		r.gateway.scheduler.Answered(r.entry, asked.Usage.OutputTokens, r.gateway.now()-r.begun, false)
-		r.gateway.guard.RanWell(&r.asked, r.lost)
+		r.gateway.guard.Completed(&r.asked, r.lost)
 		r.gateway.tellPoison()
 		r.answer.finish()
 	case request.Refuse:
--- a/bench/simulation/poison.go
+++ b/bench/simulation/poison.go
@@ -33,7 +33,7 @@
 )
 
 // TargetHash implements poison.Request.
-func (r *modelRequest) TargetHash() uint32 { return poison.TargetOf("", r.tenant) }
+func (r *modelRequest) TargetHash() uint32 { return poison.HashTarget("", r.tenant) }
 
 // Digest implements poison.Request.
 func (r *modelRequest) Digest() poison.Digest {
@@ -43,16 +43,16 @@
 // newGuard returns what a gateway knows of prompts that end engines.
 func (g *gateway) newGuard() *poison.Guard {
 	return poison.NewGuard(poison.Options{
-		Now:     g.now,
-		InTouch: func() bool { return g.session.LeaseState(g.now()) == membership.LeaseHeld },
-		Contact: contactTime,
-		Memory:  poisonMemory,
+		Now:         g.now,
+		InSync:      func() bool { return g.session.LeaseState(g.now()) == membership.LeaseHeld },
+		ContactTime: contactTime,
+		Retention:   poisonMemory,
 	})
 }
 
 // lookAtPoison has the guard look at its own evidence, and notes since when the gateway is in touch.
 func (g *gateway) lookAtPoison() {
-	g.guard.Look()
+	g.guard.CheckLocalEvidence()
 	if g.session.LeaseState(g.now()) != membership.LeaseHeld {
 		g.touchSince = 0
 	} else if g.touchSince == 0 {
@@ -68,7 +68,7 @@
 		return nil
 	case r.gateway.guard.Holds(&r.asked):
 		return &scheduler.Refusal{Kind: failure.RequestHeld, Detail: "engines have ended under this request"}
-	case r.lost && !r.gateway.guard.MayRepeat(&r.asked):
+	case r.lost && !r.gateway.guard.MayRetry(&r.asked):
 		return &scheduler.Refusal{Kind: failure.OutcomeUnknown, Detail: "engines have ended under this request"}
 	default:
 		return nil
@@ -82,7 +82,7 @@
 	g.after(endLook, func() {
 		if target := g.world.engineAt(address); !target.alive && g.world.network.passes(&g.process, &target.process) {
 			g.scheduler.ProcessEnded(engineID)
-			g.guard.Ended(engineID, []poison.Digest{r.asked.Digest()})
+			g.guard.ReplicaCrashed(engineID, []poison.Digest{r.asked.Digest()})
 			g.tellPoison()
 		}
 	})
@@ -97,7 +97,7 @@
 		}
 		g.caller.call(tellTimeout, func(c *controller, e *exchange) { c.takePoison(e, report) }, func(_ any, err *callError) {
 			if err != nil {
-				g.guard.Return(report)
+				g.guard.Requeue(report)
 				g.tellPoison()
 			}
 		})
@@ -110,10 +110,10 @@
 		e.refuse(c.notLeading())
 		return
 	}
-	command := &poison.Command{At: c.wallMillis() * int64(time.Millisecond), RanWell: report.RanWell}
-	for _, end := range report.Ends {
+	command := &poison.Command{At: c.wallMillis() * int64(time.Millisecond), Completions: report.Completions}
+	for _, end := range report.Crashes {
 		life := c.world.engineAt(end.Replica).life
-		command.Ends = append(command.Ends, poison.End{Replica: fmt.Sprint(end.Replica, "@", life), Under: end.Under})
+		command.Crashes = append(command.Crashes, poison.Crash{Replica: fmt.Sprint(end.Replica, "@", life), Requests: end.Requests})
 	}
 	c.proposePoison(command, func(err *callError) {
 		if err != nil {
@@ -133,7 +133,7 @@
 	c := t.owner
 	known := c.zoneState.Poison()
 	now := c.wallMillis() * int64(time.Millisecond)
-	if due := known.Due(now, poison.Settle(contactTime)); len(due) > 0 && !t.holding {
+	if due := known.Due(now, poison.SettleTime(contactTime)); len(due) > 0 && !t.holding {
 		t.holding = true
 		c.proposePoison(&poison.Command{At: now, Hold: due}, func(*callError) { t.holding = false })
 	}
--- a/internal/controller/poison.go
+++ b/internal/controller/poison.go
@@ -52,9 +52,9 @@
 		return nil, c.notLeading()
 	}
 	now := time.Now()
-	command := &poison.Command{RanWell: report.RanWell}
-	for _, end := range report.Ends {
-		command.Ends = append(command.Ends, poison.End{Replica: c.engineEnds.name(end.Replica, now), Under: end.Under})
+	command := &poison.Command{Completions: report.Completions}
+	for _, end := range report.Crashes {
+		command.Crashes = append(command.Crashes, poison.Crash{Replica: c.engineEnds.name(end.Replica, now), Requests: end.Requests})
 	}
 	return &poison.News{}, c.commitPoison(ctx, command)
 }
@@ -80,7 +80,7 @@
 func (c *Controller) keepPoison(ctx context.Context) {
 	for lifecycle.Sleep(ctx, poisonInterval) {
 		known := c.poisonState()
-		command := known.Next(time.Now().UnixNano(), poison.Settle(c.settings.SessionLease), c.settings.RequestHold)
+		command := known.Next(time.Now().UnixNano(), poison.SettleTime(c.settings.SessionLease), c.settings.RequestHold)
 		if command == nil {
 			continue
 		}
--- a/internal/controller/poison_test.go
+++ b/internal/controller/poison_test.go
@@ -19,11 +19,11 @@
 
 // report tells of an engine that has ended under requests.
 func (g *testGateway) report(engine string, under ...string) error {
-	end := poison.End{Replica: engine}
+	end := poison.Crash{Replica: engine}
 	for _, name := range under {
-		end.Under = append(end.Under, endingDigest(name))
+		end.Requests = append(end.Requests, endingDigest(name))
 	}
-	return g.call(wire.PathPoison, &poison.Report{Gateway: g.id, Ends: []poison.End{end}}, &poison.News{})
+	return g.call(wire.PathPoison, &poison.Report{Gateway: g.id, Crashes: []poison.Crash{end}}, &poison.News{})
 }
 
 // learn sends a heartbeat and returns the requests that it tells to be held.
@@ -54,7 +54,7 @@
 	}
 	// The other one was at the same engines each time, until it runs well.
 	c.eventually("report", func() error {
-		return gateways[0].call(wire.PathPoison, &poison.Report{RanWell: []poison.Digest{endingDigest("other")}}, &poison.News{})
+		return gateways[0].call(wire.PathPoison, &poison.Report{Completions: []poison.Digest{endingDigest("other")}}, &poison.News{})
 	})
 	expectHeld := func() error {
 		for _, gateway := range gateways {
--- a/internal/coordinator/permit.go
+++ b/internal/coordinator/permit.go
@@ -21,7 +21,7 @@
 	if c.group.Leads() {
 		c.permits.mutex.Lock()
 		defer c.permits.mutex.Unlock()
-		wait := c.permits.issued.Take(c.now(), c.settings.ContactTime, request.Digest)
+		wait := c.permits.issued.Acquire(c.now(), c.settings.ContactTime, request.Digest)
 		return &poison.PermitReply{WaitMillis: wait.Milliseconds()}, nil
 	}
 	bounded, cancel := context.WithTimeout(ctx, proposalTimeout)
--- a/internal/coordinator/poison.go
+++ b/internal/coordinator/poison.go
@@ -23,7 +23,7 @@
 // handlePoison handles a gateway's evidence at the leader. Other coordinators forward it to the leader.
 func (c *Coordinator) handlePoison(ctx context.Context, report *poison.Report) (*region.PoisonReply, error) {
 	if c.group.Leads() {
-		return c.commitPoison(ctx, &poison.Command{Ends: report.Ends, RanWell: report.RanWell})
+		return c.commitPoison(ctx, &poison.Command{Crashes: report.Crashes, Completions: report.Completions})
 	}
 	bounded, cancel := context.WithTimeout(ctx, proposalTimeout)
 	defer cancel()
@@ -74,7 +74,7 @@
 			dropped = state.Poison.Dropped
 		}
 		now := c.usage.clock.Now().UnixNano()
-		command := state.Poison.Next(now, poison.Settle(c.settings.ContactTime), c.settings.EvidenceHoldTime)
+		command := state.Poison.Next(now, poison.SettleTime(c.settings.ContactTime), c.settings.EvidenceHoldTime)
 		if command == nil {
 			continue
 		}
--- a/internal/coordinator/powerloss_test.go
+++ b/internal/coordinator/powerloss_test.go
@@ -63,7 +63,7 @@
 	require.NoError(g.t, err)
 	defer client.Close()
 	for number, address := range g.addresses {
-		report := &poison.Report{Gateway: "g", Ends: []poison.End{{Replica: fmt.Sprint("i-", number), Under: []poison.Digest{digest}}}}
+		report := &poison.Report{Gateway: "g", Crashes: []poison.Crash{{Replica: fmt.Sprint("i-", number), Requests: []poison.Digest{digest}}}}
 		eventually(g.t, func(ctx context.Context) error {
 			return client.Call(ctx, address, region.PathPoison, report, &region.PoisonReply{})
 		})
--- a/internal/gateway/application/held.go
+++ b/internal/gateway/application/held.go
@@ -14,7 +14,7 @@
 }
 
 // TargetHash implements poison.Request.
-func (c *Call) TargetHash() uint32 { return poison.TargetOf(c.Application, c.Operation) }
+func (c *Call) TargetHash() uint32 { return poison.HashTarget(c.Application, c.Operation) }
 
 // isHeld reports whether a call must be sent to no back end, since it ends those that run it.
 func (r *Runner) isHeld(call *Call) bool {
@@ -30,9 +30,9 @@
 	switch {
 	case r.guard == nil:
 	case result.Reply != nil:
-		r.guard.RanWell(call, false)
+		r.guard.Completed(call, false)
 	case result.Err != nil && result.HandedOver && ctx.Err() == nil:
-		r.watch.Note(backEndID, address, poison.Loss{Request: call.RequestID, Digest: call.Digest()})
+		r.detector.ConnectionLost(backEndID, address, poison.ConnectionLoss{Request: call.RequestID, Digest: call.Digest()})
 	}
 }
 
--- a/internal/gateway/application/runner.go
+++ b/internal/gateway/application/runner.go
@@ -45,10 +45,10 @@
 	// runLimit bounds every run.
 	runLimit time.Duration
 	unended  unendedClaims
-	// guard knows the requests that must be sent to no back end, and watch finds out under which
+	// guard knows the requests that must be sent to no back end, and detector finds out under which
 	// back ends have ended.
-	guard *poison.Guard
-	watch *poison.EndWatch
+	guard    *poison.Guard
+	detector *poison.CrashDetector
 
 	mutex   sync.Mutex
 	running map[string]string
@@ -73,10 +73,10 @@
 	}
 }
 
-// GuardWith has a guard asked which requests are held, and a watch told of the connections that
+// GuardWith has a guard asked which requests are held, and a detector told of the connections that
 // break. It is called before any use.
-func (r *Runner) GuardWith(guard *poison.Guard, watch *poison.EndWatch) {
-	r.guard, r.watch = guard, watch
+func (r *Runner) GuardWith(guard *poison.Guard, detector *poison.CrashDetector) {
+	r.guard, r.detector = guard, detector
 }
 
 // lateAnswerTime is how long after its caller's deadline a run may still bring
--- a/internal/gateway/completion/held.go
+++ b/internal/gateway/completion/held.go
@@ -25,7 +25,9 @@
 }
 
 // TargetHash implements poison.Request.
-func (c *Call) TargetHash() uint32 { return poison.TargetOf(c.Adapter, strconv.Itoa(c.MaximumTokens)) }
+func (c *Call) TargetHash() uint32 {
+	return poison.HashTarget(c.Adapter, strconv.Itoa(c.MaximumTokens))
+}
 
 // refusalIfHeld refuses a call that must be sent to no engine, since it ends those that run it.
 // It is asked before each attempt: the others may have learned so while one was under way.
@@ -37,7 +39,7 @@
 	case guard.Holds(&r.call):
 		r.runner.logger.Info("held request refused", "request", r.call.RequestID, "digest", r.call.Digest().String())
 		return &scheduler.Refusal{Kind: failure.RequestHeld, Detail: "engines have ended under this request"}
-	case r.lost.Load() && !guard.MayRepeat(&r.call):
+	case r.lost.Load() && !guard.MayRetry(&r.call):
 		return &scheduler.Refusal{Kind: failure.OutcomeUnknown, Detail: "engines have ended under this request, and it is not known under which of several"}
 	default:
 		return nil
@@ -45,20 +47,20 @@
 }
 
 // MayLeave reports whether a call may be passed on to another zone.
-func (r *Runner) MayLeave(call *Call) bool { return r.guard == nil || r.guard.MayLeave(call) }
+func (r *Runner) MayLeave(call *Call) bool { return r.guard == nil || r.guard.MayForward(call) }
 
 // engineLost notes that the connection to an engine has broken under an attempt.
 func (r *run) engineLost(asked request.Dispatch, outcome engineclient.Outcome) {
-	if r.runner.watch == nil || outcome.Whole || outcome.Refused || !outcome.HandedOver {
+	if r.runner.detector == nil || outcome.Whole || outcome.Refused || !outcome.HandedOver {
 		return
 	}
 	r.lost.Store(true)
-	r.runner.watch.Note(asked.Engine.ID, asked.Engine.Address, poison.Loss{Request: r.call.RequestID, Digest: r.call.Digest()})
+	r.runner.detector.ConnectionLost(asked.Engine.ID, asked.Engine.Address, poison.ConnectionLoss{Request: r.call.RequestID, Digest: r.call.Digest()})
 }
 
 // ranWell notes that an engine has run the call to its end.
 func (r *run) ranWell() {
 	if r.runner.guard != nil {
-		r.runner.guard.RanWell(&r.call, r.lost.Load())
+		r.runner.guard.Completed(&r.call, r.lost.Load())
 	}
 }
--- a/internal/gateway/completion/runner.go
+++ b/internal/gateway/completion/runner.go
@@ -42,10 +42,10 @@
 	times     Times
 	clock     func() time.Duration
 	logger    logr.Logger
-	// guard knows the requests that must be sent to no engine, and watch finds out under which
+	// guard knows the requests that must be sent to no engine, and detector finds out under which
 	// engines have ended.
-	guard *poison.Guard
-	watch *poison.EndWatch
+	guard    *poison.Guard
+	detector *poison.CrashDetector
 
 	mutex   sync.Mutex
 	running map[*run]struct{}
@@ -69,10 +69,10 @@
 	}
 }
 
-// GuardWith has a guard asked which requests are held, and a watch told of the connections that
+// GuardWith has a guard asked which requests are held, and a detector told of the connections that
 // break. It is called before any use.
-func (r *Runner) GuardWith(guard *poison.Guard, watch *poison.EndWatch) {
-	r.guard, r.watch = guard, watch
+func (r *Runner) GuardWith(guard *poison.Guard, detector *poison.CrashDetector) {
+	r.guard, r.detector = guard, detector
 }
 
 // Run runs a call to its end and gives its answer. The end of the context means
--- a/internal/gateway/ending_test.go
+++ b/internal/gateway/ending_test.go
@@ -94,9 +94,9 @@
 	defer p.mutex.Unlock()
 	p.position++
 	now := time.Now().UnixNano()
-	command := &poison.Command{At: now, RanWell: report.RanWell}
-	for _, end := range report.Ends {
-		command.Ends = append(command.Ends, poison.End{Replica: end.Replica + time.Now().String(), Under: end.Under})
+	command := &poison.Command{At: now, Completions: report.Completions}
+	for _, end := range report.Crashes {
+		command.Crashes = append(command.Crashes, poison.Crash{Replica: end.Replica + time.Now().String(), Requests: end.Requests})
 	}
 	p.state.Apply(p.position, command)
 	p.position++
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -57,7 +57,7 @@
 	batchWorkers *ants.Pool
 	runner       *completion.Runner
 	keeper       *zonegroup.Keeper
-	evidence     *poison.Teller
+	evidence     *poison.Reporter
 	rpc          *rpc.Client
 	callers      *door
 	// peers is nil without a listener for other zones' gateways.
@@ -155,13 +155,13 @@
 		FirstToken: g.settings.Times.FirstTokenTimeout,
 		Stall:      g.settings.Times.StallTimeout,
 	}
-	watch := poison.NewGuardedWatch(g.evidence.Guard, upstream.Refuses, g.logger)
-	watch.Ended = func(engineID string, under []poison.Digest) {
+	detector := poison.NewGuardedDetector(g.evidence.Guard, upstream.Refuses, g.logger)
+	detector.OnCrash = func(engineID string, under []poison.Digest) {
 		g.scheduler.ProcessEnded(engineID)
-		g.evidence.Guard.Ended(engineID, under)
+		g.evidence.Guard.ReplicaCrashed(engineID, under)
 	}
 	g.runner = completion.NewRunner(g.engines, g.scheduler, g.fleet, workers, times, g.clock, g.cut, g.logger)
-	g.runner.GuardWith(g.evidence.Guard, watch)
+	g.runner.GuardWith(g.evidence.Guard, detector)
 	g.withheld = fleet.NewWithheld(g.settings.Times.MoveAfter)
 	g.fleet.OnChange(g.fleetChanged)
 	g.forwarder = forward.New(g.forwardOptions(), g.settings.peers(), g.clock)
@@ -169,7 +169,7 @@
 	g.applicationClient = applicationclient.New(g.exchangeOptions(g.settings.Limits.MaximumAnswerBytes))
 	g.applications = application.NewRunner(g.applicationClient,
 		records, g.fleet, workers, g.settings.Times.MaximumDeadline, g.clock, g.logger)
-	g.applications.GuardWith(g.evidence.Guard, watch)
+	g.applications.GuardWith(g.evidence.Guard, detector)
 	items := handler.NewItems(g.runner, g.applications, g.forwarder, g.zones(), g.clock, g.settings.Times.MaximumDeadline)
 	g.batches = batch.New(g.batchOptions(), items, batchWorkers, g.clock)
 	return nil
--- a/internal/gateway/zonegroup/keeper.go
+++ b/internal/gateway/zonegroup/keeper.go
@@ -143,7 +143,7 @@
 		k.logger.Info("session ended by the zone group", "session", call.Heartbeat.SessionID)
 	}
 	k.reporter.Grant(reply.Shares)
-	k.guard.Take(reply.Poison)
+	k.guard.ApplyNews(reply.Poison)
 	return nil
 }
 
--- a/internal/poison/benchmark_test.go
+++ b/internal/poison/benchmark_test.go
@@ -42,8 +42,8 @@
 		}
 	})
 	b.Run("bytes", func(b *testing.B) {
-		one := Report{Gateway: "gateway-480", Ends: []End{{Replica: "i-0123456789", Under: digestsOf("r1")}}}
-		many := Report{Gateway: "gateway-480", Ends: []End{{Replica: "i-0123456789", Under: digestsOf(under...)}}}
+		one := Report{Gateway: "gateway-480", Crashes: []Crash{{Replica: "i-0123456789", Requests: digestsOf("r1")}}}
+		many := Report{Gateway: "gateway-480", Crashes: []Crash{{Replica: "i-0123456789", Requests: digestsOf(under...)}}}
 		e := fullEvidence()
 		revision := e.Revision
 		e.crashed("k", "r1")
--- a/internal/poison/digest.go
+++ b/internal/poison/digest.go
@@ -35,7 +35,7 @@
 	Body   []byte
 }
 
-// Digest returns the content's digest: the first bytes are those of TargetOf, the others those of a
+// Digest returns the content's digest: the first bytes are those of HashTarget, the others those of a
 // SHA-256 over all of the content, since callers choose the content and must not be able to produce the
 // digest of another's request.
 func (c Content) Digest() Digest {
@@ -45,7 +45,7 @@
 		writeField(sum, []byte(field))
 	}
 	writeField(sum, c.Body)
-	binary.BigEndian.PutUint32(digest[:targetBytes], TargetOf(c.Host, c.Target))
+	binary.BigEndian.PutUint32(digest[:targetBytes], HashTarget(c.Host, c.Target))
 	copy(digest[targetBytes:], sum.Sum(nil))
 	return digest
 }
@@ -58,8 +58,8 @@
 	_, _ = sum.Write(field)
 }
 
-// TargetOf is the part of a request's digest that follows from its host and target alone.
-func TargetOf(host, target string) uint32 {
+// HashTarget is the part of a request's digest that follows from its host and target alone.
+func HashTarget(host, target string) uint32 {
 	sum := xxhash.New()
 	_, _ = io.WriteString(sum, host)
 	_, _ = sum.Write([]byte{0})
@@ -67,8 +67,8 @@
 	return uint32(sum.Sum64())
 }
 
-// Target is the part of the digest that follows from the request's host and target alone.
-func (d Digest) Target() uint32 { return binary.BigEndian.Uint32(d[:targetBytes]) }
+// TargetHash is the part of the digest that follows from the request's host and target alone.
+func (d Digest) TargetHash() uint32 { return binary.BigEndian.Uint32(d[:targetBytes]) }
 
 // String returns the digest in hexadecimal.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
--- a/internal/poison/digest_test.go
+++ b/internal/poison/digest_test.go
@@ -37,7 +37,7 @@
 
 func TestDigestContainsTargetHashAndIsParsed(t *testing.T) {
 	digest := Content{Host: "h", Target: "/t"}.Digest()
-	assert.Equal(t, TargetOf("h", "/t"), digest.Target())
+	assert.Equal(t, HashTarget("h", "/t"), digest.TargetHash())
 	read, err := ParseDigest(digest.String())
 	assert.NoError(t, err)
 	assert.Equal(t, digest, read)
@@ -49,7 +49,7 @@
 
 func TestTruncatedMessagesAreRejected(t *testing.T) {
 	news := News{
-		Revision: 3, Whole: true, Entries: []NewsEntry{{Digest: digestOf("a"), Held: true}}, Freed: digestsOf("b", "c"),
+		Revision: 3, Complete: true, Entries: []NewsEntry{{Digest: digestOf("a"), Held: true}}, Unwatched: digestsOf("b", "c"),
 	}
 	encoded, err := news.MarshalMsg(nil)
 	assert.NoError(t, err)
--- a/internal/poison/endwatch.go
+++ b/internal/poison/endwatch.go
@@ -19,87 +19,87 @@
 	crashCheckTimeout = 250 * time.Millisecond
 )
 
-// Loss is a request whose connection to a replica was lost.
-type Loss struct {
+// ConnectionLoss is a request whose connection to a replica was lost.
+type ConnectionLoss struct {
 	Request string
 	Digest  Digest
-	// After is how long the request had been at the replica.
-	After time.Duration
+	// Elapsed is how long the request had been at the replica.
+	Elapsed time.Duration
 	// Events is the number of event batches that the replica had sent.
 	Events int
 }
 
-// EndWatch finds out whether the process of a replica has ended after connections to it were lost: then
+// CrashDetector finds out whether the process of a replica has ended after connections to it were lost: then
 // nothing listens on its port. If something still listens, only the connection was lost, and if nothing
 // answers, the replica's machine has lost power or its network link: neither is evidence against the
 // requests. It may be used concurrently.
-type EndWatch struct {
+type CrashDetector struct {
 	// Refuses reports whether nothing listens on an address.
 	Refuses func(ctx context.Context, address string) bool
-	// Lost is called for each lost connection, with whether the replica's process has ended.
-	Lost func(replica string, loss Loss, ended bool)
-	// Ended is called for each replica that has ended, with the requests that were there. It may be
+	// OnConnectionLost is called for each lost connection, with whether the replica's process has ended.
+	OnConnectionLost func(replica string, loss ConnectionLoss, ended bool)
+	// OnCrash is called for each replica that has ended, with the requests that were there. It may be
 	// called several times for one replica.
-	Ended func(replica string, under []Digest)
+	OnCrash func(replica string, requests []Digest)
 
 	mutex sync.Mutex
 	// pending are the lost connections of the replicas whose check is scheduled or running.
-	pending map[watchedReplica][]Loss
+	pending map[watchedReplica][]ConnectionLoss
 }
 
 type watchedReplica struct{ id, address string }
 
-// NewGuardedWatch returns a watch that writes a log line for each lost connection, and reports each
+// NewGuardedDetector returns a detector that writes a log line for each lost connection, and reports each
 // replica that has ended to a guard.
-func NewGuardedWatch(guard *Guard, refuses func(ctx context.Context, address string) bool, logger logr.Logger) *EndWatch {
-	watch := NewLoggedWatch(refuses, logger)
-	watch.Ended = guard.Ended
-	return watch
+func NewGuardedDetector(guard *Guard, refuses func(ctx context.Context, address string) bool, logger logr.Logger) *CrashDetector {
+	detector := NewLoggingDetector(refuses, logger)
+	detector.OnCrash = guard.ReplicaCrashed
+	return detector
 }
 
-// NewLoggedWatch returns a watch that only writes a log line for each lost connection.
-func NewLoggedWatch(refuses func(ctx context.Context, address string) bool, logger logr.Logger) *EndWatch {
-	return &EndWatch{
+// NewLoggingDetector returns a detector that only writes a log line for each lost connection.
+func NewLoggingDetector(refuses func(ctx context.Context, address string) bool, logger logr.Logger) *CrashDetector {
+	return &CrashDetector{
 		Refuses: refuses,
-		Lost: func(replica string, loss Loss, ended bool) {
+		OnConnectionLost: func(replica string, loss ConnectionLoss, ended bool) {
 			logger.Info(event.ReplicaLost, "request", loss.Request, "digest", loss.Digest.String(), "replica", replica,
-				"ended", ended, "events", loss.Events, "there_ms", loss.After.Milliseconds())
+				"ended", ended, "events", loss.Events, "there_ms", loss.Elapsed.Milliseconds())
 		},
-		Ended: func(string, []Digest) {},
+		OnCrash: func(string, []Digest) {},
 	}
 }
 
-// Note records that the connection to a replica was lost during a request, and schedules a check of the
+// ConnectionLost records that the connection to a replica was lost during a request, and schedules a check of the
 // replica.
-func (w *EndWatch) Note(replica, address string, loss Loss) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	if w.pending == nil {
-		w.pending = map[watchedReplica][]Loss{}
+func (d *CrashDetector) ConnectionLost(replica, address string, loss ConnectionLoss) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	if d.pending == nil {
+		d.pending = map[watchedReplica][]ConnectionLoss{}
 	}
 	key := watchedReplica{replica, address}
-	_, scheduled := w.pending[key]
-	w.pending[key] = append(w.pending[key], loss)
+	_, scheduled := d.pending[key]
+	d.pending[key] = append(d.pending[key], loss)
 	if !scheduled {
-		time.AfterFunc(crashCheckDelay, func() { w.check(key) })
+		time.AfterFunc(crashCheckDelay, func() { d.check(key) })
 	}
 }
 
-// check finds out whether the replica's process has ended, and calls Lost and Ended.
-func (w *EndWatch) check(key watchedReplica) {
+// check finds out whether the replica's process has ended, and calls OnConnectionLost and OnCrash.
+func (d *CrashDetector) check(key watchedReplica) {
 	ctx, cancel := context.WithTimeout(context.Background(), crashCheckTimeout)
 	defer cancel()
-	crashed := w.Refuses(ctx, key.address)
-	w.mutex.Lock()
-	losses := w.pending[key]
-	delete(w.pending, key)
-	w.mutex.Unlock()
+	crashed := d.Refuses(ctx, key.address)
+	d.mutex.Lock()
+	losses := d.pending[key]
+	delete(d.pending, key)
+	d.mutex.Unlock()
 	requests := make([]Digest, 0, len(losses))
 	for _, loss := range losses {
-		w.Lost(key.id, loss, crashed)
+		d.OnConnectionLost(key.id, loss, crashed)
 		requests = append(requests, loss.Digest)
 	}
 	if crashed {
-		w.Ended(key.id, requests)
+		d.OnCrash(key.id, requests)
 	}
 }
--- a/internal/poison/guard.go
+++ b/internal/poison/guard.go
@@ -11,13 +11,13 @@
 type Options struct {
 	// Now returns the time since an arbitrary moment, on a monotonic clock.
 	Now func() time.Duration
-	// InTouch reports whether the gateway's view of the coordinators' state is up to date.
-	InTouch func() bool
-	// Contact bounds the time that processes which can reach each other need to learn what one of them
+	// InSync reports whether the gateway's view of the coordinators' state is up to date.
+	InSync func() bool
+	// ContactTime bounds the time that processes which can reach each other need to learn what one of them
 	// knows.
-	Contact time.Duration
-	// Memory is how long evidence is retained.
-	Memory time.Duration
+	ContactTime time.Duration
+	// Retention is how long evidence is retained.
+	Retention time.Duration
 	// OnDropped is called with the number of digests in evidence that is dropped because too much of it
 	// has not been reported.
 	OnDropped func(digests int)
@@ -28,8 +28,8 @@
 // time is left for the hold to reach all gateways.
 const SettleShare = 0.1
 
-// Settle returns how long evidence has to exist before a request is held.
-func Settle(contact time.Duration) time.Duration {
+// SettleTime returns how long evidence has to exist before a request is held.
+func SettleTime(contact time.Duration) time.Duration {
 	return time.Duration(SettleShare * float64(contact))
 }
 
@@ -60,7 +60,7 @@
 	localPosition  uint64
 	localHeldUntil map[Digest]time.Duration
 	// unreportedCrashes and unreportedCompletions wait to be reported.
-	unreportedCrashes     []End
+	unreportedCrashes     []Crash
 	unreportedCompletions []Digest
 }
 
@@ -88,7 +88,7 @@
 
 // Request is a request that is identified by its content.
 type Request interface {
-	// TargetHash is TargetOf the request's host and target.
+	// TargetHash is HashTarget of the request's host and target.
 	TargetHash() uint32
 	// Digest is the digest of the request's content.
 	Digest() Digest
@@ -106,10 +106,10 @@
 	return held
 }
 
-// MayRepeat reports whether a request that has lost its connection to a replica may be retried on
+// MayRetry reports whether a request that has lost its connection to a replica may be retried on
 // another one within the same call. A request on probation is sent only once a call: within one call it
 // might crash several more replicas before the evidence of the first crash has arrived.
-func (g *Guard) MayRepeat(request Request) bool { return !g.OnProbation(request) }
+func (g *Guard) MayRetry(request Request) bool { return !g.OnProbation(request) }
 
 // OnProbation reports whether a request is on probation: as many replicas have crashed under it as
 // under a held request, but other requests that ran there might be the cause.
@@ -122,9 +122,9 @@
 	return onProbation
 }
 
-// MayLeave reports whether a request may be forwarded to processes that do not have the evidence known
+// MayForward reports whether a request may be forwarded to processes that do not have the evidence known
 // here. It may not once two or more replicas have crashed under it.
-func (g *Guard) MayLeave(request Request) bool {
+func (g *Guard) MayForward(request Request) bool {
 	view := g.view.Load()
 	if !view.watches(request) {
 		return true
@@ -146,21 +146,21 @@
 	return watched
 }
 
-// Ended records that a replica has crashed under requests of this gateway.
-func (g *Guard) Ended(replica string, under []Digest) {
+// ReplicaCrashed records that a replica has crashed under requests of this gateway.
+func (g *Guard) ReplicaCrashed(replica string, under []Digest) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.applyLocal(&Command{Ends: []End{{Replica: replica, Under: under}}})
-	g.unreportedCrashes = append(g.unreportedCrashes, End{Replica: replica, Under: under})
+	g.applyLocal(&Command{Crashes: []Crash{{Replica: replica, Requests: under}}})
+	g.unreportedCrashes = append(g.unreportedCrashes, Crash{Replica: replica, Requests: under})
 	g.dropExcess()
 	g.rebuildView()
 	g.signal()
 }
 
-// RanWell records that a replica has run a request to completion. lostReplica says that the call had
+// Completed records that a replica has run a request to completion. lostReplica says that the call had
 // lost its connection to a replica before; otherwise the completion is reported only if the request is
 // watched.
-func (g *Guard) RanWell(request Request, lostReplica bool) {
+func (g *Guard) Completed(request Request, lostReplica bool) {
 	if !lostReplica {
 		view := g.view.Load()
 		if !view.watches(request) {
@@ -173,7 +173,7 @@
 	digest := request.Digest()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.applyLocal(&Command{RanWell: []Digest{digest}})
+	g.applyLocal(&Command{Completions: []Digest{digest}})
 	delete(g.localHeldUntil, digest)
 	g.unreportedCompletions = append(g.unreportedCompletions, digest)
 	g.dropExcess()
@@ -198,7 +198,7 @@
 			dropped++
 			continue
 		}
-		dropped += len(g.unreportedCrashes[0].Under)
+		dropped += len(g.unreportedCrashes[0].Requests)
 		g.unreportedCrashes = g.unreportedCrashes[1:]
 	}
 	if dropped > 0 && g.options.OnDropped != nil {
@@ -206,10 +206,10 @@
 	}
 }
 
-func countDigests(crashes []End) int {
+func countDigests(crashes []Crash) int {
 	sum := 0
 	for _, crash := range crashes {
-		sum += len(crash.Under)
+		sum += len(crash.Requests)
 	}
 	return sum
 }
@@ -235,8 +235,8 @@
 	return g.revision
 }
 
-// Take applies news from a coordinator; nil means that there is none.
-func (g *Guard) Take(update *News) {
+// ApplyNews applies news from a coordinator; nil means that there is none.
+func (g *Guard) ApplyNews(update *News) {
 	if update == nil {
 		return
 	}
@@ -245,7 +245,7 @@
 	if update.Revision <= g.revision {
 		return
 	}
-	if update.Whole {
+	if update.Complete {
 		clear(g.entries)
 	}
 	for _, entry := range update.Entries {
@@ -255,7 +255,7 @@
 			g.applyLocal(&Command{Hold: []Digest{entry.Digest}})
 		}
 	}
-	for _, digest := range update.Freed {
+	for _, digest := range update.Unwatched {
 		delete(g.entries, digest)
 		// An operator may have released it, or it has run to completion elsewhere.
 		g.applyLocal(&Command{Release: []Digest{digest}})
@@ -278,31 +278,31 @@
 // LocalEvidence returns a channel that holds a token once there may be local evidence.
 func (g *Guard) LocalEvidence() <-chan struct{} { return g.localEvidence }
 
-// Look deletes expired local evidence and holds requests by the rest while the gateway is out of touch.
+// CheckLocalEvidence deletes expired local evidence and holds requests by the rest while the gateway is out of touch.
 // These holds last for one contact time after it is in touch again, in which the coordinators decide.
 // It returns the requests that it has begun to hold.
-func (g *Guard) Look() []Digest {
+func (g *Guard) CheckLocalEvidence() []Digest {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if !g.hasLocalEvidence() {
 		return nil
 	}
 	now := g.options.Now()
-	if expiry := (now - g.options.Memory).Nanoseconds(); expiry > 0 && g.local.HasExpired(expiry) {
+	if expiry := (now - g.options.Retention).Nanoseconds(); expiry > 0 && g.local.HasExpired(expiry) {
 		g.applyLocal(&Command{ForgetBefore: expiry})
 	}
-	outOfTouch := !g.options.InTouch()
+	outOfTouch := !g.options.InSync()
 	changed := false
 	var newlyHeld []Digest
 	if outOfTouch {
-		newlyHeld = g.local.Due(now.Nanoseconds()+1, Settle(g.options.Contact))
+		newlyHeld = g.local.Due(now.Nanoseconds()+1, SettleTime(g.options.ContactTime))
 		if len(newlyHeld) > 0 {
 			g.applyLocal(&Command{Hold: newlyHeld})
 		}
 		for index := range g.local.Records {
 			if record := &g.local.Records[index]; record.HeldAt != 0 {
 				changed = changed || g.localHeldUntil[record.Digest] == 0
-				g.localHeldUntil[record.Digest] = now + g.options.Contact
+				g.localHeldUntil[record.Digest] = now + g.options.ContactTime
 			}
 		}
 	}
@@ -325,7 +325,7 @@
 		onProbation: map[Digest]struct{}{},
 	}
 	watch := func(digest Digest) {
-		view.targets[digest.Target()] = struct{}{}
+		view.targets[digest.TargetHash()] = struct{}{}
 		view.watched[digest] = struct{}{}
 	}
 	for digest, entry := range g.entries {
@@ -361,17 +361,17 @@
 	report := &Report{Gateway: gateway}
 	remaining := maximumReportDigests
 	for _, crash := range g.unreportedCrashes {
-		if len(report.Ends) > 0 && len(crash.Under) > remaining {
+		if len(report.Crashes) > 0 && len(crash.Requests) > remaining {
 			break
 		}
-		remaining -= len(crash.Under)
-		report.Ends = append(report.Ends, crash)
+		remaining -= len(crash.Requests)
+		report.Crashes = append(report.Crashes, crash)
 	}
-	g.unreportedCrashes = g.unreportedCrashes[len(report.Ends):]
+	g.unreportedCrashes = g.unreportedCrashes[len(report.Crashes):]
 	if len(g.unreportedCrashes) == 0 {
 		// A completion must not overtake an earlier crash.
 		count := min(len(g.unreportedCompletions), max(remaining, 1))
-		report.RanWell = g.unreportedCompletions[:count:count]
+		report.Completions = g.unreportedCompletions[:count:count]
 		g.unreportedCompletions = g.unreportedCompletions[count:]
 	}
 	if len(g.unreportedCrashes)+len(g.unreportedCompletions) > 0 {
@@ -380,12 +380,12 @@
 	return report
 }
 
-// Return puts a report back that no coordinator has accepted.
-func (g *Guard) Return(report *Report) {
+// Requeue puts a report back that no coordinator has accepted.
+func (g *Guard) Requeue(report *Report) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.unreportedCrashes = append(slices.Clip(report.Ends), g.unreportedCrashes...)
-	g.unreportedCompletions = append(slices.Clip(report.RanWell), g.unreportedCompletions...)
+	g.unreportedCrashes = append(slices.Clip(report.Crashes), g.unreportedCrashes...)
+	g.unreportedCompletions = append(slices.Clip(report.Completions), g.unreportedCompletions...)
 	g.dropExcess()
 	g.signal()
 }
--- a/internal/poison/innocents_test.go
+++ b/internal/poison/innocents_test.go
@@ -146,7 +146,7 @@
 			delete(best.running, call)
 			w.served++
 			if call.lostReplica {
-				w.applyDelayed(Command{RanWell: []Digest{call.digest}})
+				w.applyDelayed(Command{Completions: []Digest{call.digest}})
 			}
 		}
 	})
@@ -184,7 +184,7 @@
 	}
 	for _, requests := range byGateway {
 		if len(requests) > 0 {
-			w.applyDelayed(Command{Ends: []End{{Replica: id, Under: requests}}})
+			w.applyDelayed(Command{Crashes: []Crash{{Replica: id, Requests: requests}}})
 		}
 	}
 	w.schedule(modelRestartTime, func() { replica.down = false })
@@ -233,7 +233,7 @@
 }
 
 func (w *regionModel) runLeader() {
-	if due := w.due(&w.state, w.now.Nanoseconds()+1, Settle(modelContactTime)); len(due) > 0 {
+	if due := w.due(&w.state, w.now.Nanoseconds()+1, SettleTime(modelContactTime)); len(due) > 0 {
 		w.apply(Command{Hold: due})
 	}
 	w.poisonHeld = w.poisonHeld || w.state.Holds(digestOf("poison"))
--- a/internal/poison/messages.go
+++ b/internal/poison/messages.go
@@ -2,7 +2,7 @@
 
 //go:generate go tool msgp -file messages.go -tests=false -io=false
 //msgp:limit arrays:65536 maps:65536
-//msgp:tuple Record UnwatchedRecord End NewsEntry RecentCrash BurstCrash
+//msgp:tuple Record UnwatchedRecord Crash NewsEntry RecentCrash BurstCrash
 //msgp:ignore Held Digest
 
 // State is the evidence against all requests under which replicas have crashed. Its slices are never
@@ -66,20 +66,20 @@
 	Revision uint64
 }
 
-// End is a replica that has crashed, with the requests that a gateway had in flight there.
-type End struct {
-	Replica string
-	Under   []Digest
+// Crash is a replica that has crashed, with the requests that a gateway had in flight there.
+type Crash struct {
+	Replica  string
+	Requests []Digest
 }
 
 // Command changes a State.
 type Command struct {
 	// At is the region's time, in nanoseconds since 1970.
 	At int64 `msg:"at"`
-	// Ends are replicas that have crashed, and RanWell requests that a replica has run to
+	// Crashes are replicas that have crashed, and Completions requests that a replica has run to
 	// completion.
-	Ends    []End    `msg:"ends"`
-	RanWell []Digest `msg:"ran_well"`
+	Crashes     []Crash  `msg:"ends"`
+	Completions []Digest `msg:"ran_well"`
 	// Hold are requests to be held, HeldElsewhere those that are held elsewhere on evidence from there,
 	// and Release those that an operator releases.
 	Hold          []Digest `msg:"hold"`
@@ -91,9 +91,9 @@
 
 // Report is what a gateway reports about its requests.
 type Report struct {
-	Gateway string   `msg:"gateway"`
-	Ends    []End    `msg:"ends"`
-	RanWell []Digest `msg:"ran_well"`
+	Gateway     string   `msg:"gateway"`
+	Crashes     []Crash  `msg:"ends"`
+	Completions []Digest `msg:"ran_well"`
 }
 
 // PermitRequest asks whether a request on probation may be sent now.
@@ -109,11 +109,11 @@
 // News is what a gateway at an earlier revision has to learn.
 type News struct {
 	Revision uint64 `msg:"revision"`
-	// Whole says that Entries are complete; otherwise Entries are new or changed, and Freed need not be
-	// watched any more.
-	Whole   bool        `msg:"whole"`
-	Entries []NewsEntry `msg:"entries"`
-	Freed   []Digest    `msg:"freed"`
+	// Complete says that Entries are complete; otherwise Entries are new or changed, and the digests
+	// in Unwatched need not be watched any more.
+	Complete  bool        `msg:"whole"`
+	Entries   []NewsEntry `msg:"entries"`
+	Unwatched []Digest    `msg:"freed"`
 }
 
 // NewsEntry is a request that gateways watch: its completion has to be reported.
--- a/internal/poison/messages_gen.go
+++ b/internal/poison/messages_gen.go
@@ -75,27 +75,27 @@
 		o = msgp.AppendInt64(o, z.At)
 		// string "ends"
 		o = append(o, 0xa4, 0x65, 0x6e, 0x64, 0x73)
-		o = msgp.AppendArrayHeader(o, uint32(len(z.Ends)))
-		for za0001 := range z.Ends {
+		o = msgp.AppendArrayHeader(o, uint32(len(z.Crashes)))
+		for za0001 := range z.Crashes {
 			// array header, size 2
 			o = append(o, 0x92)
-			o = msgp.AppendString(o, z.Ends[za0001].Replica)
-			o = msgp.AppendArrayHeader(o, uint32(len(z.Ends[za0001].Under)))
-			for za0002 := range z.Ends[za0001].Under {
-				o, err = z.Ends[za0001].Under[za0002].MarshalMsg(o)
+			o = msgp.AppendString(o, z.Crashes[za0001].Replica)
+			o = msgp.AppendArrayHeader(o, uint32(len(z.Crashes[za0001].Requests)))
+			for za0002 := range z.Crashes[za0001].Requests {
+				o, err = z.Crashes[za0001].Requests[za0002].MarshalMsg(o)
 				if err != nil {
-					err = msgp.WrapError(err, "Ends", za0001, "Under", za0002)
+					err = msgp.WrapError(err, "Crashes", za0001, "Requests", za0002)
 					return
 				}
 			}
 		}
 		// string "ran_well"
 		o = append(o, 0xa8, 0x72, 0x61, 0x6e, 0x5f, 0x77, 0x65, 0x6c, 0x6c)
-		o = msgp.AppendArrayHeader(o, uint32(len(z.RanWell)))
-		for za0003 := range z.RanWell {
-			o, err = z.RanWell[za0003].MarshalMsg(o)
+		o = msgp.AppendArrayHeader(o, uint32(len(z.Completions)))
+		for za0003 := range z.Completions {
+			o, err = z.Completions[za0003].MarshalMsg(o)
 			if err != nil {
-				err = msgp.WrapError(err, "RanWell", za0003)
+				err = msgp.WrapError(err, "Completions", za0003)
 				return
 			}
 		}
@@ -170,53 +170,53 @@
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Ends")
+				err = msgp.WrapError(err, "Crashes")
 				return
 			}
 			if zb0002 > z2c18a699limitArrays {
 				err = msgp.ErrLimitExceeded
 				return
 			}
-			if cap(z.Ends) >= int(zb0002) {
-				z.Ends = (z.Ends)[:zb0002]
+			if cap(z.Crashes) >= int(zb0002) {
+				z.Crashes = (z.Crashes)[:zb0002]
 			} else {
-				z.Ends = make([]End, zb0002)
+				z.Crashes = make([]Crash, zb0002)
 			}
-			for za0001 := range z.Ends {
+			for za0001 := range z.Crashes {
 				var zb0003 uint32
 				zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Ends", za0001)
+					err = msgp.WrapError(err, "Crashes", za0001)
 					return
 				}
 				if zb0003 != 2 {
 					err = msgp.ArrayError{Wanted: 2, Got: zb0003}
 					return
 				}
-				z.Ends[za0001].Replica, bts, err = msgp.ReadStringBytes(bts)
+				z.Crashes[za0001].Replica, bts, err = msgp.ReadStringBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Ends", za0001, "Replica")
+					err = msgp.WrapError(err, "Crashes", za0001, "Replica")
 					return
 				}
 				var zb0004 uint32
 				zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Ends", za0001, "Under")
+					err = msgp.WrapError(err, "Crashes", za0001, "Requests")
 					return
 				}
 				if zb0004 > z2c18a699limitArrays {
 					err = msgp.ErrLimitExceeded
 					return
 				}
-				if cap(z.Ends[za0001].Under) >= int(zb0004) {
-					z.Ends[za0001].Under = (z.Ends[za0001].Under)[:zb0004]
+				if cap(z.Crashes[za0001].Requests) >= int(zb0004) {
+					z.Crashes[za0001].Requests = (z.Crashes[za0001].Requests)[:zb0004]
 				} else {
-					z.Ends[za0001].Under = make([]Digest, zb0004)
+					z.Crashes[za0001].Requests = make([]Digest, zb0004)
 				}
-				for za0002 := range z.Ends[za0001].Under {
-					bts, err = z.Ends[za0001].Under[za0002].UnmarshalMsg(bts)
+				for za0002 := range z.Crashes[za0001].Requests {
+					bts, err = z.Crashes[za0001].Requests[za0002].UnmarshalMsg(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Ends", za0001, "Under", za0002)
+						err = msgp.WrapError(err, "Crashes", za0001, "Requests", za0002)
 						return
 					}
 				}
@@ -225,22 +225,22 @@
 			var zb0005 uint32
 			zb0005, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "RanWell")
+				err = msgp.WrapError(err, "Completions")
 				return
 			}
 			if zb0005 > z2c18a699limitArrays {
 				err = msgp.ErrLimitExceeded
 				return
 			}
-			if cap(z.RanWell) >= int(zb0005) {
-				z.RanWell = (z.RanWell)[:zb0005]
+			if cap(z.Completions) >= int(zb0005) {
+				z.Completions = (z.Completions)[:zb0005]
 			} else {
-				z.RanWell = make([]Digest, zb0005)
+				z.Completions = make([]Digest, zb0005)
 			}
-			for za0003 := range z.RanWell {
-				bts, err = z.RanWell[za0003].UnmarshalMsg(bts)
+			for za0003 := range z.Completions {
+				bts, err = z.Completions[za0003].UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "RanWell", za0003)
+					err = msgp.WrapError(err, "Completions", za0003)
 					return
 				}
 			}
@@ -334,15 +334,15 @@
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Command) Msgsize() (s int) {
 	s = 1 + 3 + msgp.Int64Size + 5 + msgp.ArrayHeaderSize
-	for za0001 := range z.Ends {
-		s += 1 + msgp.StringPrefixSize + len(z.Ends[za0001].Replica) + msgp.ArrayHeaderSize
-		for za0002 := range z.Ends[za0001].Under {
-			s += z.Ends[za0001].Under[za0002].Msgsize()
+	for za0001 := range z.Crashes {
+		s += 1 + msgp.StringPrefixSize + len(z.Crashes[za0001].Replica) + msgp.ArrayHeaderSize
+		for za0002 := range z.Crashes[za0001].Requests {
+			s += z.Crashes[za0001].Requests[za0002].Msgsize()
 		}
 	}
 	s += 9 + msgp.ArrayHeaderSize
-	for za0003 := range z.RanWell {
-		s += z.RanWell[za0003].Msgsize()
+	for za0003 := range z.Completions {
+		s += z.Completions[za0003].Msgsize()
 	}
 	s += 5 + msgp.ArrayHeaderSize
 	for za0004 := range z.Hold {
@@ -361,16 +361,16 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *End) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *Crash) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 2
 	o = append(o, 0x92)
 	o = msgp.AppendString(o, z.Replica)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Under)))
-	for za0001 := range z.Under {
-		o, err = z.Under[za0001].MarshalMsg(o)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Requests)))
+	for za0001 := range z.Requests {
+		o, err = z.Requests[za0001].MarshalMsg(o)
 		if err != nil {
-			err = msgp.WrapError(err, "Under", za0001)
+			err = msgp.WrapError(err, "Requests", za0001)
 			return
 		}
 	}
@@ -378,7 +378,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *End) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *Crash) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var zb0001 uint32
 	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
@@ -397,22 +397,22 @@
 	var zb0002 uint32
 	zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Under")
+		err = msgp.WrapError(err, "Requests")
 		return
 	}
 	if zb0002 > z2c18a699limitArrays {
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	if cap(z.Under) >= int(zb0002) {
-		z.Under = (z.Under)[:zb0002]
+	if cap(z.Requests) >= int(zb0002) {
+		z.Requests = (z.Requests)[:zb0002]
 	} else {
-		z.Under = make([]Digest, zb0002)
+		z.Requests = make([]Digest, zb0002)
 	}
-	for za0001 := range z.Under {
-		bts, err = z.Under[za0001].UnmarshalMsg(bts)
+	for za0001 := range z.Requests {
+		bts, err = z.Requests[za0001].UnmarshalMsg(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "Under", za0001)
+			err = msgp.WrapError(err, "Requests", za0001)
 			return
 		}
 	}
@@ -421,10 +421,10 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *End) Msgsize() (s int) {
+func (z *Crash) Msgsize() (s int) {
 	s = 1 + msgp.StringPrefixSize + len(z.Replica) + msgp.ArrayHeaderSize
-	for za0001 := range z.Under {
-		s += z.Under[za0001].Msgsize()
+	for za0001 := range z.Requests {
+		s += z.Requests[za0001].Msgsize()
 	}
 	return
 }
@@ -438,7 +438,7 @@
 	o = msgp.AppendUint64(o, z.Revision)
 	// string "whole"
 	o = append(o, 0xa5, 0x77, 0x68, 0x6f, 0x6c, 0x65)
-	o = msgp.AppendBool(o, z.Whole)
+	o = msgp.AppendBool(o, z.Complete)
 	// string "entries"
 	o = append(o, 0xa7, 0x65, 0x6e, 0x74, 0x72, 0x69, 0x65, 0x73)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Entries)))
@@ -455,11 +455,11 @@
 	}
 	// string "freed"
 	o = append(o, 0xa5, 0x66, 0x72, 0x65, 0x65, 0x64)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Freed)))
-	for za0002 := range z.Freed {
-		o, err = z.Freed[za0002].MarshalMsg(o)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Unwatched)))
+	for za0002 := range z.Unwatched {
+		o, err = z.Unwatched[za0002].MarshalMsg(o)
 		if err != nil {
-			err = msgp.WrapError(err, "Freed", za0002)
+			err = msgp.WrapError(err, "Unwatched", za0002)
 			return
 		}
 	}
@@ -495,9 +495,9 @@
 				return
 			}
 		case "whole":
-			z.Whole, bts, err = msgp.ReadBoolBytes(bts)
+			z.Complete, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Whole")
+				err = msgp.WrapError(err, "Complete")
 				return
 			}
 		case "entries":
@@ -547,22 +547,22 @@
 			var zb0004 uint32
 			zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Freed")
+				err = msgp.WrapError(err, "Unwatched")
 				return
 			}
 			if zb0004 > z2c18a699limitArrays {
 				err = msgp.ErrLimitExceeded
 				return
 			}
-			if cap(z.Freed) >= int(zb0004) {
-				z.Freed = (z.Freed)[:zb0004]
+			if cap(z.Unwatched) >= int(zb0004) {
+				z.Unwatched = (z.Unwatched)[:zb0004]
 			} else {
-				z.Freed = make([]Digest, zb0004)
+				z.Unwatched = make([]Digest, zb0004)
 			}
-			for za0002 := range z.Freed {
-				bts, err = z.Freed[za0002].UnmarshalMsg(bts)
+			for za0002 := range z.Unwatched {
+				bts, err = z.Unwatched[za0002].UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Freed", za0002)
+					err = msgp.WrapError(err, "Unwatched", za0002)
 					return
 				}
 			}
@@ -585,8 +585,8 @@
 		s += 1 + z.Entries[za0001].Digest.Msgsize() + msgp.BoolSize + msgp.BoolSize
 	}
 	s += 6 + msgp.ArrayHeaderSize
-	for za0002 := range z.Freed {
-		s += z.Freed[za0002].Msgsize()
+	for za0002 := range z.Unwatched {
+		s += z.Unwatched[za0002].Msgsize()
 	}
 	return
 }
@@ -912,27 +912,27 @@
 	o = msgp.AppendString(o, z.Gateway)
 	// string "ends"
 	o = append(o, 0xa4, 0x65, 0x6e, 0x64, 0x73)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Ends)))
-	for za0001 := range z.Ends {
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Crashes)))
+	for za0001 := range z.Crashes {
 		// array header, size 2
 		o = append(o, 0x92)
-		o = msgp.AppendString(o, z.Ends[za0001].Replica)
-		o = msgp.AppendArrayHeader(o, uint32(len(z.Ends[za0001].Under)))
-		for za0002 := range z.Ends[za0001].Under {
-			o, err = z.Ends[za0001].Under[za0002].MarshalMsg(o)
+		o = msgp.AppendString(o, z.Crashes[za0001].Replica)
+		o = msgp.AppendArrayHeader(o, uint32(len(z.Crashes[za0001].Requests)))
+		for za0002 := range z.Crashes[za0001].Requests {
+			o, err = z.Crashes[za0001].Requests[za0002].MarshalMsg(o)
 			if err != nil {
-				err = msgp.WrapError(err, "Ends", za0001, "Under", za0002)
+				err = msgp.WrapError(err, "Crashes", za0001, "Requests", za0002)
 				return
 			}
 		}
 	}
 	// string "ran_well"
 	o = append(o, 0xa8, 0x72, 0x61, 0x6e, 0x5f, 0x77, 0x65, 0x6c, 0x6c)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.RanWell)))
-	for za0003 := range z.RanWell {
-		o, err = z.RanWell[za0003].MarshalMsg(o)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Completions)))
+	for za0003 := range z.Completions {
+		o, err = z.Completions[za0003].MarshalMsg(o)
 		if err != nil {
-			err = msgp.WrapError(err, "RanWell", za0003)
+			err = msgp.WrapError(err, "Completions", za0003)
 			return
 		}
 	}
@@ -971,53 +971,53 @@
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Ends")
+				err = msgp.WrapError(err, "Crashes")
 				return
 			}
 			if zb0002 > z2c18a699limitArrays {
 				err = msgp.ErrLimitExceeded
 				return
 			}
-			if cap(z.Ends) >= int(zb0002) {
-				z.Ends = (z.Ends)[:zb0002]
+			if cap(z.Crashes) >= int(zb0002) {
+				z.Crashes = (z.Crashes)[:zb0002]
 			} else {
-				z.Ends = make([]End, zb0002)
+				z.Crashes = make([]Crash, zb0002)
 			}
-			for za0001 := range z.Ends {
+			for za0001 := range z.Crashes {
 				var zb0003 uint32
 				zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Ends", za0001)
+					err = msgp.WrapError(err, "Crashes", za0001)
 					return
 				}
 				if zb0003 != 2 {
 					err = msgp.ArrayError{Wanted: 2, Got: zb0003}
 					return
 				}
-				z.Ends[za0001].Replica, bts, err = msgp.ReadStringBytes(bts)
+				z.Crashes[za0001].Replica, bts, err = msgp.ReadStringBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Ends", za0001, "Replica")
+					err = msgp.WrapError(err, "Crashes", za0001, "Replica")
 					return
 				}
 				var zb0004 uint32
 				zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Ends", za0001, "Under")
+					err = msgp.WrapError(err, "Crashes", za0001, "Requests")
 					return
 				}
 				if zb0004 > z2c18a699limitArrays {
 					err = msgp.ErrLimitExceeded
 					return
 				}
-				if cap(z.Ends[za0001].Under) >= int(zb0004) {
-					z.Ends[za0001].Under = (z.Ends[za0001].Under)[:zb0004]
+				if cap(z.Crashes[za0001].Requests) >= int(zb0004) {
+					z.Crashes[za0001].Requests = (z.Crashes[za0001].Requests)[:zb0004]
 				} else {
-					z.Ends[za0001].Under = make([]Digest, zb0004)
+					z.Crashes[za0001].Requests = make([]Digest, zb0004)
 				}
-				for za0002 := range z.Ends[za0001].Under {
-					bts, err = z.Ends[za0001].Under[za0002].UnmarshalMsg(bts)
+				for za0002 := range z.Crashes[za0001].Requests {
+					bts, err = z.Crashes[za0001].Requests[za0002].UnmarshalMsg(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Ends", za0001, "Under", za0002)
+						err = msgp.WrapError(err, "Crashes", za0001, "Requests", za0002)
 						return
 					}
 				}
@@ -1026,22 +1026,22 @@
 			var zb0005 uint32
 			zb0005, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "RanWell")
+				err = msgp.WrapError(err, "Completions")
 				return
 			}
 			if zb0005 > z2c18a699limitArrays {
 				err = msgp.ErrLimitExceeded
 				return
 			}
-			if cap(z.RanWell) >= int(zb0005) {
-				z.RanWell = (z.RanWell)[:zb0005]
+			if cap(z.Completions) >= int(zb0005) {
+				z.Completions = (z.Completions)[:zb0005]
 			} else {
-				z.RanWell = make([]Digest, zb0005)
+				z.Completions = make([]Digest, zb0005)
 			}
-			for za0003 := range z.RanWell {
-				bts, err = z.RanWell[za0003].UnmarshalMsg(bts)
+			for za0003 := range z.Completions {
+				bts, err = z.Completions[za0003].UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "RanWell", za0003)
+					err = msgp.WrapError(err, "Completions", za0003)
 					return
 				}
 			}
@@ -1060,15 +1060,15 @@
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Report) Msgsize() (s int) {
 	s = 1 + 8 + msgp.StringPrefixSize + len(z.Gateway) + 5 + msgp.ArrayHeaderSize
-	for za0001 := range z.Ends {
-		s += 1 + msgp.StringPrefixSize + len(z.Ends[za0001].Replica) + msgp.ArrayHeaderSize
-		for za0002 := range z.Ends[za0001].Under {
-			s += z.Ends[za0001].Under[za0002].Msgsize()
+	for za0001 := range z.Crashes {
+		s += 1 + msgp.StringPrefixSize + len(z.Crashes[za0001].Replica) + msgp.ArrayHeaderSize
+		for za0002 := range z.Crashes[za0001].Requests {
+			s += z.Crashes[za0001].Requests[za0002].Msgsize()
 		}
 	}
 	s += 9 + msgp.ArrayHeaderSize
-	for za0003 := range z.RanWell {
-		s += z.RanWell[za0003].Msgsize()
+	for za0003 := range z.Completions {
+		s += z.Completions[za0003].Msgsize()
 	}
 	return
 }
--- a/internal/poison/permits.go
+++ b/internal/poison/permits.go
@@ -12,9 +12,9 @@
 // NewPermits returns Permits of which none is taken.
 func NewPermits() *Permits { return &Permits{expiry: map[Digest]time.Duration{}} }
 
-// Take gives the permit for a request to the first caller that asks, for the time in which the others
+// Acquire gives the permit for a request to the first caller that asks, for the time in which the others
 // learn of the outcome. If the permit is taken, wait is the time until it expires.
-func (p *Permits) Take(now, contactTime time.Duration, digest Digest) (wait time.Duration) {
+func (p *Permits) Acquire(now, contactTime time.Duration, digest Digest) (wait time.Duration) {
 	if until := p.expiry[digest]; now < until {
 		return until - now
 	}
--- a/internal/poison/permits_test.go
+++ b/internal/poison/permits_test.go
@@ -16,8 +16,8 @@
 	const contact = 3 * time.Second
 	permits := poison.NewPermits()
 	digest, other := poison.Content{Body: []byte("a")}.Digest(), poison.Content{Body: []byte("b")}.Digest()
-	assert.Zero(t, permits.Take(time.Second, contact, digest))
-	assert.Equal(t, 2*time.Second, permits.Take(2*time.Second, contact, digest))
-	assert.Zero(t, permits.Take(2*time.Second, contact, other))
-	assert.Zero(t, permits.Take(4*time.Second, contact, digest))
+	assert.Zero(t, permits.Acquire(time.Second, contact, digest))
+	assert.Equal(t, 2*time.Second, permits.Acquire(2*time.Second, contact, digest))
+	assert.Zero(t, permits.Acquire(2*time.Second, contact, other))
+	assert.Zero(t, permits.Acquire(4*time.Second, contact, digest))
 }
--- a/internal/poison/state.go
+++ b/internal/poison/state.go
@@ -47,14 +47,14 @@
 		change.deleteExpired(command.ForgetBefore)
 	}
 	attributed := change.attributedCrashes()
-	for _, crash := range command.Ends {
+	for _, crash := range command.Crashes {
 		replica := xxhash.Sum64String(crash.Replica)
 		change.recordRecentCrash(replica)
-		for _, digest := range crash.Under {
+		for _, digest := range crash.Requests {
 			change.addCrash(digest, replica, attributed)
 		}
 	}
-	for _, digest := range command.RanWell {
+	for _, digest := range command.Completions {
 		change.remove(digest)
 	}
 	for _, digest := range command.Hold {
@@ -327,18 +327,18 @@
 	if revision >= s.Revision {
 		return nil
 	}
-	update := &News{Revision: s.Revision, Whole: revision == 0 || revision < s.UnwatchedSince}
+	update := &News{Revision: s.Revision, Complete: revision == 0 || revision < s.UnwatchedSince}
 	for _, record := range s.Records {
-		if record.watched() && (update.Whole || record.Revision > revision) {
+		if record.watched() && (update.Complete || record.Revision > revision) {
 			update.Entries = append(update.Entries, NewsEntry{Digest: record.Digest, Held: record.HeldAt != 0, OnProbation: record.onProbation()})
 		}
 	}
-	if update.Whole {
+	if update.Complete {
 		return update
 	}
 	for _, freed := range s.Unwatched {
 		if at, found := find(s.Records, freed.Digest); freed.Revision > revision && (!found || !s.Records[at].watched()) {
-			update.Freed = append(update.Freed, freed.Digest)
+			update.Unwatched = append(update.Unwatched, freed.Digest)
 		}
 	}
 	return update
--- a/internal/poison/state_test.go
+++ b/internal/poison/state_test.go
@@ -25,7 +25,7 @@
 // fixedRequest is a request with a fixed digest.
 type fixedRequest Digest
 
-func (r fixedRequest) TargetHash() uint32 { return Digest(r).Target() }
+func (r fixedRequest) TargetHash() uint32 { return Digest(r).TargetHash() }
 func (r fixedRequest) Digest() Digest     { return Digest(r) }
 
 // evidence is a State to which commands are applied in sequence, 1 ms apart.
@@ -44,7 +44,7 @@
 
 // crashed records that a replica has crashed under requests.
 func (e *evidence) crashed(replica string, requests ...string) {
-	e.apply(Command{Ends: []End{{Replica: replica, Under: digestsOf(requests...)}}})
+	e.apply(Command{Crashes: []Crash{{Replica: replica, Requests: digestsOf(requests...)}}})
 }
 
 // holdDue holds the requests that are due, and returns them.
@@ -90,23 +90,23 @@
 // continue to be sent, once a call, and are not forwarded to processes without the evidence.
 func TestIndistinguishableRequestsAreOnProbation(t *testing.T) {
 	e := &evidence{}
-	guard := NewGuard(Options{Now: func() time.Duration { return 0 }, InTouch: func() bool { return true }})
+	guard := NewGuard(Options{Now: func() time.Duration { return 0 }, InSync: func() bool { return true }})
 	poison, beside := fixedRequest(digestOf("poison")), fixedRequest(digestOf("beside"))
 	for number := range 3 {
-		assert.True(t, guard.MayRepeat(poison))
+		assert.True(t, guard.MayRetry(poison))
 		e.crashed(fmt.Sprint("i-", number), "poison", "beside")
-		guard.Take(e.NewsSince(guard.Revision()))
-		assert.Equal(t, number < 1, guard.MayLeave(poison))
+		guard.ApplyNews(e.NewsSince(guard.Revision()))
+		assert.Equal(t, number < 1, guard.MayForward(poison))
 	}
-	assert.False(t, guard.MayRepeat(poison))
-	assert.False(t, guard.MayRepeat(beside))
+	assert.False(t, guard.MayRetry(poison))
+	assert.False(t, guard.MayRetry(beside))
 	assert.False(t, guard.Holds(poison))
 	e.crashed("i-4", "poison")
 	e.holdDue()
-	guard.Take(e.NewsSince(guard.Revision()))
+	guard.ApplyNews(e.NewsSince(guard.Revision()))
 	assert.True(t, guard.Holds(poison))
-	assert.True(t, guard.MayRepeat(beside))
-	assert.True(t, guard.MayLeave(beside))
+	assert.True(t, guard.MayRetry(beside))
+	assert.True(t, guard.MayForward(beside))
 }
 
 func TestRequestHeldElsewhereIsHeld(t *testing.T) {
@@ -158,14 +158,14 @@
 	e := &evidence{}
 	e.crashed("i-1", "often")
 	e.crashed("i-2", "often")
-	e.apply(Command{RanWell: digestsOf("often")})
+	e.apply(Command{Completions: digestsOf("often")})
 	e.crashed("i-3", "often")
 	assert.Empty(t, e.Due(e.at, 0))
 	e.crashed("i-4", "often")
 	e.crashed("i-5", "often")
 	e.holdDue()
 	require.True(t, e.Holds(digestOf("often")))
-	e.apply(Command{RanWell: digestsOf("often")})
+	e.apply(Command{Completions: digestsOf("often")})
 	assert.False(t, e.Holds(digestOf("often")), "an attempt that was in flight has completed")
 }
 
@@ -199,7 +199,7 @@
 	assert.Equal(t, digestsOf("poison"), e.Due(e.at, 0))
 }
 
-func TestAnOperatorLetsARequestGo(t *testing.T) {
+func TestReleaseDeletesTheEvidence(t *testing.T) {
 	e := &evidence{}
 	for number := range 3 {
 		e.crashed(fmt.Sprint("i-", number), "poison")
@@ -215,7 +215,7 @@
 	assert.Empty(t, e.Due(e.at, 0), "its evidence was deleted")
 }
 
-func TestTheLeastDangerousGoFirstWhenThereIsNoRoom(t *testing.T) {
+func TestRecordsWithTheLeastEvidenceAreDroppedFirst(t *testing.T) {
 	e := &evidence{}
 	for number := range 3 {
 		e.crashed(fmt.Sprint("i-", number), "poison")
@@ -250,12 +250,12 @@
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 0))
 		e := &evidence{}
-		guard := NewGuard(Options{Now: func() time.Duration { return 0 }, InTouch: func() bool { return true }})
+		guard := NewGuard(Options{Now: func() time.Duration { return 0 }, InSync: func() bool { return true }})
 		for step := range 3000 {
 			name := fmt.Sprint("r", random.IntN(60))
 			switch random.IntN(12) {
 			case 0:
-				e.apply(Command{RanWell: digestsOf(name)})
+				e.apply(Command{Completions: digestsOf(name)})
 			case 1:
 				e.apply(Command{Release: digestsOf(name)})
 			case 2:
@@ -268,7 +268,7 @@
 			if random.IntN(4) > 0 {
 				continue
 			}
-			guard.Take(e.NewsSince(guard.Revision()))
+			guard.ApplyNews(e.NewsSince(guard.Revision()))
 			watched := 0
 			for _, record := range e.Records {
 				digest := record.Digest
@@ -295,7 +295,7 @@
 		e.crashed(fmt.Sprint("j-", number), "a", fmt.Sprint("n", number))
 	}
 	e.holdDue()
-	e.apply(Command{RanWell: digestsOf("b")})
+	e.apply(Command{Completions: digestsOf("b")})
 	again, err := before.MarshalMsg(nil)
 	require.NoError(t, err)
 	assert.Equal(t, encoded, again)
--- a/internal/poison/teller.go
+++ b/internal/poison/teller.go
@@ -21,8 +21,8 @@
 	evidenceCheckInterval = 100 * time.Millisecond
 )
 
-// Teller sends the reports of a Guard, and has it check its local evidence.
-type Teller struct {
+// Reporter sends the reports of a Guard, and has it check its local evidence.
+type Reporter struct {
 	Guard   *Guard
 	gateway string
 	// send sends one report to the process that replicates the evidence.
@@ -32,67 +32,67 @@
 	dropped atomic.Int64
 }
 
-// NewTeller returns a Teller with a Guard of its own. It logs dropped evidence, reports that fail, and
+// NewReporter returns a Reporter with a Guard of its own. It logs dropped evidence, reports that fail, and
 // requests that are held by local evidence. It replaces options.OnDropped.
-func NewTeller(gateway string, options Options, send func(ctx context.Context, report *Report) error, logger logr.Logger) *Teller {
-	t := &Teller{gateway: gateway, send: send, logger: logger}
+func NewReporter(gateway string, options Options, send func(ctx context.Context, report *Report) error, logger logr.Logger) *Reporter {
+	r := &Reporter{gateway: gateway, send: send, logger: logger}
 	options.OnDropped = func(digests int) {
-		t.dropped.Add(int64(digests))
+		r.dropped.Add(int64(digests))
 		logger.Info(event.PoisonDropped, "digests", digests)
 	}
-	t.Guard = NewGuard(options)
-	return t
+	r.Guard = NewGuard(options)
+	return r
 }
 
 // Dropped returns the number of digests in evidence that was dropped before it was reported.
-func (t *Teller) Dropped() int64 { return t.dropped.Load() }
+func (r *Reporter) Dropped() int64 { return r.dropped.Load() }
 
 // Run sends reports and checks local evidence until the context ends.
-func (t *Teller) Run(ctx context.Context) {
-	go t.checkLocalEvidence(ctx)
+func (r *Reporter) Run(ctx context.Context) {
+	go r.checkLocalEvidence(ctx)
 	failed := false
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.Guard.ReportReady():
+		case <-r.Guard.ReportReady():
 		}
 		if !lifecycle.Sleep(ctx, reportDelay) {
 			return
 		}
-		report := t.Guard.Report(t.gateway)
+		report := r.Guard.Report(r.gateway)
 		if report == nil {
 			continue
 		}
-		err := t.sendReport(ctx, report)
+		err := r.sendReport(ctx, report)
 		if err != nil {
-			t.Guard.Return(report)
+			r.Guard.Requeue(report)
 		}
 		if (err != nil) != failed {
 			failed = err != nil
-			t.logger.Info(event.PoisonUntold, "ends", len(report.Ends), "ran_well", len(report.RanWell), "error", failure.Text(err))
+			r.logger.Info(event.PoisonUntold, "ends", len(report.Crashes), "ran_well", len(report.Completions), "error", failure.Text(err))
 		}
 	}
 }
 
-func (t *Teller) sendReport(ctx context.Context, report *Report) error {
+func (r *Reporter) sendReport(ctx context.Context, report *Report) error {
 	bounded, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	return t.send(bounded, report)
+	return r.send(bounded, report)
 }
 
 // checkLocalEvidence checks the local evidence while there is any: most gateways never have any, and
 // would wake up for nothing.
-func (t *Teller) checkLocalEvidence(ctx context.Context) {
+func (r *Reporter) checkLocalEvidence(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.Guard.LocalEvidence():
+		case <-r.Guard.LocalEvidence():
 		}
-		for t.Guard.HasLocalEvidence() && lifecycle.Sleep(ctx, evidenceCheckInterval) {
-			for _, digest := range t.Guard.Look() {
-				t.logger.Info(event.RequestHeldHere, "digest", digest.String())
+		for r.Guard.HasLocalEvidence() && lifecycle.Sleep(ctx, evidenceCheckInterval) {
+			for _, digest := range r.Guard.CheckLocalEvidence() {
+				r.logger.Info(event.RequestHeldHere, "digest", digest.String())
 			}
 		}
 	}
--- a/internal/poison/versions_test.go
+++ b/internal/poison/versions_test.go
@@ -9,16 +9,16 @@
 // samples are the messages and records of this package as an earlier build encoded them.
 func samples() recorded.Samples {
 	held, freed := Digest{1, 2, 3}, Digest{4, 5, 6}
-	ends := []End{{Replica: "a@5", Under: []Digest{held}}}
+	ends := []Crash{{Replica: "a@5", Requests: []Digest{held}}}
 	return recorded.Samples{
 		"command": &Command{
-			At: 12, Ends: ends, RanWell: []Digest{freed}, Hold: []Digest{held}, HeldElsewhere: []Digest{freed},
+			At: 12, Crashes: ends, Completions: []Digest{freed}, Hold: []Digest{held}, HeldElsewhere: []Digest{freed},
 			Release: []Digest{freed}, ForgetBefore: 3,
 		},
-		"news":           &News{Revision: 9, Whole: true, Entries: []NewsEntry{{Digest: held, Held: true, OnProbation: true}}, Freed: []Digest{freed}},
+		"news":           &News{Revision: 9, Complete: true, Entries: []NewsEntry{{Digest: held, Held: true, OnProbation: true}}, Unwatched: []Digest{freed}},
 		"permit_reply":   &PermitReply{WaitMillis: 40},
 		"permit_request": &PermitRequest{Digest: held},
-		"report":         &Report{Gateway: "g", Ends: ends, RanWell: []Digest{freed}},
+		"report":         &Report{Gateway: "g", Crashes: ends, Completions: []Digest{freed}},
 		"state": &State{
 			Records:  []Record{{Digest: held, Crashes: []uint64{7, 8}, Total: 3, FirstAt: 1, LastAt: 2, SufficientAt: 3, HeldAt: 4, Revision: 9}},
 			Revision: 9, Unwatched: []UnwatchedRecord{{Digest: freed, Revision: 8}}, UnwatchedSince: 2, Dropped: 1,
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -35,7 +35,7 @@
 }
 
 // TargetHash implements poison.Request.
-func (c *Call) TargetHash() uint32 { return poison.TargetOf(c.Host, c.Target) }
+func (c *Call) TargetHash() uint32 { return poison.HashTarget(c.Host, c.Target) }
 
 // Digest identifies the call by its content. It is computed on first use, since most calls never need
 // it.
--- a/internal/relay/daemon/evidence.go
+++ b/internal/relay/daemon/evidence.go
@@ -15,7 +15,7 @@
 // evidenceReporter reports to coordinators which requests replicas have crashed under. Its guard
 // learns from the view which requests are held.
 type evidenceReporter struct {
-	*poison.Teller
+	*poison.Reporter
 	client      *rpc.Client
 	views       *viewClient
 	contactTime time.Duration
@@ -30,12 +30,12 @@
 	}
 	e := &evidenceReporter{client: client, contactTime: settings.ContactTime}
 	options := poison.Options{
-		Now:     uptime.Since(settings.Now),
-		InTouch: func() bool { return e.hasFreshView() },
-		Contact: settings.ContactTime,
-		Memory:  settings.EvidenceHoldTime,
+		Now:         uptime.Since(settings.Now),
+		InSync:      func() bool { return e.hasFreshView() },
+		ContactTime: settings.ContactTime,
+		Retention:   settings.EvidenceHoldTime,
 	}
-	e.Teller = poison.NewTeller(settings.Name, options, e.report, settings.Logger)
+	e.Reporter = poison.NewReporter(settings.Name, options, e.report, settings.Logger)
 	return e
 }
 
--- a/internal/relay/daemon/viewkeeper.go
+++ b/internal/relay/daemon/viewkeeper.go
@@ -211,7 +211,7 @@
 	if v.evidence != nil {
 		// The held requests precede the configuration, as a starting gateway begins to serve with
 		// its first configuration.
-		v.evidence.Guard.Take(view.Poison)
+		v.evidence.Guard.ApplyNews(view.Poison)
 	}
 	if len(view.Document) > 0 {
 		if err := v.applyConfiguration(view); err != nil {
--- a/internal/relay/ending.go
+++ b/internal/relay/ending.go
@@ -20,8 +20,8 @@
 	if r.stream != nil {
 		events = r.stream.events - r.earlierEvents
 	}
-	loss := poison.Loss{Request: r.call.ID, Digest: r.call.Digest(), After: lease.age(), Events: events}
-	r.endWatch.Note(lease.Replica.name, lease.Replica.Address, loss)
+	loss := poison.ConnectionLoss{Request: r.call.ID, Digest: r.call.Digest(), Elapsed: lease.age(), Events: events}
+	r.crashDetector.ConnectionLost(lease.Replica.name, lease.Replica.Address, loss)
 }
 
 // expectedToLeave reports whether the replica was known to take no new work until its process ends.
--- a/internal/relay/ending_test.go
+++ b/internal/relay/ending_test.go
@@ -18,8 +18,8 @@
 // addGuard sets a guard for the environment's calls.
 func (w *testEnvironment) addGuard() *poison.Guard {
 	guard := poison.NewGuard(poison.Options{
-		Now: func() time.Duration { return time.Hour }, InTouch: func() bool { return true },
-		Contact: time.Second, Memory: time.Hour,
+		Now: func() time.Duration { return time.Hour }, InSync: func() bool { return true },
+		ContactTime: time.Second, Retention: time.Hour,
 	})
 	w.runner.SetGuard(guard)
 	return guard
@@ -45,8 +45,8 @@
 	var ended []string
 	require.Eventually(t, func() bool {
 		if report := guard.Report("gateway"); report != nil {
-			for _, end := range report.Ends {
-				assert.Equal(t, []poison.Digest{digest}, end.Under)
+			for _, end := range report.Crashes {
+				assert.Equal(t, []poison.Digest{digest}, end.Requests)
 				ended = append(ended, end.Replica)
 			}
 		}
@@ -114,7 +114,7 @@
 
 // holdRequest has the guard hold a request.
 func holdRequest(guard *poison.Guard, digest poison.Digest, revision uint64) {
-	guard.Take(&poison.News{Revision: revision, Whole: true, Entries: []poison.NewsEntry{{Digest: digest, Held: true}}})
+	guard.ApplyNews(&poison.News{Revision: revision, Complete: true, Entries: []poison.NewsEntry{{Digest: digest, Held: true}}})
 }
 
 func TestHeldRequestIsSentToNoReplica(t *testing.T) {
@@ -135,7 +135,7 @@
 	otherTenant := newCall(traffic.KindRepeatable, 2)
 	otherTenant.Tenant = "another"
 	assert.Equal(t, http.StatusOK, w.runCall(otherTenant).status)
-	guard.Take(&poison.News{Revision: 2, Freed: []poison.Digest{call.Digest()}})
+	guard.ApplyNews(&poison.News{Revision: 2, Unwatched: []poison.Digest{call.Digest()}})
 	assert.Equal(t, http.StatusOK, w.runCall(newCall(traffic.KindRepeatable, 2)).status)
 }
 
@@ -176,7 +176,7 @@
 	assert.True(t, answer.ended)
 	assert.Equal(t, eventText(1, 6), answer.body.String())
 	assert.Zero(t, w.requestCount("b"))
-	assert.Equal(t, []poison.Digest{call.Digest()}, guard.Report("gateway").RanWell, "the request has run to its end and is reported as harmless")
+	assert.Equal(t, []poison.Digest{call.Digest()}, guard.Report("gateway").Completions, "the request has run to its end and is reported as harmless")
 }
 
 // BenchmarkGuardedCall measures the cost of the guard per check; it is checked before each send.
@@ -194,8 +194,8 @@
 		"same target, held": {{Digest: digestOf("/a/b?c", "another"), Held: true}},
 	} {
 		b.Run(name, func(b *testing.B) {
-			guard := poison.NewGuard(poison.Options{Now: func() time.Duration { return 0 }, InTouch: func() bool { return true }})
-			guard.Take(&poison.News{Revision: 1, Whole: true, Entries: entries})
+			guard := poison.NewGuard(poison.Options{Now: func() time.Duration { return 0 }, InSync: func() bool { return true }})
+			guard.ApplyNews(&poison.News{Revision: 1, Complete: true, Entries: entries})
 			b.ReportAllocs()
 			for b.Loop() {
 				call := newCall(traffic.KindRepeatable, 2)
--- a/internal/relay/held.go
+++ b/internal/relay/held.go
@@ -47,7 +47,7 @@
 // replicas.
 func (r *callState) reportSuccess() {
 	if r.guard != nil && r.succeeded {
-		r.guard.RanWell(r.call, r.connectionLost)
+		r.guard.Completed(r.call, r.connectionLost)
 	}
 }
 
--- a/internal/relay/runner.go
+++ b/internal/relay/runner.go
@@ -26,8 +26,8 @@
 	logger    logr.Logger
 	// onStart is called once for each request of a tenant that begins to run, with the time at which
 	// it began.
-	onStart  func(tenant string, at time.Time)
-	endWatch *poison.EndWatch
+	onStart       func(tenant string, at time.Time)
+	crashDetector *poison.CrashDetector
 	// suspended returns how long the machine has been suspended since a fixed point in time.
 	suspended func() time.Duration
 	// guard knows the requests that must not be sent to any replica.
@@ -53,7 +53,7 @@
 		onStart:   func(string, time.Time) {},
 		suspended: func() time.Duration { return 0 },
 	}
-	runner.endWatch = poison.NewLoggedWatch(upstream.Refuses, logger)
+	runner.crashDetector = poison.NewLoggingDetector(upstream.Refuses, logger)
 	return runner
 }
 
@@ -65,10 +65,10 @@
 // held. It must be called before the Runner is used.
 func (r *Runner) SetGuard(guard *poison.Guard) {
 	r.guard = guard
-	r.endWatch = poison.NewGuardedWatch(guard, upstream.Refuses, r.logger)
-	r.endWatch.Ended = func(life string, under []poison.Digest) {
+	r.crashDetector = poison.NewGuardedDetector(guard, upstream.Refuses, r.logger)
+	r.crashDetector.OnCrash = func(life string, under []poison.Digest) {
 		r.directory.ProcessEnded(life)
-		guard.Ended(life, under)
+		guard.ReplicaCrashed(life, under)
 	}
 }
 
@@ -264,7 +264,7 @@
 	if r.isHeld() {
 		return failure.New(failure.RequestHeld, "replicas have ended under this request")
 	}
-	if r.connectionLost && r.guard != nil && !r.guard.MayRepeat(r.call) {
+	if r.connectionLost && r.guard != nil && !r.guard.MayRetry(r.call) {
 		return failure.New(failure.OutcomeUnknown, "replicas have ended under this request, and it is not known under which of several")
 	}
 	if r.timeLeft() < minimumTimeLeft {
