--- a/bench/simulation/configadoption.go
+++ b/bench/simulation/configadoption.go
@@ -16,7 +16,7 @@
 	if t.offered == nil || snapshot.Revision > t.offered.Revision {
 		t.offered = snapshot
 	}
-	t.core.OfferConfig(snapshot)
+	t.core.UpdateConfig(snapshot)
 	t.hurry()
 }
 
--- a/bench/simulation/handlers.go
+++ b/bench/simulation/handlers.go
@@ -102,8 +102,8 @@
 		e.refuse(refused(failure.NotReady, "the session can't be handed out now"))
 		return
 	}
-	t.core.Opened(arrived, sessionID)
-	if !t.core.MayAnswerOpen(sessionID) {
+	t.core.RecordSessionOpened(arrived, sessionID)
+	if !t.core.MayReturnSession(sessionID) {
 		e.refuse(refused(failure.NotReady, "the session can't be handed out now"))
 		return
 	}
@@ -123,7 +123,7 @@
 		e.refuse(c.notLeading())
 		return
 	}
-	t.core.Heard(c.now(), request, c.zoneState)
+	t.core.RecordHeartbeat(c.now(), request, c.zoneState)
 	t.hurry()
 	c.zoneReplica.readBarrier(func(err *callError) {
 		switch {
--- a/bench/simulation/term.go
+++ b/bench/simulation/term.go
@@ -166,11 +166,11 @@
 		func(e *exchange) { e.reply(engine.state()) },
 		func(reply any, err *callError) {
 			if err != nil {
-				t.core.EngineFailed(c.now(), poll.ID)
+				t.core.RecordEngineNoResponse(c.now(), poll.ID)
 				return
 			}
 			state := reply.(engineapi.State)
-			t.core.EngineAnswered(sentAt, c.now(), poll.ID, &state)
+			t.core.RecordEngineState(sentAt, c.now(), poll.ID, &state)
 		})
 }
 
@@ -182,11 +182,11 @@
 		func(e *exchange) { e.reply(backEnd.state()) },
 		func(reply any, err *callError) {
 			if err != nil {
-				t.core.BackEndFailed(c.now(), poll.ID)
+				t.core.RecordBackEndNoResponse(c.now(), poll.ID)
 				return
 			}
 			state := reply.(applicationapi.State)
-			t.core.BackEndAnswered(sentAt, c.now(), poll.ID, &state)
+			t.core.RecordBackEndState(sentAt, c.now(), poll.ID, &state)
 		})
 }
 
@@ -201,11 +201,11 @@
 		func(e *exchange) { engine.order(e, call.Order) },
 		func(reply any, err *callError) {
 			if err != nil {
-				t.core.EngineFailed(c.now(), call.Order.EngineID)
+				t.core.RecordEngineNoResponse(c.now(), call.Order.EngineID)
 				return
 			}
 			answer := reply.(engineapi.OrderReply)
-			t.core.OrderAnswered(sentAt, c.now(), &call.Order, &answer)
+			t.core.RecordOrderReply(sentAt, c.now(), &call.Order, &answer)
 			t.hurry()
 		})
 }
@@ -223,7 +223,7 @@
 		func(reply any, err *callError) {
 			if err == nil {
 				list := reply.(platformapi.MachineList)
-				t.core.MachinesListed(&list)
+				t.core.RecordMachineList(&list)
 			}
 			again()
 		})
--- a/coordination/membership/example_test.go
+++ b/coordination/membership/example_test.go
@@ -21,7 +21,7 @@
 	var lease membership.Lease
 	lease.Begin(0, terms, session.OpenedAt)
 	liveness := membership.NewLiveness(membership.DefaultMargin())
-	liveness.Heard(0, session.ID, session.OpenedAt)
+	liveness.RecordHeartbeat(0, session.ID, session.OpenedAt)
 	const withheldAt = 8
 	for _, now := range []time.Duration{time.Second, 10 * time.Second, 2 * time.Minute} {
 		fmt.Println(lease.State(now),
--- a/coordination/membership/liveness.go
+++ b/coordination/membership/liveness.go
@@ -43,20 +43,20 @@
 	return &Liveness{margin: margin, contacts: make(map[uint64]sessionContact)}
 }
 
-// Heard records a heartbeat, or a request to open the session, that arrived at
+// RecordHeartbeat records a heartbeat, or a request to open the session, that arrived at
 // now and acknowledges the view at position acknowledged, 0 for none. It must
 // be called before the request is answered.
-func (l *Liveness) Heard(now time.Duration, sessionID, acknowledged uint64) {
+func (l *Liveness) RecordHeartbeat(now time.Duration, sessionID, acknowledged uint64) {
 	contact := l.contacts[sessionID]
 	contact.heardAt = max(contact.heardAt, now)
 	contact.acknowledged = max(contact.acknowledged, acknowledged)
 	l.contacts[sessionID] = contact
 }
 
-// SilentFor returns the time since the session's last heartbeat. It treats an
+// SinceLastHeartbeat returns the time since the session's last heartbeat. It treats an
 // unknown session as heard now: a former leader may just have answered its
 // heartbeat, or it may just have been opened.
-func (l *Liveness) SilentFor(now time.Duration, sessionID uint64) time.Duration {
+func (l *Liveness) SinceLastHeartbeat(now time.Duration, sessionID uint64) time.Duration {
 	contact, found := l.contacts[sessionID]
 	if !found {
 		l.contacts[sessionID] = sessionContact{heardAt: now}
@@ -71,16 +71,16 @@
 	return l.contacts[sessionID].acknowledged
 }
 
-// LeaseOver reports whether the lease of the session's process has certainly
+// LeaseEnded reports whether the lease of the session's process has certainly
 // ended, so that the process uses at most its isolation set.
-func (l *Liveness) LeaseOver(now time.Duration, session *Session) bool {
-	return l.SilentFor(now, session.ID) > l.margin.Stretch(session.Terms.Lease())
+func (l *Liveness) LeaseEnded(now time.Duration, session *Session) bool {
+	return l.SinceLastHeartbeat(now, session.ID) > l.margin.Stretch(session.Terms.Lease())
 }
 
-// IsolationOver reports whether the session's process has certainly stopped using
+// IsolationEnded reports whether the session's process has certainly stopped using
 // all targets.
-func (l *Liveness) IsolationOver(now time.Duration, session *Session) bool {
-	return l.SilentFor(now, session.ID) > l.margin.Stretch(session.Terms.Isolation())
+func (l *Liveness) IsolationEnded(now time.Duration, session *Session) bool {
+	return l.SinceLastHeartbeat(now, session.ID) > l.margin.Stretch(session.Terms.Isolation())
 }
 
 // HasStopped reports whether the session's process certainly starts no new work
@@ -89,10 +89,10 @@
 	if session.OpenedAt > withheld || l.Acknowledged(session.ID) >= withheld {
 		return true
 	}
-	if l.IsolationOver(now, session) {
+	if l.IsolationEnded(now, session) {
 		return true
 	}
-	return l.LeaseOver(now, session) && !session.MayUseIsolated(target, l.Acknowledged(session.ID))
+	return l.LeaseEnded(now, session) && !session.MayUseIsolated(target, l.Acknowledged(session.ID))
 }
 
 // Forget removes the state of sessions for which keep returns false.
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -78,7 +78,7 @@
 	liveness := NewLiveness(margin)
 	require.True(t, liveness.HasStopped(0, session, "a", 9), "the session was opened after the target was withheld")
 	require.False(t, liveness.HasStopped(100*time.Second, session, "a", 20), "an unknown session counts as heard now")
-	liveness.Heard(200*time.Second, 10, 19)
+	liveness.RecordHeartbeat(200*time.Second, 10, 19)
 
 	leaseOver := 200*time.Second + margin.Stretch(4*time.Second) + 1
 	require.False(t, liveness.HasStopped(leaseOver-2, session, "b", 20))
@@ -88,7 +88,7 @@
 	require.False(t, liveness.HasStopped(isolationOver-2, session, "a", 20))
 	require.True(t, liveness.HasStopped(isolationOver, session, "a", 20))
 
-	liveness.Heard(201*time.Second, 10, 20)
+	liveness.RecordHeartbeat(201*time.Second, 10, 20)
 	require.True(t, liveness.HasStopped(201*time.Second, session, "a", 20), "the session has acknowledged the withholding view")
 }
 
@@ -122,7 +122,7 @@
 		liveness := NewLiveness(margin)
 		var lease Lease
 		lease.Begin(0, testTerms, 1)
-		liveness.Heard(0, 1, 1)
+		liveness.RecordHeartbeat(0, 1, 1)
 		now := time.Duration(0)
 		duration := rapid.Custom(func(t *rapid.T) time.Duration {
 			return time.Duration(rapid.Int64Range(1, int64(70*time.Second)).Draw(t, "duration"))
@@ -130,17 +130,17 @@
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
 			sentAt := now
 			now += duration.Draw(t, "request delay")
-			liveness.Heard(now, 1, 1)
+			liveness.RecordHeartbeat(now, 1, 1)
 			if rapid.Bool().Draw(t, "answered") {
 				now += duration.Draw(t, "reply delay")
 				lease.Answered(holderClock(sentAt), 1)
 			}
 			now += duration.Draw(t, "pause")
 			state := lease.State(holderClock(now))
-			if liveness.LeaseOver(now, session) {
+			if liveness.LeaseEnded(now, session) {
 				require.NotEqual(t, LeaseHeld, state)
 			}
-			if liveness.IsolationOver(now, session) {
+			if liveness.IsolationEnded(now, session) {
 				require.Equal(t, LeaseExpired, state)
 			}
 		}
--- a/internal/controller/plannerinput.go
+++ b/internal/controller/plannerinput.go
@@ -39,12 +39,12 @@
 		}
 		engine.AbandonedTarget = status.Engine.Abandoned
 		if reported := status.Reported; reported != nil {
-			engine.Reachable = status.SilentFor < engineSilence
+			engine.Reachable = status.SinceLastResponse < engineSilence
 			engine.Observed = reported.Observed
 			engine.Phase = reported.Phase
 			engine.InFlight = reported.Running
 			engine.Load = reported.Load
-			engine.LoadAge = status.SilentFor + time.Duration(reported.Load.AgeMillis)*time.Millisecond
+			engine.LoadAge = status.SinceLastResponse + time.Duration(reported.Load.AgeMillis)*time.Millisecond
 		}
 		engines = append(engines, engine)
 	}
--- a/internal/controller/planning.go
+++ b/internal/controller/planning.go
@@ -94,7 +94,7 @@
 	for _, waiting := range t.unplaced {
 		warnings = append(warnings, unplacedWarning(waiting))
 	}
-	if t.core.MachineListDoubted() {
+	if t.core.MachineListSuspect() {
 		warnings = append(warnings, "machine list: not believed, because it calls most engines or back ends leaving or gone")
 	}
 	return warnings
--- a/internal/controller/prefetch.go
+++ b/internal/controller/prefetch.go
@@ -75,7 +75,7 @@
 	known := map[string]bool{}
 	for index := range engines {
 		engine := &engines[index].Engine
-		answers := engines[index].Reported != nil && engines[index].SilentFor < engineSilence
+		answers := engines[index].Reported != nil && engines[index].SinceLastResponse < engineSilence
 		if !answers || engine.Order != nil || engine.Drained || engine.Leaving || !needsWeights(engine) {
 			continue
 		}
--- a/internal/controller/rollouts.go
+++ b/internal/controller/rollouts.go
@@ -82,9 +82,9 @@
 	for _, model := range state.Config().Models {
 		program := policies.For(model.Name)
 		row := rollout.Model{
-			Name:      model.Name,
-			Outcomes:  t.outcomes[model.Name],
-			Forbidden: policyinput.ModelMaximumAway(program) <= 0,
+			Name:             model.Name,
+			Outcomes:         t.outcomes[model.Name],
+			ChangesForbidden: policyinput.ModelMaximumAway(program) <= 0,
 		}
 		if committed, found := state.Rollout(model.Name); found {
 			row.Committed = committed
@@ -103,18 +103,18 @@
 
 func rolloutEngine(engine *zonestate.Engine, status *planner.EngineStatus, places policyinput.Placement) rollout.Engine {
 	row := rollout.Engine{
-		ID:          engine.ID,
-		Desired:     *engine.Desired,
-		DesiredAt:   engine.DesiredAt,
-		Settled:     engine.Verified != nil && !engine.NeedsChange() && !engine.Changing && engine.Order == nil,
-		FailedLoads: engine.Failures,
-		Problem:     engine.FailureDetail,
-		Changeable:  status.Reachable && !status.Pinned && !status.Isolated,
-		InFlight:    status.InFlight,
+		ID:            engine.ID,
+		Desired:       *engine.Desired,
+		DesiredAt:     engine.DesiredAt,
+		Settled:       engine.Verified != nil && !engine.NeedsChange() && !engine.Changing && engine.Order == nil,
+		FailedLoads:   engine.Failures,
+		FailureDetail: engine.FailureDetail,
+		Changeable:    status.Reachable && !status.Pinned && !status.Isolated,
+		InFlight:      status.InFlight,
 	}
 	row.Version, row.Adapters = places.ConfigurationFor(engine.ID, engine.Desired.Adapters)
 	if engine.Abandoned != nil {
-		row.GivenUp, row.GivenUpAt = engine.Abandoned.Version, engine.DesiredAt
+		row.AbandonedVersion, row.AbandonedAt = engine.Abandoned.Version, engine.DesiredAt
 	}
 	return row
 }
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -85,7 +85,7 @@
 // heard notes a heartbeat before the read barrier of its answer.
 func (t *term) heard(at time.Duration, heartbeat *wire.HeartbeatRequest) {
 	t.with(func(core *reconcile.Core, state *zonestate.State) {
-		core.Heard(at, heartbeat, state)
+		core.RecordHeartbeat(at, heartbeat, state)
 		t.note(at, heartbeat, state)
 	})
 	t.hurry()
@@ -160,8 +160,8 @@
 func (t *term) opened(at time.Duration, sessionID uint64) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.core.Opened(at, sessionID)
-	return t.core.MayAnswerOpen(sessionID)
+	t.core.RecordSessionOpened(at, sessionID)
+	return t.core.MayReturnSession(sessionID)
 }
 
 func (t *term) proposalEnded(key string) {
@@ -173,7 +173,7 @@
 
 func (t *term) offerConfig(snapshot *dynamic.Snapshot) {
 	t.mutex.Lock()
-	t.core.OfferConfig(snapshot)
+	t.core.UpdateConfig(snapshot)
 	t.mutex.Unlock()
 	t.hurry()
 }
@@ -181,7 +181,7 @@
 func (t *term) machinesListed(list *platformapi.MachineList) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.core.MachinesListed(list)
+	t.core.RecordMachineList(list)
 }
 
 // enginePolled takes in the answer to a poll, nil for none. An answer from
@@ -190,10 +190,10 @@
 	t.with(func(core *reconcile.Core, state *zonestate.State) {
 		engine, found := state.Engine(poll.ID)
 		if reported == nil || !found || engine.Address != poll.Address {
-			core.EngineFailed(now, poll.ID)
+			core.RecordEngineNoResponse(now, poll.ID)
 			return
 		}
-		core.EngineAnswered(sentAt, now, poll.ID, reported)
+		core.RecordEngineState(sentAt, now, poll.ID, reported)
 	})
 }
 
@@ -201,20 +201,20 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if state == nil {
-		t.core.BackEndFailed(now, id)
+		t.core.RecordBackEndNoResponse(now, id)
 		return
 	}
-	t.core.BackEndAnswered(sentAt, now, id, state)
+	t.core.RecordBackEndState(sentAt, now, id, state)
 }
 
 func (t *term) orderSent(sentAt, now time.Duration, order *engineapi.Order, reply *engineapi.OrderReply) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if reply == nil {
-		t.core.EngineFailed(now, order.EngineID)
+		t.core.RecordEngineNoResponse(now, order.EngineID)
 		return
 	}
-	t.core.OrderAnswered(sentAt, now, order, reply)
+	t.core.RecordOrderReply(sentAt, now, order, reply)
 	t.hurry()
 }
 
--- a/internal/controller/zonereport.go
+++ b/internal/controller/zonereport.go
@@ -158,7 +158,7 @@
 
 func (c *Controller) watchedEngineRow(status *reconcile.EngineStatus) operatorapi.Engine {
 	row := c.engineRow(&status.Engine)
-	row.Reachable = status.Reported != nil && status.SilentFor < engineSilence
+	row.Reachable = status.Reported != nil && status.SinceLastResponse < engineSilence
 	if status.Reported != nil {
 		row.Phase = string(status.Reported.Phase)
 		row.Observed = engineConfiguration(&status.Reported.Observed)
@@ -184,7 +184,7 @@
 func (t *term) fillGateway(row *operatorapi.Gateway, now time.Duration, core *reconcile.Core, session *membership.Session) {
 	row.AppliedRevision = core.Acknowledged(session.ID)
 	row.State = operatorapi.GatewayLive
-	if core.SilentFor(now, session.ID) > session.Terms.Lease() {
+	if core.SinceLastHeartbeat(now, session.ID) > session.Terms.Lease() {
 		row.State = operatorapi.GatewaySilent
 	}
 	report, found := t.gateways[session.ID]
--- a/internal/reconcile/backends.go
+++ b/internal/reconcile/backends.go
@@ -27,8 +27,8 @@
 	return tracker
 }
 
-// BackEndAnswered records the response to a poll that was sent at sentAt.
-func (c *Core) BackEndAnswered(sentAt, now time.Duration, id string, state *applicationapi.State) {
+// RecordBackEndState records the response to a poll that was sent at sentAt.
+func (c *Core) RecordBackEndState(sentAt, now time.Duration, id string, state *applicationapi.State) {
 	tracker := c.backEndTracker(now, id)
 	if !tracker.polls.recordResponse(sentAt, now) {
 		return
@@ -37,8 +37,8 @@
 	tracker.state = *state
 }
 
-// BackEndFailed records a poll that got no response.
-func (c *Core) BackEndFailed(now time.Duration, id string) {
+// RecordBackEndNoResponse records a poll that got no response.
+func (c *Core) RecordBackEndNoResponse(now time.Duration, id string) {
 	c.backEndTracker(now, id).polls.inFlight = false
 }
 
--- a/internal/reconcile/core.go
+++ b/internal/reconcile/core.go
@@ -105,9 +105,9 @@
 // ProposalEnded records that a proposal was applied or failed.
 func (c *Core) ProposalEnded(key string) { delete(c.pending, key) }
 
-// OfferConfig records the newest committed configuration of the config group. Older
+// UpdateConfig records the newest committed configuration of the config group. Older
 // revisions are ignored.
-func (c *Core) OfferConfig(snapshot *dynamic.Snapshot) {
+func (c *Core) UpdateConfig(snapshot *dynamic.Snapshot) {
 	if c.offeredConfig == nil || snapshot.Revision > c.offeredConfig.Revision {
 		c.offeredConfig = snapshot
 	}
@@ -141,12 +141,12 @@
 	return left.Terms == right.Terms && left.OnceOnly == right.OnceOnly
 }
 
-// Heard records a heartbeat that arrived at now. It must be called before the read
+// RecordHeartbeat records a heartbeat that arrived at now. It must be called before the read
 // barrier that precedes AnswerHeartbeat.
-func (c *Core) Heard(now time.Duration, request *wire.HeartbeatRequest, state *zonestate.State) {
+func (c *Core) RecordHeartbeat(now time.Duration, request *wire.HeartbeatRequest, state *zonestate.State) {
 	session, open := state.Sessions().Get(request.SessionID)
 	if open && session.MemberID == request.GatewayID {
-		c.liveness.Heard(now, request.SessionID, request.AppliedRevision)
+		c.liveness.RecordHeartbeat(now, request.SessionID, request.AppliedRevision)
 	}
 }
 
@@ -173,22 +173,23 @@
 	return reply
 }
 
-// Opened records that a request which arrived at receivedAt has opened a session
+// RecordSessionOpened records that a request which arrived at receivedAt has opened a session
 // or found it open. It must be called before the request is answered.
-func (c *Core) Opened(receivedAt time.Duration, sessionID uint64) {
-	c.liveness.Heard(receivedAt, sessionID, 0)
+func (c *Core) RecordSessionOpened(receivedAt time.Duration, sessionID uint64) {
+	c.liveness.RecordHeartbeat(receivedAt, sessionID, 0)
 }
 
-// MayAnswerOpen reports whether a session may still be returned to a gateway. It
+// MayReturnSession reports whether a session may still be returned to a gateway. It
 // may not once the end of the session has been proposed.
-func (c *Core) MayAnswerOpen(sessionID uint64) bool {
+func (c *Core) MayReturnSession(sessionID uint64) bool {
 	_, ending := c.endingSessions[sessionID]
 	return !ending
 }
 
-// SilentFor returns the time since this leader last heard from a session.
-func (c *Core) SilentFor(now time.Duration, sessionID uint64) time.Duration {
-	return c.liveness.SilentFor(now, sessionID)
+// SinceLastHeartbeat returns the time since the last heartbeat of a session that arrived
+// at this leader.
+func (c *Core) SinceLastHeartbeat(now time.Duration, sessionID uint64) time.Duration {
+	return c.liveness.SinceLastHeartbeat(now, sessionID)
 }
 
 // Acknowledged returns the revision of the newest view that a session has
--- a/internal/reconcile/engines.go
+++ b/internal/reconcile/engines.go
@@ -59,21 +59,21 @@
 	return tracker
 }
 
-// EngineAnswered records the response to a poll that was sent at sentAt.
-func (c *Core) EngineAnswered(sentAt, now time.Duration, engineID string, state *engineapi.State) {
+// RecordEngineState records the response to a poll that was sent at sentAt.
+func (c *Core) RecordEngineState(sentAt, now time.Duration, engineID string, state *engineapi.State) {
 	tracker := c.engineTracker(now, engineID)
 	if tracker.polls.recordResponse(sentAt, now) {
 		tracker.state = *state
 	}
 }
 
-// EngineFailed records a poll or an order that got no response.
-func (c *Core) EngineFailed(now time.Duration, engineID string) {
+// RecordEngineNoResponse records a poll or an order that got no response.
+func (c *Core) RecordEngineNoResponse(now time.Duration, engineID string) {
 	c.engineTracker(now, engineID).polls.inFlight = false
 }
 
-// OrderAnswered records the response to an order that was sent at sentAt.
-func (c *Core) OrderAnswered(sentAt, now time.Duration, order *engineapi.Order, reply *engineapi.OrderReply) {
+// RecordOrderReply records the response to an order that was sent at sentAt.
+func (c *Core) RecordOrderReply(sentAt, now time.Duration, order *engineapi.Order, reply *engineapi.OrderReply) {
 	tracker := c.engineTracker(now, order.EngineID)
 	if tracker.polls.recordResponse(sentAt, now) {
 		tracker.state = reply.State
--- a/internal/reconcile/machinelist.go
+++ b/internal/reconcile/machinelist.go
@@ -41,10 +41,10 @@
 	return machineList{hints: make(map[string]machineHint)}
 }
 
-// MachinesListed records the platform's list. A list with a lower sequence number
+// RecordMachineList records the platform's list. A list with a lower sequence number
 // is ignored, unless it is the restartThreshold-th in a row: then the platform has
 // restarted and counts from the beginning.
-func (c *Core) MachinesListed(list *platformapi.MachineList) {
+func (c *Core) RecordMachineList(list *platformapi.MachineList) {
 	m := &c.machines
 	if m.rows != nil && list.Sequence < m.sequence {
 		m.lowerSequences++
@@ -116,8 +116,8 @@
 	return unavailable >= minimumSuspectMachines && 2*unavailable > all
 }
 
-// MachineListDoubted reports whether the platform's list is suspect.
-func (c *Core) MachineListDoubted() bool { return c.machineListSuspect }
+// MachineListSuspect reports whether removals in the platform's list are suppressed because it is suspect.
+func (c *Core) MachineListSuspect() bool { return c.machineListSuspect }
 
 // isReportedLeaving reports whether a list that is not suspect reports a machine as
 // leaving. It applies to responding machines, which can't be gone whatever the list
--- a/internal/reconcile/machines_test.go
+++ b/internal/reconcile/machines_test.go
@@ -23,7 +23,7 @@
 
 func TestPlatformLeavingWithholdsEngine(t *testing.T) {
 	z := newFaultFreeZone(t, 4, Config{})
-	z.core.MachinesListed(listedEngines(1, platformapi.MachineLeaving, "engine-2"))
+	z.core.RecordMachineList(listedEngines(1, platformapi.MachineLeaving, "engine-2"))
 	z.run(time.Second)
 	require.Equal(t, []string{"engine-0", "engine-1", "engine-3"}, z.dispatchable())
 }
@@ -33,10 +33,10 @@
 func TestMachineListReportingMostEnginesUnavailableIsIgnored(t *testing.T) {
 	for _, state := range []platformapi.MachineState{platformapi.MachineLeaving, platformapi.MachineGone} {
 		z := newFaultFreeZone(t, 4, Config{})
-		z.core.MachinesListed(listedEngines(1, state, "engine-0", "engine-1", "engine-2", "engine-3"))
+		z.core.RecordMachineList(listedEngines(1, state, "engine-0", "engine-1", "engine-2", "engine-3"))
 		z.run(30 * time.Second)
 		require.Len(t, z.dispatchable(), 4, state)
-		require.True(t, z.core.MachineListDoubted())
+		require.True(t, z.core.MachineListSuspect())
 	}
 }
 
@@ -51,7 +51,7 @@
 
 func TestRespondingEngineIsNotRemoved(t *testing.T) {
 	z := newFaultFreeZone(t, 4, Config{})
-	z.core.MachinesListed(listedEngines(1, platformapi.MachineGone, "engine-2"))
+	z.core.RecordMachineList(listedEngines(1, platformapi.MachineGone, "engine-2"))
 	z.run(20 * time.Minute)
 	require.Len(t, z.dispatchable(), 4)
 }
@@ -60,14 +60,14 @@
 // at first. This must not put a leaving engine back into service.
 func TestEmptyMachineListAfterPlatformRestartKeepsHints(t *testing.T) {
 	z := newFaultFreeZone(t, 4, Config{})
-	z.core.MachinesListed(listedEngines(500, platformapi.MachineLeaving, "engine-2"))
+	z.core.RecordMachineList(listedEngines(500, platformapi.MachineLeaving, "engine-2"))
 	z.run(time.Second)
 	for sequence := range uint64(10) {
-		z.core.MachinesListed(listedEngines(sequence, platformapi.MachineLive))
+		z.core.RecordMachineList(listedEngines(sequence, platformapi.MachineLive))
 		z.run(time.Second)
 	}
 	require.Equal(t, []string{"engine-0", "engine-1", "engine-3"}, z.dispatchable(), "a machine missing from the list keeps its hint")
-	z.core.MachinesListed(listedEngines(11, platformapi.MachineLive, "engine-2"))
+	z.core.RecordMachineList(listedEngines(11, platformapi.MachineLive, "engine-2"))
 	z.run(30 * time.Second)
 	require.Len(t, z.dispatchable(), 4, "the restarted sequence is accepted")
 }
@@ -75,19 +75,19 @@
 // A flapping list must not put an engine into service and withhold it each time.
 func TestFlappingMachineListKeepsEngineWithheld(t *testing.T) {
 	z := newFaultFreeZone(t, 4, Config{})
-	z.core.MachinesListed(listedEngines(1, platformapi.MachineLeaving, "engine-2"))
+	z.core.RecordMachineList(listedEngines(1, platformapi.MachineLeaving, "engine-2"))
 	z.run(time.Second)
 	withheld, _ := z.state.Engine("engine-2")
 	since := withheld.WithheldAt
 	require.NotZero(t, since)
 	for sequence := uint64(2); sequence < 22; sequence += 2 {
-		z.core.MachinesListed(listedEngines(sequence, platformapi.MachineLive, "engine-2"))
+		z.core.RecordMachineList(listedEngines(sequence, platformapi.MachineLive, "engine-2"))
 		z.run(time.Second)
-		z.core.MachinesListed(listedEngines(sequence+1, platformapi.MachineLeaving, "engine-2"))
+		z.core.RecordMachineList(listedEngines(sequence+1, platformapi.MachineLeaving, "engine-2"))
 		z.run(time.Second)
 	}
 	require.Equal(t, since, withheld.WithheldAt)
-	z.core.MachinesListed(listedEngines(30, platformapi.MachineLive, "engine-2"))
+	z.core.RecordMachineList(listedEngines(30, platformapi.MachineLive, "engine-2"))
 	z.run(30 * time.Second)
 	require.Len(t, z.dispatchable(), 4)
 }
--- a/internal/reconcile/sessions.go
+++ b/internal/reconcile/sessions.go
@@ -15,7 +15,7 @@
 	var outdated []zonestate.SessionCommand
 	for _, session := range state.Sessions().List() {
 		_, ending := c.endingSessions[session.ID]
-		if ending || c.liveness.IsolationOver(now, session) {
+		if ending || c.liveness.IsolationEnded(now, session) {
 			c.endSession(now, session)
 			continue
 		}
@@ -61,7 +61,7 @@
 		return false
 	}
 	current := session.CurrentSet()
-	if c.liveness.Acknowledged(session.ID) < current.AssignedAt || c.liveness.LeaseOver(now, session) {
+	if c.liveness.Acknowledged(session.ID) < current.AssignedAt || c.liveness.LeaseEnded(now, session) {
 		return false
 	}
 	if c.isolationCheckedAt[session.ID] == state.Revision() {
@@ -114,7 +114,7 @@
 func (c *Core) isolatedHolders(now time.Duration, state *zonestate.State, engineID string) []string {
 	var holders []string
 	for _, session := range state.Sessions().List() {
-		silent := c.liveness.LeaseOver(now, session) && !c.liveness.IsolationOver(now, session)
+		silent := c.liveness.LeaseEnded(now, session) && !c.liveness.IsolationEnded(now, session)
 		if silent && session.MayUseIsolated(engineID, c.liveness.Acknowledged(session.ID)) {
 			holders = append(holders, session.MemberID)
 		}
--- a/internal/reconcile/status.go
+++ b/internal/reconcile/status.go
@@ -44,13 +44,13 @@
 	Engine zonestate.Engine
 	// Reported is the newest reported state, nil if there was none.
 	Reported *engineapi.State
-	// SilentFor is the time since the last response, or since the leader began to
+	// SinceLastResponse is the time since the last response, or since the leader began to
 	// track the engine.
-	SilentFor time.Duration
+	SinceLastResponse time.Duration
 	// Reason is why the engine makes no progress, empty if there is no such reason.
-	// Waiting holds the gateways that it waits for.
-	Reason  string
-	Waiting []string
+	// WaitingFor holds the gateways that it waits for.
+	Reason     string
+	WaitingFor []string
 }
 
 // Status returns the status of all engines, sorted by id.
@@ -60,10 +60,10 @@
 	for _, engine := range engines {
 		tracker := c.engineTracker(now, engine.ID)
 		status := EngineStatus{
-			Engine:    *engine,
-			SilentFor: now - tracker.polls.lastResponseAt,
-			Reason:    tracker.reason,
-			Waiting:   tracker.waitingFor,
+			Engine:            *engine,
+			SinceLastResponse: now - tracker.polls.lastResponseAt,
+			Reason:            tracker.reason,
+			WaitingFor:        tracker.waitingFor,
 		}
 		if tracker.polls.hasResponse {
 			reported := tracker.state
--- a/internal/reconcile/steady_test.go
+++ b/internal/reconcile/steady_test.go
@@ -68,10 +68,10 @@
 		}
 		for _, poll := range outputs.EnginePolls {
 			if z.unresponsive[poll.ID] {
-				z.core.EngineFailed(z.now, poll.ID)
+				z.core.RecordEngineNoResponse(z.now, poll.ID)
 				continue
 			}
-			z.core.EngineAnswered(z.now, z.now, poll.ID, z.engines[poll.ID])
+			z.core.RecordEngineState(z.now, z.now, poll.ID, z.engines[poll.ID])
 		}
 		for _, call := range outputs.Orders {
 			z.executeOrder(&call.Order)
@@ -94,7 +94,7 @@
 		engine.Observed = order.Target
 	}
 	reply := engineapi.OrderReply{Status: status, State: *engine, Detail: "no weights"}
-	z.core.OrderAnswered(z.now, z.now, order, &reply)
+	z.core.RecordOrderReply(z.now, z.now, order, &reply)
 }
 
 func (z *faultFreeZone) dispatchable() []string {
--- a/internal/reconcile/world_group_test.go
+++ b/internal/reconcile/world_group_test.go
@@ -61,7 +61,7 @@
 func (g *group) offerConfigLater(leader *modelLeader) {
 	g.env.schedule(g.env.randomDuration(20*time.Second), func() {
 		if g.publishedConfig > 0 {
-			leader.core.OfferConfig(&dynamic.Snapshot{Revision: g.publishedConfig})
+			leader.core.UpdateConfig(&dynamic.Snapshot{Revision: g.publishedConfig})
 		}
 	})
 }
@@ -182,11 +182,11 @@
 	}
 	env.schedule(env.messageDelay(), func() {
 		if engine.down {
-			l.core.EngineFailed(l.clock(), poll.ID)
+			l.core.RecordEngineNoResponse(l.clock(), poll.ID)
 			return
 		}
 		state := engine.report()
-		env.schedule(env.messageDelay(), func() { l.core.EngineAnswered(sentAt, l.clock(), poll.ID, &state) })
+		env.schedule(env.messageDelay(), func() { l.core.RecordEngineState(sentAt, l.clock(), poll.ID, &state) })
 	})
 }
 
@@ -202,7 +202,7 @@
 			return
 		}
 		reply := engine.executeOrder(&call.Order)
-		env.schedule(env.messageDelay(), func() { l.core.OrderAnswered(sentAt, l.clock(), &call.Order, &reply) })
+		env.schedule(env.messageDelay(), func() { l.core.RecordOrderReply(sentAt, l.clock(), &call.Order, &reply) })
 	})
 }
 
@@ -225,13 +225,13 @@
 			Ticket:      request.Ticket,
 		},
 	})
-	if result.Outcome != zonestate.OutcomeDone || !l.core.MayAnswerOpen(result.SessionID) {
+	if result.Outcome != zonestate.OutcomeDone || !l.core.MayReturnSession(result.SessionID) {
 		return nil
 	}
 	if hadSession && earlier.ID != result.SessionID {
 		l.group.env.counts.sessionsSuperseded++
 	}
-	l.core.Opened(receivedAt, result.SessionID)
+	l.core.RecordSessionOpened(receivedAt, result.SessionID)
 	session, _ := l.group.state.Sessions().Get(result.SessionID)
 	view := l.group.state.ViewFor(&wire.WatchRequest{SessionID: result.SessionID})
 	l.exposeUncommittedConfig(&view)
@@ -241,7 +241,7 @@
 // heartbeat handles a heartbeat. The leader may be deposed during the read barrier.
 func (l *modelLeader) heartbeat(request *wire.HeartbeatRequest, answer func(*wire.HeartbeatReply)) {
 	env := l.group.env
-	l.core.Heard(l.clock(), request, l.visibleState())
+	l.core.RecordHeartbeat(l.clock(), request, l.visibleState())
 	env.schedule(env.messageDelay(), func() {
 		if !l.leads() && !env.plantedFaults.skipReadBarrier {
 			answer(nil)
--- a/internal/rollout/input.go
+++ b/internal/rollout/input.go
@@ -63,12 +63,12 @@
 	Settled bool
 	// FailedLoads counts the failed orders to reach Desired.
 	FailedLoads int
-	// GivenUp is the version of the last abandoned change, and GivenUpAt the log
+	// AbandonedVersion is the version of the last abandoned change, and AbandonedAt the log
 	// position at which the change was abandoned.
-	GivenUp   string
-	GivenUpAt uint64
-	// Problem is the detail that the engine reported for its last failure.
-	Problem string
+	AbandonedVersion string
+	AbandonedAt      uint64
+	// FailureDetail is the detail that the engine reported for its last failure.
+	FailureDetail string
 	// Changeable reports whether the engine is reachable, neither drained by an
 	// operator nor leaving, and not usable by a gateway that is cut off from the
 	// leader.
@@ -98,9 +98,9 @@
 	Name string
 	// Committed is the model's latest rollout, nil if there was none.
 	Committed *zonestate.Rollout
-	// Forbidden reports whether the model's policy permits no changes.
-	Forbidden bool
-	Engines   []Engine
+	// ChangesForbidden reports whether the model's policy permits no changes.
+	ChangesForbidden bool
+	Engines          []Engine
 	// Outcomes maps each version to its counts, which never decrease during one
 	// leadership.
 	Outcomes map[string]Outcomes
--- a/internal/rollout/judge.go
+++ b/internal/rollout/judge.go
@@ -35,9 +35,9 @@
 	for index := range model.Engines {
 		engine := &model.Engines[index]
 		failing := engine.Desired.Version == to && engine.FailedLoads >= c.options.MaximumFailedLoads
-		givenUp := engine.GivenUp == to && engine.GivenUpAt > model.Committed.ChangedAt
+		givenUp := engine.AbandonedVersion == to && engine.AbandonedAt > model.Committed.ChangedAt
 		if failing || givenUp {
-			return fmt.Sprintf("engine %s can't load version %s: %s", engine.ID, to, engine.Problem)
+			return fmt.Sprintf("engine %s can't load version %s: %s", engine.ID, to, engine.FailureDetail)
 		}
 	}
 	return ""
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -43,7 +43,7 @@
 	slots := input.MaximumAway - input.Away
 	for index := range input.Models {
 		model := &input.Models[index]
-		if model.Forbidden {
+		if model.ChangesForbidden {
 			none := 0
 			c.stepModel(now, model, &none, &output)
 			continue
--- a/internal/rollout/zone_test.go
+++ b/internal/rollout/zone_test.go
@@ -148,7 +148,7 @@
 }
 
 func (z *testZone) input() Input {
-	model := Model{Name: "model", Forbidden: z.forbidden, Outcomes: map[string]Outcomes{}}
+	model := Model{Name: "model", ChangesForbidden: z.forbidden, Outcomes: map[string]Outcomes{}}
 	for version, outcomes := range z.outcomes {
 		model.Outcomes[version] = outcomes
 	}
@@ -159,10 +159,10 @@
 		row := Engine{
 			ID: engine.ID, Desired: *engine.Desired, DesiredAt: engine.DesiredAt, Version: z.placedVersion,
 			Settled: engine.Dispatchable() && !engine.NeedsChange(), FailedLoads: engine.Failures,
-			Problem: engine.FailureDetail, Changeable: true,
+			FailureDetail: engine.FailureDetail, Changeable: true,
 		}
 		if engine.Abandoned != nil {
-			row.GivenUp, row.GivenUpAt = engine.Abandoned.Version, engine.DesiredAt
+			row.AbandonedVersion, row.AbandonedAt = engine.Abandoned.Version, engine.DesiredAt
 		}
 		model.Engines = append(model.Engines, row)
 	}
