--- a/bench/figures/replica_test.go
+++ b/bench/figures/replica_test.go
@@ -28,7 +28,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	runner, err := replica.NewRunner(replica.RunnerConfig{Transport: alone{}, Config: replica.Config{
-		Group: 1, Directory: filepath.Join(b.TempDir(), "data"), FileSystem: storage.OperatingSystem{},
+		Group: 1, Directory: filepath.Join(b.TempDir(), "data"), FileSystem: storage.OSFileSystem{},
 		StateMachine: machine, Random: rand.New(rand.NewPCG(1, 1)), SnapshotEntries: 10_000,
 	}})
 	require.NoError(b, err)
--- a/bench/simulation/controller.go
+++ b/bench/simulation/controller.go
@@ -180,7 +180,7 @@
 // kill ends the process; the operating system keeps what was written.
 func (c *controller) kill() {
 	c.stop()
-	c.disk.Kill()
+	c.disk.KillProcess()
 }
 
 // crash is a power failure: what was not synced is lost or torn.
--- a/coordination/consensus/snapshot_transfer.go
+++ b/coordination/consensus/snapshot_transfer.go
@@ -24,10 +24,10 @@
 	c.membership.compact(snapshot.Index)
 }
 
-// StartOfTail returns the index before the longest run of entries up to an applied
+// CompactionIndex returns the index before the longest run of entries up to an applied
 // index that has at most maxEntries entries and maxBytes bytes. The result is
 // intended as the compactIndex of Compact.
-func (c *Core) StartOfTail(index, maxEntries uint64, maxBytes int64) uint64 {
+func (c *Core) CompactionIndex(index, maxEntries uint64, maxBytes int64) uint64 {
 	return c.log.compactionIndex(index, maxEntries, maxBytes)
 }
 
--- a/coordination/consensus/status.go
+++ b/coordination/consensus/status.go
@@ -4,17 +4,17 @@
 type Status struct {
 	SoftState
 	// Vote is the replica that this one has voted for in its term, 0 for none.
-	Vote   ReplicaID
-	Commit uint64
+	Vote        ReplicaID
+	CommitIndex uint64
 	// FirstIndex is the index of the first log entry in memory, or LastIndex+1 if
 	// there is none.
 	FirstIndex uint64
 	LastIndex  uint64
-	// Snapshot is the index of the latest snapshot.
-	Snapshot      uint64
+	// SnapshotIndex is the index of the latest snapshot.
+	SnapshotIndex uint64
 	Configuration Configuration
 	// ConfigurationIndex is the log index of Configuration, which is committed if
-	// Commit has reached it.
+	// CommitIndex has reached it.
 	ConfigurationIndex uint64
 	// Progress holds the replication state of the other members on a leader. It is
 	// empty on other replicas.
@@ -42,10 +42,10 @@
 	status := Status{
 		SoftState:     c.SoftState(),
 		Vote:          c.vote,
-		Commit:        c.log.committed,
+		CommitIndex:   c.log.committed,
 		FirstIndex:    c.log.baseIndex + 1,
 		LastIndex:     c.log.lastIndex(),
-		Snapshot:      c.snapshot.Index,
+		SnapshotIndex: c.snapshot.Index,
 		Configuration: c.configuration().Clone(),
 
 		ConfigurationIndex: c.membership.latestIndex(),
--- a/coordination/doc.go
+++ b/coordination/doc.go
@@ -16,7 +16,7 @@
 // onceonly.Table), start a replica.Runner on a directory of its own, and commit
 // commands with Propose. The program in examples/counter does this in some
 // fifty lines for a group of one replica; with more replicas it needs a
-// replica.Transport, and a Collect function for Bootstrap. Each package has a
+// replica.Transport, and a CollectPromise function for Bootstrap. Each package has a
 // runnable example.
 //
 // Requirements on the caller:
--- a/coordination/examples/counter/main.go
+++ b/coordination/examples/counter/main.go
@@ -56,7 +56,7 @@
 	defer cancel()
 	state := &counter{}
 	runner, err := replica.NewRunner(replica.RunnerConfig{Transport: noTransport{}, Config: replica.Config{
-		Group: 1, Directory: directory, FileSystem: storage.OperatingSystem{}, StateMachine: state,
+		Group: 1, Directory: directory, FileSystem: storage.OSFileSystem{}, StateMachine: state,
 		Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}})
 	if err != nil {
--- a/coordination/replica/benchmark_test.go
+++ b/coordination/replica/benchmark_test.go
@@ -151,7 +151,7 @@
 
 func diskConfig(directory string) Config {
 	return Config{
-		Group: testGroup, Directory: directory, FileSystem: storage.OperatingSystem{}, StateMachine: &counter{},
+		Group: testGroup, Directory: directory, FileSystem: storage.OSFileSystem{}, StateMachine: &counter{},
 		Random: rand.New(rand.NewPCG(1, 1)),
 	}
 }
--- a/coordination/replica/bootstrap.go
+++ b/coordination/replica/bootstrap.go
@@ -15,12 +15,12 @@
 	// SelfAddress and OtherAddresses are the addresses of the initial voters.
 	SelfAddress    string
 	OtherAddresses []string
-	// Collect requests the promise of the replica at an address.
-	Collect func(ctx context.Context, address string, request FoundingRequest) (FoundingPromise, error)
+	// CollectPromise requests the promise of the replica at an address.
+	CollectPromise func(ctx context.Context, address string, request FoundingRequest) (FoundingPromise, error)
 }
 
 // Bootstrap coordinates a founding: it collects the promises of this replica
-// and, through Collect, of all others, and installs the initial configuration
+// and, through CollectPromise, of all others, and installs the initial configuration
 // on this replica. The caller then passes the returned Founding to Found of the
 // others; those that miss it learn the configuration from the group's leader.
 //
@@ -36,7 +36,7 @@
 	own.Address = options.SelfAddress
 	promises := []FoundingPromise{own}
 	for _, address := range options.OtherAddresses {
-		promise, err := options.Collect(ctx, address, request)
+		promise, err := options.CollectPromise(ctx, address, request)
 		if err != nil {
 			return Founding{}, fmt.Errorf("replica: promise of %q: %w", address, err)
 		}
--- a/coordination/replica/cluster_machine_test.go
+++ b/coordination/replica/cluster_machine_test.go
@@ -165,7 +165,7 @@
 // kill ends only the process: the operating system keeps unsynced data.
 func (m *machine) kill() {
 	m.stop()
-	m.disk.Kill()
+	m.disk.KillProcess()
 	m.cluster.after(m.cluster.randomDuration(500*time.Millisecond), m.start)
 }
 
--- a/coordination/replica/cluster_maintenance_test.go
+++ b/coordination/replica/cluster_maintenance_test.go
@@ -93,7 +93,7 @@
 // cannot be distinguished from a torn write is undone.
 func (m *machine) flipBit() {
 	m.stop()
-	m.disk.Kill()
+	m.disk.KillProcess()
 	names, err := m.disk.List(testDirectory)
 	m.cluster.checks.noError("list", err)
 	name := path.Join(testDirectory, names[m.cluster.random.IntN(len(names))])
--- a/coordination/replica/runner_test.go
+++ b/coordination/replica/runner_test.go
@@ -70,7 +70,7 @@
 	state := &counter{}
 	runner, err := NewRunner(RunnerConfig{
 		Config: Config{
-			Group: testGroup, Directory: directory, FileSystem: storage.OperatingSystem{}, StateMachine: state,
+			Group: testGroup, Directory: directory, FileSystem: storage.OSFileSystem{}, StateMachine: state,
 			Random: rand.New(rand.NewPCG(rand.Uint64(), 1)), ElectionTimeout: 300 * time.Millisecond, SnapshotEntries: 500,
 		},
 		Transport: transport,
@@ -102,7 +102,7 @@
 			options.OtherAddresses = append(options.OtherAddresses, address)
 		}
 	}
-	options.Collect = func(ctx context.Context, address string, request FoundingRequest) (FoundingPromise, error) {
+	options.CollectPromise = func(ctx context.Context, address string, request FoundingRequest) (FoundingPromise, error) {
 		return byAddress[address].PromiseFounding(ctx, request)
 	}
 	founding, err := runners[0].Bootstrap(testContext(t), options)
--- a/coordination/replica/snapshot.go
+++ b/coordination/replica/snapshot.go
@@ -105,16 +105,16 @@
 		err = n.installPrepared(snapshot)
 	}
 	if errors.Is(err, storage.ErrNotWritten) {
-		n.storage.RemovePrepared(snapshot.Index)
+		n.storage.RemovePreparedSnapshot(snapshot.Index)
 		return nil
 	}
 	return err
 }
 
 func (n *Node) installPrepared(snapshot consensus.Snapshot) error {
-	keepAfter := n.core.StartOfTail(snapshot.Index,
+	keepAfter := n.core.CompactionIndex(snapshot.Index,
 		n.config.SnapshotEntries/trailingDivisor, n.config.SnapshotLogBytes/trailingDivisor)
-	if err := n.storage.InstallPrepared(snapshot.Index, keepAfter); err != nil {
+	if err := n.storage.InstallPreparedSnapshot(snapshot.Index, keepAfter); err != nil {
 		return err
 	}
 	n.snapshotBytes = int64(len(snapshot.Data))
--- a/coordination/storage/copy_test.go
+++ b/coordination/storage/copy_test.go
@@ -23,7 +23,7 @@
 	backup := disk.Copy()
 	require.NoError(t, opened.Save(consensus.HardState{Term: 2, Vote: 7}, nil, nil))
 	require.NoError(t, opened.Close())
-	backup.Kill()
+	backup.KillProcess()
 
 	_, _, err := storage.Open(options(backup))
 	require.ErrorIs(t, err, storage.ErrCorrupt)
@@ -67,7 +67,7 @@
 	root := t.TempDir()
 	original, renamed, copied := filepath.Join(root, "a"), filepath.Join(root, "b"), filepath.Join(root, "c")
 	optionsFor := func(folder string) storage.Options {
-		options := options(storage.OperatingSystem{})
+		options := options(storage.OSFileSystem{})
 		options.Directory = folder
 		return options
 	}
@@ -86,6 +86,6 @@
 	require.NoError(t, os.CopyFS(copied, os.DirFS(renamed)))
 	_, _, err := storage.Open(optionsFor(copied))
 	require.ErrorIs(t, err, storage.ErrCopied)
-	require.NoError(t, storage.AcceptCopy(storage.OperatingSystem{}, copied))
+	require.NoError(t, storage.AcceptCopy(storage.OSFileSystem{}, copied))
 	saveAndClose(copied, 121)
 }
--- a/coordination/storage/memoryfs/memoryfs.go
+++ b/coordination/storage/memoryfs/memoryfs.go
@@ -20,7 +20,7 @@
 	// ErrSyncFailed is returned by the syncs that FailSyncs makes fail.
 	ErrSyncFailed = errors.New("memoryfs: sync failed")
 	// ErrCrashed is returned by operations after the crash point set with
-	// CrashAfter, and by files that were opened before Crash or Kill.
+	// CrashAfter, and by files that were opened before Crash or KillProcess.
 	ErrCrashed = errors.New("memoryfs: machine has crashed")
 	// ErrLocked is returned if a directory is already locked.
 	ErrLocked = errors.New("memoryfs: folder is locked")
@@ -32,7 +32,7 @@
 	mutex       sync.Mutex
 	directories map[string]*directory
 	locks       map[string]bool
-	// generation is incremented by Crash and Kill, which invalidates earlier
+	// generation is incremented by Crash and KillProcess, which invalidates earlier
 	// locks and open files.
 	generation uint64
 	// inodeCount is the number of the inode created last.
@@ -149,10 +149,10 @@
 	}
 }
 
-// Kill simulates a crash of the process, not of the machine: open files become
+// KillProcess simulates a crash of the process, not of the machine: open files become
 // unusable, and locks are released. Unsynced data can still be read, and a later
 // Crash may still lose it.
-func (f *FileSystem) Kill() {
+func (f *FileSystem) KillProcess() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.generation++
--- a/coordination/storage/osfs.go
+++ b/coordination/storage/osfs.go
@@ -20,13 +20,13 @@
 // ErrLocked is returned if another process uses the folder.
 var ErrLocked = errors.New("data folder is in use by another process")
 
-// OperatingSystem implements FileSystem with the files of the operating system.
-type OperatingSystem struct{}
+// OSFileSystem implements FileSystem with the files of the operating system.
+type OSFileSystem struct{}
 
-var _ FileSystem = OperatingSystem{}
+var _ FileSystem = OSFileSystem{}
 
 // MakeDirectory implements FileSystem.
-func (OperatingSystem) MakeDirectory(path string) error {
+func (OSFileSystem) MakeDirectory(path string) error {
 	path, err := filepath.Abs(path)
 	if err != nil {
 		return err
@@ -35,7 +35,7 @@
 		return err
 	}
 	for parent := filepath.Dir(path); ; parent = filepath.Dir(parent) {
-		if err := (OperatingSystem{}).SyncDirectory(parent); err != nil {
+		if err := (OSFileSystem{}).SyncDirectory(parent); err != nil {
 			if errors.Is(err, os.ErrPermission) {
 				return nil
 			}
@@ -48,7 +48,7 @@
 }
 
 // List implements FileSystem.
-func (OperatingSystem) List(directory string) ([]string, error) {
+func (OSFileSystem) List(directory string) ([]string, error) {
 	entries, err := os.ReadDir(directory)
 	if err != nil {
 		return nil, err
@@ -63,10 +63,10 @@
 }
 
 // ReadFile implements FileSystem.
-func (OperatingSystem) ReadFile(path string) ([]byte, error) { return os.ReadFile(path) }
+func (OSFileSystem) ReadFile(path string) ([]byte, error) { return os.ReadFile(path) }
 
 // Create implements FileSystem.
-func (OperatingSystem) Create(path string) (File, error) {
+func (OSFileSystem) Create(path string) (File, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY|os.O_APPEND, filePermission)
 	if err != nil {
 		return nil, err
@@ -75,7 +75,7 @@
 }
 
 // OpenAppend implements FileSystem.
-func (OperatingSystem) OpenAppend(path string) (File, error) {
+func (OSFileSystem) OpenAppend(path string) (File, error) {
 	file, err := os.OpenFile(path, os.O_WRONLY|os.O_APPEND, filePermission)
 	if err != nil {
 		return nil, err
@@ -84,13 +84,13 @@
 }
 
 // Rename implements FileSystem.
-func (OperatingSystem) Rename(oldPath, newPath string) error { return os.Rename(oldPath, newPath) }
+func (OSFileSystem) Rename(oldPath, newPath string) error { return os.Rename(oldPath, newPath) }
 
 // Remove implements FileSystem.
-func (OperatingSystem) Remove(path string) error { return os.Remove(path) }
+func (OSFileSystem) Remove(path string) error { return os.Remove(path) }
 
 // SyncDirectory implements FileSystem.
-func (OperatingSystem) SyncDirectory(path string) error {
+func (OSFileSystem) SyncDirectory(path string) error {
 	directory, err := os.Open(path)
 	if err != nil {
 		return err
@@ -103,7 +103,7 @@
 }
 
 // Lock implements FileSystem with an advisory lock on a file in the directory.
-func (OperatingSystem) Lock(directory string) (io.Closer, error) {
+func (OSFileSystem) Lock(directory string) (io.Closer, error) {
 	path := filepath.Join(directory, lockName)
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, filePermission)
 	if err != nil {
--- a/coordination/storage/osfs_linux.go
+++ b/coordination/storage/osfs_linux.go
@@ -9,7 +9,7 @@
 
 // Identify implements FileSystem. The identity consists of the inode number and,
 // on file systems that record it, the creation time.
-func (OperatingSystem) Identify(path string) (FileIdentity, error) {
+func (OSFileSystem) Identify(path string) (FileIdentity, error) {
 	var found unix.Statx_t
 	err := unix.Statx(unix.AT_FDCWD, path, unix.AT_STATX_SYNC_AS_STAT, unix.STATX_INO|unix.STATX_BTIME, &found)
 	if errors.Is(err, unix.ENOSYS) {
--- a/coordination/storage/osfs_other.go
+++ b/coordination/storage/osfs_other.go
@@ -4,4 +4,4 @@
 
 // Identify implements FileSystem. It returns zero: copies are not detected on this
 // operating system.
-func (OperatingSystem) Identify(string) (FileIdentity, error) { return FileIdentity{}, nil }
+func (OSFileSystem) Identify(string) (FileIdentity, error) { return FileIdentity{}, nil }
--- a/coordination/storage/snapshot.go
+++ b/coordination/storage/snapshot.go
@@ -33,22 +33,22 @@
 }
 
 // PrepareSnapshot writes a snapshot of the applied state, which takes effect only
-// with InstallPrepared. It may be called concurrently with all other methods,
+// with InstallPreparedSnapshot. It may be called concurrently with all other methods,
 // but not with itself and not after Close.
 func (s *Storage) PrepareSnapshot(snapshot consensus.Snapshot) error {
 	return writeSnapshot(s.options.FileSystem, s.options.Directory, snapshot)
 }
 
-// InstallPrepared makes the snapshot written by PrepareSnapshot the current one
+// InstallPreparedSnapshot makes the snapshot written by PrepareSnapshot the current one
 // and removes the segments whose entries all have an index of at most compactIndex,
 // which is limited to index. If the current snapshot is as recent or more recent,
 // it removes the prepared one instead.
-func (s *Storage) InstallPrepared(index, compactIndex uint64) error {
+func (s *Storage) InstallPreparedSnapshot(index, compactIndex uint64) error {
 	if s.failure != nil {
 		return s.earlierFailure()
 	}
 	if index <= s.snapshotIndex {
-		s.RemovePrepared(index)
+		s.RemovePreparedSnapshot(index)
 		return nil
 	}
 	if err := renameIntoPlace(s.options.FileSystem, s.options.Directory, snapshotName(index)); err != nil {
@@ -58,15 +58,15 @@
 	return s.removeObsoleteFiles(min(compactIndex, index))
 }
 
-// RemovePrepared frees the space of a prepared snapshot that could not be written
+// RemovePreparedSnapshot frees the space of a prepared snapshot that could not be written
 // or is no longer needed.
-func (s *Storage) RemovePrepared(index uint64) {
+func (s *Storage) RemovePreparedSnapshot(index uint64) {
 	name := path.Join(s.options.Directory, snapshotName(index)+temporarySuffix)
 	// If this fails, the next Open removes the file.
 	_ = s.options.FileSystem.Remove(name)
 }
 
-// SaveSnapshot calls PrepareSnapshot and InstallPrepared. After an error that
+// SaveSnapshot calls PrepareSnapshot and InstallPreparedSnapshot. After an error that
 // matches ErrNotWritten the storage remains usable; the log is only kept longer.
 func (s *Storage) SaveSnapshot(snapshot consensus.Snapshot, compactIndex uint64) error {
 	if s.failure != nil {
@@ -77,13 +77,13 @@
 	}
 	err := s.PrepareSnapshot(snapshot)
 	if errors.Is(err, ErrNotWritten) {
-		s.RemovePrepared(snapshot.Index)
+		s.RemovePreparedSnapshot(snapshot.Index)
 		return err
 	}
 	if err != nil {
 		return s.fail(err)
 	}
-	return s.InstallPrepared(snapshot.Index, compactIndex)
+	return s.InstallPreparedSnapshot(snapshot.Index, compactIndex)
 }
 
 // readLatestSnapshot returns the snapshot with the highest index. Damage to it is
--- a/coordination/storage/storage_test.go
+++ b/coordination/storage/storage_test.go
@@ -95,7 +95,7 @@
 
 // A save that the disk has refused, and of which it may have kept a part, can be retried
 // once there is space, and survives a power loss afterwards.
-func TestARefusedSaveIsMadeAgain(t *testing.T) {
+func TestRefusedSaveCanBeRetried(t *testing.T) {
 	for freeBytes := range int64(100) {
 		disk := memoryfs.New()
 		opened, _ := open(t, disk)
@@ -116,7 +116,7 @@
 }
 
 // A power loss while a full disk holds part of a refused write must not lose saved entries.
-func TestPowerLossOnAFullDisk(t *testing.T) {
+func TestPowerLossOnFullDiskKeepsSavedEntries(t *testing.T) {
 	for step := range int64(400) {
 		disk := memoryfs.New()
 		small := options(disk)
@@ -196,7 +196,7 @@
 		err  error
 	}{
 		"memory": {memoryfs.New(), directory, memoryfs.ErrLocked},
-		"disk":   {storage.OperatingSystem{}, t.TempDir() + "/replica", storage.ErrLocked},
+		"disk":   {storage.OSFileSystem{}, t.TempDir() + "/replica", storage.ErrLocked},
 	}
 	for name, system := range systems {
 		t.Run(name, func(t *testing.T) {
@@ -315,7 +315,7 @@
 	require.NoError(t, opened.Save(consensus.HardState{Term: 1}, entries(1, 1, 1), nil))
 	disk.FailSyncs(1)
 	require.ErrorIs(t, opened.Save(consensus.HardState{Term: 2, Vote: 7}, entries(1, 2, 2), nil), storage.ErrSyncFailed)
-	disk.Kill()
+	disk.KillProcess()
 	restarted, state := open(t, disk)
 	require.NoError(t, restarted.Save(consensus.HardState{Term: 2, Vote: 7}, entries(1, 3, 3), nil))
 	disk.Crash(rand.New(rand.NewPCG(1, 1)))
--- a/coordination/storage/unidentified.go
+++ b/coordination/storage/unidentified.go
@@ -1,10 +1,10 @@
 package storage
 
-// Unidentified is a FileSystem without file identities, for machines on which a
+// WithoutFileIdentity is a FileSystem without file identities, for machines on which a
 // file's inode number and creation time change when it is restored after a power
-// loss. Copied folders are then not detected, so that Unidentified may only be
+// loss. Copied folders are then not detected, so that WithoutFileIdentity may only be
 // used where no data folder is ever restored from a copy.
-type Unidentified struct{ FileSystem }
+type WithoutFileIdentity struct{ FileSystem }
 
 // Identify implements FileSystem. It returns zero, which is accepted for any file.
-func (Unidentified) Identify(string) (FileIdentity, error) { return FileIdentity{}, nil }
+func (WithoutFileIdentity) Identify(string) (FileIdentity, error) { return FileIdentity{}, nil }
--- a/coordination/storage/unidentified_test.go
+++ b/coordination/storage/unidentified_test.go
@@ -29,13 +29,13 @@
 	}
 }
 
-func TestFilesWithoutALastingIdentityOpenAfterTheyWereRestored(t *testing.T) {
+func TestRestoredFolderOpensWithoutFileIdentities(t *testing.T) {
 	for name, test := range map[string]struct {
 		fileSystem storage.FileSystem
 		opens      bool
 	}{
-		"identified":   {storage.OperatingSystem{}, false},
-		"unidentified": {storage.Unidentified{FileSystem: storage.OperatingSystem{}}, true},
+		"identified":   {storage.OSFileSystem{}, false},
+		"unidentified": {storage.WithoutFileIdentity{FileSystem: storage.OSFileSystem{}}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			options := storage.Options{FileSystem: test.fileSystem, Directory: t.TempDir(), Group: 1, Random: rand.New(rand.NewPCG(1, 2)), SegmentBytes: 1 << 20}
--- a/internal/cli/data.go
+++ b/internal/cli/data.go
@@ -63,7 +63,7 @@
 		return err
 	}
 	for _, folder := range folders {
-		if err := storage.AcceptCopy(storage.OperatingSystem{}, folder); err != nil {
+		if err := storage.AcceptCopy(storage.OSFileSystem{}, folder); err != nil {
 			return invalidError{fmt.Sprintf("%s: %v", folder, err)}
 		}
 	}
@@ -151,7 +151,7 @@
 }
 
 func inspectFolder(folder string) (dataReport, error) {
-	read, err := storage.Inspect(storage.OperatingSystem{}, folder)
+	read, err := storage.Inspect(storage.OSFileSystem{}, folder)
 	if err != nil {
 		return dataReport{}, err
 	}
--- a/internal/cli/data_test.go
+++ b/internal/cli/data_test.go
@@ -18,7 +18,7 @@
 	t.Helper()
 	folder := filepath.Join(root, "zone")
 	opened, _, err := storage.Open(storage.Options{
-		FileSystem: storage.OperatingSystem{}, Directory: folder, Group: 7,
+		FileSystem: storage.OSFileSystem{}, Directory: folder, Group: 7,
 		Random: rand.New(rand.NewPCG(1, 1)),
 	})
 	require.NoError(t, err)
--- a/internal/cli/regional.go
+++ b/internal/cli/regional.go
@@ -201,9 +201,9 @@
 
 func runCoordinator(process regionalProcess) error {
 	settings := process.settings
-	var fileSystem storage.FileSystem = storage.OperatingSystem{}
+	var fileSystem storage.FileSystem = storage.OSFileSystem{}
 	if settings.IgnoreFileIdentity {
-		fileSystem = storage.Unidentified{FileSystem: fileSystem}
+		fileSystem = storage.WithoutFileIdentity{FileSystem: fileSystem}
 	}
 	stagePolicy, err := regional.OpenPolicy(settings.Policy, process.logger)
 	if err != nil {
--- a/internal/controller/settings.go
+++ b/internal/controller/settings.go
@@ -155,7 +155,7 @@
 		s.Logger = logr.Discard()
 	}
 	if s.FileSystem == nil {
-		s.FileSystem = storage.OperatingSystem{}
+		s.FileSystem = storage.OSFileSystem{}
 	}
 	return s
 }
--- a/internal/coordinator/group_test.go
+++ b/internal/coordinator/group_test.go
@@ -105,7 +105,7 @@
 		Bootstrap:    bootstrap,
 		Voters:       3,
 		DataFolder:   filepath.Join(g.folder, folder),
-		FileSystem:   storage.OperatingSystem{},
+		FileSystem:   storage.OSFileSystem{},
 		Lister:       g.list,
 		Codec:        jsonCodec{},
 		ListInterval: 50 * time.Millisecond,
--- a/internal/relay/daemon/endingrequests_test.go
+++ b/internal/relay/daemon/endingrequests_test.go
@@ -219,7 +219,7 @@
 	r.t.Helper()
 	created, err := coordinator.New(coordinator.Settings{
 		Name: "coordinator", Zone: "zone", Address: r.coordinator, Seeds: func() []string { return []string{r.coordinator} },
-		Bootstrap: true, Voters: 1, DataFolder: filepath.Join(r.folder, "data"), FileSystem: storage.OperatingSystem{},
+		Bootstrap: true, Voters: 1, DataFolder: filepath.Join(r.folder, "data"), FileSystem: storage.OSFileSystem{},
 		Lister: r.replicas, Codec: jsonCodec{}, ListInterval: 50 * time.Millisecond, PlacementGatewayThreshold: -1, Quota: toleratedOverrun, ContactTime: r.contact(), Logger: logr.Discard(),
 	})
 	require.NoError(r.t, err)
--- a/internal/replication/founding.go
+++ b/internal/replication/founding.go
@@ -85,7 +85,7 @@
 		Generation:     firstGeneration,
 		SelfAddress:    f.Self,
 		OtherAddresses: others,
-		Collect:        f.collectPromise,
+		CollectPromise: f.collectPromise,
 	}
 }
 
