--- a/bench/manygateways/world.go
+++ b/bench/manygateways/world.go
@@ -201,13 +201,13 @@
 func (c *call) request() relay.ReadRequest {
 	passed := c.world.now - c.arrived
 	return relay.ReadRequest{
-		Prompt: c.prompt, Objective: objective, TargetGap: targetGap,
+		Prompt: c.prompt, Objective: objective, TargetTokenGap: targetGap,
 		AimLeft: objective - passed, Left: callerWait - passed, Zone: "zone",
 	}
 }
 
 func (c *call) begin() {
-	lease, err := c.gateway.placer.Reading(context.Background(), service, c.request())
+	lease, err := c.gateway.placer.PlacePrefill(context.Background(), service, c.request())
 	if err != nil {
 		c.world.result.Refused++
 		c.world.note("refused", nil)
@@ -226,10 +226,10 @@
 // read goes on with a prompt that a reader has read.
 func (c *call) read() {
 	c.lease.Answered(false, nil)
-	c.lease.PromptRead()
-	c.lease.PromptKept(c.prompt)
+	c.lease.PrefillDone()
+	c.lease.PromptCached(c.prompt)
 	c.lease.Release()
-	c.lease = c.gateway.placer.Generator(context.Background(), service, c.request(), "zone")
+	c.lease = c.gateway.placer.PlaceDecode(context.Background(), service, c.request(), "zone")
 	c.generate()
 }
 
--- a/internal/placement/client_test.go
+++ b/internal/placement/client_test.go
@@ -91,13 +91,13 @@
 func newPrefillRequest(own string) relay.ReadRequest {
 	return relay.ReadRequest{
 		Prompt:    &relay.Prompt{Tokens: 9000, Parts: []relay.PromptPart{{ID: own, Tokens: 8000}, {ID: own + "-own", Tokens: 1000}}},
-		Objective: 2 * time.Second, TargetGap: time.Second, AimLeft: 2 * time.Second, Left: 8 * time.Second, Zone: "z",
+		Objective: 2 * time.Second, TargetTokenGap: time.Second, AimLeft: 2 * time.Second, Left: 8 * time.Second, Zone: "z",
 	}
 }
 
 func (a *testGateway) prefill(t *testing.T, own string) *relay.Lease {
 	t.Helper()
-	lease, err := a.placer.Reading(context.Background(), "s", newPrefillRequest(own))
+	lease, err := a.placer.PlacePrefill(context.Background(), "s", newPrefillRequest(own))
 	require.NoError(t, err)
 	return lease
 }
--- a/internal/placement/server.go
+++ b/internal/placement/server.go
@@ -273,9 +273,9 @@
 		}
 		g.release(reported.Lease)
 	case region.LeaseRead:
-		lease.PromptRead()
+		lease.PrefillDone()
 	case region.LeaseKept:
-		lease.PromptKept(held.prompt)
+		lease.PromptCached(held.prompt)
 	case region.LeaseBegun:
 		lease.StreamBegun("", reported.HandedOver)
 	case region.LeasePaused:
--- a/internal/placement/warmup.go
+++ b/internal/placement/warmup.go
@@ -75,6 +75,6 @@
 		w.Logger.V(1).Info(event.PrefixesUnknown, "replica", replica.ID, "error", err.Error())
 		return
 	}
-	w.Directory.LearnKept(replica.Life(), parts)
+	w.Directory.AddCached(replica.Life(), parts)
 	w.Logger.V(1).Info(event.PrefixesLearned, "replica", replica.ID, "parts", len(parts))
 }
--- a/internal/relay/border_test.go
+++ b/internal/relay/border_test.go
@@ -153,7 +153,7 @@
 		if regionOf(lease) == "south" {
 			// A prompt with a separate prefill crosses twice, which leaves no time.
 			d.now += 900 * time.Millisecond
-			lease.PromptRead()
+			lease.PrefillDone()
 			slow++
 		}
 		lease.Release()
@@ -212,8 +212,8 @@
 	ask := func(zone, own string) *relay.Lease {
 		lease := d.prefillPromptFor(zone, prompt(shared, relay.PromptPart{ID: own, Tokens: 100}))
 		d.now += time.Second
-		lease.PromptRead()
-		lease.PromptKept(prompt(shared))
+		lease.PrefillDone()
+		lease.PromptCached(prompt(shared))
 		lease.Release()
 		return lease
 	}
@@ -233,7 +233,7 @@
 	d.SetEngine("s", traffic.Engine{LinkBitsPerSecond: 1e9, TokenBytes: 1000})
 	shared := relay.PromptPart{ID: "shared", Tokens: pace / 5}
 	first := d.prefillPromptFor("south-a", prompt(shared))
-	first.PromptKept(prompt(shared))
+	first.PromptCached(prompt(shared))
 	first.Release()
 	second := d.prefillPromptFor("north-a", prompt(shared, relay.PromptPart{ID: "own", Tokens: 100}))
 	assert.Equal(t, "north", regionOf(second))
--- a/internal/relay/directory_test.go
+++ b/internal/relay/directory_test.go
@@ -54,7 +54,7 @@
 	for index, tokens := range []int{1000, 4000, 16_000, 2000, 8000} {
 		lease := d.placePrefill(prompt(relay.PromptPart{ID: fmt.Sprintf("taught-%d", index), Tokens: tokens}))
 		d.now += time.Duration(tokens) * time.Second / time.Duration(tokensPerSecond)
-		lease.PromptRead()
+		lease.PrefillDone()
 		lease.Release()
 	}
 }
@@ -138,7 +138,7 @@
 	d := newDirectory(replica("g", region.StageDecode), replica("a", region.StagePrefill), replica("b", region.StagePrefill), replica("c", region.StagePrefill))
 	shared := relay.PromptPart{ID: "shared", Tokens: 10_000}
 	first := d.placePrefill(prompt(shared, relay.PromptPart{ID: "1", Tokens: 500}))
-	first.PromptRead()
+	first.PrefillDone()
 	first.Release()
 	for _, own := range []string{"2", "3", "4"} {
 		next := d.placePrefill(prompt(shared, relay.PromptPart{ID: own, Tokens: 500}))
@@ -150,7 +150,7 @@
 func TestPrefixOfBusyReplicaIsFetched(t *testing.T) {
 	d := newDirectory(replica("g", region.StageDecode), replica("a", region.StagePrefill), replica("b", region.StagePrefill))
 	shared := relay.PromptPart{ID: "shared", Tokens: 10_000}
-	d.LearnKept(region.Life{ID: "a"}, []relay.PromptPart{shared})
+	d.AddCached(region.Life{ID: "a"}, []relay.PromptPart{shared})
 	d.TakeOutstanding("peer", []region.OutstandingWork{{Replica: "a", Requests: 3, InTimeMicros: 600_000}}, true)
 	whole := prompt(shared, relay.PromptPart{ID: "1", Tokens: 500})
 	lease := d.placePrefill(whole)
@@ -203,8 +203,8 @@
 func TestPrefixBeyondCacheCapacityIsEvicted(t *testing.T) {
 	d := newDirectory(replica("g", region.StageDecode), replica("a", region.StagePrefill), replica("b", region.StagePrefill))
 	d.SetEngine("s", traffic.Engine{CacheTokens: 15_000})
-	d.LearnKept(region.Life{ID: "a"}, []relay.PromptPart{{ID: "old", Tokens: 10_000}})
-	d.LearnKept(region.Life{ID: "a"}, []relay.PromptPart{{ID: "new", Tokens: 10_000}})
+	d.AddCached(region.Life{ID: "a"}, []relay.PromptPart{{ID: "old", Tokens: 10_000}})
+	d.AddCached(region.Life{ID: "a"}, []relay.PromptPart{{ID: "new", Tokens: 10_000}})
 	lease := d.placePrefill(prompt(relay.PromptPart{ID: "x", Tokens: 10}))
 	lease.Release()
 	old := prompt(relay.PromptPart{ID: "old", Tokens: 10_000}, relay.PromptPart{ID: "own", Tokens: 10})
--- a/internal/relay/grant.go
+++ b/internal/relay/grant.go
@@ -67,7 +67,7 @@
 		LoadAge:    -time.Millisecond,
 	}
 	given.number = d.grantGeneration
-	given.reportablePause = time.Duration(reportablePauseShare * float64(request.TargetGap))
+	given.reportablePause = time.Duration(reportablePauseShare * float64(request.TargetTokenGap))
 	lease.grant = given
 	replica.granted.requests++
 	if answer.BusyMicros > 0 {
--- a/internal/relay/lease.go
+++ b/internal/relay/lease.go
@@ -207,8 +207,8 @@
 	l.reportPause(now, took)
 }
 
-// PromptRead records that the prefill is complete.
-func (l *Lease) PromptRead() {
+// PrefillDone records that the prefill is complete.
+func (l *Lease) PrefillDone() {
 	l.directory.mutex.Lock()
 	defer l.directory.mutex.Unlock()
 	l.Replica.progressAt = l.directory.clock()
@@ -254,9 +254,9 @@
 	model.Observe(l.prefill.work, l.directory.clock()-l.startedAt)
 }
 
-// PromptKept records that the replica now has a prompt cached. For a decode replica it is reported to peers
+// PromptCached records that the replica now has a prompt cached. For a decode replica it is reported to peers
 // too; for prefill replicas that was done when the prompt was placed.
-func (l *Lease) PromptKept(prompt *Prompt) {
+func (l *Lease) PromptCached(prompt *Prompt) {
 	l.directory.mutex.Lock()
 	defer l.directory.mutex.Unlock()
 	l.report(region.LeaseEvent{Kind: region.LeaseKept})
--- a/internal/relay/life_test.go
+++ b/internal/relay/life_test.go
@@ -31,7 +31,7 @@
 	shared := relay.PromptPart{ID: "shared", Tokens: 8000}
 	prompted := prompt(shared, relay.PromptPart{ID: "own", Tokens: 100})
 	for name, observe := range map[string]func(*directory){
-		"cached prefixes":    func(d *directory) { d.LearnKept(region.Life{ID: "a", Born: 5}, []relay.PromptPart{shared}) },
+		"cached prefixes":    func(d *directory) { d.AddCached(region.Life{ID: "a", Born: 5}, []relay.PromptPart{shared}) },
 		"placed by peers":    func(d *directory) { d.TakePlaced(placedAt(incarnationName("a", 5), shared)) },
 		"failures":           func(d *directory) { d.PickAny("s", relay.Wanted{}).Unreachable(false) },
 		"refusals":           func(d *directory) { d.PickAny("s", relay.Wanted{}).Refused(0) },
@@ -89,7 +89,7 @@
 	d.TakeOutstanding("peer", workAt(before), true)
 	d.TakeUnreachable([]string{before})
 	d.TakePlaced(placedAt(before, shared))
-	d.LearnKept(region.Life{ID: "a", Born: 5}, []relay.PromptPart{shared})
+	d.AddCached(region.Life{ID: "a", Born: 5}, []relay.PromptPart{shared})
 	d.ProcessEnded(before)
 	fresh := newDirectory(startedAt(9, replica("a", "")))
 	assert.Equal(t, fresh.PickAny("s", relay.Wanted{}).Choice, d.PickAny("s", relay.Wanted{}).Choice)
@@ -179,7 +179,7 @@
 func TestEndedProcessHasEmptyCache(t *testing.T) {
 	shared := relay.PromptPart{ID: "shared", Tokens: 8000}
 	d := newDirectory(startedAt(5, replica("a", "")))
-	d.LearnKept(region.Life{ID: "a", Born: 5}, []relay.PromptPart{shared})
+	d.AddCached(region.Life{ID: "a", Born: 5}, []relay.PromptPart{shared})
 	assert.Zero(t, d.Missing("a", prompt(shared)))
 	d.ProcessEnded(incarnationName("a", 5))
 	assert.Equal(t, 8000, d.Missing("a", prompt(shared)))
@@ -192,7 +192,7 @@
 	assert.Empty(t, kept)
 	assert.False(t, whole, "the replica has not reported yet")
 	life := replica("a", region.StageDecode)
-	asked.LearnKept(life.Life(), []relay.PromptPart{{ID: "old", Tokens: 10}, {ID: "new", Tokens: 20}})
+	asked.AddCached(life.Life(), []relay.PromptPart{{ID: "old", Tokens: 10}, {ID: "new", Tokens: 20}})
 	kept, whole = asked.Cached(func(region.Replica) bool { return true })
 	assert.True(t, whole)
 	assert.Equal(t, []region.KeptParts{{Replica: life.Life().Name(), Parts: []region.PlacedPart{{ID: "old", Tokens: 10}, {ID: "new", Tokens: 20}}}}, kept)
--- a/internal/relay/limited.go
+++ b/internal/relay/limited.go
@@ -77,7 +77,7 @@
 // permittedDecodeReplica leases a decode replica near a zone, for a prompt that was read elsewhere.
 func (r *callState) permittedDecodeReplica(ctx context.Context, zone string) (*Lease, error) {
 	return r.permitted(ctx, func() (*Lease, error) {
-		return r.placer.Generator(ctx, r.call.Service.Name, r.readRequest(), zone), nil
+		return r.placer.PlaceDecode(ctx, r.call.Service.Name, r.readRequest(), zone), nil
 	})
 }
 
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -104,7 +104,7 @@
 	if m.lease.BackoffLeft() > 0 {
 		return false
 	}
-	target := r.placer.Room(ctx, m.lease, r.readRequest())
+	target := r.placer.PlaceWithCapacity(ctx, m.lease, r.readRequest())
 	if target == nil {
 		return false
 	}
--- a/internal/relay/outstanding.go
+++ b/internal/relay/outstanding.go
@@ -221,8 +221,8 @@
 	}
 }
 
-// LearnKept records the parts of prompts that an incarnation of a replica reports as cached.
-func (d *Directory) LearnKept(life region.Life, parts []PromptPart) {
+// AddCached records the parts of prompts that an incarnation of a replica reports as cached.
+func (d *Directory) AddCached(life region.Life, parts []PromptPart) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if replica, known := d.replicas[life.Name()]; known {
--- a/internal/relay/overload_test.go
+++ b/internal/relay/overload_test.go
@@ -130,7 +130,7 @@
 	for number := range readers {
 		id := fmt.Sprint("r", number)
 		if done := r.reading[id]; done != nil && r.now >= r.busyUntil[id] {
-			done.lease.PromptRead()
+			done.lease.PrefillDone()
 			done.lease.Release()
 			delete(r.reading, id)
 			r.served[done.name]++
@@ -235,7 +235,7 @@
 		waits := next(number + 1)
 		assert.Zero(t, waits.Rank(&route))
 		d.now += 100 * time.Millisecond
-		reads.PromptRead()
+		reads.PrefillDone()
 		reads.Release()
 		reads = waits
 	}
--- a/internal/relay/placement.go
+++ b/internal/relay/placement.go
@@ -134,7 +134,7 @@
 	separate := d.bestPrefillReplica(prefillReplicas, request, urgency, sources, now)
 	service := decodeReplicas[0].Service
 	handover := d.costModel(service).Overhead() + d.handoverTimes[service].average()
-	short := direct.busy <= time.Duration(directGapShare*float64(request.TargetGap))
+	short := direct.busy <= time.Duration(directGapShare*float64(request.TargetTokenGap))
 	directTime := direct.total() + interferenceWeight*direct.busy + d.typicalOverrun(service, region.StageDecode)
 	separateTime := separate.total() + handover + d.typicalOverrun(service, region.StagePrefill)
 	if short && harmless && directTime <= separateTime && !d.disabled[mechanism.DirectReading] {
@@ -157,7 +157,7 @@
 		}
 	}
 	held := best.wait + best.busy + best.replica.tokenGap.longest(now)
-	return best, held <= time.Duration(prefillGapShare*float64(request.TargetGap))
+	return best, held <= time.Duration(prefillGapShare*float64(request.TargetTokenGap))
 }
 
 const (
--- a/internal/relay/placer.go
+++ b/internal/relay/placer.go
@@ -33,8 +33,8 @@
 	maximumCoordinatorTimeout = 100 * time.Millisecond
 )
 
-// Reading leases the replica that is to prefill a prompt, as Directory.PlacePrefill does.
-func (p *Placer) Reading(ctx context.Context, service string, request ReadRequest) (*Lease, error) {
+// PlacePrefill leases the replica that is to prefill a prompt, as Directory.PlacePrefill does.
+func (p *Placer) PlacePrefill(ctx context.Context, service string, request ReadRequest) (*Lease, error) {
 	lease, err := p.ask(ctx, region.PlaceRead, service, request, "", region.StagePrefill, region.StageDecode)
 	if lease != nil || err != nil {
 		return lease, err
@@ -50,16 +50,16 @@
 	return p.Directory.PlaceDirect(service, request)
 }
 
-// Generator leases a decode replica, near the zone where a prompt was prefilled.
-func (p *Placer) Generator(ctx context.Context, service string, request ReadRequest, zone string) *Lease {
+// PlaceDecode leases a decode replica, near the zone where a prompt was prefilled.
+func (p *Placer) PlaceDecode(ctx context.Context, service string, request ReadRequest, zone string) *Lease {
 	if lease, _ := p.ask(ctx, region.PlaceGenerate, service, request, zone, region.StageDecode); lease != nil {
 		return lease
 	}
 	return p.Directory.PickDecode(service, request.wanted(), zone)
 }
 
-// Room leases a replica with capacity for a stream that must move away from another, nil if there is none.
-func (p *Placer) Room(ctx context.Context, from *Lease, request ReadRequest) *Lease {
+// PlaceWithCapacity leases a replica with capacity for a stream that must move away from another, nil if there is none.
+func (p *Placer) PlaceWithCapacity(ctx context.Context, from *Lease, request ReadRequest) *Lease {
 	request.Excluded = append(slices.Clone(request.Excluded), from.Replica)
 	service, zone := from.Replica.Service, from.Replica.Zone
 	lease, err := p.ask(ctx, region.PlaceRoom, service, request, zone, region.StageDecode)
@@ -110,7 +110,7 @@
 		Rank:            request.Rank,
 		Tenant:          request.Tenant,
 		ObjectiveMicros: request.Objective.Microseconds(),
-		GapMicros:       request.TargetGap.Microseconds(),
+		GapMicros:       request.TargetTokenGap.Microseconds(),
 		AimLeftMicros:   request.AimLeft.Microseconds(),
 		LeftMicros:      request.Left.Microseconds(),
 		Excluded:        append(p.Directory.Unreachable(), p.Directory.inBackoffHere()...),
--- a/internal/relay/prompt.go
+++ b/internal/relay/prompt.go
@@ -34,7 +34,7 @@
 		lease, err := r.permittedDirect(ctx)
 		return lease, nil, err
 	}
-	lease, err := r.permitted(ctx, func() (*Lease, error) { return r.placer.Reading(ctx, service, r.readRequest()) })
+	lease, err := r.permitted(ctx, func() (*Lease, error) { return r.placer.PlacePrefill(ctx, service, r.readRequest()) })
 	if err != nil {
 		return nil, nil, err
 	}
@@ -81,16 +81,16 @@
 func (r *callState) readRequest() ReadRequest {
 	objective := r.call.objective()
 	return ReadRequest{
-		Prompt:    r.call.Prompt,
-		Objective: objective,
-		TargetGap: r.call.Route.TargetGap,
-		AimLeft:   time.Until(r.call.Arrived.Add(objective)),
-		Left:      r.timeLeft(),
-		Rank:      rankOf(r.call.Route.Priority),
-		Tenant:    tenantHash(r.call.Tenant),
-		Zone:      r.directory.zone,
-		Excluded:  r.excluded(),
-		Unlimited: r.onlyUnlimitedReplicas(),
+		Prompt:         r.call.Prompt,
+		Objective:      objective,
+		TargetTokenGap: r.call.Route.TargetGap,
+		AimLeft:        time.Until(r.call.Arrived.Add(objective)),
+		Left:           r.timeLeft(),
+		Rank:           rankOf(r.call.Route.Priority),
+		Tenant:         tenantHash(r.call.Tenant),
+		Zone:           r.directory.zone,
+		Excluded:       r.excluded(),
+		Unlimited:      r.onlyUnlimitedReplicas(),
 	}
 }
 
@@ -147,7 +147,7 @@
 	if upstream.HandedOver(err) && !budgetTaken.Load() && !isPrefillRejection(err) {
 		// The response was lost, not the prompt: the decode replica may fetch it there. A prompt that
 		// was received is not charged to the budget, whatever became of its response.
-		lease.PromptKept(r.call.Prompt)
+		lease.PromptCached(r.call.Prompt)
 		return nil, nil
 	}
 	if isPrefillRejection(err) && !r.budgets.Withdraw(service) {
@@ -212,8 +212,8 @@
 		return nil, err
 	}
 	lease.Answered(false, nil)
-	lease.PromptRead()
-	lease.PromptKept(r.call.Prompt)
+	lease.PrefillDone()
+	lease.PromptCached(r.call.Prompt)
 	return &promptHandle{id: id, replica: lease.Replica}, nil
 }
 
--- a/internal/relay/question.go
+++ b/internal/relay/question.go
@@ -39,15 +39,15 @@
 func (d *Directory) requestOf(question *region.PlacementQuestion) ReadRequest {
 	prompt := PromptOf(question)
 	return ReadRequest{
-		Prompt:    prompt,
-		Objective: boundedMicros(question.ObjectiveMicros),
-		TargetGap: boundedMicros(question.GapMicros),
-		AimLeft:   boundedMicros(question.AimLeftMicros),
-		Left:      boundedMicros(question.LeftMicros),
-		Rank:      rankOf(question.Rank),
-		Tenant:    question.Tenant,
-		Zone:      question.Zone,
-		Excluded:  d.Find(question.Excluded),
+		Prompt:         prompt,
+		Objective:      boundedMicros(question.ObjectiveMicros),
+		TargetTokenGap: boundedMicros(question.GapMicros),
+		AimLeft:        boundedMicros(question.AimLeftMicros),
+		Left:           boundedMicros(question.LeftMicros),
+		Rank:           rankOf(question.Rank),
+		Tenant:         question.Tenant,
+		Zone:           question.Zone,
+		Excluded:       d.Find(question.Excluded),
 	}
 }
 
--- a/internal/relay/reading.go
+++ b/internal/relay/reading.go
@@ -11,8 +11,8 @@
 	Prompt *Prompt
 	// Objective is the route's objective for the time to the first event.
 	Objective time.Duration
-	// TargetGap is the longest inter-token gap that the route's streams should have.
-	TargetGap time.Duration
+	// TargetTokenGap is the longest inter-token gap that the route's streams should have.
+	TargetTokenGap time.Duration
 	// AimLeft is the time until the objective is missed, Left the time until the caller's deadline.
 	AimLeft time.Duration
 	Left    time.Duration
--- a/internal/relay/reading_test.go
+++ b/internal/relay/reading_test.go
@@ -106,7 +106,7 @@
 	placedOn := func(d *directory, tokens int, gap time.Duration) string {
 		asked++
 		request := readRequest(prompt(relay.PromptPart{ID: fmt.Sprintf("short-%d", asked), Tokens: tokens}))
-		request.TargetGap = gap
+		request.TargetTokenGap = gap
 		lease, err := d.PlacePrefill("s", request)
 		require.NoError(t, err)
 		defer lease.Release()
@@ -137,7 +137,7 @@
 func TestPromptsAvoidDecodeReplicasSlowerThanEstimated(t *testing.T) {
 	place := func(d *directory) *relay.Lease {
 		request := readRequest(ownPrompt(200))
-		request.TargetGap = 150 * time.Millisecond
+		request.TargetTokenGap = 150 * time.Millisecond
 		d.reportPeerWork("r", 300*time.Millisecond)
 		lease, err := d.PlacePrefill("s", request)
 		require.NoError(t, err)
@@ -149,7 +149,7 @@
 		slow := place(d)
 		require.Equal(t, "g", slow.Replica.ID)
 		d.now += 800 * time.Millisecond
-		slow.PromptRead()
+		slow.PrefillDone()
 		slow.Release()
 		next := place(d)
 		assert.Equal(t, off, next.Replica.ID == "g")
@@ -168,7 +168,7 @@
 	} {
 		d := newDirectoryWithKnownCosts(replica("g", region.StageDecode), replica("a", region.StagePrefill), replica("b", region.StagePrefill))
 		d.SetEngine("s", traffic.Engine{TokenBytes: 1000, LinkBitsPerSecond: test.link})
-		d.LearnKept(region.Life{ID: "b"}, []relay.PromptPart{shared})
+		d.AddCached(region.Life{ID: "b"}, []relay.PromptPart{shared})
 		d.reportPeerWork("b", 900*time.Millisecond)
 		lease := d.placePrefill(prompt(shared, relay.PromptPart{ID: "own", Tokens: 100}))
 		require.Equal(t, "a", lease.Replica.ID)
@@ -224,14 +224,14 @@
 	prefill := func(id string) {
 		lease := d.placePrefill(prompt(relay.PromptPart{ID: "shared-" + id, Tokens: 8000}, relay.PromptPart{ID: "own-" + id, Tokens: 400}))
 		d.now += 10 * time.Millisecond
-		lease.PromptRead()
+		lease.PrefillDone()
 		lease.Release()
 	}
 	for number := range 5 {
 		prefill(fmt.Sprint(number))
 	}
 	assert.Empty(t, d.Costs())
-	d.LearnKept(region.Life{ID: "r"}, nil)
+	d.AddCached(region.Life{ID: "r"}, nil)
 	for number := range 5 {
 		prefill(fmt.Sprint("kept-", number))
 	}
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -117,8 +117,8 @@
 	}
 	lease.StreamBegun(r.call.Route.Name, send.PrefillSource != "")
 	if r.call.Prompt != nil {
-		lease.PromptRead()
-		lease.PromptKept(r.call.Prompt)
+		lease.PrefillDone()
+		lease.PromptCached(r.call.Prompt)
 	}
 }
 
--- a/internal/relay/switches_test.go
+++ b/internal/relay/switches_test.go
@@ -18,7 +18,7 @@
 	request := func(own string) relay.ReadRequest {
 		return relay.ReadRequest{
 			Prompt:    &relay.Prompt{Tokens: 9000, Parts: []relay.PromptPart{{ID: "shared", Tokens: 8000}, {ID: own, Tokens: 1000}}},
-			Objective: time.Second, TargetGap: time.Second, AimLeft: time.Second, Left: 4 * time.Second,
+			Objective: time.Second, TargetTokenGap: time.Second, AimLeft: time.Second, Left: 4 * time.Second,
 		}
 	}
 	stageOf := func(off mechanism.Set) string {
@@ -36,8 +36,8 @@
 		d.Disable(off)
 		first, err := d.PlacePrefill("s", request("first"))
 		require.NoError(t, err)
-		first.PromptRead()
-		first.PromptKept(request("first").Prompt)
+		first.PrefillDone()
+		first.PromptCached(request("first").Prompt)
 		d.now += time.Second
 		for number := range 20 {
 			lease, err := d.PlacePrefill("s", request(fmt.Sprint(number)))
