--- a/internal/coordinator/arrivals.go
+++ b/internal/coordinator/arrivals.go
@@ -20,9 +20,9 @@
 // standbyCount returns the number of a service's replicas on standby.
 func (k *stagePlanner) standbyCount(service string) int {
 	sum := 0
-	for group, spare := range k.spares {
+	for group, onStandby := range k.standby {
 		if group.service == service {
-			sum += spare.Prefill + spare.Decode
+			sum += onStandby.Prefill + onStandby.Decode
 		}
 	}
 	return sum
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -47,7 +47,7 @@
 	limits            *limitService
 	leaving           *leavingReports
 	permits           probationPermits
-	outlooks          fleetOutlooks
+	explanations      fleetExplanations
 	activity          activityPlanner
 }
 
--- a/internal/coordinator/fleet.go
+++ b/internal/coordinator/fleet.go
@@ -67,7 +67,7 @@
 		for _, order := range planner.Step(k.now(), input) {
 			k.order(ctx, service, planner, order)
 		}
-		k.outlooks.note(service, planner.Explanation())
+		k.explanations.note(service, planner.Explanation())
 	}
 }
 
@@ -199,11 +199,11 @@
 	if err == nil {
 		err = k.settings.Platform.OrderFleet(bounded, DutyCall{Holder: k.settings.Name, Fence: fence}, order)
 	}
-	outlook := planner.Explanation()
+	explanation := planner.Explanation()
 	k.logger.Info(event.FleetOrdered, "service", service, "zone", order.Zone, "preemptible", order.Preemptible, "count", order.Count,
-		"reason", planned.Reason, "learned", outlook.Learned, "wanted", outlook.Wanted, "enough", outlook.Sufficient, "busy", outlook.Load.Busy,
-		"kept", outlook.Load.CacheSavings, "readers", outlook.PrefillReplicas, "prompts", outlook.Load.Prompts, "delayed", outlook.Load.Delayed, "trust", outlook.DelayRatio, "slack_ms", outlook.Load.Slack.Milliseconds(),
-		"reading_ms", outlook.Load.ResidualPrefill.Milliseconds(), "late", outlook.Late, "next_worth", outlook.NextWorth, "next_price", outlook.NextPrice,
+		"reason", planned.Reason, "learned", explanation.Learned, "wanted", explanation.Wanted, "enough", explanation.Sufficient, "busy", explanation.Load.Busy,
+		"kept", explanation.Load.CacheSavings, "readers", explanation.PrefillReplicas, "prompts", explanation.Load.Prompts, "delayed", explanation.Load.Delayed, "trust", explanation.DelayRatio, "slack_ms", explanation.Load.Slack.Milliseconds(),
+		"reading_ms", explanation.Load.ResidualPrefill.Milliseconds(), "late", explanation.Late, "next_worth", explanation.NextWorth, "next_price", explanation.NextPrice,
 		"fence", fence, "term", k.term, "error", failure.Text(err))
 	switch {
 	case err == nil:
--- a/internal/coordinator/fleetreport.go
+++ b/internal/coordinator/fleetreport.go
@@ -38,22 +38,22 @@
 	NextPrice float64 `json:"next_price"`
 }
 
-// fleetOutlooks holds the leader's planning results by service.
-type fleetOutlooks struct {
+// fleetExplanations holds the leader's planning results by service.
+type fleetExplanations struct {
 	mutex    sync.Mutex
 	services map[string]fleetplan.Explanation
 }
 
-func (f *fleetOutlooks) note(service string, outlook fleetplan.Explanation) {
+func (f *fleetExplanations) note(service string, explanation fleetplan.Explanation) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if f.services == nil {
 		f.services = map[string]fleetplan.Explanation{}
 	}
-	f.services[service] = outlook
+	f.services[service] = explanation
 }
 
-func (f *fleetOutlooks) all() map[string]fleetplan.Explanation {
+func (f *fleetExplanations) all() map[string]fleetplan.Explanation {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return maps.Clone(f.services)
@@ -65,19 +65,19 @@
 	if !c.Leads() {
 		return report
 	}
-	for service, outlook := range c.outlooks.all() {
+	for service, explanation := range c.explanations.all() {
 		report.Services = append(report.Services, ServiceFleet{
 			Service:   service,
-			Learned:   outlook.Learned,
-			Wanted:    outlook.Wanted,
-			Readers:   outlook.PrefillReplicas,
-			Enough:    outlook.Sufficient,
-			Busy:      outlook.Load.Busy,
-			Prompts:   outlook.Load.Prompts,
-			Delayed:   outlook.Load.Delayed,
-			Late:      outlook.Late,
-			NextWorth: outlook.NextWorth,
-			NextPrice: outlook.NextPrice,
+			Learned:   explanation.Learned,
+			Wanted:    explanation.Wanted,
+			Readers:   explanation.PrefillReplicas,
+			Enough:    explanation.Sufficient,
+			Busy:      explanation.Load.Busy,
+			Prompts:   explanation.Load.Prompts,
+			Delayed:   explanation.Load.Delayed,
+			Late:      explanation.Late,
+			NextWorth: explanation.NextWorth,
+			NextPrice: explanation.NextPrice,
 		})
 	}
 	slices.SortFunc(report.Services, func(a, b ServiceFleet) int { return strings.Compare(a.Service, b.Service) })
--- a/internal/coordinator/stageinput.go
+++ b/internal/coordinator/stageinput.go
@@ -72,7 +72,7 @@
 		RunningStreams:  demand.Generating,
 		ExpectedStreams: demand.Expected,
 		PrefillLoad:     demand.Reading,
-		Standby:         k.spares[group],
+		Standby:         k.standby[group],
 	}
 	unreachable, refusing := reportedByEnough(demand.Unreachable), reportedByEnough(demand.Refusing)
 	if demand.Gateways > 0 {
--- a/internal/coordinator/stages.go
+++ b/internal/coordinator/stages.go
@@ -95,8 +95,8 @@
 	// lastReplicas are the group's replicas at the last step.
 	listChangedAt map[stageGroup]time.Duration
 	lastReplicas  map[stageGroup]string
-	// spares are the numbers of replicas on standby at the last step.
-	spares map[stageGroup]stageplan.Standby
+	// standby are the numbers of replicas on standby at the last step.
+	standby map[stageGroup]stageplan.Standby
 	// replicaCounts are the numbers of replicas on the list, by service.
 	replicaCounts map[string]replicaCount
 }
@@ -149,8 +149,8 @@
 	if !k.mayCall() {
 		return
 	}
-	services, spares := modelReplicas(state, k.settings.Topology.Group)
-	k.spares = spares
+	services, standby := modelReplicas(state, k.settings.Topology.Group)
+	k.standby = standby
 	for service, replicas := range services {
 		k.stepService(ctx, now, service, replicas, state.Changes)
 	}
@@ -191,9 +191,9 @@
 
 // modelReplicas returns the active replicas with a stage that are not leaving, by service, and the numbers
 // of those on standby.
-func modelReplicas(state region.State, groupOf func(zone string) string) (services map[string][]region.Replica, spares map[stageGroup]stageplan.Standby) {
+func modelReplicas(state region.State, groupOf func(zone string) string) (services map[string][]region.Replica, standby map[stageGroup]stageplan.Standby) {
 	services = map[string][]region.Replica{}
-	spares = map[stageGroup]stageplan.Standby{}
+	standby = map[stageGroup]stageplan.Standby{}
 	for _, listed := range state.Replicas {
 		replica := listed.Replica
 		switch {
@@ -202,16 +202,16 @@
 			services[replica.Service] = append(services[replica.Service], replica)
 		default:
 			group := stageGroup{service: replica.Service, region: groupOf(replica.Zone)}
-			spare := spares[group]
+			onStandby := standby[group]
 			if replica.Stage == region.StagePrefill {
-				spare.Prefill++
+				onStandby.Prefill++
 			} else {
-				spare.Decode++
+				onStandby.Decode++
 			}
-			spares[group] = spare
+			standby[group] = onStandby
 		}
 	}
-	return services, spares
+	return services, standby
 }
 
 // endStuckChanges ends changes that the list has not shown within changeTimeout.
--- a/internal/fleetplan/plan.go
+++ b/internal/fleetplan/plan.go
@@ -138,8 +138,8 @@
 	// onlyStable is set while preemptible replicas are not worth their price.
 	onlyStable bool
 	// adoptedMix is set once the mix ordered by an earlier planner, if any, has been adopted.
-	adoptedMix bool
-	outlook    Explanation
+	adoptedMix  bool
+	explanation Explanation
 }
 
 type orderKey struct {
@@ -180,7 +180,7 @@
 }
 
 // Explanation explains the planned number of replicas.
-func (p *Planner) Explanation() Explanation { return p.outlook }
+func (p *Planner) Explanation() Explanation { return p.explanation }
 
 // Step returns the orders to make now, those that add replicas first.
 func (p *Planner) Step(now time.Duration, input Input) []Order {
--- a/internal/fleetplan/planmix.go
+++ b/internal/fleetplan/planmix.go
@@ -123,7 +123,7 @@
 
 // updateOutlook records why the planner wants its number of replicas.
 func (p *Planner) updateOutlook(input Input, target [][kinds]int) {
-	p.outlook = Explanation{
+	p.explanation = Explanation{
 		Learned:         p.mix != nil,
 		Wanted:          total(target),
 		Sufficient:      p.sufficient(input),
@@ -136,11 +136,11 @@
 	}
 	optimizer := p.newOptimizer(input)
 	copy(optimizer.mix, target)
-	p.outlook.Late = optimizer.lateRate()
-	zone, kind, count, gain := optimizer.bestAddition(p.outlook.Late, Stable, Preemptible)
+	p.explanation.Late = optimizer.lateRate()
+	zone, kind, count, gain := optimizer.bestAddition(p.explanation.Late, Stable, Preemptible)
 	if count == 0 {
 		return
 	}
-	p.outlook.NextPrice = optimizer.price * input.priceOf(zone, kind)
-	p.outlook.NextWorth = gain + p.outlook.NextPrice
+	p.explanation.NextPrice = optimizer.price * input.priceOf(zone, kind)
+	p.explanation.NextWorth = gain + p.explanation.NextPrice
 }
--- a/internal/stageplan/plan_test.go
+++ b/internal/stageplan/plan_test.go
@@ -285,12 +285,12 @@
 // orders at 300 replicas and 251 at 1,000, for a load that a few replicas could serve.
 func TestStandbyReplicasPreventStageChanges(t *testing.T) {
 	for _, size := range []int{300, 1_000, 3_000} {
-		spares := stageplan.Standby{Prefill: size / 3, Decode: size / 3}
-		input := stageplan.Input{Replicas: fleet(128, 128), Standby: spares}
+		standby := stageplan.Standby{Prefill: size / 3, Decode: size / 3}
+		input := stageplan.Input{Replicas: fleet(128, 128), Standby: standby}
 		changes, now := settle(t, &stageplan.Planner{}, 0, input)
 		assert.Zero(t, changes, "before demand is known, %d replicas", size)
 
-		busy := stageplan.Input{Replicas: fleet(128, 128), Standby: spares, DemandKnown: true, PrefillLoad: 120, RunningStreams: 10}
+		busy := stageplan.Input{Replicas: fleet(128, 128), Standby: standby, DemandKnown: true, PrefillLoad: 120, RunningStreams: 10}
 		changes, _ = settle(t, &stageplan.Planner{}, now, busy)
 		assert.Zero(t, changes, "prefill replicas are on standby")
 		busy.Standby.Prefill = 0
