--- a/internal/coordinator/replicalimits_test.go
+++ b/internal/coordinator/replicalimits_test.go
@@ -55,10 +55,10 @@
 func (a *limitClient) requestPermit(coordinator, replica string) quota.Answer {
 	a.t.Helper()
 	a.lastID++
-	question := &quota.GatewayMessage{Queries: []quota.Query{{ID: a.lastID, Account: replica, Units: 1}}}
+	query := &quota.GatewayMessage{Queries: []quota.Query{{ID: a.lastID, Account: replica, Units: 1}}}
 	deadline := time.After(30 * time.Second)
 	for {
-		a.socket.Send(datagram.KindLimit, question, netip.MustParseAddrPort(coordinator))
+		a.socket.Send(datagram.KindLimit, query, netip.MustParseAddrPort(coordinator))
 		select {
 		case answer := <-a.answers:
 			if answer.ID == a.lastID {
--- a/internal/quota/benchmark_test.go
+++ b/internal/quota/benchmark_test.go
@@ -43,8 +43,8 @@
 		b.ReportAllocs()
 		for number := 0; b.Loop(); number++ {
 			message := &quota.PeerMessage{From: "10.0.0.2:7400", Incarnation: 2, Time: int64(number)}
-			for question := range batchSize {
-				message.Queries = append(message.Queries, targetQuery(number*batchSize+question))
+			for offset := range batchSize {
+				message.Queries = append(message.Queries, targetQuery(number*batchSize+offset))
 			}
 			var read quota.PeerMessage
 			sent += roundTrip(b, message, &read)
--- a/internal/relay/daemon/poolclient.go
+++ b/internal/relay/daemon/poolclient.go
@@ -24,17 +24,17 @@
 	// not answered is asked last. After that time, another one leads, or the gateway polls another
 	// one.
 	poolUnresponsiveFraction = 0.25
-	// poolUnresponsiveAfter is the number of consecutive unanswered questions after which requests
-	// no longer wait for a coordinator. One is not enough, as the datagrams of a question may be
+	// poolUnresponsiveAfter is the number of consecutive unanswered queries after which requests
+	// no longer wait for a coordinator. One is not enough, as the datagrams of a query may be
 	// lost.
 	poolUnresponsiveAfter = 2
 	// poolCoordinators is the number of coordinators asked about a request: the polled one, and
 	// another one if the polled one has just failed.
 	poolCoordinators = 2
-	// poolAttempts is how often a question is sent within the timeout, as datagrams can be lost.
-	// The question is charged once.
+	// poolAttempts is how often a query is sent within the timeout, as datagrams can be lost.
+	// The query is charged once.
 	poolAttempts = 2
-	// poolLateAnswerTime is how long an answer to an abandoned question is still expected.
+	// poolLateAnswerTime is how long an answer to an abandoned query is still expected.
 	poolLateAnswerTime = time.Second
 )
 
@@ -51,10 +51,10 @@
 
 	mutex  sync.Mutex
 	lastID uint64
-	// pending holds the questions that await an answer. abandoned holds those that timed out or
+	// pending holds the queries that await an answer. abandoned holds those that timed out or
 	// whose caller has disconnected; their charge is returned if a late answer admits them.
 	pending   map[uint64]chan quota.GatewayReply
-	abandoned map[uint64]abandonedQuestion
+	abandoned map[uint64]abandonedQuery
 	// unresponsive holds the coordinators that have not answered recently.
 	unresponsive map[string]unresponsiveState
 	// nextProbeAt is when a request next asks while all candidates are unresponsive.
@@ -63,14 +63,14 @@
 }
 
 // unresponsiveState is the time until which a coordinator counts as unresponsive, and the number of
-// consecutive questions it has not answered.
+// consecutive queries it has not answered.
 type unresponsiveState struct {
 	until      time.Duration
 	unanswered int
 }
 
-// abandonedQuestion is a question that is no longer waited for.
-type abandonedQuestion struct {
+// abandonedQuery is a query that is no longer waited for.
+type abandonedQuery struct {
 	amount quota.Amount
 	until  time.Duration
 }
@@ -82,7 +82,7 @@
 	Asked, Refused, Local uint64
 }
 
-// poolDecision is a pool's decision on a question.
+// poolDecision is a pool's decision on a query.
 type poolDecision struct {
 	quota.Answer
 	mode        quota.Mode
@@ -93,14 +93,14 @@
 	created := &poolClient{
 		settings: settings,
 		logger:   settings.Logger,
-		// Starting at the current time avoids reusing the question IDs of an earlier process.
+		// Starting at the current time avoids reusing the query IDs of an earlier process.
 		lastID:       uint64(time.Now().UnixNano()),
 		socket:       socket,
 		questionKind: questionKind,
 		clock:        views.now,
 		views:        views,
 		pending:      map[uint64]chan quota.GatewayReply{},
-		abandoned:    map[uint64]abandonedQuestion{},
+		abandoned:    map[uint64]abandonedQuery{},
 		unresponsive: map[string]unresponsiveState{},
 	}
 	socket.Handle(replies, created.receive)
@@ -129,18 +129,18 @@
 	p.socket.Send(p.questionKind, &quota.GatewayMessage{Amounts: []quota.Amount{amount}}, coordinator)
 }
 
-// decide asks coordinators to decide on a question about a request. It returns false if none has
+// decide asks coordinators to decide on a query about a request. It returns false if none has
 // decided, and an error if the request's caller has disconnected.
-func (p *poolClient) decide(ctx context.Context, request string, question quota.Query) (poolDecision, bool, error) {
+func (p *poolClient) decide(ctx context.Context, request string, query quota.Query) (poolDecision, bool, error) {
 	candidates := p.candidates()
 	if !p.shouldAsk(candidates) {
 		return poolDecision{}, false, nil
 	}
 	for _, coordinator := range candidates {
-		reply, answered := p.ask(ctx, coordinator, question)
+		reply, answered := p.ask(ctx, coordinator, query)
 		if ctx.Err() != nil {
 			if answered && reply.Answers[0].Admitted {
-				p.newCharge(question, coordinator).settle(0)
+				p.newCharge(query, coordinator).settle(0)
 			}
 			return poolDecision{}, false, failure.Wrap(ctx.Err(), failure.CallerGone)
 		}
@@ -148,7 +148,7 @@
 			p.countDecision(reply.Answers[0].Admitted, false)
 			return poolDecision{Answer: reply.Answers[0], mode: reply.Mode, coordinator: coordinator}, true, nil
 		}
-		p.logger.Info(event.QuotaSilent, "request", request, "account", question.Account, "coordinator", coordinator.String(), "unsure", answered)
+		p.logger.Info(event.QuotaSilent, "request", request, "account", query.Account, "coordinator", coordinator.String(), "unsure", answered)
 	}
 	return poolDecision{}, false, nil
 }
@@ -167,8 +167,8 @@
 }
 
 // newCharge returns the charge of a request that a coordinator has admitted.
-func (p *poolClient) newCharge(question quota.Query, coordinator netip.AddrPort) *charge {
-	return &charge{client: p, amount: quota.Amount{Account: question.Account, Units: question.Units}, coordinator: coordinator}
+func (p *poolClient) newCharge(query quota.Query, coordinator netip.AddrPort) *charge {
+	return &charge{client: p, amount: quota.Amount{Account: query.Account, Units: query.Units}, coordinator: coordinator}
 }
 
 // candidates returns up to poolCoordinators coordinators to ask: first the polled one, then the
@@ -213,15 +213,15 @@
 	return true
 }
 
-// ask asks one coordinator, sending the question up to poolAttempts times.
-func (p *poolClient) ask(ctx context.Context, coordinator netip.AddrPort, question quota.Query) (quota.GatewayReply, bool) {
+// ask asks one coordinator, sending the query up to poolAttempts times.
+func (p *poolClient) ask(ctx context.Context, coordinator netip.AddrPort, query quota.Query) (quota.GatewayReply, bool) {
 	answers := make(chan quota.GatewayReply, 1)
 	p.mutex.Lock()
 	p.lastID++
-	question.ID = p.lastID
-	p.pending[question.ID] = answers
+	query.ID = p.lastID
+	p.pending[query.ID] = answers
 	p.mutex.Unlock()
-	message := &quota.GatewayMessage{Queries: []quota.Query{question}}
+	message := &quota.GatewayMessage{Queries: []quota.Query{query}}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for range poolAttempts {
@@ -232,14 +232,14 @@
 			return reply, true
 		case <-timer.C:
 		case <-ctx.Done():
-			return p.abandon(ctx, coordinator, question, answers)
+			return p.abandon(ctx, coordinator, query, answers)
 		}
 	}
-	return p.abandon(ctx, coordinator, question, answers)
+	return p.abandon(ctx, coordinator, query, answers)
 }
 
-// abandon stops waiting for a question, unless its answer has just arrived.
-func (p *poolClient) abandon(ctx context.Context, coordinator netip.AddrPort, question quota.Query, answers chan quota.GatewayReply) (quota.GatewayReply, bool) {
+// abandon stops waiting for a query, unless its answer has just arrived.
+func (p *poolClient) abandon(ctx context.Context, coordinator netip.AddrPort, query quota.Query, answers chan quota.GatewayReply) (quota.GatewayReply, bool) {
 	now := p.clock()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -248,13 +248,13 @@
 		return reply, true
 	default:
 	}
-	delete(p.pending, question.ID)
+	delete(p.pending, query.ID)
 	for id, each := range p.abandoned {
 		if now >= each.until {
 			delete(p.abandoned, id)
 		}
 	}
-	p.abandoned[question.ID] = abandonedQuestion{amount: quota.Amount{Account: question.Account, Units: question.Units}, until: now + poolLateAnswerTime}
+	p.abandoned[query.ID] = abandonedQuery{amount: quota.Amount{Account: query.Account, Units: query.Units}, until: now + poolLateAnswerTime}
 	if ctx.Err() == nil {
 		p.unresponsive[coordinator.String()] = unresponsiveState{
 			until:      now + p.contactFraction(poolUnresponsiveFraction),
@@ -284,9 +284,9 @@
 			answers <- quota.GatewayReply{Answers: []quota.Answer{each}, Mode: reply.Mode}
 			continue
 		}
-		if question, found := p.abandoned[each.ID]; found && each.Admitted {
+		if query, found := p.abandoned[each.ID]; found && each.Admitted {
 			delete(p.abandoned, each.ID)
-			p.sendAmount(question.amount, from)
+			p.sendAmount(query.amount, from)
 		}
 	}
 	return nil
--- a/internal/relay/daemon/quotas.go
+++ b/internal/relay/daemon/quotas.go
@@ -35,25 +35,25 @@
 	if owner == nil || owner.Quota == nil || q.settings.DisabledMechanisms[mechanism.Quotas] {
 		return nil, nil
 	}
-	question := quota.Query{Account: owner.Name, Units: owner.Quota.Units(tokens), Rank: rank}
-	decision, decided, err := q.decide(ctx, id, question)
+	query := quota.Query{Account: owner.Name, Units: owner.Quota.Units(tokens), Rank: rank}
+	decision, decided, err := q.decide(ctx, id, query)
 	if err != nil {
 		return nil, err
 	}
 	if !decided {
-		decision = poolDecision{Answer: q.decideLocally(owner.Quota.Limit, question), mode: "local"}
+		decision = poolDecision{Answer: q.decideLocally(owner.Quota.Limit, query), mode: "local"}
 	}
-	return q.enforce(id, question, decision)
+	return q.enforce(id, query, decision)
 }
 
 // enforce returns the charge of an admitted request, or the error for a refused one.
-func (q *quotaClient) enforce(id string, question quota.Query, decision poolDecision) (*charge, error) {
+func (q *quotaClient) enforce(id string, query quota.Query, decision poolDecision) (*charge, error) {
 	if decision.Admitted {
-		return q.newCharge(question, decision.coordinator), nil
+		return q.newCharge(query, decision.coordinator), nil
 	}
 	wait := time.Duration(decision.WaitMicros) * time.Microsecond
-	q.logger.Info(event.RequestRefused, "request", id, "kind", string(failure.TenantLimit), "tenant", question.Account,
-		"units", question.Units, "rank", question.Rank, "level", int64(decision.Level), "rate", int64(decision.Rate), "never", decision.Never,
+	q.logger.Info(event.RequestRefused, "request", id, "kind", string(failure.TenantLimit), "tenant", query.Account,
+		"units", query.Units, "rank", query.Rank, "level", int64(decision.Level), "rate", int64(decision.Rate), "never", decision.Never,
 		"mode", string(decision.mode), "decided_by", decision.coordinator.String(), "retry_after_ms", wait.Milliseconds())
 	reason := "the tenant has used up its limit"
 	if decision.Never {
@@ -63,13 +63,13 @@
 }
 
 // decideLocally decides on a request while no coordinator answers.
-func (q *quotaClient) decideLocally(limit quota.Limit, question quota.Query) quota.Answer {
+func (q *quotaClient) decideLocally(limit quota.Limit, query quota.Query) quota.Answer {
 	gateways := q.views.gatewayCount()
 	q.localMutex.Lock()
-	answer := q.local.Decide(q.clock(), limit, gateways, question)
+	answer := q.local.Decide(q.clock(), limit, gateways, query)
 	q.localMutex.Unlock()
 	q.countDecision(answer.Admitted, true)
-	q.logger.V(1).Info(event.QuotaLocal, "tenant", question.Account, "units", question.Units, "admitted", answer.Admitted,
+	q.logger.V(1).Info(event.QuotaLocal, "tenant", query.Account, "units", query.Units, "admitted", answer.Admitted,
 		"level", int64(answer.Level), "gateways", gateways)
 	return answer
 }
--- a/internal/relay/daemon/replicalimits.go
+++ b/internal/relay/daemon/replicalimits.go
@@ -117,14 +117,14 @@
 }
 
 // requestPermit asks whether a request may be sent to a replica that declares a limit.
-func (l *limitClient) requestPermit(ctx context.Context, limitQuestion relay.PermitRequest) relay.Permit {
-	question := quota.Query{Account: limitQuestion.Life, Units: 1, Rank: limitQuestion.Rank}
-	decision, decided, err := l.decide(ctx, limitQuestion.Request, question)
+func (l *limitClient) requestPermit(ctx context.Context, permitRequest relay.PermitRequest) relay.Permit {
+	query := quota.Query{Account: permitRequest.Life, Units: 1, Rank: permitRequest.Rank}
+	decision, decided, err := l.decide(ctx, permitRequest.Request, query)
 	if err != nil {
 		return relay.Permit{}
 	}
 	if !decided {
-		return l.decideLocally(limitQuestion)
+		return l.decideLocally(permitRequest)
 	}
 	l.stateMutex.Lock()
 	l.fallback.Reset()
@@ -133,14 +133,14 @@
 		Granted: decision.Admitted,
 		Wait:    time.Duration(decision.WaitMicros) * time.Microsecond,
 		By:      decision.coordinator.String(),
-		Return:  func() { l.newCharge(question, decision.coordinator).settle(0) },
+		Return:  func() { l.newCharge(query, decision.coordinator).settle(0) },
 	}
 }
 
 // decideLocally decides while no coordinator answers.
-func (l *limitClient) decideLocally(limitQuestion relay.PermitRequest) relay.Permit {
+func (l *limitClient) decideLocally(permitRequest relay.PermitRequest) relay.Permit {
 	l.stateMutex.Lock()
-	granted, wait := l.fallback.Allow(l.clock(), limitQuestion.Life, limitQuestion.Rate, l.views.gatewayCount())
+	granted, wait := l.fallback.Allow(l.clock(), permitRequest.Life, permitRequest.Rate, l.views.gatewayCount())
 	l.stateMutex.Unlock()
 	l.countDecision(granted, true)
 	return relay.Permit{Granted: granted, Wait: wait, By: "self", Return: func() {}}
