--- a/internal/cli/regional.go
+++ b/internal/cli/regional.go
@@ -151,7 +151,7 @@
 		Zone: settings.Zone,
 
 		Topology: settings.Topology(),
-		Quota:    settings.QuotaTerms(),
+		Quota:    settings.QuotaEnforcement(),
 
 		LinkBitsPerSecond:          settings.LinkMegabits * bitsPerMegabit,
 		OtherRegionsBytesPerSecond: settings.OtherRegionsRate,
@@ -201,9 +201,9 @@
 
 func runCoordinator(process regionalProcess) error {
 	settings := process.settings
-	var fileSystem storage.FileSystem = storage.OperatingSystem{}
+	var fileSystem storage.FileSystem = storage.OSFileSystem{}
 	if settings.IgnoreFileIdentity {
-		fileSystem = storage.Unidentified{FileSystem: fileSystem}
+		fileSystem = storage.WithoutFileIdentity{FileSystem: fileSystem}
 	}
 	stagePolicy, err := regional.OpenPolicy(settings.Policy, process.logger)
 	if err != nil {
@@ -240,7 +240,7 @@
 		EvidenceHoldTime:  settings.Hold(),
 
 		Topology: settings.Topology(),
-		Quota:    settings.QuotaTerms(),
+		Quota:    settings.QuotaEnforcement(),
 
 		PlacementGatewayThreshold:  settings.PlacesFrom(),
 		MinimumActiveReplicas:      settings.ActiveReplicas,
--- a/internal/relay/daemon/endingrequests_test.go
+++ b/internal/relay/daemon/endingrequests_test.go
@@ -202,7 +202,7 @@
 
 // toleratedOverrun lets a tenant with a limit of almost zero send 14 requests, and none after that
 // while the test runs: a pool that counts the whole limit grants a debt of 0.35 of the overrun.
-var toleratedOverrun = quota.Terms{Slack: 40}
+var toleratedOverrun = quota.Enforcement{AbsoluteTolerance: 40}
 
 func newTestRegion(t *testing.T, replicas, gateways int, tenants ...traffic.Tenant) *testRegion {
 	t.Helper()
@@ -219,7 +219,7 @@
 	r.t.Helper()
 	created, err := coordinator.New(coordinator.Settings{
 		Name: "coordinator", Zone: "zone", Address: r.coordinator, Seeds: func() []string { return []string{r.coordinator} },
-		Bootstrap: true, Voters: 1, DataFolder: filepath.Join(r.folder, "data"), FileSystem: storage.OperatingSystem{},
+		Bootstrap: true, Voters: 1, DataFolder: filepath.Join(r.folder, "data"), FileSystem: storage.OSFileSystem{},
 		Lister: r.replicas, Codec: jsonCodec{}, ListInterval: 50 * time.Millisecond, PlacementGatewayThreshold: -1, Quota: toleratedOverrun, ContactTime: r.contact(), Logger: logr.Discard(),
 	})
 	require.NoError(r.t, err)
--- a/internal/relay/daemon/poolclient.go
+++ b/internal/relay/daemon/poolclient.go
@@ -132,7 +132,7 @@
 // decide queries coordinators in turn until one decides on a request. It returns false if none has
 // decided. If the request's caller has disconnected, it returns an error, and a charge that a
 // coordinator has made is returned to it.
-func (p *poolClient) decide(ctx context.Context, request string, query quota.Question) (poolDecision, bool, error) {
+func (p *poolClient) decide(ctx context.Context, request string, query quota.Query) (poolDecision, bool, error) {
 	candidates := p.candidates()
 	if !p.shouldAsk(candidates) {
 		return poolDecision{}, false, nil
@@ -168,7 +168,7 @@
 }
 
 // newCharge returns the charge of a request that a coordinator has admitted.
-func (p *poolClient) newCharge(query quota.Question, coordinator netip.AddrPort) *charge {
+func (p *poolClient) newCharge(query quota.Query, coordinator netip.AddrPort) *charge {
 	return &charge{client: p, amount: quota.Amount{Account: query.Account, Units: query.Units}, coordinator: coordinator}
 }
 
@@ -215,14 +215,14 @@
 }
 
 // ask sends a query to one coordinator up to poolAttempts times, and waits for the answer.
-func (p *poolClient) ask(ctx context.Context, coordinator netip.AddrPort, query quota.Question) (quota.GatewayReply, bool) {
+func (p *poolClient) ask(ctx context.Context, coordinator netip.AddrPort, query quota.Query) (quota.GatewayReply, bool) {
 	answers := make(chan quota.GatewayReply, 1)
 	p.mutex.Lock()
 	p.lastID++
 	query.ID = p.lastID
 	p.pending[query.ID] = answers
 	p.mutex.Unlock()
-	message := &quota.GatewayMessage{Questions: []quota.Question{query}}
+	message := &quota.GatewayMessage{Queries: []quota.Query{query}}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for range poolAttempts {
@@ -240,7 +240,7 @@
 }
 
 // abandon stops waiting for the answer to a query, unless it has just arrived.
-func (p *poolClient) abandon(ctx context.Context, coordinator netip.AddrPort, query quota.Question, answers chan quota.GatewayReply) (quota.GatewayReply, bool) {
+func (p *poolClient) abandon(ctx context.Context, coordinator netip.AddrPort, query quota.Query, answers chan quota.GatewayReply) (quota.GatewayReply, bool) {
 	now := p.clock()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/relay/grant.go
+++ b/internal/relay/grant.go
@@ -67,7 +67,7 @@
 		LoadAge:    -time.Millisecond,
 	}
 	given.generation = d.grantGeneration
-	given.reportableGap = time.Duration(reportableGapShare * float64(request.TargetGap))
+	given.reportableGap = time.Duration(reportableGapShare * float64(request.TargetTokenGap))
 	lease.grant = given
 	replica.granted.requests++
 	if answer.BusyMicros > 0 {
--- a/internal/relay/prompt.go
+++ b/internal/relay/prompt.go
@@ -35,7 +35,7 @@
 		lease, err := r.permittedDirect(ctx)
 		return lease, nil, err
 	}
-	lease, err := r.permitted(ctx, func() (*Lease, error) { return r.placer.Reading(ctx, service, r.prefillRequest()) })
+	lease, err := r.permitted(ctx, func() (*Lease, error) { return r.placer.PlacePrefill(ctx, service, r.prefillRequest()) })
 	if err != nil {
 		return nil, nil, err
 	}
@@ -82,16 +82,16 @@
 func (r *callState) prefillRequest() ReadRequest {
 	objective := r.call.objective()
 	return ReadRequest{
-		Prompt:    r.call.Prompt,
-		Objective: objective,
-		TargetGap: r.call.Route.TargetGap,
-		AimLeft:   time.Until(r.call.Arrived.Add(objective)),
-		Left:      r.timeLeft(),
-		Rank:      rankOf(r.call.Route.Priority),
-		Tenant:    tenantHash(r.call.Tenant),
-		Zone:      r.directory.zone,
-		Excluded:  r.excluded(),
-		Unlimited: r.onlyUnlimitedReplicas(),
+		Prompt:         r.call.Prompt,
+		Objective:      objective,
+		TargetTokenGap: r.call.Route.TargetGap,
+		AimLeft:        time.Until(r.call.Arrived.Add(objective)),
+		Left:           r.timeLeft(),
+		Rank:           rankOf(r.call.Route.Priority),
+		Tenant:         tenantHash(r.call.Tenant),
+		Zone:           r.directory.zone,
+		Excluded:       r.excluded(),
+		Unlimited:      r.onlyUnlimitedReplicas(),
 	}
 }
 
@@ -148,7 +148,7 @@
 	if upstream.HandedOver(err) && !budgetTaken.Load() && !isPrefillRejection(err) {
 		// The response was lost, not the prompt: the decode replica may fetch it there. A prompt that
 		// was received is not charged to the budget, whatever became of its response.
-		lease.PromptKept(r.call.Prompt)
+		lease.PromptCached(r.call.Prompt)
 		return nil, nil
 	}
 	if isPrefillRejection(err) && !r.budgets.Withdraw(service) {
@@ -213,8 +213,8 @@
 		return nil, err
 	}
 	lease.Answered(false, nil)
-	lease.PromptRead()
-	lease.PromptKept(r.call.Prompt)
+	lease.PrefillDone()
+	lease.PromptCached(r.call.Prompt)
 	return &promptHandle{id: id, replica: lease.Replica}, nil
 }
 
