--- a/internal/controller/peer/limits_test.go
+++ b/internal/controller/peer/limits_test.go
@@ -11,15 +11,16 @@
 	"github.com/pierhaven/pierhaven/internal/controller/peer"
 )
 
-// message is a type with both directions of its encoding.
+// message is a type that can be encoded and decoded.
 type message interface {
 	msgp.Marshaler
 	msgp.Unmarshaler
 }
 
-// What a leader takes into its log has to reach the followers: a group whose
-// entries are refused on the way commits nothing any more.
-func TestTheLargestCommandTravels(t *testing.T) {
+// Every command that a leader accepts into its log must fit into the messages
+// between replicas: if followers reject an entry's message as too large, the group
+// can't commit anything any more.
+func TestLargestCommandFitsInMessages(t *testing.T) {
 	command := make([]byte, replica.DefaultMaxCommandBytes)
 	entry := consensus.Entry{Index: 1, Term: 1, Kind: consensus.EntryCommand, Data: command}
 	tests := map[string]struct{ sent, received message }{
@@ -41,9 +42,9 @@
 	}
 }
 
-// A short message that claims many elements must not make the process allocate
-// them.
-func TestClaimsOfManyElementsAreRefused(t *testing.T) {
+// A short message whose header declares a large number of elements must be rejected
+// before the process allocates them.
+func TestOversizedArrayHeadersAreRejected(t *testing.T) {
 	claimed := msgp.AppendMapHeader(nil, 1)
 	claimed = msgp.AppendString(claimed, "messages")
 	claimed = msgp.AppendArrayHeader(claimed, 1<<31)
--- a/internal/controller/peer/peer.go
+++ b/internal/controller/peer/peer.go
@@ -1,5 +1,5 @@
-// Package peer holds the messages between controllers, besides those that
-// package replica and package wire define.
+// Package peer defines the messages between controllers, except those that
+// packages replica and wire define.
 package peer
 
 import (
@@ -10,7 +10,7 @@
 //go:generate go tool msgp -file peer.go -tests=false -io=false
 //msgp:limit arrays:65536 maps:65536
 
-// Paths of the calls between controllers. wire.PathConsensus takes
+// Paths of the calls between controllers. The request at wire.PathConsensus is a
 // ConsensusBatch.
 const (
 	PathPropose      = "/internal/v1/group/propose"
@@ -25,9 +25,9 @@
 	PathEngineChange = "/internal/v1/zone/engine"
 )
 
-// ConsensusBatch carries messages between replicas of any groups.
+// ConsensusBatch carries consensus messages of any groups.
 type ConsensusBatch struct {
-	// From is the sender's address for its peers.
+	// From is the address at which peers reach the sender.
 	From     string              `msg:"from"`
 	Messages []consensus.Message `msg:"messages"`
 }
@@ -35,14 +35,14 @@
 // Empty is a message without content.
 type Empty struct{}
 
-// ProposeRequest asks the leader of a group to commit a command. The command
-// carries a request id of its own if it may be sent twice.
+// ProposeRequest asks the leader of a group to commit a command. A command that
+// may be sent twice carries its own request id.
 type ProposeRequest struct {
 	Group   uint64 `msg:"group"`
 	Command []byte `msg:"command,limit=2147483647"`
 }
 
-// ProposeReply tells where a command was committed.
+// ProposeReply holds the log index at which a command was committed, and its result.
 type ProposeReply struct {
 	Index  uint64 `msg:"index"`
 	Result []byte `msg:"result,limit=2147483647"`
@@ -53,35 +53,35 @@
 	Group uint64 `msg:"group"`
 }
 
-// IdentityReply names the replica of a group at a controller.
+// IdentityReply identifies a controller's replica of a group.
 type IdentityReply struct {
 	Replica uint64 `msg:"replica"`
-	// Stage is that of storage.Identity, as text.
+	// Stage is the stage of the replica's storage.Identity, as text.
 	Stage string `msg:"stage"`
 }
 
-// MembershipRequest asks the leader of a group for a change of its members.
+// MembershipRequest asks the leader of a group to change the group's members.
 type MembershipRequest struct {
 	Group uint64 `msg:"group"`
 	// Action is an operatorapi.MemberAction.
 	Action string `msg:"action"`
-	// Replica is the one to promote, to remove or to replace.
+	// Replica is the replica to promote, remove or replace.
 	Replica uint64 `msg:"replica"`
-	// NewReplica and Address are of the one to add.
+	// NewReplica and Address are the id and address of the replica to add.
 	NewReplica uint64 `msg:"new_replica"`
 	Address    string `msg:"address"`
 }
 
 // DocumentsRequest asks for the config group's documents.
 type DocumentsRequest struct {
-	// Kind and Name limit the reply to one document, also a withdrawn one;
-	// empty means all that are in force.
+	// Kind and Name select one document, which may be withdrawn. If they are empty,
+	// the reply has all documents that are in effect.
 	Kind string `msg:"kind"`
 	Name string `msg:"name"`
 }
 
-// DocumentsReply carries documents as of a read barrier at the config group's
-// leader.
+// DocumentsReply holds documents as read after a read barrier at the config
+// group's leader.
 type DocumentsReply struct {
 	Revision  uint64               `msg:"revision"`
 	Documents []versioned.Document `msg:"documents"`
@@ -89,16 +89,18 @@
 
 // ZoneReportRequest asks for an operatorapi.ZoneReport.
 type ZoneReportRequest struct {
-	// LeaderOnly refuses instead of reporting from a follower's copy.
+	// LeaderOnly makes a controller that does not lead reject the request instead of
+	// reporting from its own copy of the state.
 	LeaderOnly bool `msg:"leader_only"`
 }
 
-// EngineChangeRequest asks the zone group's leader for an operator's action.
+// EngineChangeRequest asks the zone group's leader to execute an operator's action.
 type EngineChangeRequest struct {
 	RequestID string `msg:"request_id"`
 	EngineID  string `msg:"engine_id"`
 	GatewayID string `msg:"gateway_id"`
-	// Action is an operatorapi.EngineAction, or ActionForget.
+	// Action is an operatorapi.EngineAction, ActionForget, or ActionRollout followed by
+	// an operatorapi.RolloutAction.
 	Action   string   `msg:"action"`
 	Role     string   `msg:"role"`
 	Model    string   `msg:"model"`
@@ -109,11 +111,12 @@
 // ActionForget ends the session of EngineChangeRequest.GatewayID.
 const ActionForget = "forget"
 
-// ActionRollout goes before an operatorapi.RolloutAction; it is about the rollout
-// of EngineChangeRequest.Model.
+// ActionRollout is the prefix of an operatorapi.RolloutAction in
+// EngineChangeRequest.Action. The action applies to the rollout of
+// EngineChangeRequest.Model.
 const ActionRollout = "rollout-"
 
-// EngineChangeReply tells where the action was committed.
+// EngineChangeReply holds the log index at which the action was committed.
 type EngineChangeReply struct {
 	Index uint64 `msg:"index"`
 }
--- a/internal/controller/peer/versions_test.go
+++ b/internal/controller/peer/versions_test.go
@@ -7,7 +7,7 @@
 	"github.com/pierhaven/pierhaven/internal/recorded"
 )
 
-// samples are batches of the consensus messages of each shape as an earlier build knew them.
+// samples returns a batch for each kind of consensus message, with the fields that an earlier build had.
 func samples() recorded.Samples {
 	members := consensus.Configuration{Generation: 1, Founding: 77, Members: []consensus.Member{{ID: 1, Address: "10.0.0.3:7380"}, {ID: 2, Address: "10.0.0.4:7380", Learner: true}}}
 	batch := func(message consensus.Message) *ConsensusBatch {
