--- a/internal/controller/operatormembers.go
+++ b/internal/controller/operatormembers.go
@@ -9,8 +9,8 @@
 	"github.com/pierhaven/pierhaven/internal/replication"
 )
 
-// Members implements operatorapi.Backend: the leader's word or, without one,
-// that of any member that answers.
+// Members implements operatorapi.Backend. It returns the leader's state of the
+// group or, if no leader answers, that of any member that does.
 func (c *Controller) Members(ctx context.Context, name string) (operatorapi.MemberList, error) {
 	call, err := c.groupLeaderCall(name)
 	if err != nil {
@@ -19,7 +19,7 @@
 	var best operatorapi.GroupState
 	var last error
 	for _, address := range call.addresses {
-		state, err := c.askGroup(ctx, address, name)
+		state, err := c.queryGroupState(ctx, address, name)
 		if err != nil {
 			last = err
 			continue
@@ -44,7 +44,7 @@
 	return operatorapi.MemberList{Group: state}
 }
 
-func (c *Controller) askGroup(ctx context.Context, address, name string) (operatorapi.GroupState, error) {
+func (c *Controller) queryGroupState(ctx context.Context, address, name string) (operatorapi.GroupState, error) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	var state operatorapi.GroupState
@@ -52,7 +52,8 @@
 	return state, err
 }
 
-// groupLeaderCall finds the leader of the config group or of a zone's.
+// groupLeaderCall returns a call to the leader of the config group or of a zone
+// group.
 func (c *Controller) groupLeaderCall(name string) (*leaderCall, error) {
 	if name == operatorapi.GroupConfig {
 		return c.configLeaderCall(nil), nil
@@ -73,7 +74,7 @@
 		Address: command.Address,
 	}
 	if command.Action == operatorapi.MemberAdd || command.Action == operatorapi.MemberReplace {
-		if request.NewReplica, err = c.identify(ctx, name, command.Address); err != nil {
+		if request.NewReplica, err = c.replicaIDAt(ctx, name, command.Address); err != nil {
 			return operatorapi.MemberList{}, err
 		}
 	}
@@ -93,10 +94,10 @@
 	return memberList(state), nil
 }
 
-// identify asks the controller at an address for its replica of a group. The
-// replica's id is bound to its data folder: after the loss of a disk it is a
-// new one, which has to be added again.
-func (c *Controller) identify(ctx context.Context, name, address string) (uint64, error) {
+// replicaIDAt asks the controller at an address for the id of its replica of a
+// group. The id is bound to the replica's data folder: after the loss of a disk
+// the replica has a new id and must be added again.
+func (c *Controller) replicaIDAt(ctx context.Context, name, address string) (uint64, error) {
 	identity, err := replication.AskIdentity(ctx, c.client, address, groupNumber(name))
 	if err != nil {
 		return 0, failure.Wrap(err, failure.NotReady, failure.WithRan(failure.RanNo))
--- a/internal/controller/operators_test.go
+++ b/internal/controller/operators_test.go
@@ -27,7 +27,7 @@
 	return stored.RoleChange.Price
 }
 
-func TestOfRacingOperatorsExactlyOneWins(t *testing.T) {
+func TestExactlyOneOfConcurrentChangesSucceeds(t *testing.T) {
 	const operators = 12
 	c := startCluster(t, layout{zones: []string{"hal-noord"}, controllers: 3})
 	base := submit(t, c.operators(), dynamic.KindPolicy, "evening", policyOf(0))
@@ -46,14 +46,14 @@
 	winner := -1
 	for number, problem := range problems {
 		if problem == nil {
-			require.Equal(t, -1, winner, "two operators won")
+			require.Equal(t, -1, winner, "two changes succeeded")
 			winner = number
 			continue
 		}
 		requireKind(t, failure.RevisionConflict, problem)
 		require.Equal(t, failure.RanNo, failure.AnswerFor(problem).Ran)
 	}
-	require.NotEqual(t, -1, winner, "nobody won")
+	require.NotEqual(t, -1, winner, "no change succeeded")
 
 	document, err := c.operators().Document(context.Background(), dynamic.KindPolicy, "evening")
 	require.NoError(t, err)
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestRestartAfterHundredsOfChangesForgetsAndReplaysNothing(t *testing.T) {
+func TestRestartAfterManyChangesLosesAndRepeatsNone(t *testing.T) {
 	const changes = 300
 	c := startCluster(t, layout{zones: []string{"hal-noord"}, controllers: 3, change: func(settings *controllerSettings) {
 		settings.SnapshotEntries = 50
@@ -114,9 +114,10 @@
 	})
 }
 
-// A change that was accepted survives the loss of power of all controllers at
-// once; one whose outcome was unknown is either there or not, and its resend
-// finds out.
+// Guards against losing accepted changes when the leader, or all controllers at
+// once, lose power: the document must keep the revision and content of the last
+// accepted change. A change whose outcome is unknown may be committed or not;
+// repeating its request tells which.
 func TestAcceptedChangesSurviveCrashes(t *testing.T) {
 	c := startCluster(t, layout{zones: []string{"hal-noord"}, controllers: 3, inMemory: true})
 	client := c.operators()
@@ -141,7 +142,7 @@
 	}
 }
 
-// crashAndRestart crashes the leader, or all members.
+// crashAndRestart crashes and restarts the config group's leader, or all members.
 func (c *cluster) crashAndRestart(all bool) {
 	c.t.Helper()
 	victims := []*member{c.leader(operatorapi.GroupConfig)}
@@ -156,7 +157,7 @@
 	}
 }
 
-func TestWithoutAMajorityChangesAreRefusedTrulyAndListsWork(t *testing.T) {
+func TestWithoutMajorityChangesFailAndListsWork(t *testing.T) {
 	c := startCluster(t, layout{zones: []string{"hal-noord"}, controllers: 3})
 	submit(t, c.operators(), dynamic.KindPolicy, "evening", policyOf(1))
 	g := openGateway(c, "hal-noord", "gateway-1")
@@ -166,10 +167,10 @@
 		}
 		return g.beat()
 	})
-	alone := c.members["hal-noord"][0]
+	remaining := c.members["hal-noord"][0]
 	require.NoError(t, c.members["hal-noord"][1].stop(t))
 	require.NoError(t, c.members["hal-noord"][2].stop(t))
-	client := c.operatorsAt(alone.settings.OperatorListenAddress)
+	client := c.operatorsAt(remaining.settings.OperatorListenAddress)
 	ctx := context.Background()
 
 	_, err := client.ChangeDocument(ctx, dynamic.KindPolicy, "night", change(t, operatorapi.OperationSubmit, "r", 0, dynamic.Policy{Name: "night"}))
@@ -194,10 +195,10 @@
 	members, err := client.Members(ctx, "hal-noord")
 	require.NoError(t, err)
 	require.Len(t, members.Group.Members, 3)
-	require.Error(t, g.beat(), "a controller without a majority renews no lease")
+	require.Error(t, g.beat(), "a controller without a majority must not renew a lease")
 
 	c.members["hal-noord"][1].start(t)
-	c.eventually("resend after the majority is back", func() error {
+	c.eventually("repeated request after the majority is restored", func() error {
 		_, err := client.ChangeDocument(ctx, dynamic.KindPolicy, "night", change(t, operatorapi.OperationSubmit, "r", 0, dynamic.Policy{Name: "night"}))
 		return err
 	})
@@ -206,7 +207,7 @@
 	require.Len(t, list.Documents, 2)
 }
 
-func TestApplyingAWholeConfigurationIsDeclarative(t *testing.T) {
+func TestApplyConfigurationIsDeclarative(t *testing.T) {
 	c := startCluster(t, layout{zones: []string{"hal-noord"}, controllers: 1})
 	client := c.operators()
 	ctx := context.Background()
@@ -231,7 +232,7 @@
 	require.NoError(t, err)
 	require.True(t, document.Withdrawn)
 	_, err = client.ApplyConfiguration(ctx, operatorapi.ConfigurationChange{RequestID: "c", Snapshot: snapshot})
-	require.NoError(t, err, "names that were used before can be used again")
+	require.NoError(t, err, "names of withdrawn documents can be used again")
 
 	moved := snapshot
 	moved.Tenants = []dynamic.Tenant{tenant("elsewhere")}
--- a/internal/controller/placement_test.go
+++ b/internal/controller/placement_test.go
@@ -14,10 +14,10 @@
 	"github.com/pierhaven/pierhaven/internal/zonestate"
 )
 
-// ledZone is a zone under the cores of a leading controller in virtual time:
-// proposals are committed at once, a gateway acknowledges each view, and engines
-// take a few seconds for an order.
-type ledZone struct {
+// simulatedZone runs the cores of a leading controller in virtual time: proposals
+// are committed at once, one gateway acknowledges each view, and engines take
+// orderDuration to execute an order.
+type simulatedZone struct {
 	t         *testing.T
 	term      *term
 	now       time.Duration
@@ -28,10 +28,10 @@
 	orders    []engineapi.Order
 }
 
-const orderTime = 3 * time.Second
+const orderDuration = 3 * time.Second
 
-func newLedZone(t *testing.T, engines int, models ...dynamic.Model) *ledZone {
-	z := &ledZone{t: t, engines: map[string]*engineapi.State{}, doneAt: map[string]time.Duration{}}
+func newSimulatedZone(t *testing.T, engines int, models ...dynamic.Model) *simulatedZone {
+	z := &simulatedZone{t: t, engines: map[string]*engineapi.State{}, doneAt: map[string]time.Duration{}}
 	config := reconcile.Config{Zone: "zone-a", Generation: 1, Parameters: zonestate.DefaultParameters([]string{"zone-a"})}
 	for number := range engines {
 		id := fmt.Sprintf("engine-%d", number)
@@ -51,9 +51,9 @@
 	return z
 }
 
-func (z *ledZone) submit(config dynamic.Snapshot) { z.term.offerConfig(&config) }
+func (z *simulatedZone) submit(config dynamic.Snapshot) { z.term.offerConfig(&config) }
 
-func (z *ledZone) commit(command zonestate.Command) zonestate.Result {
+func (z *simulatedZone) commit(command zonestate.Command) zonestate.Result {
 	z.index++
 	data, err := command.Encode()
 	require.NoError(z.t, err)
@@ -62,21 +62,22 @@
 	return result
 }
 
-// run lets time pass, half a second a step.
-func (z *ledZone) run(duration time.Duration) {
+// run advances the virtual time in steps of half a second, with a heartbeat and a
+// tick in each and a step of the planner every second.
+func (z *simulatedZone) run(duration time.Duration) {
 	for end := z.now + duration; z.now < end; {
 		z.now += 500 * time.Millisecond
-		z.beat()
+		z.heartbeat()
 		outputs := z.term.tick(z.now, z.now.Milliseconds())
 		for _, proposal := range outputs.Proposals {
 			z.commit(proposal.Command)
 			z.term.proposalEnded(proposal.Key)
 		}
 		for _, poll := range outputs.EnginePolls {
-			z.term.enginePolled(z.now, z.now, poll, z.reportOf(poll.ID))
+			z.term.enginePolled(z.now, z.now, poll, z.engineReport(poll.ID))
 		}
 		for _, call := range outputs.Orders {
-			reply := engineapi.OrderReply{Status: z.obey(&call.Order), State: *z.reportOf(call.Order.EngineID)}
+			reply := engineapi.OrderReply{Status: z.executeOrder(&call.Order), State: *z.engineReport(call.Order.EngineID)}
 			z.term.orderSent(z.now, z.now, &call.Order, &reply)
 		}
 		if z.now%time.Second == 0 {
@@ -85,16 +86,16 @@
 	}
 }
 
-func (z *ledZone) beat() {
+func (z *simulatedZone) heartbeat() {
 	if z.sessionID == 0 {
 		return
 	}
-	z.term.heard(z.now, &wire.HeartbeatRequest{
+	z.term.heartbeatArrived(z.now, &wire.HeartbeatRequest{
 		GatewayID: "gateway", SessionID: z.sessionID, AppliedRevision: z.term.machine.Revision(), ConfigRevision: 1,
 	})
 }
 
-func (z *ledZone) plan() {
+func (z *simulatedZone) plan() {
 	for _, command := range z.term.stepRollouts(z.now, "zone-a").Commands {
 		z.commit(command)
 	}
@@ -103,7 +104,7 @@
 	}
 }
 
-func (z *ledZone) reportOf(id string) *engineapi.State {
+func (z *simulatedZone) engineReport(id string) *engineapi.State {
 	engine := z.engines[id]
 	if doneAt, changing := z.doneAt[id]; changing && z.now >= doneAt {
 		engine.Phase = engineapi.PhaseServing
@@ -114,25 +115,25 @@
 	return &reported
 }
 
-// obey begins an order or tells how far it is.
-func (z *ledZone) obey(order *engineapi.Order) engineapi.OrderStatus {
+// executeOrder starts an order or returns its status.
+func (z *simulatedZone) executeOrder(order *engineapi.Order) engineapi.OrderStatus {
 	engine := z.engines[order.EngineID]
-	z.reportOf(order.EngineID)
+	z.engineReport(order.EngineID)
 	if order.Fence == engine.HighestFence {
 		if engine.Phase == engineapi.PhaseChanging {
 			return engineapi.OrderInProgress
 		}
 		return engineapi.OrderDone
 	}
-	require.Empty(z.t, z.doneAt, "two engines change at the same time")
+	require.Empty(z.t, z.doneAt, "only one engine may change at a time")
 	engine.HighestFence, engine.Phase = order.Fence, engineapi.PhaseChanging
-	z.doneAt[order.EngineID] = z.now + orderTime
+	z.doneAt[order.EngineID] = z.now + orderDuration
 	z.orders = append(z.orders, *order)
 	return engineapi.OrderAccepted
 }
 
-// models counts the engines that take work, by model.
-func (z *ledZone) models() map[string]int {
+// servingByModel returns the number of dispatchable engines of each model.
+func (z *simulatedZone) servingByModel() map[string]int {
 	counts := map[string]int{}
 	z.term.machine.Read(func(state *zonestate.State) {
 		for _, engine := range state.Engines() {
@@ -144,14 +145,14 @@
 	return counts
 }
 
-func TestASubmittedPolicyMovesEnginesToAnotherModel(t *testing.T) {
+func TestSubmittedPolicyMovesEnginesToAnotherModel(t *testing.T) {
 	models := []dynamic.Model{
 		{Name: "reading", Version: "1", FirstTokenMillis: 300, BetweenTokensMillis: 30},
 		{Name: "writing", Version: "7", FirstTokenMillis: 300, BetweenTokensMillis: 30, Adapters: []string{"street"}},
 	}
-	z := newLedZone(t, 4, models...)
+	z := newSimulatedZone(t, 4, models...)
 	z.run(30 * time.Second)
-	require.Equal(t, map[string]int{"reading": 4}, z.models())
+	require.Equal(t, map[string]int{"reading": 4}, z.servingByModel())
 	require.Empty(t, z.orders)
 
 	placement := func(writing int, adapters ...string) []dynamic.Policy {
@@ -162,7 +163,7 @@
 	}
 	z.submit(dynamic.Snapshot{Revision: 2, Models: models, Policies: placement(2)})
 	z.run(time.Minute)
-	require.Equal(t, map[string]int{"reading": 2, "writing": 2}, z.models())
+	require.Equal(t, map[string]int{"reading": 2, "writing": 2}, z.servingByModel())
 	require.Len(t, z.orders, 2)
 	for _, order := range z.orders {
 		require.NotEqual(t, "engine-0", order.EngineID)
@@ -171,13 +172,13 @@
 
 	z.submit(dynamic.Snapshot{Revision: 3, Models: models, Policies: placement(2, "street")})
 	z.run(time.Minute)
-	require.Len(t, z.orders, 4, "adapters alone are a change, too")
+	require.Len(t, z.orders, 4, "a change of adapters alone needs an order, too")
 	require.Equal(t, []string{"street"}, z.orders[3].Target.Adapters)
-	require.Equal(t, map[string]int{"reading": 2, "writing": 2}, z.models())
+	require.Equal(t, map[string]int{"reading": 2, "writing": 2}, z.servingByModel())
 
 	z.submit(dynamic.Snapshot{Revision: 4, Models: models, Policies: placement(3, "street")})
 	z.run(time.Minute)
-	require.Len(t, z.orders, 4, "five engines are asked for, and there are four")
+	require.Len(t, z.orders, 4, "the minimums need five engines, and there are four")
 	require.Len(t, z.term.unplaced, 1)
 	require.Equal(t, "placement: model writing has 2 engines by its rules, minimum 3: minimums_exceed_engines", unplacedWarning(z.term.unplaced[0]))
 }
--- a/internal/controller/plannerinput.go
+++ b/internal/controller/plannerinput.go
@@ -10,7 +10,7 @@
 	"github.com/pierhaven/pierhaven/internal/zonestate"
 )
 
-// plannerInput gathers what the planner decides on. The term's mutex is held.
+// plannerInput collects the planner's input. The caller must hold t.mutex.
 func (t *term) plannerInput(now time.Duration, zone string, core *reconcile.Core, state *zonestate.State, policies *policy.Set) planner.Input {
 	engines := t.plannerEngines(now, core, state)
 	description := policyinput.DescribeZone(zone, engines, state.Sessions().Len())
@@ -39,7 +39,7 @@
 		}
 		engine.AbandonedTarget = status.Engine.Abandoned
 		if reported := status.Reported; reported != nil {
-			engine.Reachable = status.SilentFor < engineSilence
+			engine.Reachable = status.SilentFor < engineUnreachableAfter
 			engine.Observed = reported.Observed
 			engine.Phase = reported.Phase
 			engine.InFlight = reported.Running
@@ -51,7 +51,8 @@
 	return engines
 }
 
-// demand sums what the gateways reported, by model in order of name.
+// demand returns the sums of the demand that gateways reported for each model,
+// sorted by the model's name. The caller must hold t.mutex.
 func (t *term) demand(now time.Duration) []planner.Demand {
 	sums := map[string]*planner.Demand{}
 	for _, report := range t.gateways {
--- a/internal/controller/planning.go
+++ b/internal/controller/planning.go
@@ -13,7 +13,8 @@
 	"github.com/pierhaven/pierhaven/internal/zonestate"
 )
 
-// plan decides on changes of engines while a term lasts.
+// plan runs the rollouts, the planner and prefetches once per planInterval until
+// the term ends.
 func (c *Controller) plan(ctx context.Context, t *term) {
 	for lifecycle.Sleep(ctx, planInterval) {
 		c.rollOut(ctx, t)
@@ -22,7 +23,8 @@
 	}
 }
 
-// planChanges lets the planner decide, and commits what it wants.
+// planChanges runs one step of the planner and commits the desired
+// configurations that it returns.
 func (c *Controller) planChanges(ctx context.Context, t *term) {
 	output, desired := t.decide(c.now(), c.settings.Zone)
 	if len(output.Changes) == 0 {
@@ -30,7 +32,7 @@
 	}
 	command := &zonestate.Command{Kind: zonestate.KindSetDesired, Desired: desired}
 	if _, err := c.proposeZone(ctx, command); err != nil {
-		c.logger.V(1).Info("plan was not committed", "error", err.Error())
+		c.logger.V(1).Info("could not commit planned changes", "error", err.Error())
 		return
 	}
 	for _, change := range output.Changes {
@@ -38,15 +40,15 @@
 	}
 }
 
-// policySet is the compiled policies of a revision of the configuration.
+// policySet holds the compiled policies of one revision of the configuration.
 type policySet struct {
 	revision uint64
 	set      *policy.Set
 }
 
-// of returns the compiled policies of a configuration. Programs that have not
-// changed keep their counts of failures.
-func (p *policySet) of(config *dynamic.Snapshot) *policy.Set {
+// forConfig returns the compiled policies of a configuration. Programs that have
+// not changed keep their counts of failures.
+func (p *policySet) forConfig(config *dynamic.Snapshot) *policy.Set {
 	if p.set == nil || p.revision != config.Revision {
 		p.set = p.set.Next(config.Policies)
 		p.revision = config.Revision
@@ -55,7 +57,8 @@
 }
 
 // decide runs one step of the planner on the committed state and the newest
-// reports. The wishes are guarded by the wishes that the planner saw.
+// reports. Each desired configuration that it returns is guarded by the DesiredAt
+// of the one that the planner saw.
 func (t *term) decide(now time.Duration, zone string) (planner.Output, []zonestate.DesiredEntry) {
 	var output planner.Output
 	var desired []zonestate.DesiredEntry
@@ -64,9 +67,9 @@
 		if config == nil {
 			return
 		}
-		input := t.plannerInput(now, zone, core, state, t.policies.of(config))
+		input := t.plannerInput(now, zone, core, state, t.policies.forConfig(config))
 		output = t.planner.Step(now, input)
-		t.hold, t.unplaced = output.Hold, output.Unplaced
+		t.plannerHold, t.unplaced = output.Hold, output.Unplaced
 		for _, change := range output.Changes {
 			if engine, found := state.Engine(change.EngineID); found {
 				desired = append(desired, zonestate.DesiredEntry{
@@ -78,8 +81,8 @@
 	return output, desired
 }
 
-// leaderWarnings says what an operator should know of the leader's decisions;
-// nothing if this controller does not lead.
+// leaderWarnings returns warnings for operators about the leader's decisions;
+// none if this controller does not lead.
 func (c *Controller) leaderWarnings() []string {
 	t := c.currentTerm()
 	if t == nil {
@@ -88,7 +91,7 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	var warnings []string
-	if t.hold == planner.HoldStale {
+	if t.plannerHold == planner.HoldStale {
 		warnings = append(warnings, "planner: changes nothing, because demand or load reports are missing or old")
 	}
 	for _, waiting := range t.unplaced {
@@ -108,7 +111,8 @@
 	return fmt.Sprintf("%s: %s", warning, waiting.Hold)
 }
 
-// policyFailures counts the run-time failures of the programs that run here.
+// policyFailures returns the number of run-time failures of the policy programs
+// that this controller runs; 0 if it does not lead.
 func (c *Controller) policyFailures() uint64 {
 	t := c.currentTerm()
 	if t == nil {
--- a/internal/controller/platform.go
+++ b/internal/controller/platform.go
@@ -10,7 +10,8 @@
 	"github.com/pierhaven/pierhaven/internal/lifecycle"
 )
 
-// watchMachines reads the platform's list of machines while a term lasts.
+// watchMachines polls the platform's list of machines until the term ends. It
+// returns at once if there is no list.
 func (c *Controller) watchMachines(ctx context.Context, t *term) {
 	if c.settings.MachineListAddress == "" {
 		return
@@ -19,10 +20,10 @@
 		var list platformapi.MachineList
 		err := c.backEnds.get(ctx, c.settings.MachineListAddress, platformapi.PathMachines, &list)
 		if err == nil {
-			c.directory.learn(list.Machines)
+			c.directory.updateListed(list.Machines)
 			t.machinesListed(&list)
 		} else {
-			c.logger.V(1).Info("machine list was not read", "error", err.Error())
+			c.logger.V(1).Info("could not read machine list", "error", err.Error())
 		}
 		if !lifecycle.Sleep(ctx, c.settings.PlatformPollInterval) {
 			return
@@ -30,8 +31,9 @@
 	}
 }
 
-// directory knows where the controllers of each zone are: from the settings,
-// and as a hint from the platform's list.
+// directory holds the addresses of each zone's controllers: those of the
+// settings and, as a hint, those of the platform's machine list. It may be used
+// concurrently.
 type directory struct {
 	configured map[string][]string
 
@@ -48,7 +50,7 @@
 	return d
 }
 
-func (d *directory) learn(machines []platformapi.Machine) {
+func (d *directory) updateListed(machines []platformapi.Machine) {
 	listed := map[string][]string{}
 	for _, machine := range machines {
 		if machine.Kind == platformapi.KindController && machine.State != platformapi.MachineGone {
@@ -60,14 +62,15 @@
 	d.listed = listed
 }
 
-// controllers lists the known addresses of a zone's controllers.
+// controllers returns the known addresses of a zone's controllers, those of the
+// settings first.
 func (d *directory) controllers(zone string) []string {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return unique(d.configured[zone], d.listed[zone])
 }
 
-// unique joins lists in their order, each value once.
+// unique concatenates lists without repeated or empty values.
 func unique(lists ...[]string) []string {
 	seen := map[string]bool{}
 	joined := []string{}
--- a/internal/controller/poison.go
+++ b/internal/controller/poison.go
@@ -17,36 +17,39 @@
 )
 
 const (
-	// poisonInterval is the pause between two looks at the evidence.
+	// poisonInterval is the interval at which the evidence is evaluated.
 	poisonInterval = 50 * time.Millisecond
-	// sameEnd is within how long reports of an engine's end are of the same end: an engine that
-	// has ended takes longer to serve again.
-	sameEnd = time.Second
+	// crashReportWindow is the time within which reports of an engine's crash are taken for reports
+	// of the same crash: an engine that has crashed takes longer to serve again.
+	crashReportWindow = time.Second
 )
 
-// engineEnds names the ends of engines, whose ids outlive them: each end is another piece of
-// evidence, and all gateways' reports of it are one. It may be used concurrently.
+// engineEnds names the crashes of engines. An engine keeps its id when it crashes, but each crash is
+// a separate piece of evidence, and all gateways' reports of one crash count as one. It may be used
+// concurrently.
 type engineEnds struct {
-	mutex sync.Mutex
-	first map[string]time.Time
+	mutex         sync.Mutex
+	firstReported map[string]time.Time
 }
 
-// name returns the name of an engine's end that was reported at a time.
-func (e *engineEnds) name(engine string, now time.Time) string {
+// crashName returns the name of an engine's crash that was reported at now: the engine's id and the
+// time of the crash's first report.
+func (e *engineEnds) crashName(engine string, now time.Time) string {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if e.first == nil {
-		e.first = map[string]time.Time{}
+	if e.firstReported == nil {
+		e.firstReported = map[string]time.Time{}
 	}
-	first, known := e.first[engine]
-	if !known || now.Sub(first) > sameEnd {
+	first, known := e.firstReported[engine]
+	if !known || now.Sub(first) > crashReportWindow {
 		first = now
-		e.first[engine] = now
+		e.firstReported[engine] = now
 	}
 	return fmt.Sprintf("%s@%d", engine, first.UnixMilli())
 }
 
-// handlePoison takes a gateway's report at the leader.
+// handlePoison commits a gateway's report of crashes and completed requests. Only the leader accepts
+// it.
 func (c *Controller) handlePoison(ctx context.Context, report *poison.Report) (*poison.News, error) {
 	if c.currentTerm() == nil {
 		return nil, c.notLeading()
@@ -54,7 +57,7 @@
 	now := time.Now()
 	command := &poison.Command{RanWell: report.RanWell}
 	for _, end := range report.Ends {
-		command.Ends = append(command.Ends, poison.End{Replica: c.engineEnds.name(end.Replica, now), Under: end.Under})
+		command.Ends = append(command.Ends, poison.End{Replica: c.engineEnds.crashName(end.Replica, now), Under: end.Under})
 	}
 	return &poison.News{}, c.commitPoison(ctx, command)
 }
@@ -68,15 +71,15 @@
 	return refusal(result)
 }
 
-// poisonState is what the zone knows of requests that end engines.
+// poisonState returns the zone's state about requests that crash engines.
 func (c *Controller) poisonState() poison.State {
 	var known poison.State
 	c.zoneMachine.Read(func(state *zonestate.State) { known = state.Poison() })
 	return known
 }
 
-// keepPoison holds requests that the evidence convicts, and forgets what has lapsed, until the
-// term ends.
+// keepPoison holds requests that are due to be held by the evidence, and deletes expired evidence,
+// until the term ends.
 func (c *Controller) keepPoison(ctx context.Context) {
 	for lifecycle.Sleep(ctx, poisonInterval) {
 		known := c.poisonState()
@@ -92,36 +95,37 @@
 	}
 }
 
-// tellInterval is the pause between two looks for something to tell another zone, and
-// maximumTold bounds the digests of one call.
+// holdSendInterval is the interval at which new holds are sent to another zone, and
+// maximumHoldsPerCall bounds the digests of one call.
 const (
-	tellInterval = 100 * time.Millisecond
-	maximumTold  = 256
+	holdSendInterval    = 100 * time.Millisecond
+	maximumHoldsPerCall = 256
 )
 
-// tellHolds tells another zone's leader of the requests that this zone holds, each until it has
-// taken it: requests go from zone to zone, and each zone would have to lose engines to learn of them.
+// tellHolds sends the digests of the requests that this zone holds to another zone's leader, each
+// until a call with it succeeds, until the term ends. Requests are forwarded from zone to zone, and
+// without this each zone would have to lose engines before it holds them.
 func (c *Controller) tellHolds(ctx context.Context, zone string) {
-	told := map[poison.Digest]bool{}
-	for lifecycle.Sleep(ctx, tellInterval) {
+	sent := map[poison.Digest]bool{}
+	for lifecycle.Sleep(ctx, holdSendInterval) {
 		known := c.poisonState()
-		untold := slices.DeleteFunc(known.HeldDigests(), func(digest poison.Digest) bool { return told[digest] })
-		if len(untold) == 0 {
+		unsent := slices.DeleteFunc(known.HeldDigests(), func(digest poison.Digest) bool { return sent[digest] })
+		if len(unsent) == 0 {
 			continue
 		}
-		untold = untold[:min(len(untold), maximumTold)]
-		if err := c.callHolds(ctx, zone, &poison.Command{HeldElsewhere: untold}); err != nil {
-			c.logger.V(1).Info("holds not told", "zone", zone, "holds", len(untold), "error", err.Error())
+		unsent = unsent[:min(len(unsent), maximumHoldsPerCall)]
+		if err := c.sendHoldCommand(ctx, zone, &poison.Command{HeldElsewhere: unsent}); err != nil {
+			c.logger.V(1).Info("could not send holds to another zone's leader", "zone", zone, "holds", len(unsent), "error", err.Error())
 			continue
 		}
-		for _, digest := range untold {
-			told[digest] = true
+		for _, digest := range unsent {
+			sent[digest] = true
 		}
 	}
 }
 
-// callHolds tells another zone's leader of holds and releases.
-func (c *Controller) callHolds(ctx context.Context, zone string, command *poison.Command) error {
+// sendHoldCommand sends holds and releases to another zone's leader.
+func (c *Controller) sendHoldCommand(ctx context.Context, zone string, command *poison.Command) error {
 	call, err := c.zoneLeaderCall(zone, func(ctx context.Context, address string) error {
 		return c.client.Call(ctx, address, peer.PathZoneHolds, command, &peer.Empty{})
 	})
@@ -131,15 +135,16 @@
 	return call.run(ctx)
 }
 
-// handleZoneHolds takes what another zone holds or has let go, at the leader.
-func (c *Controller) handleZoneHolds(ctx context.Context, told *poison.Command) (*peer.Empty, error) {
+// handleZoneHolds commits the holds and releases of another zone, as far as they change this zone's
+// state. Only the leader accepts them.
+func (c *Controller) handleZoneHolds(ctx context.Context, received *poison.Command) (*peer.Empty, error) {
 	if c.currentTerm() == nil {
 		return nil, c.notLeading()
 	}
 	known := c.poisonState()
 	command := &poison.Command{
-		HeldElsewhere: slices.DeleteFunc(slices.Clone(told.HeldElsewhere), known.Holds),
-		Release:       slices.DeleteFunc(slices.Clone(told.Release), func(digest poison.Digest) bool { return !known.Holds(digest) }),
+		HeldElsewhere: slices.DeleteFunc(slices.Clone(received.HeldElsewhere), known.Holds),
+		Release:       slices.DeleteFunc(slices.Clone(received.Release), func(digest poison.Digest) bool { return !known.Holds(digest) }),
 	}
 	if len(command.HeldElsewhere)+len(command.Release) == 0 {
 		return &peer.Empty{}, nil
@@ -147,14 +152,15 @@
 	return &peer.Empty{}, c.commitPoison(ctx, command)
 }
 
-// HeldRequests implements operatorapi.Backend. A controller that does not lead may lack the newest.
+// HeldRequests implements operatorapi.Backend. If this controller does not lead, the newest holds may
+// be missing.
 func (c *Controller) HeldRequests(context.Context) ([]poison.Held, error) {
 	known := c.poisonState()
 	return known.Held(), nil
 }
 
-// ReleaseRequest implements operatorapi.Backend: it lets a request go in all zones. An error says
-// that a zone may still hold it; it may be repeated.
+// ReleaseRequest implements operatorapi.Backend: it releases a held request in all zones. After an
+// error a zone may still hold the request; the call may be repeated.
 func (c *Controller) ReleaseRequest(ctx context.Context, digest poison.Digest) error {
 	if c.currentTerm() == nil {
 		return c.notLeading()
@@ -164,7 +170,7 @@
 	problems := make([]error, 0, len(c.settings.Zones))
 	for _, zone := range c.settings.Zones {
 		if zone != c.settings.Zone {
-			problems = append(problems, c.callHolds(ctx, zone, release))
+			problems = append(problems, c.sendHoldCommand(ctx, zone, release))
 		}
 	}
 	if known.Holds(digest) {
--- a/internal/controller/poison_test.go
+++ b/internal/controller/poison_test.go
@@ -13,21 +13,21 @@
 	"github.com/pierhaven/pierhaven/internal/wire"
 )
 
-func endingDigest(name string) poison.Digest {
+func requestDigest(name string) poison.Digest {
 	return poison.Content{Caller: "depot", Host: "reader", Body: []byte(name)}.Digest()
 }
 
-// report tells of an engine that has ended under requests.
-func (g *testGateway) report(engine string, under ...string) error {
+// reportCrash reports that an engine has crashed while it had requests.
+func (g *testGateway) reportCrash(engine string, under ...string) error {
 	end := poison.End{Replica: engine}
 	for _, name := range under {
-		end.Under = append(end.Under, endingDigest(name))
+		end.Under = append(end.Under, requestDigest(name))
 	}
 	return g.call(wire.PathPoison, &poison.Report{Gateway: g.id, Ends: []poison.End{end}}, &poison.News{})
 }
 
-// learn sends a heartbeat and returns the requests that it tells to be held.
-func (g *testGateway) learn() ([]poison.Digest, error) {
+// heldDigests sends a heartbeat and returns the digests that the reply names as held.
+func (g *testGateway) heldDigests() ([]poison.Digest, error) {
 	var reply wire.HeartbeatReply
 	request := &wire.HeartbeatRequest{GatewayID: g.id, SessionID: g.session.SessionID, AppliedRevision: g.applied, ConfigRevision: g.config}
 	if err := g.call(wire.PathHeartbeat, request, &reply); err != nil {
@@ -44,51 +44,51 @@
 	return held, nil
 }
 
-func TestAZoneHoldsARequestThatEndsItsEngines(t *testing.T) {
+func TestZoneHoldsRequestThatCrashesEngines(t *testing.T) {
 	c := startCluster(t, layout{zones: []string{"north", "south"}, controllers: 3, inMemory: true})
 	gateways := []*testGateway{openGateway(c, "north", "g1"), openGateway(c, "north", "g2"), openGateway(c, "south", "g3")}
 	for number, engine := range []string{"e1", "e2", "e3"} {
-		// Both gateways had requests there, one of them the request that has ended it.
-		c.eventually("report", func() error { return gateways[number%2].report(engine, "poison", fmt.Sprint("beside ", number)) })
-		c.eventually("report", func() error { return gateways[(number+1)%2].report(engine, "other") })
+		// Both gateways had requests at the engine, one of them the request that crashed it.
+		c.eventually("report", func() error { return gateways[number%2].reportCrash(engine, "poison", fmt.Sprint("beside ", number)) })
+		c.eventually("report", func() error { return gateways[(number+1)%2].reportCrash(engine, "other") })
 	}
-	// The other one was at the same engines each time, until it runs well.
+	// The request "other" was at the same engines each time; its completion clears it.
 	c.eventually("report", func() error {
-		return gateways[0].call(wire.PathPoison, &poison.Report{RanWell: []poison.Digest{endingDigest("other")}}, &poison.News{})
+		return gateways[0].call(wire.PathPoison, &poison.Report{RanWell: []poison.Digest{requestDigest("other")}}, &poison.News{})
 	})
 	expectHeld := func() error {
 		for _, gateway := range gateways {
-			held, err := gateway.learn()
+			held, err := gateway.heldDigests()
 			if err != nil {
 				return err
 			}
-			if len(held) != 1 || held[0] != endingDigest("poison") {
-				return fmt.Errorf("%s knows of %v", gateway.id, held)
+			if len(held) != 1 || held[0] != requestDigest("poison") {
+				return fmt.Errorf("%s knows these held requests: %v", gateway.id, held)
 			}
 		}
 		return nil
 	}
-	c.eventually("the hold at all gateways, those of the other zone among them", expectHeld)
+	c.eventually("hold at all gateways, including those of the other zone", expectHeld)
 	c.leader("north").crash(t)
 	for _, gateway := range gateways {
 		c.eventually("session", gateway.open)
 	}
-	c.eventually("the hold by another leader", expectHeld)
+	c.eventually("hold after a change of leader", expectHeld)
 
 	operators := c.operators("north")
 	leader := c.operatorsAt(c.leader("north").settings.OperatorListenAddress)
 	list, err := leader.HeldRequests(context.Background())
 	require.NoError(t, err)
 	require.Len(t, list.Requests, 1)
-	require.Equal(t, endingDigest("poison").String(), list.Requests[0].Digest)
-	c.eventually("release", func() error { return operators.ReleaseRequest(context.Background(), endingDigest("poison")) })
+	require.Equal(t, requestDigest("poison").String(), list.Requests[0].Digest)
+	c.eventually("release", func() error { return operators.ReleaseRequest(context.Background(), requestDigest("poison")) })
 	c.eventually("nothing held in any zone", func() error {
 		for _, gateway := range gateways {
-			if held, err := gateway.learn(); err != nil || len(held) > 0 {
+			if held, err := gateway.heldDigests(); err != nil || len(held) > 0 {
 				return errors.Join(err, errors.New("still held"))
 			}
 		}
 		return nil
 	})
-	requireKind(t, failure.NotFound, leader.ReleaseRequest(context.Background(), endingDigest("poison")))
+	requireKind(t, failure.NotFound, leader.ReleaseRequest(context.Background(), requestDigest("poison")))
 }
--- a/internal/controller/prefetch.go
+++ b/internal/controller/prefetch.go
@@ -11,12 +11,12 @@
 	"github.com/pierhaven/pierhaven/internal/zonestate"
 )
 
-// maximumPrefetches bounds the engines that fetch weights ahead of their order at
-// the same time: the weight store's rate is shared with engines that are away until
-// they have theirs.
+// maximumPrefetches bounds the engines that prefetch weights at the same time: they
+// share the weight store's bandwidth with engines that are being changed and can't
+// serve until they have their weights.
 const maximumPrefetches = 2
 
-// prefetchCall asks an engine to fetch weights.
+// prefetchCall is a request to an engine to prefetch weights.
 type prefetchCall struct {
 	engineID string
 	address  string
@@ -24,13 +24,13 @@
 }
 
 // prefetch lets engines fetch the weights of their next configuration while their
-// requests still run. The answer doesn't matter: an engine without the weights
-// fetches them when the order comes.
+// requests still run. A failed call is only logged: an engine without the weights
+// fetches them when it gets the order.
 func (c *Controller) prefetch(ctx context.Context, t *term) {
 	for _, call := range t.prefetches(c.now()) {
 		err := c.workers.Submit(func() {
 			if err := c.backEnds.post(ctx, call.address, engineapi.PathPrefetch, &call.request, nil); err != nil {
-				c.logger.V(1).Info("prefetch was not accepted", "engine", call.engineID, "error", err.Error())
+				c.logger.V(1).Info("engine did not accept prefetch request", "engine", call.engineID, "error", err.Error())
 			}
 		})
 		if err != nil {
@@ -39,26 +39,26 @@
 	}
 }
 
-// prefetches lists the engines to be asked now. Each wish is asked for once in a
-// term; engines that drain go first.
+// prefetches returns the prefetch requests to send now. Each desired configuration
+// is requested once in a term; engines that drain already go first.
 func (t *term) prefetches(now time.Duration) []prefetchCall {
 	var calls []prefetchCall
 	t.with(func(core *reconcile.Core, state *zonestate.State) {
 		waiting := t.awaitingWeights(core.Status(now, state))
-		ahead := 0
+		inProgress := 0
 		for _, engine := range waiting {
 			if t.prefetched[engine.ID] == engine.DesiredAt {
-				ahead++
+				inProgress++
 			}
 		}
 		for _, engine := range waiting {
-			if ahead >= maximumPrefetches {
+			if inProgress >= maximumPrefetches {
 				return
 			}
 			if t.prefetched[engine.ID] == engine.DesiredAt {
 				continue
 			}
-			ahead++
+			inProgress++
 			t.prefetched[engine.ID] = engine.DesiredAt
 			calls = append(calls, prefetchCall{engineID: engine.ID, address: engine.Address, request: engineapi.PrefetchRequest{
 				Model: engine.Desired.Model, Version: engine.Desired.Version,
@@ -68,14 +68,15 @@
 	return calls
 }
 
-// awaitingWeights lists the engines that will change their model or version and
-// have no order yet. It forgets the others.
+// awaitingWeights returns the reachable engines that will change their model or
+// version and have no order yet, those that drain first. It deletes the records of
+// prefetches of all other engines. The caller must hold t.mutex.
 func (t *term) awaitingWeights(engines []reconcile.EngineStatus) []*zonestate.Engine {
 	var waiting []*zonestate.Engine
 	known := map[string]bool{}
 	for index := range engines {
 		engine := &engines[index].Engine
-		answers := engines[index].Reported != nil && engines[index].SilentFor < engineSilence
+		answers := engines[index].Reported != nil && engines[index].SilentFor < engineUnreachableAfter
 		if !answers || engine.Order != nil || engine.Drained || engine.Leaving || !needsWeights(engine) {
 			continue
 		}
@@ -88,12 +89,13 @@
 		}
 	}
 	slices.SortStableFunc(waiting, func(a, b *zonestate.Engine) int {
-		return cmp.Compare(changingOrder(a), changingOrder(b))
+		return cmp.Compare(prefetchRank(a), prefetchRank(b))
 	})
 	return waiting
 }
 
-// needsWeights reports whether an engine should run other weights than it does.
+// needsWeights reports whether an engine's desired model or version differs from
+// the one that it is verified to run.
 func needsWeights(engine *zonestate.Engine) bool {
 	if engine.Desired == nil || engine.Verified == nil {
 		return false
@@ -101,8 +103,8 @@
 	return engine.Desired.Model != engine.Verified.Model || engine.Desired.Version != engine.Verified.Version
 }
 
-// changingOrder puts engines first that drain already.
-func changingOrder(engine *zonestate.Engine) int {
+// prefetchRank is the sort key that puts engines first that drain already.
+func prefetchRank(engine *zonestate.Engine) int {
 	if engine.Changing {
 		return 0
 	}
--- a/internal/controller/resend_test.go
+++ b/internal/controller/resend_test.go
@@ -12,10 +12,11 @@
 	"github.com/pierhaven/pierhaven/internal/failure"
 )
 
-// TestCommandsToAZoneAreCarriedOutOnce sends operators' commands to a zone group
-// again after a change of leader and after the restart of all controllers, with
-// other commands between. Each gets its first answer and changes nothing.
-func TestCommandsToAZoneAreCarriedOutOnce(t *testing.T) {
+// TestRepeatedZoneCommandsAreExecutedOnce guards against executing an operator's
+// command twice. It repeats commands to a zone group at once, after a change of
+// leader and after a restart of all controllers, with another command in between.
+// Each must get its first result and change nothing.
+func TestRepeatedZoneCommandsAreExecutedOnce(t *testing.T) {
 	const zone, engine = "hal-noord", "engine-1"
 	c := startCluster(t, layout{zones: []string{zone}, controllers: 3, change: func(settings *controllerSettings) {
 		settings.Engines = []controller.BackEndAddress{{ID: engine, Address: "127.0.0.1:1"}}
@@ -38,7 +39,7 @@
 	require.Greater(t, undrained.Revision, drained.Revision)
 
 	resend := func() {
-		c.eventually("first answers", func() error {
+		c.eventually("first results", func() error {
 			first, err := command(operatorapi.ActionDrain, "r-drain")
 			if err == nil {
 				require.Equal(t, drained, first)
--- a/internal/controller/rollouts.go
+++ b/internal/controller/rollouts.go
@@ -16,8 +16,9 @@
 	"github.com/pierhaven/pierhaven/internal/zonestate"
 )
 
-// versionOutcomes adds up what the gateways report of the versions of models. A
-// gateway counts from its start, so that only differences are added.
+// versionOutcomes holds the sums of the outcomes that gateways report, by model and
+// version. A gateway reports totals since its start, so only the differences between
+// two reports are added.
 type versionOutcomes map[string]map[string]rollout.Outcomes
 
 func (v versionOutcomes) add(before, after []wire.VersionOutcome) {
@@ -42,7 +43,8 @@
 	}
 }
 
-// rollOut runs one step of the rollouts, and commits what it asks for.
+// rollOut runs one step of the rollouts, and commits the commands and desired
+// configurations that it returns.
 func (c *Controller) rollOut(ctx context.Context, t *term) {
 	output := t.stepRollouts(c.now(), c.settings.Zone)
 	for _, command := range output.Commands {
@@ -56,7 +58,7 @@
 	}
 	command := &zonestate.Command{Kind: zonestate.KindSetDesired, Desired: output.Desired}
 	if _, err := c.proposeZone(ctx, command); err != nil {
-		c.logger.V(1).Info("step of a rollout was not committed", "error", err.Error())
+		c.logger.V(1).Info("could not commit desired configurations of rollouts", "error", err.Error())
 	}
 }
 
@@ -72,7 +74,7 @@
 }
 
 func (t *term) rolloutInput(now time.Duration, zone string, core *reconcile.Core, state *zonestate.State) rollout.Input {
-	policies := t.policies.of(state.Config())
+	policies := t.policies.forConfig(state.Config())
 	engines := t.plannerEngines(now, core, state)
 	description := policyinput.DescribeZone(zone, engines, state.Sessions().Len())
 	input := rollout.Input{
@@ -89,11 +91,11 @@
 		if committed, found := state.Rollout(model.Name); found {
 			row.Committed = committed
 		}
-		places := policyinput.NewPlacement(model, program, engines, description, policy.ClockAt(time.Now()))
+		placement := policyinput.NewPlacement(model, program, engines, description, policy.ClockAt(time.Now()))
 		for index := range engines {
 			engine, found := state.Engine(engines[index].ID)
 			if found && engine.Desired != nil && engine.Desired.Model == model.Name {
-				row.Engines = append(row.Engines, rolloutEngine(engine, &engines[index], places))
+				row.Engines = append(row.Engines, rolloutEngine(engine, &engines[index], placement))
 			}
 		}
 		input.Models = append(input.Models, row)
@@ -101,7 +103,7 @@
 	return input
 }
 
-func rolloutEngine(engine *zonestate.Engine, status *planner.EngineStatus, places policyinput.Placement) rollout.Engine {
+func rolloutEngine(engine *zonestate.Engine, status *planner.EngineStatus, placement policyinput.Placement) rollout.Engine {
 	row := rollout.Engine{
 		ID:          engine.ID,
 		Desired:     *engine.Desired,
@@ -112,7 +114,7 @@
 		Changeable:  status.Reachable && !status.Pinned && !status.Isolated,
 		InFlight:    status.InFlight,
 	}
-	row.Version, row.Adapters = places.ConfigurationFor(engine.ID, engine.Desired.Adapters)
+	row.Version, row.Adapters = placement.ConfigurationFor(engine.ID, engine.Desired.Adapters)
 	if engine.Abandoned != nil {
 		row.GivenUp, row.GivenUpAt = engine.Abandoned.Version, engine.DesiredAt
 	}
@@ -146,13 +148,15 @@
 	return c.changeAtZoneLeader(ctx, zone, request)
 }
 
-// rolloutKinds are the commands of the operators' actions.
+// rolloutKinds maps operators' actions to kinds of zone commands.
 var rolloutKinds = map[string]zonestate.Kind{
 	peer.ActionRollout + string(operatorapi.RolloutHalt):   zonestate.KindHaltRollout,
 	peer.ActionRollout + string(operatorapi.RolloutResume): zonestate.KindResumeRollout,
 	peer.ActionRollout + string(operatorapi.RolloutRevert): zonestate.KindRevertRollout,
 }
 
+// rolloutCommand returns the zone command of a rollout action, nil if the request
+// has another action.
 func rolloutCommand(request *peer.EngineChangeRequest) *zonestate.Command {
 	kind, known := rolloutKinds[request.Action]
 	if !known {
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	// keepAliveTime is longer than the clients keep an unused connection, so
-	// that they rather than the servers close it.
+	// keepAliveTime is longer than clients keep an idle connection, so that the
+	// client closes it and not the server.
 	keepAliveTime = 3 * time.Minute
 	readTimeout   = 30 * time.Second
-	// maximumOperatorBody bounds the body of an operator's call.
+	// maximumOperatorBody bounds the body of an operator's request, in bytes.
 	maximumOperatorBody = 4 << 20
 	maximumHeaderBytes  = 16 << 10
 )
@@ -41,7 +41,7 @@
 	return server.New(options...)
 }
 
-// newInternalServer serves gateways and other controllers.
+// newInternalServer returns the server for gateways and other controllers.
 func (c *Controller) newInternalServer(listener net.Listener) *server.Hertz {
 	engine := newServer(listener, c.settings.MaximumBodyBytes, rpc.ServerOptions()...)
 	reportPanics := rpc.ReportPanics(eventlog.PanicHandler(c.logger, "internal call"))
@@ -69,7 +69,7 @@
 	return engine
 }
 
-// newOperatorServer serves operators, health and metrics.
+// newOperatorServer returns the server for operators, health checks and metrics.
 func (c *Controller) newOperatorServer(listener net.Listener) *server.Hertz {
 	engine := newServer(listener, maximumOperatorBody, server.WithUseRawPath(true), server.WithUnescapePathValues(true))
 	operatorapi.Mount(engine, operatorapi.Options{
--- a/internal/controller/sessions.go
+++ b/internal/controller/sessions.go
@@ -14,7 +14,8 @@
 // maximumWatchTime bounds one long poll.
 const maximumWatchTime = 30 * time.Second
 
-// proposeZone commits a command of the zone group, here.
+// proposeZone proposes a command to this controller's replica of the zone group
+// and returns its result after the commit.
 func (c *Controller) proposeZone(ctx context.Context, command *zonestate.Command) (zonestate.Result, error) {
 	command.TimeMillis = time.Now().UnixMilli()
 	data, err := command.Encode()
@@ -32,8 +33,8 @@
 	return result, nil
 }
 
-// refusal turns an outcome other than done into an error. All of them mean that
-// the command has changed nothing.
+// refusal returns an error for any outcome but OutcomeDone. All of these outcomes
+// mean that the command has changed nothing.
 func refusal(result zonestate.Result) error {
 	kinds := map[zonestate.Outcome]failure.Kind{
 		zonestate.OutcomeStale:         failure.RevisionConflict,
@@ -54,7 +55,7 @@
 	return failure.New(kind, string(result.Outcome)+": "+result.Detail, failure.WithRan(failure.RanNo))
 }
 
-// handleOpenSession hands out a ticket, or opens a session with one. See
+// handleOpenSession issues a ticket, or opens a session with one. See
 // docs/design/zone-group.md for why it takes two calls.
 func (c *Controller) handleOpenSession(ctx context.Context, request *wire.OpenSessionRequest) (*wire.OpenSessionReply, error) {
 	if request.Ticket == 0 {
@@ -78,7 +79,7 @@
 		return nil, err
 	}
 	term := c.currentTerm()
-	if term == nil || !term.opened(arrived, result.SessionID) {
+	if term == nil || !term.sessionOpened(arrived, result.SessionID) {
 		return nil, failure.New(failure.NotReady, "the session can't be handed out now")
 	}
 	reply := &wire.OpenSessionReply{SessionID: result.SessionID}
@@ -103,7 +104,8 @@
 	return reply, nil
 }
 
-// termsOf returns the terms of an open session of a gateway.
+// termsOf returns the terms of a gateway's session; known is false if the gateway
+// has no such open session.
 func (c *Controller) termsOf(sessionID uint64, gatewayID string) (terms wire.Terms, known bool) {
 	c.zoneMachine.Read(func(state *zonestate.State) {
 		session, open := state.Sessions().Get(sessionID)
@@ -123,25 +125,27 @@
 	}
 }
 
-// handleHeartbeat renews a lease. The read barrier is asked for after the
-// heartbeat's arrival, so that a deposed leader renews nothing.
+// handleHeartbeat renews a gateway's lease. The read barrier is requested after the
+// heartbeat's arrival, so that a deposed leader renews no lease.
 func (c *Controller) handleHeartbeat(ctx context.Context, request *wire.HeartbeatRequest) (*wire.HeartbeatReply, error) {
 	arrived := c.now()
 	term := c.currentTerm()
 	if term == nil {
 		return nil, c.notLeading()
 	}
-	term.heard(arrived, request)
+	term.heartbeatArrived(arrived, request)
 	if err := c.zone.ReadBarrier(ctx); err != nil {
 		return nil, err
 	}
 	if c.currentTerm() != term {
 		return nil, c.notLeading()
 	}
-	return term.answer(c.now(), request, len(c.settings.Zones)), nil
+	return term.heartbeatReply(c.now(), request, len(c.settings.Zones)), nil
 }
 
-// notLeading refuses a call that only the leader of the zone group can answer.
+// notLeading returns the error of a call that only the leader of the zone group can
+// handle: NotReady if this controller leads but its term is not set up yet, otherwise
+// a referral to the leader.
 func (c *Controller) notLeading() error {
 	if c.zone.Leads() {
 		return failure.New(failure.NotReady, "this controller has just begun to lead")
@@ -149,7 +153,7 @@
 	return rpc.NotLeader(c.zone.LeaderAddress())
 }
 
-// handleCloseSession ends a session whose gateway has nothing in flight.
+// handleCloseSession ends a session whose gateway has no requests in flight.
 func (c *Controller) handleCloseSession(ctx context.Context, request *wire.CloseSessionRequest) (*wire.CloseSessionReply, error) {
 	result, err := c.proposeZone(ctx, &zonestate.Command{
 		Kind:    zonestate.KindEndSession,
@@ -164,8 +168,8 @@
 	return &wire.CloseSessionReply{}, refusal(result)
 }
 
-// handleWatch waits until there is a newer view than the watcher's. Every
-// replica serves it: a view is made of committed state, and a watcher never
+// handleWatch serves a long poll for a newer view than the watcher's. Every
+// replica can serve it: views are built from committed state, and a watcher never
 // goes back to an older one.
 func (c *Controller) handleWatch(ctx context.Context, request *wire.WatchRequest) (*wire.WatchReply, error) {
 	if !c.watches.TryAcquire(1) {
--- a/internal/controller/sessions_test.go
+++ b/internal/controller/sessions_test.go
@@ -39,8 +39,8 @@
 	return id.String()
 }
 
-// claimNew waits until a new key can be claimed: the tenant must have reached
-// the zone.
+// claimNew retries until a claim of a new key is granted: the zone may not have
+// received the tenant's document yet.
 func claimNew(c *cluster, g *testGateway, body string) (key1, attempt string) {
 	c.t.Helper()
 	key1, attempt = key(c.t), uuid.NewString()
@@ -54,7 +54,7 @@
 	return key1, attempt
 }
 
-func TestAZoneOfThreeServesSessionsAndClaimsOverALeadersStop(t *testing.T) {
+func TestSessionsAndClaimsSurviveLeaderStop(t *testing.T) {
 	c := startCluster(t, layout{zones: []string{"hal-noord"}, controllers: 3})
 	accepted := submit(t, c.operators(), dynamic.KindTenant, "depot", tenant("hal-noord"))
 	g := openGateway(c, "hal-noord", "gateway-1")
@@ -64,7 +64,7 @@
 	require.NoError(t, g.complete(first, firstAttempt, "label 1"))
 
 	leader := c.leader("hal-noord")
-	require.NoError(t, leader.stop(t), "a planned stop ends without an error")
+	require.NoError(t, leader.stop(t), "a planned stop must not return an error")
 	c.leader("hal-noord")
 
 	other := openGateway(c, "hal-noord", "gateway-2")
@@ -78,8 +78,8 @@
 	reply, err = other.claim(first, uuid.NewString(), "another label")
 	require.NoError(t, err)
 	require.Equal(t, wire.ClaimReused, reply.Status)
-	// The first call over a connection to the stopped leader breaks with an
-	// unknown outcome; completing again is what a gateway then does.
+	// The first call over a connection to the stopped leader fails with an unknown
+	// outcome. The completion is then repeated, as a gateway does.
 	c.eventually("completion", func() error { return g.complete(second, secondAttempt, "label 2") })
 
 	leader.start(t)
@@ -90,14 +90,14 @@
 		return other.beat()
 	})
 	stopBeating()
-	require.NoError(t, g.beat(), "the session has outlived the leader")
+	require.NoError(t, g.beat(), "the session must survive the stop of the leader")
 	for index := 1; index < len(g.views); index++ {
 		require.GreaterOrEqual(t, g.views[index].Revision, g.views[index-1].Revision)
 		require.GreaterOrEqual(t, g.views[index].ConfigRevision, g.views[index-1].ConfigRevision)
 	}
 }
 
-func TestAControllerAloneServesItsZone(t *testing.T) {
+func TestSingleControllerServesItsZone(t *testing.T) {
 	c := startCluster(t, layout{zones: []string{"hal-zuid"}, controllers: 1})
 	submit(t, c.operators(), dynamic.KindTenant, "depot", tenant("hal-zuid"))
 	g := openGateway(c, "hal-zuid", "gateway-1")
--- a/internal/controller/settings.go
+++ b/internal/controller/settings.go
@@ -14,47 +14,51 @@
 	"github.com/pierhaven/pierhaven/internal/poison"
 )
 
-// Settings configure a Controller. Zero times and bounds take their defaults.
+// Settings configure a Controller. Times and bounds that are zero get their
+// defaults.
 type Settings struct {
-	// ID names this controller, Zone its zone, Zones all zones.
+	// ID is this controller's id, Zone the name of its zone and Zones the names of
+	// all zones.
 	ID    string   `validate:"required,max=128"`
 	Zone  string   `validate:"required,max=64"`
 	Zones []string `validate:"required,unique,dive,required,max=64"`
 
-	// ListenAddress serves gateways and other controllers, and is reached by
-	// them at AdvertiseAddress, which defaults to it.
+	// ListenAddress serves gateways and other controllers. They reach it at
+	// AdvertiseAddress, which defaults to ListenAddress.
 	ListenAddress    string `validate:"required,hostname_port"`
 	AdvertiseAddress string `validate:"omitempty,hostname_port"`
 	// OperatorListenAddress serves operators, health and metrics.
 	OperatorListenAddress string `validate:"required,hostname_port"`
-	// DataFolder holds everything that the controller keeps.
+	// DataFolder holds all data that the controller stores.
 	DataFolder string `validate:"required"`
 
 	// ZoneVoters are the advertised addresses of the zone group's first
-	// voters. The first in order of text founds the group.
+	// voters. The first of them in lexical order founds the group.
 	ZoneVoters []string `validate:"required,unique,dive,hostname_port"`
-	// ConfigVoters are those of the config group. ConfigVoter says that this
-	// controller hosts a replica of it.
+	// ConfigVoters are the same for the config group.
+	// ConfigVoter is set if this controller hosts a replica of that group.
 	ConfigVoters []string `validate:"required,unique,dive,hostname_port"`
 	ConfigVoter  bool
-	// OtherZones tells where other zones' controllers are; those of the
+	// OtherZones holds the addresses of other zones' controllers; those of the
 	// machine list are added.
 	OtherZones []ZoneControllers `validate:"dive"`
 
-	// Engines and BackEnds are the zone's, besides those of the machine list.
+	// Engines and BackEnds are the zone's engines and application back ends, in
+	// addition to those of the machine list.
 	Engines  []BackEndAddress `validate:"dive"`
 	BackEnds []BackEndAddress `validate:"dive"`
-	// MachineListAddress and WeightStoreAddress are the platform's; empty if
-	// there is none.
+	// MachineListAddress and WeightStoreAddress are the addresses of the platform's
+	// machine list and weight store; empty if there is none.
 	MachineListAddress string `validate:"omitempty,hostname_port"`
 	WeightStoreAddress string `validate:"omitempty,hostname_port"`
 
-	// ClusterToken is shared by all processes; empty checks nothing.
+	// ClusterToken is the token of internal calls, shared by all processes. If it is
+	// empty, calls are not checked.
 	ClusterToken string
 	// OperatorTokenHashes are SHA-256 hashes (hex) of the operators' tokens.
 	OperatorTokenHashes []string `validate:"dive,len=64,hexadecimal"`
 
-	// ElectionTimeout and RaftHeartbeat are those of both groups.
+	// ElectionTimeout and RaftHeartbeat apply to the zone group and the config group.
 	ElectionTimeout time.Duration `validate:"gte=0"`
 	RaftHeartbeat   time.Duration `validate:"gte=0"`
 	// SnapshotEntries is the number of log entries between snapshots.
@@ -64,36 +68,36 @@
 	SessionHeartbeat time.Duration `validate:"gte=0"`
 	SessionLease     time.Duration `validate:"gte=0"`
 	IsolationLimit   time.Duration `validate:"gte=0"`
-	// EnginePollInterval is the time between two looks at an engine.
+	// EnginePollInterval is the time between two polls of an engine.
 	EnginePollInterval time.Duration `validate:"gte=0"`
-	// PlatformPollInterval is the time between two looks at the machine list.
+	// PlatformPollInterval is the time between two polls of the machine list.
 	PlatformPollInterval time.Duration `validate:"gte=0"`
 	// ProposalTimeout bounds the wait for a commit.
 	ProposalTimeout time.Duration `validate:"gte=0"`
-	// RequestHold is for how long a request is held under which engines have ended.
+	// RequestHold is the time for which a request that crashes engines is held.
 	RequestHold time.Duration `validate:"gte=0"`
 	// OnceOnlyRetention and OnceOnlyMaxRecords bound the once-only records.
 	OnceOnlyRetention  time.Duration `validate:"gte=0"`
 	OnceOnlyMaxRecords int           `validate:"gte=0"`
-	// Workers bounds the calls to engines and peers that run at the same time.
+	// Workers bounds the concurrent calls to engines and peers.
 	Workers int `validate:"gte=0"`
 	// MaximumBodyBytes bounds the body of an internal call.
 	MaximumBodyBytes int `validate:"gte=0"`
-	// MaximumWatches bounds the long polls that wait at the same time.
+	// MaximumWatches bounds the long polls that wait concurrently.
 	MaximumWatches int `validate:"gte=0"`
 
-	// Version is the program's, for the status page.
+	// Version is the program's version, shown on the status page.
 	Version string
-	// Logger takes the log; the zero value discards it.
+	// Logger receives log messages; the zero value discards them.
 	Logger logr.Logger
-	// DumpLog writes the log ring out and returns the file's path; nil if
-	// there is none.
+	// DumpLog writes the in-memory log ring to a file and returns its path; nil if
+	// there is no log ring.
 	DumpLog func(reason string) (string, error)
 	// Listener and OperatorListener replace the listen addresses, for
 	// processes that inherit their sockets and for tests.
 	Listener         net.Listener
 	OperatorListener net.Listener
-	// FileSystem holds the data folder; nil takes the machine's.
+	// FileSystem holds the data folder; nil means the operating system's.
 	FileSystem storage.FileSystem
 }
 
@@ -103,7 +107,7 @@
 	Controllers []string `validate:"required,dive,hostname_port"`
 }
 
-// BackEndAddress is where an engine or an application back end is.
+// BackEndAddress is the id and address of an engine or an application back end.
 type BackEndAddress struct {
 	ID      string `validate:"required,max=128"`
 	Address string `validate:"required,hostname_port"`
@@ -160,7 +164,7 @@
 	return s
 }
 
-// check reports all mistakes at once.
+// check validates the settings and returns all errors joined.
 func (s Settings) check() error {
 	problems := []error{validator.New(validator.WithRequiredStructEnabled()).Struct(s)}
 	problem := func(format string, arguments ...any) {
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -17,32 +17,33 @@
 	"github.com/pierhaven/pierhaven/internal/zonestate"
 )
 
-// term is the soft state of one time of leading the zone group. It is dropped
-// with the leadership, so that nothing is known of a time when another
-// controller led. It guards the leader's cores: its mutex is taken before the
-// zone machine's.
+// term is the soft state of one term as leader of the zone group. It is discarded
+// with the leadership, so that it holds nothing from before a time in which another
+// controller led. Its mutex guards the leader's cores and is locked before the zone
+// machine's.
 type term struct {
 	number  uint64
 	began   time.Duration
 	machine *zoneMachine
 	wake    chan struct{}
 
-	mutex    sync.Mutex
-	core     *reconcile.Core
-	planner  *planner.Planner
-	rollouts *rollout.Core
-	outcomes versionOutcomes
-	shares   *admission.ShareCalculator
-	gateways map[uint64]gatewayReport
-	hold     planner.Hold
-	unplaced []planner.Unplaced
-	// prefetched are the wishes, by engine, whose weights were asked for.
+	mutex       sync.Mutex
+	core        *reconcile.Core
+	planner     *planner.Planner
+	rollouts    *rollout.Core
+	outcomes    versionOutcomes
+	shares      *admission.ShareCalculator
+	gateways    map[uint64]gatewayReport
+	plannerHold planner.Hold
+	unplaced    []planner.Unplaced
+	// prefetched holds, by engine id, the DesiredAt of the desired configuration
+	// whose weights the engine was last asked to prefetch.
 	prefetched map[string]uint64
 	policies   policySet
 }
 
-// gatewayReport is a gateway's last heartbeat, and the last demand that one of
-// its heartbeats carried.
+// gatewayReport holds a gateway's last heartbeat and the last demand that one of
+// its heartbeats carried, with their arrival times.
 type gatewayReport struct {
 	at        time.Duration
 	heartbeat wire.HeartbeatRequest
@@ -67,31 +68,34 @@
 	}
 }
 
-// with calls use with the core and the committed state.
+// with locks the term and calls use with the core and the committed state.
 func (t *term) with(use func(core *reconcile.Core, state *zonestate.State)) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.machine.Read(func(state *zonestate.State) { use(t.core, state) })
 }
 
-// hurry lets the next tick come at once.
-func (t *term) hurry() {
+// requestTick wakes the leader's loop for an immediate tick.
+func (t *term) requestTick() {
 	select {
 	case t.wake <- struct{}{}:
 	default:
 	}
 }
 
-// heard notes a heartbeat before the read barrier of its answer.
-func (t *term) heard(at time.Duration, heartbeat *wire.HeartbeatRequest) {
+// heartbeatArrived records a heartbeat. It must be called before the read barrier
+// that precedes the reply.
+func (t *term) heartbeatArrived(at time.Duration, heartbeat *wire.HeartbeatRequest) {
 	t.with(func(core *reconcile.Core, state *zonestate.State) {
 		core.Heard(at, heartbeat, state)
-		t.note(at, heartbeat, state)
+		t.recordHeartbeat(at, heartbeat, state)
 	})
-	t.hurry()
+	t.requestTick()
 }
 
-func (t *term) note(at time.Duration, heartbeat *wire.HeartbeatRequest, state *zonestate.State) {
+// recordHeartbeat stores a heartbeat unless its session is not the gateway's open
+// session or a heartbeat that arrived later is stored. The caller must hold t.mutex.
+func (t *term) recordHeartbeat(at time.Duration, heartbeat *wire.HeartbeatRequest, state *zonestate.State) {
 	session, open := state.Sessions().Get(heartbeat.SessionID)
 	if !open || session.MemberID != heartbeat.GatewayID {
 		return
@@ -113,8 +117,9 @@
 	}
 }
 
-// answer makes the reply to a heartbeat, after its read barrier.
-func (t *term) answer(now time.Duration, heartbeat *wire.HeartbeatRequest, zones int) *wire.HeartbeatReply {
+// heartbeatReply returns the reply to a heartbeat. It must be called after the read
+// barrier.
+func (t *term) heartbeatReply(now time.Duration, heartbeat *wire.HeartbeatRequest, zones int) *wire.HeartbeatReply {
 	var reply wire.HeartbeatReply
 	t.with(func(core *reconcile.Core, state *zonestate.State) {
 		reply = core.AnswerHeartbeat(heartbeat, state)
@@ -127,9 +132,9 @@
 	return &reply
 }
 
-// renewShares leases the gateway its parts of the budgets of the tenants that it
-// named. A zone has an equal part of each budget, so that zones that are cut off
-// from each other stay within it together.
+// renewShares leases the gateway its shares of the budgets of the tenants in its
+// usage report. Each zone has an equal fraction of every budget, so that zones
+// together stay within it while they are cut off from each other.
 func (t *term) renewShares(now time.Duration, heartbeat *wire.HeartbeatRequest, zones int, state *zonestate.State) []wire.TenantShare {
 	if len(heartbeat.Usage) == 0 {
 		return nil
@@ -138,14 +143,14 @@
 	for _, session := range state.Sessions().List() {
 		gateways = append(gateways, session.MemberID)
 	}
-	part := 1 / float64(max(zones, 1))
+	zoneFraction := 1 / float64(max(zones, 1))
 	var shares []wire.TenantShare
 	for _, usage := range heartbeat.Usage {
 		tenant, found := state.Tenant(usage.Tenant)
 		if !found || tenant.TokensPerSecond <= 0 {
 			continue
 		}
-		share := t.shares.Renew(now, heartbeat.GatewayID, tenant.Name, tenant.TokensPerSecond*part, tenant.BurstTokens*part, gateways)
+		share := t.shares.Renew(now, heartbeat.GatewayID, tenant.Name, tenant.TokensPerSecond*zoneFraction, tenant.BurstTokens*zoneFraction, gateways)
 		shares = append(shares, wire.TenantShare{
 			Tenant:          tenant.Name,
 			TokensPerSecond: share.TokensPerSecond,
@@ -155,9 +160,9 @@
 	return shares
 }
 
-// opened notes that a request which arrived at at has opened a session. It
-// reports whether the session may be handed out.
-func (t *term) opened(at time.Duration, sessionID uint64) bool {
+// sessionOpened records that a request which arrived at at has opened a session. It
+// reports whether the session may be returned to the gateway.
+func (t *term) sessionOpened(at time.Duration, sessionID uint64) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.core.Opened(at, sessionID)
@@ -168,14 +173,14 @@
 	t.mutex.Lock()
 	t.core.ProposalEnded(key)
 	t.mutex.Unlock()
-	t.hurry()
+	t.requestTick()
 }
 
 func (t *term) offerConfig(snapshot *dynamic.Snapshot) {
 	t.mutex.Lock()
 	t.core.OfferConfig(snapshot)
 	t.mutex.Unlock()
-	t.hurry()
+	t.requestTick()
 }
 
 func (t *term) machinesListed(list *platformapi.MachineList) {
@@ -184,8 +189,9 @@
 	t.core.MachinesListed(list)
 }
 
-// enginePolled takes in the answer to a poll, nil for none. An answer from
-// another address than the engine's present one is another machine's.
+// enginePolled records the response to a poll, nil if there was none. A response
+// from an address that is no longer the engine's is another machine's and counts as
+// a failed poll.
 func (t *term) enginePolled(sentAt, now time.Duration, poll reconcile.Poll, reported *engineapi.State) {
 	t.with(func(core *reconcile.Core, state *zonestate.State) {
 		engine, found := state.Engine(poll.ID)
@@ -215,10 +221,10 @@
 		return
 	}
 	t.core.OrderAnswered(sentAt, now, order, reply)
-	t.hurry()
+	t.requestTick()
 }
 
-// tick works out what to do now and forgets what belongs to ended sessions.
+// tick runs one tick of the core and deletes the state of ended sessions.
 func (t *term) tick(now time.Duration, wallMillis int64) reconcile.Outputs {
 	var outputs reconcile.Outputs
 	t.with(func(core *reconcile.Core, state *zonestate.State) {
--- a/internal/controller/zonemachine.go
+++ b/internal/controller/zonemachine.go
@@ -4,8 +4,8 @@
 	"github.com/pierhaven/pierhaven/internal/zonestate"
 )
 
-// zoneMachine is the zone group's state machine; it tells the watchers when
-// something that gateways see has changed.
+// zoneMachine is the zone group's state machine. It notifies watchers when the
+// state that gateways see has changed.
 type zoneMachine struct {
 	*zonestate.Machine
 	changed *broadcast
--- a/internal/controller/zonereport.go
+++ b/internal/controller/zonereport.go
@@ -15,15 +15,16 @@
 )
 
 const (
-	// reportTimeout bounds the asking of one controller for its zone's report.
+	// reportTimeout is the timeout of a query of one controller for its report of
+	// its zone or of a group.
 	reportTimeout = 2 * time.Second
-	// engineSilence is the time without an answer after which an engine counts
-	// as unreachable in reports.
-	engineSilence = 5 * time.Second
+	// engineUnreachableAfter is the time without a response after which an engine
+	// counts as unreachable in reports, for the planner and for prefetches.
+	engineUnreachableAfter = 5 * time.Second
 )
 
-// handleZoneReport reports on the zone. The leader's report comes after a read
-// barrier; a follower's is of its own copy.
+// handleZoneReport returns a report of the zone. The leader makes it after a read
+// barrier; a follower makes it from its own copy of the state.
 func (c *Controller) handleZoneReport(ctx context.Context, request *peer.ZoneReportRequest) (*operatorapi.ZoneReport, error) {
 	if t := c.currentTerm(); t != nil && c.zone.ReadBarrier(ctx) == nil {
 		return c.leaderReport(t), nil
@@ -70,7 +71,7 @@
 	t.with(func(core *reconcile.Core, state *zonestate.State) {
 		c.fillCommitted(report, state)
 		for _, status := range core.Status(now, state) {
-			report.Engines = append(report.Engines, c.watchedEngineRow(&status))
+			report.Engines = append(report.Engines, c.observedEngineRow(&status))
 		}
 		for _, session := range state.Sessions().List() {
 			row := c.gatewayRow(session)
@@ -82,8 +83,8 @@
 	return report
 }
 
-// policyFailures lists what doesn't run as written: here, and at the gateways of
-// the report. The term's mutex is held.
+// policyFailures returns the policy programs that don't run as written, at this
+// controller and at the gateways of the report. The caller must hold t.mutex.
 func (t *term) policyFailures(report *operatorapi.ZoneReport) []operatorapi.PolicyFailure {
 	var failures []operatorapi.PolicyFailure
 	for _, failed := range t.policies.set.Reports() {
@@ -156,9 +157,9 @@
 	return ""
 }
 
-func (c *Controller) watchedEngineRow(status *reconcile.EngineStatus) operatorapi.Engine {
+func (c *Controller) observedEngineRow(status *reconcile.EngineStatus) operatorapi.Engine {
 	row := c.engineRow(&status.Engine)
-	row.Reachable = status.Reported != nil && status.SilentFor < engineSilence
+	row.Reachable = status.Reported != nil && status.SilentFor < engineUnreachableAfter
 	if status.Reported != nil {
 		row.Phase = string(status.Reported.Phase)
 		row.Observed = engineConfiguration(&status.Reported.Observed)
@@ -180,7 +181,8 @@
 	}
 }
 
-// fillGateway adds what the leader knows from heartbeats. Its mutex is held.
+// fillGateway adds what the leader knows from heartbeats. The caller must hold
+// t.mutex.
 func (t *term) fillGateway(row *operatorapi.Gateway, now time.Duration, core *reconcile.Core, session *membership.Session) {
 	row.AppliedRevision = core.Acknowledged(session.ID)
 	row.State = operatorapi.GatewayLive
@@ -199,7 +201,8 @@
 	row.HeartbeatAgeMillis = (now - report.at).Milliseconds()
 }
 
-// zoneAnswer is what was found out about one zone.
+// zoneAnswer is the result of querying one zone: a report, or the problem that
+// prevented one.
 type zoneAnswer struct {
 	zone        string
 	controllers []string
@@ -207,21 +210,21 @@
 	problem     error
 }
 
-// collectReports asks all zones at the same time. The answers are in the order
-// of the settings.
+// collectReports queries all zones concurrently. The results are in the order of
+// the settings.
 func (c *Controller) collectReports(ctx context.Context) []zoneAnswer {
 	answers := make([]zoneAnswer, len(c.settings.Zones))
 	var running sync.WaitGroup
 	for index, zone := range c.settings.Zones {
-		running.Go(func() { answers[index] = c.askZone(ctx, zone) })
+		running.Go(func() { answers[index] = c.queryZone(ctx, zone) })
 	}
 	running.Wait()
 	return answers
 }
 
-// askZone takes the leader's report or, if no leader answers, the newest of the
-// others.
-func (c *Controller) askZone(ctx context.Context, zone string) zoneAnswer {
+// queryZone queries all known controllers of a zone concurrently. It returns the
+// leader's report or, if no leader answers, the newest of the others.
+func (c *Controller) queryZone(ctx context.Context, zone string) zoneAnswer {
 	answer := zoneAnswer{zone: zone, controllers: c.zoneControllers(zone)}
 	if len(answer.controllers) == 0 {
 		answer.problem = failure.New(failure.NotFound, "no controller of the zone is known")
@@ -231,7 +234,7 @@
 	problems := make(chan error, len(answer.controllers))
 	for _, address := range answer.controllers {
 		go func() {
-			report, err := c.askController(ctx, address)
+			report, err := c.queryController(ctx, address)
 			if err == nil && report.Zone != zone {
 				err = failure.New(failure.NotFound, address+" is of zone "+report.Zone)
 			}
@@ -262,7 +265,7 @@
 	return left
 }
 
-func (c *Controller) askController(ctx context.Context, address string) (*operatorapi.ZoneReport, error) {
+func (c *Controller) queryController(ctx context.Context, address string) (*operatorapi.ZoneReport, error) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	report := &operatorapi.ZoneReport{}
@@ -270,8 +273,8 @@
 	return report, err
 }
 
-// zoneControllers lists the controllers of a zone, those of the own zone also
-// from the group's members.
+// zoneControllers returns the addresses of a zone's controllers. For the own zone
+// they include the members of the zone group.
 func (c *Controller) zoneControllers(zone string) []string {
 	if zone == c.settings.Zone {
 		return unique([]string{c.settings.AdvertiseAddress}, c.zone.MemberAddresses(), c.directory.controllers(zone))
--- a/internal/controller/zones_test.go
+++ b/internal/controller/zones_test.go
@@ -16,7 +16,7 @@
 
 type controllerSettings = controller.Settings
 
-func TestAChangeIsInForceInAllZonesAndTheMissingAreNamed(t *testing.T) {
+func TestChangeStatusNamesZonesWithoutTheChange(t *testing.T) {
 	zones := []string{"caerdydd-a", "caerdydd-b", "casnewydd"}
 	c := startCluster(t, layout{zones: zones, controllers: 2})
 	client := c.operators("caerdydd-a")
@@ -56,7 +56,7 @@
 	for _, m := range c.members["casnewydd"] {
 		m.start(t)
 	}
-	c.eventually("the zone that was away", func() error {
+	c.eventually("the zone that was stopped", func() error {
 		status, err := client.ChangeStatus(ctx, second.Revision, time.Second)
 		if err == nil && !status.InForce {
 			err = fmt.Errorf("missing: %+v", status.Missing)
@@ -65,13 +65,14 @@
 	})
 }
 
-// A zone that is cut off from all others goes on by itself with the
-// configuration that it has, also over a restart of its controllers.
-func TestACutOffZoneKeepsItsConfiguration(t *testing.T) {
+// A zone that is cut off from all others must keep serving with the configuration
+// that it has, also after a restart of its controller, and must fail changes that
+// need the config group's majority.
+func TestIsolatedZoneKeepsItsConfiguration(t *testing.T) {
 	zones := []string{"hal-noord", "hal-zuid", "hal-oost"}
 	c := startCluster(t, layout{zones: zones, controllers: 1})
 	for _, zone := range zones {
-		// The founding of a zone's group is a change of its own.
+		// Waits until the zone's group is founded: its founding is a separate change.
 		openGateway(c, zone, "first-of-"+zone)
 	}
 	accepted := submit(t, c.operators(), dynamic.KindTenant, "depot", tenant("hal-zuid"))
