--- a/internal/coordinator/activity.go
+++ b/internal/coordinator/activity.go
@@ -19,7 +19,8 @@
 
 // activityPlanner plans at the leader which replicas are active. It is safe for concurrent use.
 type activityPlanner struct {
-	mutex   sync.Mutex
+	mutex sync.Mutex
+	// term is the leader's term for which planner was created.
 	term    uint64
 	planner *activeset.Planner
 }
@@ -55,8 +56,9 @@
 	}
 	c.activity.planner.MinimumActive = c.settings.MinimumActiveReplicas
 	if c.zones.hasLegacyMember(c.sortedMembers()) {
-		// Such a coordinator sends gateways all replicas, so the others have to send them the change when
-		// any of these begins to leave.
+		// A coordinator of an earlier version sends gateways all replicas, but the others send changes of
+		// active ones only. With all of them active, a gateway that polls another coordinator next still
+		// learns when any of them begins to leave.
 		c.activity.planner.MinimumActive = math.MaxInt
 	}
 	now := c.now()
@@ -82,8 +84,9 @@
 }
 
 // activityInput describes the replicas and the demand to the planner. limited are the incarnations, by Life.Name,
-// that declare a rate limit: they stay active up to that limit, and replicas on standby take over the excess at
-// once. groupOf returns the region of a zone.
+// that declare a rate limit. They are ineligible: the planner leaves them as they are but does not count them, so
+// that active ones continue to serve up to their limit and replicas on standby are activated at once for the
+// excess. groupOf returns the region of a zone.
 func activityInput(state region.State, demands map[activeset.Group]region.ServiceDemand, limited map[string]bool, groupOf func(zone string) string) activeset.Input {
 	input := activeset.Input{
 		Replicas: make([]activeset.Replica, 0, len(state.Replicas)),
--- a/internal/coordinator/activity_test.go
+++ b/internal/coordinator/activity_test.go
@@ -190,7 +190,7 @@
 	assert.Equal(t, 998, got.StandbyCount)
 }
 
-// Gateways of two coordinators report demand, and one replica as unreachable, which is not activated.
+// Replicas are activated for the reported demand. One that two gateways report as unreachable is not activated.
 func TestServiceDemandDeterminesActiveReplicas(t *testing.T) {
 	state := region.State{}
 	applyListChange(&state, 0, listCommandWithStandby(bigList(2000)...))
@@ -206,7 +206,8 @@
 	assert.NotContains(t, change.Activate, state.Replicas[0].Replica.ID)
 }
 
-// For as long as a replica declares a rate limit, a replica on standby is activated for the load above that limit.
+// Replicas that declare a rate limit stay active, and as many on standby are activated for the load above the limits.
+// Once the limits are gone, the small surplus stays active.
 func TestStandbyReplicasRelieveLimitedReplicas(t *testing.T) {
 	m := newTestStateMachine()
 	apply(t, m, 1, region.Command{List: listCommandWithStandby(bigList(1000)...)})
--- a/internal/coordinator/arrivals.go
+++ b/internal/coordinator/arrivals.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// replicaCount is the number of a service's replicas on the list, the time since which it has not changed, and the time
-// of the first count.
+// replicaCount is the number of a service's replicas on the list that are not leaving, the time since which it has not
+// changed, and the time of the first count.
 type replicaCount struct {
 	count        int
 	since, first time.Duration
@@ -13,14 +13,14 @@
 // list that is still incomplete shows too few replicas, and a change that proves needless costs seconds of a replica.
 const listSettleTime = 2 * time.Second
 
-// maximumListSettleTime bounds the wait where replicas are ordered and taken away all the time: callers may arrive at
-// any moment.
+// maximumListSettleTime bounds the wait if replicas are ordered and removed all the time: callers may arrive at any
+// moment.
 const maximumListSettleTime = 3 * listSettleTime
 
 // standbyCount returns the number of a service's replicas on standby.
-func (k *stagePlanner) standbyCount(service string) int {
+func (p *stagePlanner) standbyCount(service string) int {
 	sum := 0
-	for group, spare := range k.spares {
+	for group, spare := range p.spares {
 		if group.service == service {
 			sum += spare.Readers + spare.Generators
 		}
@@ -30,19 +30,19 @@
 
 // listIsSettling reports whether the number of a service's replicas has changed recently, and no demand for the service
 // has been reported yet.
-func (k *stagePlanner) listIsSettling(now time.Duration, service string, replicas int) bool {
-	for group := range k.demandSince {
+func (p *stagePlanner) listIsSettling(now time.Duration, service string, replicas int) bool {
+	for group := range p.demandSince {
 		if group.service == service {
 			return false
 		}
 	}
-	last, found := k.replicaCounts[service]
+	last, found := p.replicaCounts[service]
 	if !found {
 		last.first = now
 	}
 	if !found || last.count != replicas {
 		last.count, last.since = replicas, now
-		k.replicaCounts[service] = last
+		p.replicaCounts[service] = last
 	}
 	return now-last.since < listSettleTime && now-last.first < maximumListSettleTime
 }
--- a/internal/coordinator/demand.go
+++ b/internal/coordinator/demand.go
@@ -101,7 +101,8 @@
 	return min(float64(known)/float64(reporting), maximumExtrapolation)
 }
 
-// recentMaximum tracks the maximum of a number over a time between gatewayRetention and twice gatewayRetention.
+// recentMaximum tracks the maximum of a number over a period that varies between gatewayRetention and twice
+// gatewayRetention.
 type recentMaximum struct {
 	current, previous int
 	startedAt         time.Duration
--- a/internal/coordinator/duties_test.go
+++ b/internal/coordinator/duties_test.go
@@ -44,7 +44,7 @@
 }
 
 // run counts requests and polls until the context ends, then reports the remaining counts.
-func (w *reportingGateway) run(ctx context.Context) {
+func (r *reportingGateway) run(ctx context.Context) {
 	client, err := rpc.NewClient(rpc.ClientOptions{DialTimeout: time.Second, CallTimeout: time.Second})
 	if err != nil {
 		panic(err)
@@ -52,36 +52,36 @@
 	reportedTo := ""
 	for {
 		if ctx.Err() == nil {
-			w.recordRequest(time.Now())
+			r.recordRequest(time.Now())
 		}
-		address := w.g.addresses[w.at%len(w.g.addresses)]
-		report := &region.GatewayUsage{Gateway: w.name, Life: 1, ToldAt: time.Now().UnixNano(), Counts: w.ledger.Report(address != reportedTo)}
+		address := r.g.addresses[r.at%len(r.g.addresses)]
+		report := &region.GatewayUsage{Gateway: r.name, Life: 1, ToldAt: time.Now().UnixNano(), Counts: r.ledger.Report(address != reportedTo)}
 		var view region.View
-		asking, cancel := context.WithTimeout(context.Background(), time.Second)
-		err := client.Call(asking, address, region.PathView, &region.ViewRequest{
-			Address: w.name, WallNanos: time.Now().UnixNano(), Usage: report, WaitMillis: 20,
+		callContext, cancel := context.WithTimeout(context.Background(), time.Second)
+		err := client.Call(callContext, address, region.PathView, &region.ViewRequest{
+			Address: r.name, WallNanos: time.Now().UnixNano(), Usage: report, WaitMillis: 20,
 		}, &view)
 		cancel()
 		if err != nil {
 			reportedTo = ""
-			w.at++
+			r.at++
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
 		reportedTo = address
-		w.ledger.Taken(report.Counts)
-		w.ledger.Fixed(view.NextWindow)
-		if ctx.Err() != nil && len(w.ledger.Report(true)) == 0 {
+		r.ledger.Taken(report.Counts)
+		r.ledger.Fixed(view.NextWindow)
+		if ctx.Err() != nil && len(r.ledger.Report(true)) == 0 {
 			return
 		}
 	}
 }
 
-func (w *reportingGateway) recordRequest(at time.Time) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.ledger.Begun("depot", at)
-	w.counted[usage.WindowOf(at, usageWindow)]++
+func (r *reportingGateway) recordRequest(at time.Time) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.ledger.Begun("depot", at)
+	r.counted[usage.WindowOf(at, usageWindow)]++
 }
 
 // leader waits for a leader and returns its address.
@@ -100,8 +100,8 @@
 }
 
 // The leader is stopped repeatedly, and the platform loses a third of the calls and carries them out late, while each gateway
-// reports to one coordinator. No window is reported with two different counts, no fence is used twice, and the reported
-// counts are those of the gateways.
+// reports to one coordinator. No window is reported with two different counts, no fencing token is used twice, and the
+// reported counts are those of the gateways.
 func TestUsageIsReportedOnceAcrossLeaderChanges(t *testing.T) {
 	duties := platformtest.NewDuties(1, dutyLease)
 	duties.Lose, duties.LateBy = 0.3, 700*time.Millisecond
--- a/internal/coordinator/duty.go
+++ b/internal/coordinator/duty.go
@@ -45,7 +45,7 @@
 // earliestCallTime returns the time from which a new leader may make a duty's calls: when the
 // lease of the coordinator that made the last one has expired. The new leader must have applied
 // all that was committed before its term. Safety depends on the fencing tokens, not on this; the
-// lease keeps two holders from making calls in turn.
+// lease keeps the calls of two holders from alternating.
 func earliestCallTime(elected time.Duration, last lastCall, lease time.Duration) time.Duration {
 	if !last.known {
 		return elected
@@ -61,6 +61,7 @@
 type dutyHolder struct {
 	*Coordinator
 	duty duty
+	// term is the term whose work was started last, 0 if this coordinator does not lead.
 	term uint64
 	// callsAllowedAt is the time from which this leader may make calls.
 	callsAllowedAt time.Duration
--- a/internal/coordinator/dutystate.go
+++ b/internal/coordinator/dutystate.go
@@ -10,12 +10,12 @@
 // older ones are so long overdue that nobody waits for them.
 const maximumPendingWindows = 64
 
-// applyUsage applies the parts of a command that concern tenant usage. A window's counts are fixed
-// once: later proposals for it change nothing, so that all reports of a window are identical.
+// applyUsage applies the parts of a command that concern tenant usage. A window's first counts are
+// final: later proposals for it change nothing, so that all reports of a window are identical.
 func (m *stateMachine) applyUsage(command *region.Command) {
-	if fixed := command.Usage; fixed != nil && fixed.Window >= m.state.NextWindow {
-		m.state.NextWindow = fixed.Window + 1
-		pending := append(slices.Clone(m.state.Usage), *fixed)
+	if final := command.Usage; final != nil && final.Window >= m.state.NextWindow {
+		m.state.NextWindow = final.Window + 1
+		pending := append(slices.Clone(m.state.Usage), *final)
 		m.state.Usage = pending[max(len(pending)-maximumPendingWindows, 0):]
 	}
 	if command.UsageCall != nil {
--- a/internal/coordinator/fleet.go
+++ b/internal/coordinator/fleet.go
@@ -49,47 +49,47 @@
 	}
 }
 
-// step makes the orders that are due.
-func (k *fleetScaler) step(ctx context.Context) {
-	state, _ := k.machine.read()
-	if state.Version > k.version {
-		k.readScaling(state)
-	}
-	for _, service := range slices.Sorted(maps.Keys(k.scaling)) {
-		input := fleetInput(state, service, k.scaling[service])
-		demand := k.demandFor(k.now(), service)
+// step plans each service with scaling bounds, and sends the orders that are due.
+func (s *fleetScaler) step(ctx context.Context) {
+	state, _ := s.machine.read()
+	if state.Version > s.version {
+		s.readScaling(state)
+	}
+	for _, service := range slices.Sorted(maps.Keys(s.scaling)) {
+		input := fleetInput(state, service, s.scaling[service])
+		demand := s.demandFor(s.now(), service)
 		input.Load = loadOf(demand, slotsOf(state, service))
-		planner, known := k.planners[service]
+		planner, known := s.planners[service]
 		if !known {
 			planner = fleetplan.New(baseOf(state, service))
-			k.planners[service] = planner
+			s.planners[service] = planner
 		}
-		for _, order := range planner.Step(k.now(), input) {
-			k.order(ctx, service, planner, order)
+		for _, order := range planner.Step(s.now(), input) {
+			s.order(ctx, service, planner, order)
 		}
-		k.outlooks.note(service, planner.Outlook())
+		s.outlooks.note(service, planner.Outlook())
 	}
 }
 
 // readScaling reads the services' scaling bounds from the configuration.
-func (k *fleetScaler) readScaling(state region.State) {
-	k.version = state.Version
-	configuration, err := decodeConfiguration(k.settings.Codec, state.Document)
+func (s *fleetScaler) readScaling(state region.State) {
+	s.version = state.Version
+	configuration, err := decodeConfiguration(s.settings.Codec, state.Document)
 	if err != nil {
-		k.logger.Info(event.ConfigurationRefused, "version", state.Version, "reason", err.Error())
+		s.logger.Info(event.ConfigurationRefused, "version", state.Version, "reason", err.Error())
 		return
 	}
-	k.scaling = map[string]traffic.Scaling{}
+	s.scaling = map[string]traffic.Scaling{}
 	for _, service := range configuration.Services {
 		scaling := service.Scaling
 		if scaling == nil {
 			continue
 		}
 		if scaling.Minimum < 0 || scaling.Maximum < max(scaling.Minimum, 1) {
-			k.logger.Info(event.FleetTermsIgnored, "service", service.Name, "minimum", scaling.Minimum, "maximum", scaling.Maximum)
+			s.logger.Info(event.FleetTermsIgnored, "service", service.Name, "minimum", scaling.Minimum, "maximum", scaling.Maximum)
 			continue
 		}
-		k.scaling[service.Name] = *scaling
+		s.scaling[service.Name] = *scaling
 	}
 }
 
@@ -170,6 +170,8 @@
 	}
 	if demand.Prompts > 0 && demand.Reading > 0 {
 		load.Slack = seconds(demand.Slack / demand.Prompts)
+		// Half the mean square of the prefill times, divided by their mean, is the mean remaining time of a
+		// prefill in progress.
 		load.Reading = seconds(demand.Squares / demand.Reading / 2)
 	}
 	return load
@@ -185,7 +187,7 @@
 }
 
 // order commits an order and sends it to the platform.
-func (k *fleetScaler) order(ctx context.Context, service string, planner *fleetplan.Planner, planned fleetplan.Order) {
+func (s *fleetScaler) order(ctx context.Context, service string, planner *fleetplan.Planner, planned fleetplan.Order) {
 	bounded, cancel := context.WithTimeout(ctx, platformTimeout)
 	defer cancel()
 	order := region.FleetOrder{
@@ -195,21 +197,21 @@
 		Count:       planned.Count,
 		Base:        planner.Base(),
 	}
-	fence, err := k.commitCall(bounded, &region.Command{Fleet: &order})
+	fence, err := s.commitCall(bounded, &region.Command{Fleet: &order})
 	if err == nil {
-		err = k.settings.Platform.OrderFleet(bounded, DutyCall{Holder: k.settings.Name, Fence: fence}, order)
+		err = s.settings.Platform.OrderFleet(bounded, DutyCall{Holder: s.settings.Name, Fence: fence}, order)
 	}
 	outlook := planner.Outlook()
-	k.logger.Info(event.FleetOrdered, "service", service, "zone", order.Zone, "preemptible", order.Preemptible, "count", order.Count,
+	s.logger.Info(event.FleetOrdered, "service", service, "zone", order.Zone, "preemptible", order.Preemptible, "count", order.Count,
 		"reason", planned.Reason, "learned", outlook.Learned, "wanted", outlook.Wanted, "enough", outlook.Enough, "busy", outlook.Load.Busy,
 		"kept", outlook.Load.Kept, "readers", outlook.Readers, "prompts", outlook.Load.Prompts, "delayed", outlook.Load.Delayed, "trust", outlook.Trust, "slack_ms", outlook.Load.Slack.Milliseconds(),
 		"reading_ms", outlook.Load.Reading.Milliseconds(), "late", outlook.Late, "next_worth", outlook.NextWorth, "next_price", outlook.NextPrice,
-		"fence", fence, "term", k.term, "error", failure.Text(err))
+		"fence", fence, "term", s.term, "error", failure.Text(err))
 	switch {
 	case err == nil:
-		planner.Ordered(k.now(), planned)
+		planner.Ordered(s.now(), planned)
 	case errors.Is(err, ErrNoMoreReplicas):
-		planner.Refused(k.now(), planned)
+		planner.Refused(s.now(), planned)
 	default:
 		planner.Lost(planned)
 	}
--- a/internal/coordinator/leaving.go
+++ b/internal/coordinator/leaving.go
@@ -63,7 +63,8 @@
 	}
 }
 
-// handleLeaving handles a process's report of leaving replicas, and forwards it to the leader.
+// handleLeaving handles a process's report of leaving replicas: it marks them in the directory, and forwards those
+// that are due to the leader, which commits a list change.
 func (c *Coordinator) handleLeaving(ctx context.Context, report *region.LeavingReport) (*peer.Empty, error) {
 	c.placement.directory.MarkLeaving(report.Replicas)
 	state, _ := c.machine.read()
@@ -91,14 +92,14 @@
 	for _, name := range names {
 		wanted[name] = true
 	}
-	var unlisted []string
+	var notLeaving []string
 	for index := range replicas {
 		replica := &replicas[index].Replica
 		if name := replica.Life().Name(); wanted[name] && !replica.Leaves() {
-			unlisted = append(unlisted, name)
+			notLeaving = append(notLeaving, name)
 		}
 	}
-	return unlisted
+	return notLeaving
 }
 
 // commitLeaving commits a list change that marks replicas as leaving.
--- a/internal/coordinator/pool.go
+++ b/internal/coordinator/pool.go
@@ -15,8 +15,8 @@
 	"github.com/pierhaven/pierhaven/internal/telemetry"
 )
 
-// poolLeaseShare is the share of the contact time for which a coordinator's part of the limits counts at
-// the leader after its last message. It also bounds the time for which a failed leader delays queries;
+// poolLeaseShare is the fraction of the contact time for which a coordinator's share of the limits counts
+// at the leader after its last message. It also bounds the time for which a failed leader delays queries;
 // an election takes twice as long.
 const poolLeaseShare = 0.125
 
--- a/internal/coordinator/regionload.go
+++ b/internal/coordinator/regionload.go
@@ -42,18 +42,18 @@
 	for _, change := range state.Changes {
 		changing[change.Life()] = true
 	}
-	work := c.placement.directory.Requests()
+	requestsByReplica := c.placement.directory.Requests()
 	loads := map[stageGroup]*RegionLoad{}
 	for _, listed := range state.Replicas {
 		replica := listed.Replica
-		load := c.loadOf(loads, &replica)
+		load := c.regionLoadFor(loads, &replica)
 		load.Replicas++
 		if listed.Standby {
 			load.Standby++
 			continue
 		}
 		load.Slots += replica.Slots
-		requests := work[replica.Life().Name()]
+		requests := requestsByReplica[replica.Life().Name()]
 		load.Requests += requests.All
 		load.PlacedHere += requests.Own
 		switch {
@@ -75,8 +75,8 @@
 	return sorted
 }
 
-// loadOf returns the entry of loads for a replica's service and region, and adds it if there is none.
-func (c *Coordinator) loadOf(loads map[stageGroup]*RegionLoad, replica *region.Replica) *RegionLoad {
+// regionLoadFor returns the entry of loads for a replica's service and region, and adds it if there is none.
+func (c *Coordinator) regionLoadFor(loads map[stageGroup]*RegionLoad, replica *region.Replica) *RegionLoad {
 	regions := c.settings.Topology
 	group := stageGroup{service: replica.Service, region: regions.RegionOf(replica.Zone)}
 	load, found := loads[group]
--- a/internal/coordinator/replicalimits.go
+++ b/internal/coordinator/replicalimits.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// limitViewInterval is the minimum time between two early answers to gateways' polls because the
+	// limitViewInterval is the interval at which gateways' waiting polls are answered early if the
 	// replicas that declare limits have changed.
 	limitViewInterval = 250 * time.Millisecond
 	// limitCompareInterval is the interval at which coordinators compare their limits: a report that was
--- a/internal/coordinator/replicalimits_test.go
+++ b/internal/coordinator/replicalimits_test.go
@@ -26,68 +26,69 @@
 
 func newLimitClient(t *testing.T) *limitClient {
 	t.Helper()
-	a := &limitClient{t: t, socket: &datagram.Socket{}, address: testnet.Address(t), answers: make(chan quota.Answer, 64)}
-	a.socket.Handle(datagram.KindLimitReply, func(_ netip.AddrPort, payload []byte) error {
+	client := &limitClient{t: t, socket: &datagram.Socket{}, address: testnet.Address(t), answers: make(chan quota.Answer, 64)}
+	client.socket.Handle(datagram.KindLimitReply, func(_ netip.AddrPort, payload []byte) error {
 		var reply quota.GatewayReply
 		if _, err := reply.UnmarshalMsg(payload); err == nil {
 			for _, each := range reply.Answers {
-				a.answers <- each
+				client.answers <- each
 			}
 		}
 		return nil
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	go func() { done <- a.socket.Run(ctx, a.address) }()
+	go func() { done <- client.socket.Run(ctx, client.address) }()
 	t.Cleanup(func() {
 		cancel()
 		assert.NoError(t, <-done)
 	})
-	return a
+	return client
 }
 
 // report sends a limit report of a replica to a coordinator.
-func (a *limitClient) report(coordinator string, report ratelimit.Report) {
-	a.socket.Send(datagram.KindLimitWord, &ratelimit.Message{From: a.address, Reports: []ratelimit.Report{report}}, netip.MustParseAddrPort(coordinator))
+func (c *limitClient) report(coordinator string, report ratelimit.Report) {
+	c.socket.Send(datagram.KindLimitWord, &ratelimit.Message{From: c.address, Reports: []ratelimit.Report{report}}, netip.MustParseAddrPort(coordinator))
 }
 
 // requestPermit requests a permit from a coordinator, repeatedly until it answers.
-func (a *limitClient) requestPermit(coordinator, replica string) quota.Answer {
-	a.t.Helper()
-	a.lastID++
-	question := &quota.GatewayMessage{Questions: []quota.Question{{ID: a.lastID, Account: replica, Units: 1}}}
+func (c *limitClient) requestPermit(coordinator, replica string) quota.Answer {
+	c.t.Helper()
+	c.lastID++
+	question := &quota.GatewayMessage{Questions: []quota.Question{{ID: c.lastID, Account: replica, Units: 1}}}
 	deadline := time.After(30 * time.Second)
 	for {
-		a.socket.Send(datagram.KindLimit, question, netip.MustParseAddrPort(coordinator))
+		c.socket.Send(datagram.KindLimit, question, netip.MustParseAddrPort(coordinator))
 		select {
-		case answer := <-a.answers:
-			if answer.ID == a.lastID {
+		case answer := <-c.answers:
+			if answer.ID == c.lastID {
 				return answer
 			}
 		case <-time.After(200 * time.Millisecond):
 		case <-deadline:
-			require.Fail(a.t, "no answer")
+			require.Fail(c.t, "no answer")
 		}
 	}
 }
 
 // A replica with a declared limit of 1 request a second received 22 within 2 s from one gateway that knew the limit and
-// requested a permit each time. While no coordinator was fresh, the gateway had read the platform's list itself, and knew
-// an incarnation of the replica that the coordinators did not know yet: they ignored its limit reports and permitted
-// requests for which they had no limit. In the logs: the gateway writes "replica's limit" with named=true, then 22 times
-// "prompt read apart" with limit=1; the coordinator writes "replica started again" with that incarnation 2.1 s later.
+// requested a permit each time. While no coordinator had a fresh state, the gateway had read the platform's list
+// itself, and knew an incarnation of the replica that the coordinators did not know yet: they ignored its limit reports
+// and permitted requests for which they had no limit. In the logs: the gateway writes "replica's limit" with
+// named=true, then 22 times "prompt read apart" with limit=1; the coordinator writes "replica started again" with that
+// incarnation 2.1 s later.
 func TestLimitAppliesToUnlistedReplica(t *testing.T) {
 	g := newGroup(t)
 	g.replace(g.addresses[0], 1)
-	a := newLimitClient(t)
+	client := newLimitClient(t)
 	for _, address := range g.addresses {
-		a.report(address, ratelimit.Report{Replica: "i-new@5", Declared: true, Rate: 0.5})
+		client.report(address, ratelimit.Report{Replica: "i-new@5", Declared: true, Rate: 0.5})
 	}
-	// After this time each pool counts its part of the limit.
+	// After this time each pool counts its share of the limit.
 	time.Sleep(time.Second)
 	begun, admitted := time.Now(), 0
 	for number := range 60 {
-		if a.requestPermit(g.addresses[number%3], "i-new@5").Admitted {
+		if client.requestPermit(g.addresses[number%3], "i-new@5").Admitted {
 			admitted++
 		}
 	}
--- a/internal/coordinator/stageinput.go
+++ b/internal/coordinator/stageinput.go
@@ -13,24 +13,24 @@
 // inputsFor returns the planner's inputs for a service's replicas and demand in each region, sorted by
 // region. If there are several regions, one from which no gateway reports is left out and keeps its
 // stages: it may be partitioned, and continues to serve with the replicas it has.
-func (k *stagePlanner) inputsFor(now time.Duration, service string, replicas []region.Replica, changes []region.StageChange) []*stageplan.RegionInput {
+func (p *stagePlanner) inputsFor(now time.Duration, service string, replicas []region.Replica, changes []region.StageChange) []*stageplan.RegionInput {
 	byRegion := map[string][]region.Replica{}
 	for _, replica := range replicas {
-		regionName := k.settings.Topology.Group(replica.Zone)
+		regionName := p.settings.Topology.Group(replica.Zone)
 		byRegion[regionName] = append(byRegion[regionName], replica)
 	}
 	var inputs []*stageplan.RegionInput
 	for _, regionName := range slices.Sorted(maps.Keys(byRegion)) {
 		group := stageGroup{service: service, region: regionName}
-		demand := k.demandIn(now, group, func(reporting int) int { return k.gatewayCount(now, group, reporting) })
-		if demand.Gateways == 0 && k.settings.Topology.Spans() {
+		demand := p.demandIn(now, group, func(reporting int) int { return p.gatewayCount(now, group, reporting) })
+		if demand.Gateways == 0 && p.settings.Topology.Spans() {
 			continue
 		}
-		input := k.inputFor(now, group, demand, byRegion[regionName], changes)
+		input := p.inputFor(now, group, demand, byRegion[regionName], changes)
 		inputs = append(inputs, &stageplan.RegionInput{Region: regionName, Input: input})
 	}
 	for _, input := range inputs {
-		input.Rules = k.rulesFor(now, stageGroup{service: service, region: input.Region}, input, inputs)
+		input.Rules = p.rulesFor(now, stageGroup{service: service, region: input.Region}, input, inputs)
 	}
 	return inputs
 }
@@ -38,14 +38,14 @@
 // gatewayCount returns the number of gateways to which a region's demand is extrapolated. If there
 // are several regions, it is the recent maximum of the gateways that reported: the region of the
 // others is not known.
-func (k *stagePlanner) gatewayCount(now time.Duration, group stageGroup, reporting int) int {
-	if !k.settings.Topology.Spans() {
-		return len(k.gateways.all(now).addresses)
+func (p *stagePlanner) gatewayCount(now time.Duration, group stageGroup, reporting int) int {
+	if !p.settings.Topology.Spans() {
+		return len(p.gateways.all(now).addresses)
 	}
-	recent, found := k.reportingGateways[group]
+	recent, found := p.reportingGateways[group]
 	if !found {
 		recent = &recentMaximum{}
-		k.reportingGateways[group] = recent
+		p.reportingGateways[group] = recent
 	}
 	return recent.update(now, reporting)
 }
@@ -67,31 +67,31 @@
 }
 
 // inputFor returns the planner's input for the replicas of a group and the demand for them.
-func (k *stagePlanner) inputFor(now time.Duration, group stageGroup, demand region.ServiceDemand, replicas []region.Replica, changes []region.StageChange) stageplan.Input {
+func (p *stagePlanner) inputFor(now time.Duration, group stageGroup, demand region.ServiceDemand, replicas []region.Replica, changes []region.StageChange) stageplan.Input {
 	input := stageplan.Input{
 		Generating: demand.Generating,
 		Expected:   demand.Expected,
 		Reading:    demand.Reading,
-		Spares:     k.spares[group],
+		Spares:     p.spares[group],
 	}
 	unreachable, refusing := reportedByEnough(demand.Unreachable), reportedByEnough(demand.Refusing)
 	if demand.Gateways > 0 {
-		k.demandReportedAt[group] = now
+		p.demandReportedAt[group] = now
 	}
-	k.noteListChange(now, group, replicas)
-	changedAt, any := k.listChangedAt[group]
+	p.noteListChange(now, group, replicas)
+	changedAt, any := p.listChangedAt[group]
 	input.Restless = any && now-changedAt < listChangeHold
 	if input.Generating > 0 {
-		if _, reported := k.demandSince[group]; !reported {
-			k.demandSince[group] = now
+		if _, reported := p.demandSince[group]; !reported {
+			p.demandSince[group] = now
 		}
 	}
-	since, reported := k.demandSince[group]
+	since, reported := p.demandSince[group]
 	input.Known = reported && now-since > demandSettleTime
 	for _, replica := range replicas {
 		incarnation := replica.Life()
 		name := incarnation.Name()
-		if now < k.ordersHeldUntil[name] {
+		if now < p.ordersHeldUntil[name] {
 			continue
 		}
 		planned := stageplan.Replica{ID: name, Slots: replica.Slots, Generates: replica.Stage == region.StageDecode}
@@ -109,18 +109,18 @@
 	return input
 }
 
-// noteListChange records when the replicas of a group were last added or removed. Changes before
-// demand was first reported don't count, since the list is still incomplete then.
-func (k *stagePlanner) noteListChange(now time.Duration, group stageGroup, replicas []region.Replica) {
+// noteListChange records when the planned replicas of a group, by incarnation, last changed. Changes
+// before demand was first reported don't count, since the list is still incomplete then.
+func (p *stagePlanner) noteListChange(now time.Duration, group stageGroup, replicas []region.Replica) {
 	names := make([]string, 0, len(replicas))
 	for _, replica := range replicas {
 		names = append(names, replica.Life().Name())
 	}
 	slices.Sort(names)
 	current := strings.Join(names, ",")
-	previous, found := k.lastReplicas[group]
-	k.lastReplicas[group] = current
-	if _, reported := k.demandSince[group]; found && reported && previous != current {
-		k.listChangedAt[group] = now
+	previous, found := p.lastReplicas[group]
+	p.lastReplicas[group] = current
+	if _, reported := p.demandSince[group]; found && reported && previous != current {
+		p.listChangedAt[group] = now
 	}
 }
--- a/internal/coordinator/stageinput_test.go
+++ b/internal/coordinator/stageinput_test.go
@@ -31,11 +31,11 @@
 var twoRegions = topology.Map{Regions: map[string]string{"north-a": "north", "north-b": "north", "south-a": "south"}}
 
 // reportDemand records the same demand from each of a number of gateways of a region.
-func (k *stagePlanner) reportDemand(regionName string, gateways int, generating, reading float64) {
+func (p *stagePlanner) reportDemand(regionName string, gateways int, generating, reading float64) {
 	for number := range gateways {
 		name := fmt.Sprint(regionName, number)
-		k.gateways.recordPoll(k.now(), name)
-		k.gatewayDemand.put(k.now(), name, []region.ServiceDemand{{Service: "s", Region: regionName, Generating: generating, Reading: reading, Gateways: 1}})
+		p.gateways.recordPoll(p.now(), name)
+		p.gatewayDemand.put(p.now(), name, []region.ServiceDemand{{Service: "s", Region: regionName, Generating: generating, Reading: reading, Gateways: 1}})
 	}
 }
 
--- a/internal/coordinator/stagepolicy.go
+++ b/internal/coordinator/stagepolicy.go
@@ -11,17 +11,17 @@
 // rulesFor returns the rules that the policy in force sets for stage changes of a service's replicas
 // in a region. In the policy's terms, the service is the model, and all regions together are the zone,
 // so that bounds on a zone's engines apply to all regions together.
-func (k *stagePlanner) rulesFor(now time.Duration, group stageGroup, input *stageplan.RegionInput, all []*stageplan.RegionInput) stageplan.Rules {
-	if k.settings.Policy == nil {
+func (p *stagePlanner) rulesFor(now time.Duration, group stageGroup, input *stageplan.RegionInput, all []*stageplan.RegionInput) stageplan.Rules {
+	if p.settings.Policy == nil {
 		return stageplan.Rules{}
 	}
-	program := k.settings.Policy()
+	program := p.settings.Policy()
 	if program == nil {
 		return stageplan.Rules{}
 	}
 	rule := program.Document().RoleChange
-	zone := k.zoneFor(all)
-	age := k.demandAge(now, group)
+	zone := p.zoneFor(all)
+	age := p.demandAge(now, group)
 	return stageplan.Rules{
 		Bounded:      true,
 		MaximumAway:  rule.MaximumAway,
@@ -38,8 +38,8 @@
 }
 
 // zoneFor describes the replicas of a service in all regions as one zone.
-func (k *stagePlanner) zoneFor(all []*stageplan.RegionInput) policy.Zone {
-	zone := policy.Zone{Name: k.settings.Zone, Gateways: len(k.gateways.all(k.now()).addresses)}
+func (p *stagePlanner) zoneFor(all []*stageplan.RegionInput) policy.Zone {
+	zone := policy.Zone{Name: p.settings.Zone, Gateways: len(p.gateways.all(p.now()).addresses)}
 	for _, input := range all {
 		for _, replica := range input.Replicas {
 			zone.AddEngine(string(roleOf(replica.Generates)), replica.Changing)
@@ -73,10 +73,10 @@
 
 // demandAge returns the time since a gateway last reported demand for a service in a region, or
 // since the start of this leader's term if none has yet.
-func (k *stagePlanner) demandAge(now time.Duration, group stageGroup) time.Duration {
-	reportedAt, reported := k.demandReportedAt[group]
+func (p *stagePlanner) demandAge(now time.Duration, group stageGroup) time.Duration {
+	reportedAt, reported := p.demandReportedAt[group]
 	if !reported {
-		return now - k.leaderSince
+		return now - p.leaderSince
 	}
 	return now - reportedAt
 }
--- a/internal/coordinator/stages.go
+++ b/internal/coordinator/stages.go
@@ -41,7 +41,8 @@
 
 // EngineOrder orders a replica to change to a stage.
 type EngineOrder struct {
-	Stage  string
+	Stage string
+	// Holder and Fence identify the call, as in DutyCall.
 	Holder string
 	Fence  uint64
 	// Sequence is the count of accepted orders that the replica must have to accept this one.
@@ -53,25 +54,31 @@
 
 const (
 	stageInterval = 300 * time.Millisecond
-	orderTimeout  = 800 * time.Millisecond
+	// orderTimeout bounds the queries that choose a replica. The query, commit and order of a change
+	// together may take twice as long.
+	orderTimeout = 800 * time.Millisecond
 	// changeTimeout is how long a change may take. After that the replica counts
 	// as having the stage that the list shows.
 	changeTimeout = 8 * time.Second
 	// unansweredOrderHold is how long a replica gets no order after one without a
-	// response, which may be carried out late.
+	// response, which may be carried out late, or after a change that has timed out.
 	unansweredOrderHold = 14 * time.Second
-	refusedOrderHold    = 3 * time.Second
+	// rejectedOrderHold is how long a replica gets no order after one that was rejected or not sent.
+	rejectedOrderHold = 3 * time.Second
 	// changeShare is the share of a service's replicas that may begin a change in one step: with one
-	// change a step, changing a third of 300 replicas takes half a minute. With 210 replicas that come
-	// and go, it serves 0.023 more of the credit owed (mean of six days).
+	// change a step, changing a third of 300 replicas takes half a minute. With 210 replicas, some of
+	// which are added and removed, this share serves 0.023 more of the credit owed (mean of six days).
 	changeShare = 1.0 / 16
-	// listChangeHold is how long after replicas were added or removed the planner
-	// keeps an extra decode replica.
+	// listChangeHold is how long after a change of a group's replicas the planner
+	// keeps an extra decode replica, since more may be removed soon.
 	listChangeHold = 5 * time.Second
 	// minimumReports is the number of gateways that must report a replica as
-	// unreachable or refusing before the planner excludes it.
+	// unreachable or refusing before the planners act on it: an unreachable one is
+	// not counted and keeps its stage, a refusing one only keeps its stage.
 	minimumReports = 2
-	// demandSettleTime is how long demand must have been reported before it is used.
+	// demandSettleTime is how long demand must have been reported before the planner
+	// relies on it. Until then its target is an initial share of decode replicas or,
+	// with replicas on standby, the present number, and more if demand needs them.
 	demandSettleTime = 3 * time.Second
 )
 
@@ -83,7 +90,7 @@
 	changeStartedAt map[string]time.Duration
 	ordersHeldUntil map[string]time.Duration
 	unanswered      unansweredOrders
-	// demandSince is when demand was first reported.
+	// demandSince is when running streams were first reported.
 	demandSince map[stageGroup]time.Duration
 	// leaderSince is the start of this coordinator's term as leader, and demandReportedAt is when demand was
 	// last reported.
@@ -91,13 +98,13 @@
 	demandReportedAt map[stageGroup]time.Duration
 	// reportingGateways is the recent maximum of the number of gateways that report.
 	reportingGateways map[stageGroup]*recentMaximum
-	// listChangedAt is when replicas of a group were last added, removed or began to leave, and
-	// lastReplicas are the group's replicas at the last step.
+	// listChangedAt is when replicas of a group last were added, removed, restarted, activated or sent
+	// to standby, or began to leave. lastReplicas are the group's replicas at the last step.
 	listChangedAt map[stageGroup]time.Duration
 	lastReplicas  map[stageGroup]string
 	// spares are the numbers of replicas on standby at the last step.
 	spares map[stageGroup]stageplan.Spares
-	// replicaCounts are the numbers of replicas on the list, by service.
+	// replicaCounts are the numbers of replicas on the list that are not leaving, by service.
 	replicaCounts map[string]replicaCount
 }
 
@@ -109,32 +116,32 @@
 	if c.settings.Engines == nil || c.settings.DisabledMechanisms[mechanism.StageChanges] {
 		return
 	}
-	keeper := &stagePlanner{dutyHolder: dutyHolder{Coordinator: c, duty: dutyStages}}
+	planner := &stagePlanner{dutyHolder: dutyHolder{Coordinator: c, duty: dutyStages}}
 	for lifecycle.Sleep(ctx, stageInterval) {
-		begun, leads := keeper.leads(ctx)
+		begun, leads := planner.leads(ctx)
 		if !leads {
 			continue
 		}
 		if begun {
-			keeper.reset()
+			planner.reset()
 		}
-		keeper.step(ctx)
+		planner.step(ctx)
 	}
 }
 
 // reset discards the state of this coordinator's earlier term as leader.
-func (k *stagePlanner) reset() {
-	k.plans = map[string]*stageplan.Regions{}
-	k.changeStartedAt = map[string]time.Duration{}
-	k.ordersHeldUntil = map[string]time.Duration{}
-	k.unanswered = nil
-	k.demandSince = map[stageGroup]time.Duration{}
-	k.leaderSince = k.now()
-	k.demandReportedAt = map[stageGroup]time.Duration{}
-	k.reportingGateways = map[stageGroup]*recentMaximum{}
-	k.replicaCounts = map[string]replicaCount{}
-	k.listChangedAt = map[stageGroup]time.Duration{}
-	k.lastReplicas = map[stageGroup]string{}
+func (p *stagePlanner) reset() {
+	p.plans = map[string]*stageplan.Regions{}
+	p.changeStartedAt = map[string]time.Duration{}
+	p.ordersHeldUntil = map[string]time.Duration{}
+	p.unanswered = nil
+	p.demandSince = map[stageGroup]time.Duration{}
+	p.leaderSince = p.now()
+	p.demandReportedAt = map[stageGroup]time.Duration{}
+	p.reportingGateways = map[stageGroup]*recentMaximum{}
+	p.replicaCounts = map[string]replicaCount{}
+	p.listChangedAt = map[stageGroup]time.Duration{}
+	p.lastReplicas = map[stageGroup]string{}
 }
 
 // changesAtOnce returns the number of changes that a service with a number of replicas may begin in a step.
@@ -142,49 +149,49 @@
 
 // step begins stage changes for each service. A new leader first waits until
 // the lease of the last order has expired.
-func (k *stagePlanner) step(ctx context.Context) {
-	now := k.now()
-	state, _ := k.machine.read()
-	k.endStuckChanges(ctx, now, state)
-	if !k.mayCall() {
+func (p *stagePlanner) step(ctx context.Context) {
+	now := p.now()
+	state, _ := p.machine.read()
+	p.endStuckChanges(ctx, now, state)
+	if !p.mayCall() {
 		return
 	}
-	services, spares := modelReplicas(state, k.settings.Topology.Group)
-	k.spares = spares
+	services, spares := modelReplicas(state, p.settings.Topology.Group)
+	p.spares = spares
 	for service, replicas := range services {
-		k.stepService(ctx, now, service, replicas, state.Changes)
+		p.stepService(ctx, now, service, replicas, state.Changes)
 	}
 }
 
 // stepService begins stage changes for a service, in all regions.
-func (k *stagePlanner) stepService(ctx context.Context, now time.Duration, service string, replicas []region.Replica, changes []region.StageChange) {
-	inputs := k.inputsFor(now, service, replicas, changes)
-	if k.listIsSettling(now, service, len(replicas)+k.standbyCount(service)) {
+func (p *stagePlanner) stepService(ctx context.Context, now time.Duration, service string, replicas []region.Replica, changes []region.StageChange) {
+	inputs := p.inputsFor(now, service, replicas, changes)
+	if p.listIsSettling(now, service, len(replicas)+p.standbyCount(service)) {
 		return
 	}
 	planned := 0
 	for _, input := range inputs {
 		planned += len(input.Replicas)
 	}
-	plan := k.planFor(service)
+	plan := p.planFor(service)
 	for range changesAtOnce(planned) {
 		input, change, planner := plan.Step(now, inputs)
 		if change == nil {
 			return
 		}
-		planner.Choose(now, change, k.leastBusy(ctx, replicas, change.Candidates))
-		k.orderStage(ctx, input.Region, replicas, change)
+		planner.Choose(now, change, p.leastBusy(ctx, replicas, change.Candidates))
+		p.orderStage(ctx, input.Region, replicas, change)
 		input.NoteChange(change)
 	}
 }
 
-func (k *stagePlanner) planFor(service string) *stageplan.Regions {
-	plan, found := k.plans[service]
+func (p *stagePlanner) planFor(service string) *stageplan.Regions {
+	plan, found := p.plans[service]
 	if !found {
 		plan = &stageplan.Regions{New: func() *stageplan.Planner {
-			return &stageplan.Planner{IgnoreForecast: k.settings.DisabledMechanisms[mechanism.Forecast], UnevenShortage: k.settings.DisabledMechanisms[mechanism.EvenShortage]}
+			return &stageplan.Planner{IgnoreForecast: p.settings.DisabledMechanisms[mechanism.Forecast], UnevenShortage: p.settings.DisabledMechanisms[mechanism.EvenShortage]}
 		}}
-		k.plans[service] = plan
+		p.plans[service] = plan
 	}
 	return plan
 }
@@ -215,40 +222,40 @@
 }
 
 // endStuckChanges ends changes that the list has not shown within changeTimeout.
-func (k *stagePlanner) endStuckChanges(ctx context.Context, now time.Duration, state region.State) {
+func (p *stagePlanner) endStuckChanges(ctx context.Context, now time.Duration, state region.State) {
 	changing := map[string]bool{}
 	for _, change := range state.Changes {
 		name := change.Life().Name()
 		changing[name] = true
-		begun, known := k.changeStartedAt[name]
+		begun, known := p.changeStartedAt[name]
 		if !known {
-			k.changeStartedAt[name] = now
+			p.changeStartedAt[name] = now
 			continue
 		}
 		if now-begun > changeTimeout {
-			k.logger.Info(event.ChangeStuck, "replica", change.Replica, "stage", change.Stage)
-			k.endChange(ctx, change.Life(), unansweredOrderHold)
+			p.logger.Info(event.ChangeStuck, "replica", change.Replica, "stage", change.Stage)
+			p.endChange(ctx, change.Life(), unansweredOrderHold)
 		}
 	}
-	for replica := range k.changeStartedAt {
+	for replica := range p.changeStartedAt {
 		if !changing[replica] {
-			delete(k.changeStartedAt, replica)
+			delete(p.changeStartedAt, replica)
 		}
 	}
 }
 
 // endChange commits the end of a change, and holds back further orders to the replica for a time.
-func (k *stagePlanner) endChange(ctx context.Context, incarnation region.Life, hold time.Duration) {
-	k.ordersHeldUntil[incarnation.Name()] = k.now() + hold
-	delete(k.changeStartedAt, incarnation.Name())
+func (p *stagePlanner) endChange(ctx context.Context, incarnation region.Life, hold time.Duration) {
+	p.ordersHeldUntil[incarnation.Name()] = p.now() + hold
+	delete(p.changeStartedAt, incarnation.Name())
 	command := &region.Command{ChangeEnd: &region.ChangeEndCommand{Replica: incarnation.ID}}
-	if _, err := k.commit(ctx, command); err != nil {
-		k.logger.Info(event.ChangeEndLost, "replica", incarnation.ID, "error", err.Error())
+	if _, err := p.commit(ctx, command); err != nil {
+		p.logger.Info(event.ChangeEndLost, "replica", incarnation.ID, "error", err.Error())
 	}
 }
 
 // orderStage orders the replica of a planned change to change its stage.
-func (k *stagePlanner) orderStage(ctx context.Context, regionName string, replicas []region.Replica, change *stageplan.Change) {
+func (p *stagePlanner) orderStage(ctx context.Context, regionName string, replicas []region.Replica, change *stageplan.Change) {
 	replica, found := findReplica(replicas, change.ReplicaID)
 	if !found {
 		return
@@ -257,19 +264,19 @@
 	if change.Generates {
 		stage = region.StageDecode
 	}
-	err := k.order(ctx, replica, stage)
-	k.logger.Info(event.Order, "replica", replica.ID, "region", regionName, "stage", stage, "reason", change.Reason, "term", k.term,
+	err := p.order(ctx, replica, stage)
+	p.logger.Info(event.Order, "replica", replica.ID, "region", regionName, "stage", stage, "reason", change.Reason, "term", p.term,
 		"generating", change.Generating, "reading", change.Reading, "generators", change.Generators, "replicas", len(replicas),
 		"error", failure.Text(err))
 	switch {
 	case err == nil:
 	case errors.Is(err, ErrOrderRejected):
-		k.ordersHeldUntil[change.ReplicaID] = k.now() + refusedOrderHold
-		if _, committed := k.changeStartedAt[change.ReplicaID]; committed {
-			k.endChange(ctx, replica.Life(), refusedOrderHold)
+		p.ordersHeldUntil[change.ReplicaID] = p.now() + rejectedOrderHold
+		if _, committed := p.changeStartedAt[change.ReplicaID]; committed {
+			p.endChange(ctx, replica.Life(), rejectedOrderHold)
 		}
 	default:
-		k.ordersHeldUntil[change.ReplicaID] = k.now() + unansweredOrderHold
+		p.ordersHeldUntil[change.ReplicaID] = p.now() + unansweredOrderHold
 	}
 }
 
@@ -278,7 +285,7 @@
 
 // leastBusy returns the candidate, by Life.Name, that reports the fewest requests, since these have to end
 // before its stage changes. A replica that does not answer counts as the busiest.
-func (k *stagePlanner) leastBusy(ctx context.Context, replicas []region.Replica, candidates []string) string {
+func (p *stagePlanner) leastBusy(ctx context.Context, replicas []region.Replica, candidates []string) string {
 	if len(candidates) == 1 {
 		return candidates[0]
 	}
@@ -291,7 +298,7 @@
 		calls.Go(func() {
 			requests[index] = math.MaxInt
 			replica, _ := findReplica(replicas, name)
-			if report, err := k.settings.Engines.Report(ctx, replica); err == nil {
+			if report, err := p.settings.Engines.Report(ctx, replica); err == nil {
 				requests[index] = report.Requests
 			}
 		})
@@ -309,24 +316,26 @@
 	return region.Replica{}, false
 }
 
-func (k *stagePlanner) order(ctx context.Context, replica region.Replica, stage string) error {
+// order queries a replica, commits the change of its stage, and sends the order. Any error before the
+// sending other than a failed commit wraps ErrOrderRejected, since the order will not be carried out.
+func (p *stagePlanner) order(ctx context.Context, replica region.Replica, stage string) error {
 	ctx, cancel := context.WithTimeout(ctx, 2*orderTimeout)
 	defer cancel()
-	report, err := k.settings.Engines.Report(ctx, replica)
+	report, err := p.settings.Engines.Report(ctx, replica)
 	if err != nil {
 		return errors.Join(ErrOrderRejected, err)
 	}
 	incarnation := replica.Life()
-	if report.Changing || k.unanswered.wouldEnableOlder(k.now(), incarnation, report.Sequence) {
+	if report.Changing || p.unanswered.wouldEnableOlder(p.now(), incarnation, report.Sequence) {
 		return ErrOrderRejected
 	}
 	if report.Born != 0 && incarnation.Born != 0 && report.Born != incarnation.Born {
 		return errors.Join(ErrOrderRejected, errReplicaRestarted)
 	}
 	change := &region.ChangeCommand{Replica: incarnation.ID, Born: incarnation.Born, Stage: stage}
-	fence, err := k.commitCall(ctx, &region.Command{Change: change})
+	fence, err := p.commitCall(ctx, &region.Command{Change: change})
 	if fence != 0 {
-		k.changeStartedAt[incarnation.Name()] = k.now()
+		p.changeStartedAt[incarnation.Name()] = p.now()
 	}
 	if errors.Is(err, errSendDelayExceeded) {
 		return errors.Join(ErrOrderRejected, err)
@@ -334,17 +343,17 @@
 	if err != nil {
 		return err
 	}
-	if !k.isListed(incarnation) {
+	if !p.isListed(incarnation) {
 		return errors.Join(ErrOrderRejected, errReplicaRestarted)
 	}
-	err = k.settings.Engines.Order(ctx, replica, EngineOrder{
+	err = p.settings.Engines.Order(ctx, replica, EngineOrder{
 		Stage:    stage,
-		Holder:   k.settings.Name,
+		Holder:   p.settings.Name,
 		Fence:    fence,
 		Sequence: report.Sequence,
 	})
 	if err != nil && !errors.Is(err, ErrOrderRejected) {
-		k.unanswered.add(k.now(), incarnation, report.Sequence)
+		p.unanswered.add(p.now(), incarnation, report.Sequence)
 	}
 	return err
 }
@@ -353,8 +362,8 @@
 var errReplicaRestarted = errors.New("the replica has started again")
 
 // isListed reports whether the list still shows an incarnation.
-func (k *stagePlanner) isListed(incarnation region.Life) bool {
-	state, _ := k.machine.read()
+func (p *stagePlanner) isListed(incarnation region.Life) bool {
+	state, _ := p.machine.read()
 	listed, found := findListed(state.Replicas, incarnation.ID)
 	return found && listed.Life() == incarnation
 }
--- a/internal/coordinator/usage.go
+++ b/internal/coordinator/usage.go
@@ -42,11 +42,11 @@
 	usageInterval = 100 * time.Millisecond
 	// platformTimeout bounds one call to the platform.
 	platformTimeout = time.Second
-	// reportRetryInterval is the time between two reports of a window that was not accepted: a tenth of
-	// the second in which the platform bounds the calls.
+	// reportRetryInterval is the time between two reports of a window that was not accepted: retries use
+	// about a tenth of the calls a second that the platform allows.
 	reportRetryInterval = 300 * time.Millisecond
 	// minimumWaitShare is the share of UsageOptions.Late that passes at least before a window's counts
-	// are fixed, even if all gateways have reported: responses in flight are counted when they arrive.
+	// are final, even if all gateways have reported: responses in flight are counted when they arrive.
 	minimumWaitShare = 0.1
 	// maximumWaitShare is the share of UsageOptions.Late that passes at most, even if gateways have not
 	// reported: the remaining time is for the election of a leader and the lease of its predecessor.
@@ -61,8 +61,8 @@
 // usageState holds a coordinator's counts of tenant usage and its clock of the region's time.
 type usageState struct {
 	clock *regionclock.Clock
-	// ownClocks holds the clocks of the gateways that poll this coordinator; all holds, at the leader, those of
-	// the region.
+	// ownClocks holds the clocks of the gateways that poll this coordinator, and regionClocks, at the leader,
+	// those of all gateways of the region.
 	ownClocks, regionClocks *regionclock.Samples
 	book                    *usage.Book
 
@@ -128,67 +128,68 @@
 	}
 }
 
-// usageReporter fixes and reports tenant usage at the leader.
+// usageReporter finalizes the counts of tenant usage and reports them, at the leader.
 type usageReporter struct {
 	dutyHolder
-	// first is the window with which counting begins if none was ever fixed.
+	// first is the window at the start of this leader's term. If no window is final yet, counting
+	// begins with it, or with an older one for which a gateway has reported counts.
 	first uint64
-	// fixFrom is the time from which this leader may fix counts.
-	fixFrom time.Duration
+	// finalizeFrom is the time from which this leader may finalize counts.
+	finalizeFrom time.Duration
 	// reportFrom is the time from which the next report may be made.
 	reportFrom time.Duration
 }
 
-// reportUsage fixes and reports the usage of tenants while this coordinator leads.
+// reportUsage finalizes and reports the usage of tenants while this coordinator leads.
 func (c *Coordinator) reportUsage(ctx context.Context) {
 	if c.settings.Platform == nil || c.settings.Usage.Window <= 0 {
 		return
 	}
-	keeper := &usageReporter{dutyHolder: dutyHolder{Coordinator: c, duty: dutyUsage}}
+	reporter := &usageReporter{dutyHolder: dutyHolder{Coordinator: c, duty: dutyUsage}}
 	for lifecycle.Sleep(ctx, usageInterval) {
 		state, _ := c.machine.read()
 		c.usage.book.Fixed(state.NextWindow, c.usage.clock.Now().Add(-gatewayRetention))
-		begun, leads := keeper.leads(ctx)
+		begun, leads := reporter.leads(ctx)
 		if !leads {
 			continue
 		}
 		if begun {
-			keeper.first = usage.WindowOf(c.usage.clock.Now(), c.settings.Usage.Window)
-			keeper.fixFrom = c.now() + time.Duration(newLeaderWaitShare*float64(c.settings.Usage.Late))
+			reporter.first = usage.WindowOf(c.usage.clock.Now(), c.settings.Usage.Window)
+			reporter.finalizeFrom = c.now() + time.Duration(newLeaderWaitShare*float64(c.settings.Usage.Late))
 		}
-		keeper.fixWindow(ctx, state)
-		if len(state.Usage) > 0 && keeper.mayCall() && c.now() >= keeper.reportFrom {
-			keeper.report(ctx, state.Usage[0])
+		reporter.finalizeWindow(ctx, state)
+		if len(state.Usage) > 0 && reporter.mayCall() && c.now() >= reporter.reportFrom {
+			reporter.report(ctx, state.Usage[0])
 		}
 	}
 }
 
-// fixWindow fixes the counts of the next window once all gateways have reported theirs, or when
+// finalizeWindow commits the final counts of the next window once all gateways have reported theirs, or when
 // maximumWaitShare has passed.
-func (k *usageReporter) fixWindow(ctx context.Context, state region.State) {
-	terms := k.settings.Usage
-	now := k.usage.clock.Now()
+func (r *usageReporter) finalizeWindow(ctx context.Context, state region.State) {
+	options := r.settings.Usage
+	now := r.usage.clock.Now()
 	window := state.NextWindow
 	if window == 0 {
-		// Requests may have begun before this leader's term.
-		window = k.usage.book.Oldest(k.first)
+		// Gateways may have counted requests before this leader's term.
+		window = r.usage.book.Oldest(r.first)
 	}
-	if oldest := usage.WindowOf(now, terms.Window); window+maximumPendingWindows < oldest {
-		k.logger.Info(event.UsageSkipped, "from", window, "to", oldest-maximumPendingWindows)
-		window = oldest - maximumPendingWindows
+	if currentWindow := usage.WindowOf(now, options.Window); window+maximumPendingWindows < currentWindow {
+		r.logger.Info(event.UsageSkipped, "from", window, "to", currentWindow-maximumPendingWindows)
+		window = currentWindow - maximumPendingWindows
 	}
-	end := usage.EndOf(window, terms.Window)
+	end := usage.EndOf(window, options.Window)
 	elapsed := now.Sub(end)
-	if elapsed < time.Duration(minimumWaitShare*float64(terms.Late)) || k.now() < k.fixFrom {
+	if elapsed < time.Duration(minimumWaitShare*float64(options.Late)) || r.now() < r.finalizeFrom {
 		return
 	}
-	missing := k.usage.book.Missing(k.gateways.allKnown(k.now()), end)
-	if len(missing) > 0 && elapsed < time.Duration(maximumWaitShare*float64(terms.Late)) {
+	missing := r.usage.book.Missing(r.gateways.allKnown(r.now()), end)
+	if len(missing) > 0 && elapsed < time.Duration(maximumWaitShare*float64(options.Late)) {
 		return
 	}
-	fixed := &region.UsageWindow{Window: window, Counts: k.usage.book.Sum(window)}
-	_, err := k.commit(ctx, &region.Command{Usage: fixed})
-	k.logger.Info(event.UsageFixed, "window", window, "tenants", len(fixed.Counts), "requests", requestsOf(fixed),
+	final := &region.UsageWindow{Window: window, Counts: r.usage.book.Sum(window)}
+	_, err := r.commit(ctx, &region.Command{Usage: final})
+	r.logger.Info(event.UsageFixed, "window", window, "tenants", len(final.Counts), "requests", requestsOf(final),
 		"missing", missing[:min(len(missing), maximumLoggedGateways)], "missing_count", len(missing), "after_ms", elapsed.Milliseconds(),
 		"error", failure.Text(err))
 }
@@ -204,23 +205,23 @@
 	return sum
 }
 
-// report reports a window with fixed counts to the platform.
-func (k *usageReporter) report(ctx context.Context, window region.UsageWindow) {
+// report reports a window's final counts to the platform.
+func (r *usageReporter) report(ctx context.Context, window region.UsageWindow) {
 	bounded, cancel := context.WithTimeout(ctx, platformTimeout)
 	defer cancel()
-	fence, err := k.commitCall(bounded, &region.Command{UsageCall: &region.UsageCallCommand{Window: window.Window}})
+	fence, err := r.commitCall(bounded, &region.Command{UsageCall: &region.UsageCallCommand{Window: window.Window}})
 	if err == nil {
-		err = k.settings.Platform.ReportUsage(bounded, DutyCall{Holder: k.settings.Name, Fence: fence}, window)
+		err = r.settings.Platform.ReportUsage(bounded, DutyCall{Holder: r.settings.Name, Fence: fence}, window)
 	}
-	k.logger.Info(event.UsageReported, "window", window.Window, "requests", requestsOf(&window), "tenants", len(window.Counts),
-		"fence", fence, "term", k.term, "after_ms", k.usage.clock.Now().Sub(usage.EndOf(window.Window, k.settings.Usage.Window)).Milliseconds(),
+	r.logger.Info(event.UsageReported, "window", window.Window, "requests", requestsOf(&window), "tenants", len(window.Counts),
+		"fence", fence, "term", r.term, "after_ms", r.usage.clock.Now().Sub(usage.EndOf(window.Window, r.settings.Usage.Window)).Milliseconds(),
 		"error", failure.Text(err))
 	if err != nil {
-		k.reportFrom = k.now() + reportRetryInterval
+		r.reportFrom = r.now() + reportRetryInterval
 		return
 	}
-	if _, err := k.commit(ctx, &region.Command{UsageEnd: &region.UsageEndCommand{Window: window.Window}}); err != nil {
+	if _, err := r.commit(ctx, &region.Command{UsageEnd: &region.UsageEndCommand{Window: window.Window}}); err != nil {
 		// The same counts are reported again, which has no effect.
-		k.logger.Info(event.UsageEndLost, "window", window.Window, "error", err.Error())
+		r.logger.Info(event.UsageEndLost, "window", window.Window, "error", err.Error())
 	}
 }
