--- a/internal/datagram/socket.go
+++ b/internal/datagram/socket.go
@@ -42,8 +42,8 @@
 )
 
 const (
-	// MaximumBytes bounds a message. Larger ones are split into fragments, which are lost too
-	// often.
+	// MaximumBytes bounds a message; Send rejects larger ones. The network would split them into
+	// so many fragments that they are lost too often, as each lost fragment loses its message.
 	MaximumBytes = 8 << 10
 	// Overhead is what a message takes on the network in addition to its bytes: the headers of IPv4
 	// and UDP.
@@ -97,13 +97,13 @@
 			return
 		}
 		if err != nil || count == 0 {
-			// A closed port of a peer that has ended may cause an error here; what was sent there
-			// is lost.
+			// The closed port of a peer that has ended may be reported as an error here. What was
+			// sent to it is lost.
 			continue
 		}
 		kind, sender := Kind(buffer[0]), netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 		if err := s.handle(kind, sender, buffer[1:count]); err != nil {
-			s.unreadable.note(s.Logger, time.Now(), kind, sender, err)
+			s.unreadable.record(s.Logger, time.Now(), kind, sender, err)
 		}
 	}
 }
--- a/internal/datagram/socket_test.go
+++ b/internal/datagram/socket_test.go
@@ -18,8 +18,8 @@
 	"github.com/pierhaven/pierhaven/internal/testnet"
 )
 
-// patience is how long a test waits for what has to happen.
-const patience = 10 * time.Second
+// conditionTimeout bounds each wait for a condition that has to come about.
+const conditionTimeout = 10 * time.Second
 
 // run runs a socket until the end of the test.
 func run(t *testing.T, socket *datagram.Socket) netip.AddrPort {
@@ -57,7 +57,7 @@
 		case <-time.After(10 * time.Millisecond):
 			return false
 		}
-	}, patience, time.Millisecond)
+	}, conditionTimeout, time.Millisecond)
 	tooLarge := &region.Outstanding{Gateway: strings.Repeat("x", datagram.MaximumBytes)}
 	assert.Zero(t, from.Send(datagram.KindOutstanding, tooLarge, address))
 }
@@ -83,7 +83,7 @@
 		case <-time.After(10 * time.Millisecond):
 			return false
 		}
-	}, patience, time.Millisecond)
+	}, conditionTimeout, time.Millisecond)
 }
 
 // Unreadable messages, from any sender and at any rate, cost at most one log line a second for each
@@ -110,7 +110,7 @@
 			_, _ = client.Write([]byte{200, 1, 2})
 		}
 		return socket.Unreadable() > 1000
-	}, patience, time.Millisecond)
+	}, conditionTimeout, time.Millisecond)
 	assert.GreaterOrEqual(t, lines.Load(), int64(2))
 	assert.LessOrEqual(t, lines.Load(), 2*(1+int64(time.Since(begun)/time.Second)))
 }
--- a/internal/datagram/unreadable.go
+++ b/internal/datagram/unreadable.go
@@ -28,8 +28,8 @@
 	omitted   int
 }
 
-// note counts a message, and logs it unless one of its kind was logged a short time ago.
-func (u *unreadable) note(logger logr.Logger, now time.Time, kind Kind, from netip.AddrPort, cause error) {
+// record counts a message, and logs it unless one of its kind was logged a short time ago.
+func (u *unreadable) record(logger logr.Logger, now time.Time, kind Kind, from netip.AddrPort, cause error) {
 	u.total.Add(1)
 	known := &u.kinds[kind]
 	if now.Before(known.nextLogAt) {
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -159,7 +159,7 @@
 }
 
 // targets returns the peers of this region and those of other regions. A peer that has not reported
-// its zone yet counts as far: it receives summaries, and replies with its own.
+// its zone yet counts as far: it receives summaries, and its own messages report its zone.
 func (p *Peers) targets() (near, far []netip.AddrPort) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -193,7 +193,7 @@
 	if _, err := message.UnmarshalMsg(payload); err != nil {
 		return err
 	}
-	age, newer := p.note(from, &message, time.Now())
+	age, newer := p.recordMessage(from, &message, time.Now())
 	if !newer {
 		return nil
 	}
@@ -208,9 +208,9 @@
 	return nil
 }
 
-// note records a message. It returns the message's age and whether it is newer than those received
-// from the same sender before.
-func (p *Peers) note(from netip.AddrPort, message *region.Outstanding, now time.Time) (age time.Duration, newer bool) {
+// recordMessage records the receipt of a message. It returns the message's age and whether it is
+// newer than those received from the same sender before.
+func (p *Peers) recordMessage(from netip.AddrPort, message *region.Outstanding, now time.Time) (age time.Duration, newer bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	state := p.received[message.Gateway]
--- a/internal/peers/regions_test.go
+++ b/internal/peers/regions_test.go
@@ -17,8 +17,8 @@
 	"github.com/pierhaven/pierhaven/internal/topology"
 )
 
-// patience is how long a test waits for what has to happen.
-const patience = 10 * time.Second
+// conditionTimeout bounds each wait for a condition that has to come about.
+const conditionTimeout = 10 * time.Second
 
 var twoRegions = topology.Map{Regions: map[string]string{"north-a": "north", "north-b": "north", "south-a": "south"}}
 
@@ -67,7 +67,7 @@
 	})
 	require.Eventually(t, func() bool {
 		return p.socket.Send(datagram.KindPlacementReply, &region.Outstanding{}, p.address) > 0
-	}, patience, time.Millisecond)
+	}, conditionTimeout, time.Millisecond)
 	return p
 }
 
@@ -91,7 +91,7 @@
 			if message.Gateway == zone {
 				return message
 			}
-		case <-time.After(patience):
+		case <-time.After(conditionTimeout):
 			require.Fail(t, "no message from "+zone)
 		}
 	}
@@ -134,7 +134,7 @@
 	introduce(north, far)
 	north.sender.step(time.Now())
 	assert.Empty(t, far.awaitMessage(t, "north-a").Replicas)
-	assert.Eventually(t, func() bool { return far.directory.RegionReportAge("north") >= 0 }, patience, time.Millisecond)
+	assert.Eventually(t, func() bool { return far.directory.RegionReportAge("north") >= 0 }, conditionTimeout, time.Millisecond)
 }
 
 // Guards against a delayed message of a process's earlier incarnation overwriting what is known
@@ -143,9 +143,9 @@
 	far := newProcess(t, "south-a", twoRegions)
 	now := time.Now()
 	from := netip.MustParseAddrPort("127.0.0.9:9")
-	_, newer := far.note(from, &region.Outstanding{Gateway: "north-a", Life: 2, Sequence: 1, WallNanos: 1}, now)
+	_, newer := far.recordMessage(from, &region.Outstanding{Gateway: "north-a", Life: 2, Sequence: 1, WallNanos: 1}, now)
 	assert.True(t, newer)
-	_, newer = far.note(from, &region.Outstanding{Gateway: "north-a", Life: 1, Sequence: 99, WallNanos: 1}, now)
+	_, newer = far.recordMessage(from, &region.Outstanding{Gateway: "north-a", Life: 1, Sequence: 99, WallNanos: 1}, now)
 	assert.False(t, newer)
 	assert.Empty(t, far.zones, "only the zones of peers are recorded")
 }
@@ -165,12 +165,12 @@
 }
 
 // Guards against prompts that leave a region being prefilled in full at replicas that have cached
-// their prefix, because the region was not received of the prefix.
+// their prefix, because the region had received no report of the prefix.
 func TestACachedPrefixIsReportedToOtherRegionsOnce(t *testing.T) {
 	north, far := newProcess(t, "north-a", twoRegions), newProcess(t, "south-a", twoRegions)
 	introduce(north, far)
 	prompt := &relay.Prompt{Tokens: 1200, Parts: []relay.PromptPart{{ID: "shared", Tokens: 1000}, {ID: "own", Tokens: 200}}}
-	request := relay.ReadRequest{Prompt: prompt, Objective: time.Second, AimLeft: time.Second, Left: patience}
+	request := relay.ReadRequest{Prompt: prompt, Objective: time.Second, AimLeft: time.Second, Left: conditionTimeout}
 	now := time.Now()
 	var received []region.PlacedPrompt
 	for range 4 {
@@ -217,5 +217,5 @@
 			}
 		}
 		return true
-	}, patience, time.Millisecond)
+	}, conditionTimeout, time.Millisecond)
 }
--- a/internal/peers/summaries.go
+++ b/internal/peers/summaries.go
@@ -23,9 +23,9 @@
 	// summaryInterval is the minimum time between two summaries to other regions. They use
 	// summaries to judge whether a region has spare capacity, not to schedule individual prompts.
 	summaryInterval = 200 * time.Millisecond
-	// maximumSummaryBytes bounds the replicas of one message, so that it fits into a datagram with
-	// its other content; further replicas follow in the next messages. A replica takes the bytes of
-	// its id and at most replicaEntryBytes.
+	// maximumSummaryBytes bounds the bytes that the replicas of one message take, so that it fits
+	// into a datagram with its other content; further replicas follow in the next messages. A
+	// replica takes the bytes of its id and at most replicaEntryBytes.
 	maximumSummaryBytes = datagram.MaximumBytes - 3<<10
 	replicaEntryBytes   = 32
 	// prefixInterval is the minimum time between two messages on prefixes. Prompts with the same
@@ -44,7 +44,8 @@
 	// go on fetching the evicted prefixes.
 	unsharedInterval        = 2 * time.Second
 	maximumUnsharedReplicas = 30
-	// maximumSentPrefixes bounds the prefixes whose time of sending is remembered.
+	// maximumSentPrefixes bounds the prefixes whose time of sending is recorded. When it is reached,
+	// all records are dropped, and prefixes in use are sent again.
 	maximumSentPrefixes = 8192
 )
 
@@ -62,8 +63,8 @@
 	prefixes prefixCollector
 }
 
-// step sends what is due, within the allowance. Summaries are sent without work too: nothing is
-// assumed to be known of a region that reports nothing.
+// step sends what is due, within the allowance. Summaries are sent even if there is no work: a
+// region that sends none counts as one of which nothing is known.
 func (s *summarySender) step(parent *sender, now time.Time, far []netip.AddrPort) {
 	rate := parent.peers.otherRegionsRate
 	s.allowance = min(rate*summaryInterval.Seconds(), s.allowance+now.Sub(parent.lastStep).Seconds()*rate)
@@ -251,8 +252,9 @@
 // and are set, but hardly within it.
 const transitWindow = 10 * time.Second
 
-// minimumTransit is the minimum time between the sending of messages and their receipt, by the two
-// processes' clocks. A message's age is the time that it took beyond this minimum.
+// minimumTransit tracks the minimum time between the sending of messages and their receipt, as the
+// difference of the two processes' clocks, and so including their offset. A message's age is the time
+// that it took beyond this minimum.
 type minimumTransit struct {
 	// initialized says that the other fields are set; previous is the minimum of the previous
 	// window.
--- a/internal/peers/summaries_test.go
+++ b/internal/peers/summaries_test.go
@@ -83,27 +83,27 @@
 // Guards against prefixes being unknown in regions that they were sent to. Prefixes sent late had
 // lower sequences than those sent before, and were taken for old messages.
 func TestLongPrefixesAreSentFirstWithIncreasingSequences(t *testing.T) {
-	var sender prefixCollector
+	var collector prefixCollector
 	now := time.Unix(1000, 0)
 	for index := range 200 {
 		id := fmt.Sprint("shared-", index)
-		sender.add(now, region.PlacedPrompt{Sequence: uint64(index + 1), Replica: "r", Parts: []region.PlacedPart{{ID: id, Tokens: index * 10}, {ID: "own", Tokens: 5}}})
+		collector.add(now, region.PlacedPrompt{Sequence: uint64(index + 1), Replica: "r", Parts: []region.PlacedPart{{ID: id, Tokens: index * 10}, {ID: "own", Tokens: 5}}})
 	}
-	assert.Len(t, sender.pending, maximumPendingPrefixes)
+	assert.Len(t, collector.pending, maximumPendingPrefixes)
 	var sent uint64
-	first := sender.take()
+	first := collector.take()
 	assert.Equal(t, "shared-199", first[0].Parts[0].ID)
-	for _, each := range append(first, sender.take()...) {
+	for _, each := range append(first, collector.take()...) {
 		assert.Greater(t, each.Sequence, sent)
 		sent = each.Sequence
 	}
 	again := region.PlacedPrompt{Sequence: 201, Replica: "r", Parts: []region.PlacedPart{{ID: "shared-199", Tokens: 1990}, {ID: "own", Tokens: 5}}}
-	waiting := len(sender.pending)
-	sender.add(now.Add(prefixResendInterval-1), again)
-	assert.Len(t, sender.pending, waiting, "it was sent a short time ago")
-	sender.add(now.Add(prefixResendInterval), again)
-	assert.Len(t, sender.pending, waiting+1)
+	waiting := len(collector.pending)
+	collector.add(now.Add(prefixResendInterval-1), again)
+	assert.Len(t, collector.pending, waiting, "it was sent a short time ago")
+	collector.add(now.Add(prefixResendInterval), again)
+	assert.Len(t, collector.pending, waiting+1)
 	dropped := region.PlacedPrompt{Sequence: 202, Replica: "r", Parts: []region.PlacedPart{{ID: "shared-0", Tokens: 3000}, {ID: "own", Tokens: 5}}}
-	sender.add(now, dropped)
-	assert.Equal(t, "shared-0", sender.pending[0].Parts[0].ID, "a prefix dropped from the full queue may be added again")
+	collector.add(now, dropped)
+	assert.Equal(t, "shared-0", collector.pending[0].Parts[0].ID, "a prefix dropped from the full queue may be added again")
 }
--- a/internal/region/messages.go
+++ b/internal/region/messages.go
@@ -69,12 +69,12 @@
 	Replicas []ListedReplica `msg:"replicas"`
 	// StandbyCount is the number of Replicas that are on standby. Each coordinator counts them itself.
 	StandbyCount int `msg:"-"`
-	// Removed are the replicas that were removed after RemovedSince, oldest first.
+	// Removed are the replicas that were removed or put on standby after RemovedSince, oldest first.
 	Removed      []RemovedReplica `msg:"removed"`
 	RemovedSince uint64           `msg:"removed_since"`
 	// Changes are the stage changes in progress.
 	Changes []StageChange `msg:"changes"`
-	// NextWindow is the first usage window whose counts are not final, 0 while those of no window are.
+	// NextWindow is the first usage window whose counts are not final, 0 while no window has final counts.
 	// Usage are the windows whose counts are final and have not been reported yet, oldest first.
 	NextWindow uint64        `msg:"next_window"`
 	Usage      []UsageWindow `msg:"usage"`
@@ -97,7 +97,8 @@
 	Count  uint32
 }
 
-// FleetOrder is the ordered number of replicas, preemptible or not, of a service in a zone.
+// FleetOrder is the number of replicas of one kind, preemptible or not preemptible, that was ordered for a
+// service in a zone.
 type FleetOrder struct {
 	Service     string `msg:"service"`
 	Zone        string `msg:"zone"`
@@ -270,7 +271,8 @@
 	Document []byte `msg:"document,limit=67108864"`
 	// ListRevision is the revision of the list of replicas. HasList says that the list has
 	// changed since the request's revision: Replicas are those that were added or changed
-	// and Removed those that were removed or, if WholeList is set, Replicas are all.
+	// and Removed the ids of those that were removed or put on standby. If WholeList is set,
+	// Replicas are all that are not on standby.
 	ListRevision uint64    `msg:"list_revision"`
 	HasList      bool      `msg:"has_list"`
 	WholeList    bool      `msg:"whole_list"`
@@ -337,9 +339,9 @@
 	// Region is the region of the replicas that do this work, and of the gateways that received these
 	// prompts; empty where there is one region.
 	Region string `msg:"region,omitempty"`
-	// Generating is the number of answers that are being decoded.
+	// Generating is the number of requests in their decode phase.
 	Generating float64 `msg:"generating"`
-	// Expected is the number of answers that will be decoded at the time when a replica could have
+	// Expected is the number of requests that will be in their decode phase when a replica could have
 	// changed its stage, if they continue to arrive at the recent rate.
 	Expected float64 `msg:"expected"`
 	// Reading is the number of replicas that the prefills keep busy.
@@ -433,7 +435,8 @@
 	WallNanos int64  `msg:"wall"`
 }
 
-// KeptRequest asks a coordinator for the cached prefixes of the replicas of which it is the cache owner.
+// KeptRequest asks a coordinator for the cached prefixes of the replicas whose cache owner it is, which
+// means that it queries them on behalf of all coordinators.
 type KeptRequest struct {
 	// From is the requesting coordinator's address.
 	From string `msg:"from"`
@@ -515,6 +518,6 @@
 
 // PoisonReply confirms that a command about requests that crash replicas is durable.
 type PoisonReply struct {
-	// Known says that requests which were to be released were held.
+	// Known says that at least one of the requests which the command releases was held.
 	Known bool `msg:"known"`
 }
--- a/internal/region/placement.go
+++ b/internal/region/placement.go
@@ -36,7 +36,8 @@
 	PlaceGenerate
 	// PlaceRoom asks for a replica with capacity for a stream that has to move away from another one.
 	PlaceRoom
-	// AskIdle asks for how long the replica of a lease has had no known prefill work.
+	// AskIdle asks for how long the replica of a lease has made no prefill progress that any gateway
+	// knows of, counted from the start of the lease at the earliest.
 	AskIdle
 )
 
--- a/internal/regionclock/clock.go
+++ b/internal/regionclock/clock.go
@@ -26,7 +26,7 @@
 	return &Clock{started: now, suspended: suspended, origin: now.Round(0)}
 }
 
-// Set sets the clock: region is the region's time at the local time at.
+// Set sets the clock to the region's time, which was region when the local time was at.
 func (c *Clock) Set(at, region time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -34,7 +34,7 @@
 type ClientOptions struct {
 	// Token is the cluster's shared token; empty sends none.
 	Token string
-	// DialTimeout bounds the making of a connection.
+	// DialTimeout bounds the time to open a connection.
 	DialTimeout time.Duration
 	// CallTimeout bounds a call whose context has no deadline.
 	CallTimeout time.Duration
--- a/internal/session/confirmation.go
+++ b/internal/session/confirmation.go
@@ -64,7 +64,7 @@
 	return due
 }
 
-func (s *Session) noteUnheard(ids []string) {
+func (s *Session) setUnheard(ids []string) {
 	clear(s.unheard)
 	for _, id := range ids {
 		s.unheard[id] = struct{}{}
--- a/internal/session/dispatch.go
+++ b/internal/session/dispatch.go
@@ -50,7 +50,7 @@
 	if _, inSet := s.picture.isolationSet[engineID]; state != membership.LeaseHeld && !inSet {
 		return false, ReasonIsolated
 	}
-	return s.confirmed(now, Target{ID: engineID, Address: row.Address})
+	return s.decideByConfirmation(now, Target{ID: engineID, Address: row.Address})
 }
 
 // isKnownToLeader reports whether the leader's state of a target can be relied
@@ -61,8 +61,9 @@
 	return state == membership.LeaseHeld && !isUnheard
 }
 
-// confirmed decides a dispatch that depends on the target's own confirmation.
-func (s *Session) confirmed(now time.Duration, target Target) (bool, Reason) {
+// decideByConfirmation decides a dispatch that depends on the target's own
+// confirmation.
+func (s *Session) decideByConfirmation(now time.Duration, target Target) (bool, Reason) {
 	if !s.isConfirmed(now, target) {
 		return false, ReasonUnconfirmed
 	}
@@ -87,7 +88,7 @@
 	if s.isKnownToLeader(state, backEndID) {
 		return true, ReasonNone
 	}
-	return s.confirmed(now, Target{ID: backEndID, Address: row.Address, IsBackEnd: true})
+	return s.decideByConfirmation(now, Target{ID: backEndID, Address: row.Address, IsBackEnd: true})
 }
 
 func reasonOf(state membership.LeaseState) Reason {
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -48,6 +48,7 @@
 // is set. The caller ends each call by Opened, HeartbeatAnswered, WatchAnswered
 // or Failed.
 type Call struct {
+	// Number identifies the call to the method that ends it.
 	Number uint64
 	// Timeout is how long to wait for the reply.
 	Timeout time.Duration
@@ -233,7 +234,7 @@
 	if reply.View != nil {
 		s.applyView(now, reply.View)
 	}
-	s.noteUnheard(reply.Unheard)
+	s.setUnheard(reply.Unheard)
 	s.lease.Answered(sentAt, reply.Revision)
 }
 
@@ -278,7 +279,8 @@
 	return half + time.Duration(s.config.Random.Int64N(int64(s.config.RetryDelay)))
 }
 
-// end ends the session at once: the zone group may rely on that.
+// end ends the session at once: the zone group may rely on no dispatch under it
+// any more.
 func (s *Session) end(now time.Duration) {
 	s.lease.End()
 	s.id = 0
--- a/internal/wire/onceonly.go
+++ b/internal/wire/onceonly.go
@@ -81,8 +81,9 @@
 	NotRun bool `msg:"not_run"`
 }
 
-// ReleaseReply says whether the claim was the attempt's and is now released or
-// marked unknown, by this request or an earlier one.
+// ReleaseReply says whether the attempt's claim is now released or marked unknown
+// as requested, by this request or an earlier one. A release with NotRun may
+// arrive before its claim, which is then rejected.
 type ReleaseReply struct {
 	Released bool `msg:"released"`
 }
--- a/internal/wire/session.go
+++ b/internal/wire/session.go
@@ -11,7 +11,7 @@
 //msgp:limit arrays:65536 maps:65536
 //msgp:tuple ModelDemand TenantUsage TenantShare
 
-// Paths of the calls between gateways and controllers.
+// Paths of the calls among gateways and controllers.
 const (
 	PathOpenSession  = "/internal/v1/session/open"
 	PathHeartbeat    = "/internal/v1/session/heartbeat"
@@ -111,7 +111,8 @@
 type ModelDemand struct {
 	Model string `msg:"model"`
 	// Requests, PromptTokens, OutputTokens and Missed are rates a second,
-	// averaged over WindowMillis.
+	// averaged over WindowMillis. Missed counts the requests that were rejected,
+	// expired in the queue, or were answered outside their objectives.
 	Requests     float32 `msg:"requests"`
 	PromptTokens float32 `msg:"prompt_tokens"`
 	OutputTokens float32 `msg:"output_tokens"`
--- a/internal/zonestate/apply.go
+++ b/internal/zonestate/apply.go
@@ -41,7 +41,7 @@
 	}
 	result := s.execute(index, &command)
 	if result.Outcome == OutcomeNotReady {
-		// The outcome asks the operator to retry. If it were remembered, every retry would get it again.
+		// The outcome asks the operator to retry. If it were recorded, every retry would get it again.
 		return result
 	}
 	s.requests.add(requestRecord{RequestID: command.RequestID, CommandHash: hash, Result: result})
@@ -108,6 +108,9 @@
 	}
 }
 
+// found executes KindFound: it sets the state of a group that has none yet. After the
+// loss of an earlier generation, gateways may still act on its sessions, and its claims
+// are not known.
 func (s *State) found(command *Command) Result {
 	found := command.Found
 	if s.Founded() {
--- a/internal/zonestate/engine.go
+++ b/internal/zonestate/engine.go
@@ -77,12 +77,12 @@
 }
 
 // updateWithheld updates WithheldAt after a change at a log index.
-func (e *Engine) updateWithheld(position uint64) {
+func (e *Engine) updateWithheld(index uint64) {
 	switch {
 	case !e.mustWithhold():
 		e.WithheldAt = 0
 	case e.WithheldAt == 0:
-		e.WithheldAt = position
+		e.WithheldAt = index
 	}
 }
 
--- a/internal/zonestate/state.go
+++ b/internal/zonestate/state.go
@@ -21,8 +21,11 @@
 	maximumNameBytes = 256
 	maximumTextBytes = 1024
 	maximumAdapters  = 64
-	generationShift  = 48
-	firstGeneration  = 1
+	// generationShift is the number of low bits of a session id that hold a log index;
+	// the bits above them hold the generation.
+	generationShift = 48
+	// firstGeneration is the generation of a zone's first group.
+	firstGeneration = 1
 )
 
 // State is the replicated state of a zone group. Its methods are not safe for
