--- a/internal/poison/benchmark_test.go
+++ b/internal/poison/benchmark_test.go
@@ -18,21 +18,21 @@
 
 // BenchmarkEvidence measures what the evidence costs a coordinator: 0.58 ms for a report of a crash
 // with 64 requests among 2,048 known ones, and 3.3 us for a check whether a request is due while none
-// is. A report with one request takes 70 bytes, one with 64 1,206, a change sent to a gateway 57, and
-// all of the evidence 130 KB.
+// is. A report with one request takes 70 bytes, a report with 64 requests 1,206 bytes, a change sent to a
+// gateway 57 bytes, and all of the evidence 130 KB.
 func BenchmarkEvidence(b *testing.B) {
-	var under []string
+	var requests []string
 	for number := range 64 {
-		under = append(under, fmt.Sprint("r", number))
+		requests = append(requests, fmt.Sprint("r", number))
 	}
-	b.Run("report of an end", func(b *testing.B) {
+	b.Run("report of a crash", func(b *testing.B) {
 		e := fullEvidence()
 		b.ReportAllocs()
 		for b.Loop() {
-			e.crashed(fmt.Sprint("k-", e.position), under...)
+			e.crashed(fmt.Sprint("k-", e.position), requests...)
 		}
 	})
-	b.Run("look", func(b *testing.B) {
+	b.Run("check", func(b *testing.B) {
 		e := fullEvidence()
 		b.ReportAllocs()
 		for b.Loop() {
@@ -43,7 +43,7 @@
 	})
 	b.Run("bytes", func(b *testing.B) {
 		one := Report{Gateway: "gateway-480", Crashes: []Crash{{Replica: "i-0123456789", Requests: digestsOf("r1")}}}
-		many := Report{Gateway: "gateway-480", Crashes: []Crash{{Replica: "i-0123456789", Requests: digestsOf(under...)}}}
+		many := Report{Gateway: "gateway-480", Crashes: []Crash{{Replica: "i-0123456789", Requests: digestsOf(requests...)}}}
 		e := fullEvidence()
 		revision := e.Revision
 		e.crashed("k", "r1")
--- a/internal/poison/digest.go
+++ b/internal/poison/digest.go
@@ -58,7 +58,7 @@
 	_, _ = sum.Write(field)
 }
 
-// HashTarget is the part of a request's digest that follows from its host and target alone.
+// HashTarget returns the part of a request's digest that follows from its host and target alone.
 func HashTarget(host, target string) uint32 {
 	sum := xxhash.New()
 	_, _ = io.WriteString(sum, host)
@@ -67,7 +67,7 @@
 	return uint32(sum.Sum64())
 }
 
-// TargetHash is the part of the digest that follows from the request's host and target alone.
+// TargetHash returns the part of the digest that follows from the request's host and target alone.
 func (d Digest) TargetHash() uint32 { return binary.BigEndian.Uint32(d[:targetBytes]) }
 
 // String returns the digest in hexadecimal.
--- a/internal/poison/due.go
+++ b/internal/poison/due.go
@@ -34,10 +34,10 @@
 }
 
 // Next returns the command by which a leader holds the requests that Due returns, and deletes evidence
-// that is older than memory; nil if there is nothing to do. settle is that of Due.
-func (s *State) Next(now int64, settle, memory time.Duration) *Command {
+// that is older than retention; nil if there is nothing to do. settle is that of Due.
+func (s *State) Next(now int64, settle, retention time.Duration) *Command {
 	command := &Command{Hold: s.Due(now, settle)}
-	if before := now - memory.Nanoseconds(); s.HasExpired(before) {
+	if before := now - retention.Nanoseconds(); s.HasExpired(before) {
 		command.ForgetBefore = before
 	}
 	if len(command.Hold) == 0 && command.ForgetBefore == 0 {
@@ -65,14 +65,14 @@
 // dominatedBy returns the bursts in which most of the replicas crashed under one request: being at many
 // replicas at once, it may have crashed them itself. A request that its caller repeats at once is only
 // at a few. Crashes outside of bursts have the key 0 and always count as the request's own.
-func (c bursts) dominatedBy(record *Record) map[uint64]bool {
+func (b bursts) dominatedBy(record *Record) map[uint64]bool {
 	count := map[uint64]int{}
 	for _, crash := range record.Crashes {
-		count[c.byCrash[crash]]++
+		count[b.byCrash[crash]]++
 	}
 	dominated := map[uint64]bool{}
 	for burst, crashes := range count {
-		dominated[burst] = burst == 0 || 2*crashes > c.size[burst]
+		dominated[burst] = burst == 0 || 2*crashes > b.size[burst]
 	}
 	return dominated
 }
--- a/internal/poison/endwatch.go
+++ b/internal/poison/endwatch.go
@@ -29,10 +29,10 @@
 	Events int
 }
 
-// CrashDetector finds out whether the process of a replica has ended after connections to it were lost: then
-// nothing listens on its port. If something still listens, only the connection was lost, and if nothing
-// answers, the replica's machine has lost power or its network link: neither is evidence against the
-// requests. It may be used concurrently.
+// CrashDetector finds out whether the process of a replica has ended after connections to it were lost:
+// then nothing listens on its port. If something still listens, only the connection was lost, and if
+// nothing answers, the replica's machine has lost power or its network link: neither is evidence against
+// the requests. It may be used concurrently.
 type CrashDetector struct {
 	// Refuses reports whether nothing listens on an address.
 	Refuses func(ctx context.Context, address string) bool
@@ -44,13 +44,13 @@
 
 	mutex sync.Mutex
 	// pending are the lost connections of the replicas whose check is scheduled or running.
-	pending map[watchedReplica][]ConnectionLoss
+	pending map[replicaKey][]ConnectionLoss
 }
 
-type watchedReplica struct{ id, address string }
+type replicaKey struct{ id, address string }
 
-// NewGuardedDetector returns a detector that writes a log line for each lost connection, and reports each
-// replica that has ended to a guard.
+// NewGuardedDetector returns a detector that writes a log line for each lost connection, and reports
+// each replica that has ended to a guard.
 func NewGuardedDetector(guard *Guard, refuses func(ctx context.Context, address string) bool, logger logr.Logger) *CrashDetector {
 	detector := NewLoggingDetector(refuses, logger)
 	detector.OnCrash = guard.ReplicaCrashed
@@ -69,15 +69,15 @@
 	}
 }
 
-// ConnectionLost records that the connection to a replica was lost during a request, and schedules a check of the
-// replica.
+// ConnectionLost records that the connection to a replica was lost during a request, and schedules a
+// check of the replica.
 func (d *CrashDetector) ConnectionLost(replica, address string, loss ConnectionLoss) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.pending == nil {
-		d.pending = map[watchedReplica][]ConnectionLoss{}
+		d.pending = map[replicaKey][]ConnectionLoss{}
 	}
-	key := watchedReplica{replica, address}
+	key := replicaKey{replica, address}
 	_, scheduled := d.pending[key]
 	d.pending[key] = append(d.pending[key], loss)
 	if !scheduled {
@@ -86,7 +86,7 @@
 }
 
 // check finds out whether the replica's process has ended, and calls OnConnectionLost and OnCrash.
-func (d *CrashDetector) check(key watchedReplica) {
+func (d *CrashDetector) check(key replicaKey) {
 	ctx, cancel := context.WithTimeout(context.Background(), crashCheckTimeout)
 	defer cancel()
 	crashed := d.Refuses(ctx, key.address)
--- a/internal/poison/guard.go
+++ b/internal/poison/guard.go
@@ -147,11 +147,11 @@
 }
 
 // ReplicaCrashed records that a replica has crashed under requests of this gateway.
-func (g *Guard) ReplicaCrashed(replica string, under []Digest) {
+func (g *Guard) ReplicaCrashed(replica string, requests []Digest) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.applyLocal(&Command{Crashes: []Crash{{Replica: replica, Requests: under}}})
-	g.unreportedCrashes = append(g.unreportedCrashes, Crash{Replica: replica, Requests: under})
+	g.applyLocal(&Command{Crashes: []Crash{{Replica: replica, Requests: requests}}})
+	g.unreportedCrashes = append(g.unreportedCrashes, Crash{Replica: replica, Requests: requests})
 	g.dropExcess()
 	g.rebuildView()
 	g.signal()
@@ -278,9 +278,9 @@
 // LocalEvidence returns a channel that holds a token once there may be local evidence.
 func (g *Guard) LocalEvidence() <-chan struct{} { return g.localEvidence }
 
-// CheckLocalEvidence deletes expired local evidence and holds requests by the rest while the gateway is out of touch.
-// These holds last for one contact time after it is in touch again, in which the coordinators decide.
-// It returns the requests that it has begun to hold.
+// CheckLocalEvidence deletes expired local evidence and, while the gateway is not in sync, holds requests
+// by the rest. These holds last for one contact time after it is in sync again, in which the coordinators
+// decide. It returns the requests that it has begun to hold.
 func (g *Guard) CheckLocalEvidence() []Digest {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -291,10 +291,10 @@
 	if expiry := (now - g.options.Retention).Nanoseconds(); expiry > 0 && g.local.HasExpired(expiry) {
 		g.applyLocal(&Command{ForgetBefore: expiry})
 	}
-	outOfTouch := !g.options.InSync()
+	outOfSync := !g.options.InSync()
 	changed := false
 	var newlyHeld []Digest
-	if outOfTouch {
+	if outOfSync {
 		newlyHeld = g.local.Due(now.Nanoseconds()+1, SettleTime(g.options.ContactTime))
 		if len(newlyHeld) > 0 {
 			g.applyLocal(&Command{Hold: newlyHeld})
--- a/internal/poison/innocents_test.go
+++ b/internal/poison/innocents_test.go
@@ -250,9 +250,9 @@
 	return due
 }
 
-// simulateInnocents runs simulations with a kind of fault. It returns the number of innocent requests,
-// of those of them that were wrongly held, of the runs in which the poison request was held, and of all
-// crashes by poison requests.
+// simulateInnocents runs simulations with one kind of fault, each with its own seed. It returns how many
+// innocent requests were sent and how many of these were wrongly held, in how many runs the poison
+// request was held, and how many crashes poison requests caused in all.
 func simulateInnocents(runs int, due func(*State, int64, time.Duration) []Digest, faults func(*regionModel)) (started, held, caught, crashes int) {
 	for seed := range uint64(runs) {
 		w := &regionModel{random: rand.New(rand.NewPCG(seed, 7)), due: due, heldInnocents: map[Digest]bool{}}
--- a/internal/poison/messages.go
+++ b/internal/poison/messages.go
@@ -44,9 +44,9 @@
 	Digest Digest
 	// Crashes are the hashed names of the replicas that have crashed under the request and under no
 	// held one, oldest first, at most the last MaximumCrashes. Those of a held request include replicas
-	// that crashed under another held one.
+	// that crashed under another held one. When a hold expires, placeholders replace them.
 	Crashes []uint64
-	// Total is the number of replicas that have crashed under the request.
+	// Total counts the replicas that were ever added to Crashes, also those that are no longer kept.
 	Total uint32
 	// FirstAt and LastAt are when the first and the last of these crashes were reported. A request that
 	// is held elsewhere and has no record here gets the time of the hold as both; an expired hold sets
--- a/internal/poison/permits.go
+++ b/internal/poison/permits.go
@@ -4,7 +4,7 @@
 
 // Permits let one gateway at a time send a request on probation. Without them, a caller that repeats it
 // through several gateways at once crashes a replica at each before the evidence of the first crash has
-// arrived: 4 after the third, where 3 are tolerated.
+// arrived: four more replicas after the third crash, where three more are tolerated.
 type Permits struct {
 	expiry map[Digest]time.Duration
 }
@@ -12,8 +12,8 @@
 // NewPermits returns Permits of which none is taken.
 func NewPermits() *Permits { return &Permits{expiry: map[Digest]time.Duration{}} }
 
-// Acquire gives the permit for a request to the first caller that asks, for the time in which the others
-// learn of the outcome. If the permit is taken, wait is the time until it expires.
+// Acquire gives the permit for a request to the first gateway that asks, for contactTime: in it the
+// others learn of the outcome. If the permit is taken, wait is the time until it expires.
 func (p *Permits) Acquire(now, contactTime time.Duration, digest Digest) (wait time.Duration) {
 	if until := p.expiry[digest]; now < until {
 		return until - now
--- a/internal/poison/permits_test.go
+++ b/internal/poison/permits_test.go
@@ -9,9 +9,9 @@
 	"github.com/pierhaven/pierhaven/internal/poison"
 )
 
-// Guards against crashes of four more replicas by a request on probation, after the third: its caller
-// sent it again through several gateways at once, ten seconds later. Each gateway could send it once a
-// call, and none knew that another had.
+// A request on probation crashed four more replicas after its third: ten seconds later, its caller sent
+// it again through several gateways at once. Each gateway could send it once a call, and none knew that
+// another had.
 func TestProbationPermitIsGivenToOneGatewayAtATime(t *testing.T) {
 	const contact = 3 * time.Second
 	permits := poison.NewPermits()
--- a/internal/poison/state.go
+++ b/internal/poison/state.go
@@ -248,7 +248,7 @@
 	c.records = slices.Delete(c.records, at, at+1)
 }
 
-// watched reports whether gateways have to know the request.
+// watched reports whether gateways have to watch the request.
 func (r *Record) watched() bool { return r.HeldAt != 0 || len(r.Crashes) >= watchAfter }
 
 // onProbation reports whether as many replicas have crashed under the request as are needed to hold it,
@@ -336,9 +336,9 @@
 	if update.Complete {
 		return update
 	}
-	for _, freed := range s.Unwatched {
-		if at, found := find(s.Records, freed.Digest); freed.Revision > revision && (!found || !s.Records[at].watched()) {
-			update.Unwatched = append(update.Unwatched, freed.Digest)
+	for _, unwatched := range s.Unwatched {
+		if at, found := find(s.Records, unwatched.Digest); unwatched.Revision > revision && (!found || !s.Records[at].watched()) {
+			update.Unwatched = append(update.Unwatched, unwatched.Digest)
 		}
 	}
 	return update
--- a/internal/poison/state_test.go
+++ b/internal/poison/state_test.go
@@ -223,11 +223,11 @@
 	e.holdDue()
 	e.crashed("i-8", "two")
 	e.crashed("i-9", "two")
-	var under []string
+	var requests []string
 	for number := range 2 * MaximumRecords {
-		under = append(under, fmt.Sprint("once-", number))
+		requests = append(requests, fmt.Sprint("once-", number))
 	}
-	e.crashed("i-10", under...)
+	e.crashed("i-10", requests...)
 	assert.Len(t, e.Records, MaximumRecords)
 	assert.EqualValues(t, 2*MaximumRecords+2-MaximumRecords, e.Dropped)
 	assert.True(t, e.Holds(digestOf("poison")))
--- a/internal/poison/teller.go
+++ b/internal/poison/teller.go
@@ -32,8 +32,9 @@
 	dropped atomic.Int64
 }
 
-// NewReporter returns a Reporter with a Guard of its own. It logs dropped evidence, reports that fail, and
-// requests that are held by local evidence. It replaces options.OnDropped.
+// NewReporter returns a Reporter with a Guard of its own. It logs dropped evidence, when reports begin to
+// fail and when they succeed again, and requests that are held by local evidence. It replaces
+// options.OnDropped.
 func NewReporter(gateway string, options Options, send func(ctx context.Context, report *Report) error, logger logr.Logger) *Reporter {
 	r := &Reporter{gateway: gateway, send: send, logger: logger}
 	options.OnDropped = func(digests int) {
--- a/internal/reconcile/core.go
+++ b/internal/reconcile/core.go
@@ -19,8 +19,8 @@
 	engineTrackers  map[string]*engineTracker
 	backEndTrackers map[string]*backEndTracker
 	machines        machineList
-	// machineListSuspect reports whether the platform's list is likely wrong and
-	// its hints are ignored.
+	// machineListSuspect reports whether the platform's list is likely wrong. Its
+	// hints then withhold no machine, and removals wait for removeSuspectAfter.
 	machineListSuspect bool
 	offeredConfig      *dynamic.Snapshot
 	// pending maps the key of each unfinished proposal to the time it was made.
@@ -141,8 +141,8 @@
 	return left.Terms == right.Terms && left.OnceOnly == right.OnceOnly
 }
 
-// RecordHeartbeat records a heartbeat that arrived at now. It must be called before the read
-// barrier that precedes AnswerHeartbeat.
+// RecordHeartbeat records a heartbeat that arrived at now. It must be called before
+// the read barrier that precedes AnswerHeartbeat.
 func (c *Core) RecordHeartbeat(now time.Duration, request *wire.HeartbeatRequest, state *zonestate.State) {
 	session, open := state.Sessions().Get(request.SessionID)
 	if open && session.MemberID == request.GatewayID {
@@ -173,8 +173,8 @@
 	return reply
 }
 
-// RecordSessionOpened records that a request which arrived at receivedAt has opened a session
-// or found it open. It must be called before the request is answered.
+// RecordSessionOpened records that a request which arrived at receivedAt has opened a
+// session or found it open. It must be called before the request is answered.
 func (c *Core) RecordSessionOpened(receivedAt time.Duration, sessionID uint64) {
 	c.liveness.RecordHeartbeat(receivedAt, sessionID, 0)
 }
@@ -186,8 +186,8 @@
 	return !ending
 }
 
-// SinceLastHeartbeat returns the time since the last heartbeat of a session that arrived
-// at this leader.
+// SinceLastHeartbeat returns the time since the last heartbeat of a session that
+// arrived at this leader.
 func (c *Core) SinceLastHeartbeat(now time.Duration, sessionID uint64) time.Duration {
 	return c.liveness.SinceLastHeartbeat(now, sessionID)
 }
--- a/internal/reconcile/doc.go
+++ b/internal/reconcile/doc.go
@@ -4,8 +4,8 @@
 // to send.
 //
 // The loop is level-triggered: each tick derives everything anew from the committed
-// state, so a new leader continues where the last one stopped. The soft state that a
-// leader holds besides can only delay a decision. The package uses no clock,
+// state, so a new leader continues where the last one stopped. The soft state that
+// each leader keeps in addition can only delay a decision. The package uses no clock,
 // sockets or goroutines.
 //
 // A withheld engine is one that gateways have been told not to use. A planned
--- a/internal/reconcile/engines.go
+++ b/internal/reconcile/engines.go
@@ -30,7 +30,7 @@
 	failedFence  engineapi.Fence
 	failedDetail string
 	failedAt     time.Duration
-	// reason is the reported reason why the engine makes no progress, and
+	// reason is why the engine makes no progress, as Status returns it, and
 	// waitingFor the gateways that it waits for.
 	reason     string
 	waitingFor []string
--- a/internal/reconcile/machinelist.go
+++ b/internal/reconcile/machinelist.go
@@ -116,7 +116,8 @@
 	return unavailable >= minimumSuspectMachines && 2*unavailable > all
 }
 
-// MachineListSuspect reports whether removals in the platform's list are suppressed because it is suspect.
+// MachineListSuspect reports whether the platform's list is suspect. Its hints then
+// withhold no machine, and removals wait for longer.
 func (c *Core) MachineListSuspect() bool { return c.machineListSuspect }
 
 // isReportedLeaving reports whether a list that is not suspect reports a machine as
--- a/internal/reconcile/sessions.go
+++ b/internal/reconcile/sessions.go
@@ -52,9 +52,11 @@
 
 func sessionKey(id uint64) string { return fmt.Sprintf("session/%d", id) }
 
-// needsIsolationSet reports whether a session's isolation set is out of date. It
-// returns false while the session has not acknowledged that set, has lost its lease,
-// or got the set less than isolationInterval ago.
+// needsIsolationSet reports whether a session's isolation set is out of date: it is
+// no longer the set that the gateway would be assigned now, since the models or roles
+// that engines should run have changed, or which engines are drained or leaving. It
+// returns false while the session has not acknowledged its current set, has lost its
+// lease, or was assigned a set less than isolationInterval ago.
 func (c *Core) needsIsolationSet(now time.Duration, state *zonestate.State, session *membership.Session) bool {
 	last, assigned := c.isolationAssignedAt[session.ID]
 	if assigned && now-last < isolationInterval {
@@ -114,8 +116,8 @@
 func (c *Core) isolatedHolders(now time.Duration, state *zonestate.State, engineID string) []string {
 	var holders []string
 	for _, session := range state.Sessions().List() {
-		silent := c.liveness.LeaseEnded(now, session) && !c.liveness.IsolationEnded(now, session)
-		if silent && session.MayUseIsolated(engineID, c.liveness.Acknowledged(session.ID)) {
+		isolated := c.liveness.LeaseEnded(now, session) && !c.liveness.IsolationEnded(now, session)
+		if isolated && session.MayUseIsolated(engineID, c.liveness.Acknowledged(session.ID)) {
 			holders = append(holders, session.MemberID)
 		}
 	}
--- a/internal/reconcile/unheard.go
+++ b/internal/reconcile/unheard.go
@@ -7,9 +7,9 @@
 )
 
 // tickUnresponsive lists the engines and back ends in service that have not responded
-// to this leader for longer than a poll interval and its timeout. The leader could
-// not report to gateways that such a target is leaving, so it reports these targets
-// in its heartbeat replies.
+// to this leader for longer than a poll interval and its timeout. The leader would
+// not learn that such a target is leaving, and gateways would go on using it, so the
+// heartbeat replies name these targets.
 func (c *Core) tickUnresponsive(now time.Duration, state *zonestate.State) {
 	c.unresponsive = nil
 	engines, backEnds := state.Engines(), state.BackEnds()
--- a/internal/reconcile/world_test.go
+++ b/internal/reconcile/world_test.go
@@ -80,15 +80,15 @@
 	enginesReplaced          int
 }
 
-func (t *eventCounts) add(other eventCounts) {
-	t.ordersDone += other.ordersDone
-	t.ordersFailed += other.ordersFailed
-	t.staleOrdersRejected += other.staleOrdersRejected
-	t.dispatches += other.dispatches
-	t.isolatedDispatches += other.isolatedDispatches
-	t.sessionsSuperseded += other.sessionsSuperseded
-	t.requestsRejectedByEngine += other.requestsRejectedByEngine
-	t.enginesReplaced += other.enginesReplaced
+func (c *eventCounts) add(other eventCounts) {
+	c.ordersDone += other.ordersDone
+	c.ordersFailed += other.ordersFailed
+	c.staleOrdersRejected += other.staleOrdersRejected
+	c.dispatches += other.dispatches
+	c.isolatedDispatches += other.isolatedDispatches
+	c.sessionsSuperseded += other.sessionsSuperseded
+	c.requestsRejectedByEngine += other.requestsRejectedByEngine
+	c.enginesReplaced += other.enginesReplaced
 }
 
 const (
--- a/internal/rollout/choose.go
+++ b/internal/rollout/choose.go
@@ -10,7 +10,8 @@
 // selectEngines selects the engines of the next step, at most limit. KV caches
 // can only be transferred between engines of the same version, so roles are
 // changed in proportion: the next engine is of the role with the largest fraction
-// of unchanged engines, and among those the one with the fewest attempts in flight.
+// of unchanged engines. Ties are broken by rolePriority, then by the fewest attempts
+// in flight.
 func selectEngines(model *Model, remaining []*Engine, limit int) []*Engine {
 	total, remainingByRole := map[engineapi.Role]int{}, map[engineapi.Role]int{}
 	for index := range model.Engines {
--- a/internal/rollout/input.go
+++ b/internal/rollout/input.go
@@ -19,13 +19,14 @@
 	// observation period once Observe has passed. It is also the minimum sample
 	// for judging lateness.
 	MinimumAttempts uint64
-	// FailureMargin is how far the failure rate on the new version may exceed
-	// that on the old one. LateMargin is the same for the rate of first tokens
-	// that miss the model's objective.
+	// FailureMargin is how far the fraction of failed attempts on the new version
+	// may exceed that on the other versions. LateMargin is the same for the
+	// fraction of attempts whose first token misses the model's objective.
 	FailureMargin float64
 	LateMargin    float64
-	// Significance is the significance level of the test whether a rate exceeds
-	// its margin.
+	// Significance is the significance level of the test whether a fraction
+	// exceeds its margin: the probability below which that is not put down to
+	// chance.
 	Significance float64
 	// MaximumFailedLoads is the number of failed orders to load the new version
 	// on one engine that halts the rollout.
@@ -63,8 +64,8 @@
 	Settled bool
 	// FailedLoads counts the failed orders to reach Desired.
 	FailedLoads int
-	// AbandonedVersion is the version of the last abandoned change, and AbandonedAt the log
-	// position at which the change was abandoned.
+	// AbandonedVersion is the version of the last abandoned change, and AbandonedAt
+	// the log position at which the change was abandoned.
 	AbandonedVersion string
 	AbandonedAt      uint64
 	// FailureDetail is the detail that the engine reported for its last failure.
@@ -78,7 +79,7 @@
 }
 
 // Outcomes counts the attempts on a version over all gateways, from an arbitrary
-// starting point.
+// starting point. Late counts those whose first token missed the model's objective.
 type Outcomes struct {
 	Ended  uint64
 	Failed uint64
--- a/internal/rollout/judge.go
+++ b/internal/rollout/judge.go
@@ -35,18 +35,18 @@
 	for index := range model.Engines {
 		engine := &model.Engines[index]
 		failing := engine.Desired.Version == to && engine.FailedLoads >= c.options.MaximumFailedLoads
-		givenUp := engine.AbandonedVersion == to && engine.AbandonedAt > model.Committed.ChangedAt
-		if failing || givenUp {
+		abandoned := engine.AbandonedVersion == to && engine.AbandonedAt > model.Committed.ChangedAt
+		if failing || abandoned {
 			return fmt.Sprintf("engine %s can't load version %s: %s", engine.ID, to, engine.FailureDetail)
 		}
 	}
 	return ""
 }
 
-// exceedsShare reports whether the share of wrong attempts is significantly higher
-// than accepted, by a one-sided exact binomial test (Clopper and Pearson, 1934).
-// A few attempts are enough if nearly all of them go wrong, which matters because
-// routers soon avoid such an engine.
+// exceedsShare reports whether the share of failed or late attempts (wrong of all) is
+// significantly higher than accepted, by a one-sided exact binomial test (Clopper and
+// Pearson, 1934). A few attempts are enough if nearly all of them go wrong, which
+// matters because routers soon avoid such an engine.
 func (c *Core) exceedsShare(wrong, all uint64, accepted float64) bool {
 	if wrong == 0 || accepted >= 1 {
 		return false
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -43,7 +43,7 @@
 
 func TestARolloutHaltsWhenItGoesWrong(t *testing.T) {
 	cases := map[string]struct {
-		plan   func(z *testZone)
+		setUp  func(z *testZone)
 		reason string
 		// changed is the maximum number of engines that end up on the new version.
 		changed int
@@ -58,7 +58,7 @@
 		t.Run(name, func(t *testing.T) {
 			z := newTestZone(t, 6)
 			z.placedVersion = "2"
-			testCase.plan(z)
+			testCase.setUp(z)
 			z.run(300)
 			require.Equal(t, zonestate.RolloutHalted, z.phase())
 			require.Contains(t, z.reason(), testCase.reason)
@@ -201,13 +201,13 @@
 	core := New(DefaultOptions())
 	cases := []struct {
 		wrong, all uint64
-		worse      bool
+		exceeds    bool
 	}{
 		{0, 0, false}, {0, 1000, false}, {1, 1, false}, {2, 2, false}, {3, 3, true}, {3, 60, false},
 		{10, 60, true}, {60, 1000, false}, {90, 1000, true},
 	}
 	for _, testCase := range cases {
-		require.Equal(t, testCase.worse, core.exceedsShare(testCase.wrong, testCase.all, 0.05), "%d of %d", testCase.wrong, testCase.all)
+		require.Equal(t, testCase.exceeds, core.exceedsShare(testCase.wrong, testCase.all, 0.05), "%d of %d", testCase.wrong, testCase.all)
 	}
 	require.False(t, core.exceedsShare(10, 10, 1.05), "no share exceeds 1")
 }
