--- a/internal/fleetplan/mix.go
+++ b/internal/fleetplan/mix.go
@@ -15,27 +15,29 @@
 	// its preemptible replicas. The more of them a zone has, the likelier its loss is assumed to
 	// be, so that they are spread over the zones.
 	zoneLossShare = 0.1
-	// rebuildCostRatio is the ratio of its cost to that of the improved current mix below which a
-	// newly built mix is used instead: replacing many replicas loses their cached prefixes.
+	// rebuildCostRatio is the share of the cost of the improved current mix that a newly built mix
+	// may cost at most to be used instead: replacing many replicas loses their cached prefixes.
 	rebuildCostRatio = 0.95
 	// mixSteps is the approximate number of steps in which a mix is built.
 	mixSteps = 40
 )
 
 // mixOptimizer builds a mix of replicas step by step, each time with the step that adds most for
-// its price. A further replica is worth the number of prompts that no longer miss their objective,
+// its price, or improves a present mix in steps. A further replica is worth the number of prompts that no longer miss their objective,
 // both with all zones present and without the preemptible replicas of any one of them.
 type mixOptimizer struct {
 	history *history
 	input   Input
-	// price is the cost of a stable replica per second, in prompts answered within their objective.
+	// price is the cost of a stable replica per second in a zone with Price 1, in prompts answered
+	// within their objective.
 	price float64
 	mix   [][kinds]int
 	// preemptibleLimits are the maximum numbers of preemptible replicas by zone.
 	preemptibleLimits []int
 }
 
-// priceOf is the cost of a replica per second.
+// priceOf is the price of a replica per second, as a multiple of that of a stable replica in a zone
+// with Price 1.
 func (i Input) priceOf(zone int, kind Kind) float64 {
 	price := i.Zones[zone].Price
 	if price <= 0 {
@@ -93,8 +95,9 @@
 	return headroom
 }
 
-// build adds replicas until none is worth its price. While there are far too few replicas, each
-// further one is worth the same, whatever its kind, so that a single greedy run would end with
+// build adds replicas until none is worth its price. While there are far too few replicas, the
+// worth of a further one does not fall as replicas are added. It is higher for a stable one, which
+// no zone loss removes, so that a single greedy run can go on adding stable replicas and end with
 // expensive ones. The mix is therefore built in two ways, with stable replicas only and with
 // preemptible ones first, and the cheaper one is used.
 func (m *mixOptimizer) build() {
@@ -137,7 +140,7 @@
 
 // cheapestStep returns the mix and its cost after the step that makes it cheapest: more or fewer
 // replicas of a kind in one zone, or of preemptible ones in all zones at once, since the other
-// zones make up for the loss of one.
+// zones make up for the loss of one. It returns the present mix if no step makes it cheaper.
 func (m *mixOptimizer) cheapestStep(minimum [][kinds]int, cost float64) ([][kinds]int, float64) {
 	present, best := m.mix, m.mix
 	step := max(1, m.total()/mixSteps)
--- a/internal/fleetplan/plan.go
+++ b/internal/fleetplan/plan.go
@@ -31,7 +31,8 @@
 // Zone describes a service's replicas in a zone.
 type Zone struct {
 	Name string
-	// Price is the cost of a stable replica per second in this zone.
+	// Price is the price of a stable replica per second in this zone, as a multiple of the price
+	// for which stableCost holds. Costs are computed with 1 if it is not positive.
 	Price float64
 	// Serving are the numbers of replicas of each kind that accept work, Leaving the numbers of
 	// those that are leaving.
@@ -78,8 +79,9 @@
 	PrefillReplicas int
 	Load            Load
 	// Late is the number of prompts a second that are expected to miss their objective. NextWorth
-	// is the number by which one more replica would reduce it, and NextPrice the replica's cost in
-	// the same unit, for the replica that adds most to its cost. They are set once Learned is true.
+	// is the number by which one more replica would reduce it, and NextPrice that replica's cost in
+	// the same unit, for the replica whose worth exceeds its price most. All three are set once
+	// Learned is true; NextWorth and NextPrice stay 0 if no zone can hold another replica.
 	Late, NextWorth, NextPrice float64
 }
 
@@ -168,12 +170,13 @@
 	delete(p.refusedUntil, at)
 }
 
-// OrderUnanswered records that it is unknown whether an order was accepted: the order becomes due again.
+// OrderUnanswered records that it is unknown whether an order was accepted: the order becomes due
+// again.
 func (p *Planner) OrderUnanswered(order Order) {
 	delete(p.orderedAt, orderKey{order.Zone, order.Kind})
 }
 
-// OrderRefused records that no further replicas are available.
+// OrderRefused records that no further replicas of the order's kind are available in its zone.
 func (p *Planner) OrderRefused(now time.Duration, order Order) {
 	p.refusedUntil[orderKey{order.Zone, order.Kind}] = now + refusalDelay
 	delete(p.orderedAt, orderKey{order.Zone, order.Kind})
@@ -193,7 +196,7 @@
 	p.planMix(now, input)
 	target := p.targetCounts(input)
 	p.planStable(now, input, target)
-	p.updateOutlook(input, target)
+	p.updateExplanation(input, target)
 	for index, zone := range input.Zones {
 		target[index] = zone.clampCounts(target[index], input.Maximum)
 	}
--- a/internal/fleetplan/plan_test.go
+++ b/internal/fleetplan/plan_test.go
@@ -49,7 +49,7 @@
 		c.boot()
 		for _, order := range c.planner.Step(c.now, c.input) {
 			c.orders++
-			c.carryOut(order)
+			c.execute(order)
 		}
 		if check != nil {
 			check()
@@ -71,7 +71,7 @@
 	}
 }
 
-func (c *testPlatform) carryOut(order fleetplan.Order) {
+func (c *testPlatform) execute(order fleetplan.Order) {
 	for index := range c.input.Zones {
 		zone := &c.input.Zones[index]
 		if zone.Name != order.Zone {
--- a/internal/fleetplan/planmix.go
+++ b/internal/fleetplan/planmix.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// planMix computes the mix that is worth its price. A new mix is used if it has clearly more or
-// fewer replicas.
+// planMix computes the mix that is worth its price. A new mix with clearly more replicas, by
+// stepShare, is used at once. One with clearly fewer, or one that starts or stops using preemptible
+// replicas, is used once the loads cover their whole window.
 func (p *Planner) planMix(now time.Duration, input Input) {
 	if !p.adoptedMix {
 		p.adoptedMix = true
@@ -121,8 +122,8 @@
 	return sum
 }
 
-// updateOutlook records why the planner wants its number of replicas.
-func (p *Planner) updateOutlook(input Input, target [][kinds]int) {
+// updateExplanation records why the planner wants its number of replicas.
+func (p *Planner) updateExplanation(input Input, target [][kinds]int) {
 	p.explanation = Explanation{
 		Learned:         p.mix != nil,
 		Wanted:          total(target),
--- a/internal/fleetplan/worth.go
+++ b/internal/fleetplan/worth.go
@@ -11,8 +11,8 @@
 	Reported bool
 	// Busy is the number of replicas that the work would keep fully busy.
 	Busy float64
-	// CacheSavings is the number of replicas that prefill would keep busy in addition to Busy if no replica
-	// had prefixes cached.
+	// CacheSavings is the number of replicas that prefill would keep busy in addition to Busy if no
+	// replica had prefixes cached.
 	CacheSavings float64
 	// Prompts is the number of prompts a second.
 	Prompts float64
@@ -23,8 +23,8 @@
 	Replicas, PrefillReplicas float64
 	// Slack is the average time that a prompt may wait and still be answered within its objective.
 	Slack time.Duration
-	// ResidualPrefill is the average time that a prompt waits for the prefill in progress before it: half
-	// the mean square of the prefill times divided by their mean.
+	// ResidualPrefill is the average time that a prompt waits for the prefill in progress before it:
+	// half the mean square of the prefill times divided by their mean.
 	ResidualPrefill time.Duration
 }
 
@@ -53,15 +53,15 @@
 // replicas.
 //
 // A prompt waits if all replicas that suit it are busy. The wait is exponential with a mean of
-// ResidualPrefill / (1 - utilization), thus longer the busier the replicas are (the tail of an M/M/n queue:
-// Kleinrock, Queueing Systems 1, 3.5). Load beyond what the replicas can serve at all is lost in
-// addition. delayRatio is the observed number of delayed prompts as a share of the number that this
-// model predicts.
-func (l Load) lateShare(prefilling, delayRatio float64) float64 {
-	if prefilling <= 0 {
+// ResidualPrefill / (1 - utilization), thus longer the busier the replicas are (the tail of an M/M/n
+// queue: Kleinrock, Queueing Systems 1, 3.5). Load beyond what the replicas can serve at all is lost
+// in addition. delayRatio is the observed number of delayed prompts as a share of the number that
+// this model predicts.
+func (l Load) lateShare(prefillReplicas, delayRatio float64) float64 {
+	if prefillReplicas <= 0 {
 		return 1
 	}
-	load := l.Busy / prefilling
+	load := l.Busy / prefillReplicas
 	utilization := min(load, saturationLoad)
 	normalizedSlack := l.Slack.Seconds() / l.ResidualPrefill.Seconds()
 	late := 1 - math.Pow(1-math.Pow(utilization, prefillCandidates)*math.Exp(-(1-utilization)*normalizedSlack), delayRatio)
@@ -116,7 +116,8 @@
 func (h *history) full() bool { return len(h.loads) == historySpans }
 
 // lateRate is the number of prompts a second that would have missed their objective recently with a
-// number of replicas. Spans without prompts do not count: they do not show that none will come.
+// number of replicas, at least maximumPrefillShare of them in prefill. Spans without prompts do not
+// count: they do not show that none will come.
 func (h *history) lateRate(replicas float64) float64 {
 	return h.mean(func(load Load) float64 {
 		return load.lateShare(max(load.prefillShare(), maximumPrefillShare)*replicas, h.delayRatio)
@@ -153,7 +154,8 @@
 	h.delayRatio = min(seen/expected, maximumDelayRatio)
 }
 
-// price is the cost of a stable replica per second, in prompts answered within their objective.
+// price is the cost of a stable replica per second in a zone with Price 1, in prompts answered within
+// their objective. It is 0 if the history contains no work.
 func (h *history) price() float64 {
 	prompts, busy := 0.0, 0.0
 	for _, load := range h.loads {
--- a/internal/placement/client.go
+++ b/internal/placement/client.go
@@ -55,8 +55,9 @@
 	lastLease              uint64
 	// openLeases are the leases granted by this coordinator, and those in unanswered queries.
 	openLeases map[uint64]bool
-	pending    map[uint64]chan *region.PlacementAnswer
-	events     []region.LeaseEvent
+	// pending are the channels on which the callers of unanswered queries wait, by lease.
+	pending      map[uint64]chan *region.PlacementAnswer
+	unsentEvents []region.LeaseEvent
 	// consecutiveUnanswered counts the unanswered queries in a row. No query is sent before
 	// suspendedUntil.
 	consecutiveUnanswered int
@@ -64,13 +65,15 @@
 	// reportedWork is set if the last full message reported locally placed work.
 	reportedWork bool
 	counts       ClientCounts
-	dirty        chan struct{}
+	// sendRequested holds an element while Run is to send a message soon.
+	sendRequested chan struct{}
 }
 
 // ClientCounts counts the queries of a client since its start.
 type ClientCounts struct {
 	// Queries is the number of queries begun, of which Unanswered were not answered in time.
-	// Suspended were not sent because the coordinator had not answered before.
+	// Suspended is the number of further ones that were not sent because the coordinator had not
+	// answered before.
 	Queries, Unanswered, Suspended uint64
 }
 
@@ -78,14 +81,14 @@
 // process.
 func NewClient(name string, incarnation int64, directory *relay.Directory, socket *datagram.Socket, logger logr.Logger) *Client {
 	created := &Client{
-		name:        name,
-		incarnation: incarnation,
-		directory:   directory,
-		socket:      socket,
-		logger:      logger,
-		openLeases:  map[uint64]bool{},
-		pending:     map[uint64]chan *region.PlacementAnswer{},
-		dirty:       make(chan struct{}, 1),
+		name:          name,
+		incarnation:   incarnation,
+		directory:     directory,
+		socket:        socket,
+		logger:        logger,
+		openLeases:    map[uint64]bool{},
+		pending:       map[uint64]chan *region.PlacementAnswer{},
+		sendRequested: make(chan struct{}, 1),
 	}
 	socket.Handle(datagram.KindPlacementReply, created.receive)
 	return created
@@ -142,19 +145,20 @@
 // the directory calls Report while it holds its own mutex.
 func (c *Client) dropLeases() {
 	c.openLeases = map[uint64]bool{}
-	c.events = nil
+	c.unsentEvents = nil
 	c.scheduleSend()
 }
 
 // scheduleSend makes Run send a message soon. The caller must hold c.mutex.
 func (c *Client) scheduleSend() {
 	select {
-	case c.dirty <- struct{}{}:
+	case c.sendRequested <- struct{}{}:
 	default:
 	}
 }
 
-// Query sends a query to the coordinator, and returns the answer and the coordinator's address.
+// Query sends a query to the coordinator, up to queryAttempts times within a time, and returns the
+// answer and the coordinator's address.
 func (c *Client) Query(ctx context.Context, query *region.PlacementQuestion, within time.Duration) (*region.PlacementAnswer, string, error) {
 	answers, coordinator, err := c.registerQuery(query)
 	if err != nil {
@@ -202,7 +206,8 @@
 	return answers, c.coordinator, nil
 }
 
-// abandonQuery gives a query up. timedOut says that the coordinator did not answer in time.
+// abandonQuery gives a query up, and releases its lease. timedOut says that the coordinator did not
+// answer in time.
 func (c *Client) abandonQuery(query *region.PlacementQuestion, timedOut bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -228,7 +233,7 @@
 		return
 	}
 	delete(c.openLeases, lease)
-	c.events = append(c.events, region.LeaseEvent{Lease: lease, Kind: region.LeaseReleased})
+	c.unsentEvents = append(c.unsentEvents, region.LeaseEvent{Lease: lease, Kind: region.LeaseReleased})
 	c.scheduleSend()
 }
 
@@ -243,7 +248,7 @@
 	if reported.Kind == region.LeaseReleased {
 		delete(c.openLeases, reported.Lease)
 	}
-	c.events = append(c.events, reported)
+	c.unsentEvents = append(c.unsentEvents, reported)
 	c.scheduleSend()
 }
 
@@ -257,7 +262,7 @@
 			return
 		case <-ticker.C:
 			c.sendFull()
-		case <-c.dirty:
+		case <-c.sendRequested:
 			time.Sleep(batchDelay)
 			c.flush()
 		}
@@ -268,7 +273,7 @@
 func (c *Client) flush() {
 	for {
 		c.mutex.Lock()
-		idle := len(c.events) == 0 || !c.coordinator.IsValid()
+		idle := len(c.unsentEvents) == 0 || !c.coordinator.IsValid()
 		to := c.coordinator
 		c.mutex.Unlock()
 		if idle {
@@ -291,14 +296,15 @@
 // hold c.mutex.
 func (c *Client) nextMessage() *region.PlacementMessage {
 	c.sequence++
-	count := min(len(c.events), maximumEvents)
-	message := &region.PlacementMessage{Gateway: c.name, Life: c.incarnation, Sequence: c.sequence, Events: c.events[:count:count]}
-	c.events = c.events[count:]
+	count := min(len(c.unsentEvents), maximumEvents)
+	message := &region.PlacementMessage{Gateway: c.name, Life: c.incarnation, Sequence: c.sequence, Events: c.unsentEvents[:count:count]}
+	c.unsentEvents = c.unsentEvents[count:]
 	return message
 }
 
 // sendFull sends a message that names all open leases and the work that the gateway has placed
-// locally, if there are any.
+// locally. It sends nothing if there are neither, unless the last full message reported such work,
+// and the message is not a full one if more than maximumOpenLeases are open.
 func (c *Client) sendFull() {
 	work := c.directory.Outstanding()
 	c.mutex.Lock()
@@ -338,14 +344,14 @@
 
 // processReply applies a reply, and reports whether the coordinator has lost the leases that it had
 // granted.
-func (c *Client) processReply(from netip.AddrPort, reply *region.PlacementReply) (forgotten bool) {
+func (c *Client) processReply(from netip.AddrPort, reply *region.PlacementReply) (leasesLost bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if from != c.coordinator || reply.Life < c.coordinatorIncarnation {
 		return false
 	}
 	if c.coordinatorIncarnation != 0 && reply.Life != c.coordinatorIncarnation {
-		forgotten = true
+		leasesLost = true
 		c.logger.Info(event.PlacementForgotten, "coordinator", from.String(), "open", len(c.openLeases))
 		c.dropLeases()
 	}
@@ -354,11 +360,11 @@
 	c.suspendedUntil = time.Time{}
 	answer := reply.Answer
 	if answer == nil {
-		return forgotten
+		return leasesLost
 	}
 	answers, found := c.pending[answer.Lease]
 	if !found {
-		return forgotten
+		return leasesLost
 	}
 	delete(c.pending, answer.Lease)
 	if answer.Outcome == region.PlacementGranted {
@@ -367,5 +373,5 @@
 		delete(c.openLeases, answer.Lease)
 	}
 	answers <- answer
-	return forgotten
+	return leasesLost
 }
--- a/internal/placement/server.go
+++ b/internal/placement/server.go
@@ -44,10 +44,11 @@
 
 // ServerCounts counts what a server has done since its start.
 type ServerCounts struct {
-	// Queries is the number of queries answered with a lease or a refusal. Ignored is the number
-	// of messages that were rejected or whose query was not answered.
+	// Queries is the number of queries answered, with a lease, a refusal or an idle time. Ignored
+	// is the number of messages that were rejected or whose query was not answered.
 	Queries, Ignored uint64
-	// Expired is the number of leases that were not ended by their gateway.
+	// Expired is the number of leases that were not ended by their gateway, but by their deadline
+	// or gatewayTimeout.
 	Expired uint64
 	// Leases is the number of leases held now.
 	Leases int
@@ -214,7 +215,8 @@
 	return answer
 }
 
-// idleAnswer reports for how long the replica of a lease has made no prefill progress.
+// idleAnswer reports for how long the replica of a lease has prefilled nothing that any gateway
+// knows of.
 func idleAnswer(id uint64, held *heldLease) *region.PlacementAnswer {
 	if held == nil {
 		return &region.PlacementAnswer{Lease: id, Outcome: region.PlacementNoReplica}
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -6,9 +6,10 @@
 	// rankSteps is the number of ranks over which the tolerated debt is spread: rank 0 may use all
 	// of it and rank rankSteps none, so that a tenant's urgent requests pass while others wait.
 	rankSteps = 4
-	// smallRequestFraction of the tolerated debt is the most that a small request counts, such as
-	// an application's call beside prompts of a hundred times its size. Without this rule, 215 of
-	// 5,116 such requests were refused while one tenant sent six times its usual load.
+	// smallRequestFraction of the tolerated debt is the maximum size of a small request, such as an
+	// application's call beside prompts of a hundred times its size. Small requests may use all of
+	// the debt. Without this rule, 215 of 5,116 of them were refused while one tenant sent six
+	// times its usual load.
 	smallRequestFraction = 1.0 / 64
 	// meterSlots is the number of slots into which a window is divided: enough to show what a
 	// tenant does, few enough for thousands of tenants.
@@ -17,10 +18,10 @@
 
 // bucket counts one account in one pool, in two token buckets: a request passes if one of them has
 // enough tokens, and is charged to both. The first has the limit's rate and burst. The second, the
-// sustained one, refills by the burst too, spread evenly over the window, and has a capacity of 0, so
-// that a tenant which is busy all the time may use rate x window + burst in each window too: with
-// the first bucket alone, 208 of 2,400 requests that a tenant sent within its limit for 40 s were
-// refused. Together they let no more than that through in any window.
+// sustained one, refills at the limit's rate plus the burst spread evenly over the window, and has
+// a capacity of 0, so that a tenant which is busy all the time may use rate x window + burst in each
+// window too: with the first bucket alone, 208 of 2,400 requests that a tenant sent within its limit
+// for 40 s were refused. Together they admit no more than that in any window.
 type bucket struct {
 	limit Limit
 	// level is the number of units left at updatedAt, negative in debt; sustained is that of the
@@ -44,11 +45,11 @@
 	matureFraction float64
 	// unacknowledged is a number of units, 0 or less, that count as used in addition to the level.
 	unacknowledged float64
-	// maxDebt is the number of units by which a level may fall below 0, and fullMaxDebt that of a
+	// maximumDebt is the number of units by which a level may fall below 0, and fullMaximumDebt that of a
 	// pool that has held all shares for a window.
-	maxDebt     float64
-	fullMaxDebt float64
-	// window bounds the retry delay.
+	maximumDebt     float64
+	fullMaximumDebt float64
+	// window is the time over which the use is measured, and the maximum retry delay.
 	window time.Duration
 	// strict is Enforcement.Strict.
 	strict bool
@@ -66,12 +67,12 @@
 	return (b.limit.Rate + b.limit.Burst/a.window.Seconds()) * a.matureFraction
 }
 
-// sustainedMaxDebt is the number of units by which the second bucket may be in debt.
-func (a allowance) sustainedMaxDebt() float64 {
+// sustainedMaximumDebt is the number of units by which the second bucket may be in debt.
+func (a allowance) sustainedMaximumDebt() float64 {
 	if a.fraction == 0 {
 		return 0
 	}
-	return a.maxDebt * a.matureFraction / a.fraction
+	return a.maximumDebt * a.matureFraction / a.fraction
 }
 
 // refill adds what has been refilled until a time.
@@ -92,8 +93,8 @@
 	b.level = min(b.level, b.cap(a))
 	b.sustained = min(b.sustained, 0)
 	if a.fraction > 0 {
-		b.level = max(b.level, -b.limit.Burst-a.maxDebt)
-		b.sustained = max(b.sustained, -b.limit.Burst-a.maxDebt)
+		b.level = max(b.level, -b.limit.Burst-a.maximumDebt)
+		b.sustained = max(b.sustained, -b.limit.Burst-a.maximumDebt)
 	}
 }
 
@@ -108,32 +109,32 @@
 		b.sustained -= q.Units
 		return answer
 	}
-	answer.Never = q.Units > b.limit.Burst+a.fullMaxDebt
+	answer.Never = q.Units > b.limit.Burst+a.fullMaximumDebt
 	answer.WaitMicros = b.retryAfter(now, q, a).Microseconds()
 	return answer
 }
 
 // fits reports whether a request may pass now.
 func (b *bucket) fits(q Query, a allowance) bool {
-	if b.level+a.unacknowledged-q.Units >= -q.usableDebt(a, a.maxDebt) {
+	if b.level+a.unacknowledged-q.Units >= -q.usableDebt(a, a.maximumDebt) {
 		return true
 	}
-	if a.matureFraction > 0 && b.sustained-q.Units >= -q.usableDebt(a, a.sustainedMaxDebt()) {
+	if a.matureFraction > 0 && b.sustained-q.Units >= -q.usableDebt(a, a.sustainedMaximumDebt()) {
 		return true
 	}
 	// A request that is larger than the bucket waits until the bucket is full, and may use all of
 	// the debt whatever its rank: it could pass at no other time.
-	return a.fraction > 0 && b.level >= b.cap(a) && q.Units <= b.cap(a)+a.maxDebt
+	return a.fraction > 0 && b.level >= b.cap(a) && q.Units <= b.cap(a)+a.maximumDebt
 }
 
 // usableDebt is the part of a debt that a request may use, by its rank. A small request may use all
 // of it: to refuse it would save next to nothing for others. Under strict limits all requests are of
 // one size, and only their ranks differ.
-func (q *Query) usableDebt(a allowance, maxDebt float64) float64 {
-	if !a.strict && q.Units <= smallRequestFraction*maxDebt {
-		return maxDebt
+func (q *Query) usableDebt(a allowance, maximumDebt float64) float64 {
+	if !a.strict && q.Units <= smallRequestFraction*maximumDebt {
+		return maximumDebt
 	}
-	return maxDebt * float64(rankSteps-min(max(q.Rank, 0), rankSteps)) / rankSteps
+	return maximumDebt * float64(rankSteps-min(max(q.Rank, 0), rankSteps)) / rankSteps
 }
 
 // retryAfter returns the time after which a refused request should fit if those refused before it
@@ -143,16 +144,16 @@
 	if a.strict && rate <= 0 {
 		return a.retryAfter
 	}
-	if rate <= 0 || q.Units > b.cap(a)+a.maxDebt {
+	if rate <= 0 || q.Units > b.cap(a)+a.maximumDebt {
 		return a.window
 	}
-	needed := min(q.Units-q.usableDebt(a, a.maxDebt), b.cap(a)) - b.level
+	needed := min(q.Units-q.usableDebt(a, a.maximumDebt), b.cap(a)) - b.level
 	wait := seconds(needed / rate)
 	if a.strict {
 		return min(wait, a.window)
 	}
-	if sustainedRate > 0 && q.Units <= q.usableDebt(a, a.sustainedMaxDebt()) {
-		wait = min(wait, seconds((q.Units-q.usableDebt(a, a.sustainedMaxDebt())-b.sustained)/sustainedRate))
+	if sustainedRate > 0 && q.Units <= q.usableDebt(a, a.sustainedMaximumDebt()) {
+		wait = min(wait, seconds((q.Units-q.usableDebt(a, a.sustainedMaximumDebt())-b.sustained)/sustainedRate))
 	}
 	behind := b.lastRetryAt + seconds(q.Units/max(rate, sustainedRate))
 	b.lastRetryAt = min(max(now+wait, behind), now+a.window)
--- a/internal/quota/group_test.go
+++ b/internal/quota/group_test.go
@@ -207,7 +207,7 @@
 	}
 }
 
-// openQuery is a gateway's query.
+// openQuery is a gateway's query. It is open until it is answered or has timed out.
 type openQuery struct {
 	onAnswer func(quota.Answer)
 	open     bool
--- a/internal/quota/limit.go
+++ b/internal/quota/limit.go
@@ -15,8 +15,7 @@
 	// Window is the time over which the use is measured, defaultWindow if it is 0.
 	Window time.Duration
 	// RelativeTolerance is a fraction of what the limit allows within the window, and
-	// AbsoluteTolerance a number of units in
-	// addition to it.
+	// AbsoluteTolerance a number of units in addition to it.
 	RelativeTolerance, AbsoluteTolerance float64
 	// Strict limits are not exceeded over any longer time either: a full burst may be used once, not
 	// in each window. Each refused request is told when the bucket will have enough tokens for it,
--- a/internal/quota/parts.go
+++ b/internal/quota/parts.go
@@ -46,7 +46,8 @@
 	c.ageWeighted += min(age.Seconds()/window.Seconds(), 1)
 }
 
-// countShares returns the number of shares that count here at a time.
+// countShares returns the number of shares that count here at a time, and updates whether and since
+// when the own share does.
 func (p *Pool) countShares(now time.Duration) shareCount {
 	window := p.options.Enforcement.window()
 	mode := p.Mode(now)
@@ -98,15 +99,15 @@
 // allowance returns the part of a tenant's limit that may be used here.
 func (p *Pool) allowance(tenant string) allowance {
 	members := float64(max(len(p.members), 1))
-	fullMaxDebt := p.options.Enforcement.tolerance(p.limits[tenant]) * debtFraction
+	fullMaximumDebt := p.options.Enforcement.tolerance(p.limits[tenant]) * debtFraction
 	current := allowance{
-		fraction:       float64(p.shares.total) / members,
-		matureFraction: float64(p.shares.mature) / members,
-		maxDebt:        fullMaxDebt * p.shares.ageWeighted / members,
-		fullMaxDebt:    fullMaxDebt,
-		window:         p.options.Enforcement.window(),
-		strict:         p.options.Enforcement.Strict,
-		retryAfter:     p.options.Lease,
+		fraction:        float64(p.shares.total) / members,
+		matureFraction:  float64(p.shares.mature) / members,
+		maximumDebt:     fullMaximumDebt * p.shares.ageWeighted / members,
+		fullMaximumDebt: fullMaximumDebt,
+		window:          p.options.Enforcement.window(),
+		strict:          p.options.Enforcement.Strict,
+		retryAfter:      p.options.Lease,
 	}
 	if current.strict {
 		current.matureFraction = 0
@@ -118,11 +119,11 @@
 // not answer.
 func (p *Pool) holderTimeoutAllowance(tenant string) allowance {
 	return allowance{
-		fullMaxDebt: p.options.Enforcement.tolerance(p.limits[tenant]) * debtFraction,
+		fullMaximumDebt: p.options.Enforcement.tolerance(p.limits[tenant]) * debtFraction,
 
-		maxDebt:    p.options.Enforcement.tolerance(p.limits[tenant]) * holderTimeoutFraction / float64(max(len(p.members), 1)),
-		window:     p.options.Enforcement.window(),
-		strict:     p.options.Enforcement.Strict,
-		retryAfter: p.options.Lease,
+		maximumDebt: p.options.Enforcement.tolerance(p.limits[tenant]) * holderTimeoutFraction / float64(max(len(p.members), 1)),
+		window:      p.options.Enforcement.window(),
+		strict:      p.options.Enforcement.Strict,
+		retryAfter:  p.options.Lease,
 	}
 }
--- a/internal/quota/peer.go
+++ b/internal/quota/peer.go
@@ -79,7 +79,7 @@
 // bucket, and the holder's buckets, which begin empty, make up for it.
 func (p *Pool) clampDebts() {
 	for tenant, each := range p.buckets {
-		each.level = max(each.level, -p.allowance(tenant).maxDebt)
+		each.level = max(each.level, -p.allowance(tenant).maximumDebt)
 	}
 }
 
@@ -141,8 +141,8 @@
 	}
 }
 
-// maySendToHolder reports whether there is a holder to send to. While the share may still count at the
-// previous holder, a new one is sent nothing: the share would count there too.
+// maySendToHolder reports whether there is a holder to send to. While the share may still count at
+// the previous holder, a new one is sent nothing: the share would count there too.
 func (p *Pool) maySendToHolder(now time.Duration) bool {
 	if len(p.limits) == 0 || p.leader == "" || p.leader == p.options.Address {
 		return false
@@ -150,7 +150,8 @@
 	return p.holder == p.leader || now >= p.leaseEnd
 }
 
-// acknowledge records that the holder counts the debts of a message.
+// acknowledge records that the holder counts the debts of the message sent at a time. Unacknowledged
+// debts of messages that were sent more than holderWait earlier count here again.
 func (p *Pool) acknowledge(sentAt int64) {
 	for _, each := range p.unacknowledged[sentAt] {
 		if b := p.buckets[each.Account]; b != nil {
--- a/internal/quota/pool.go
+++ b/internal/quota/pool.go
@@ -45,7 +45,8 @@
 
 	// leaseEnd is when no other pool counts this coordinator's share any more.
 	leaseEnd time.Duration
-	// holder is the one that answered last, in its incarnation holderIncarnation at its time holderTime.
+	// holder is the one that answered last, in its incarnation holderIncarnation at its time
+	// holderTime.
 	holder            string
 	holderIncarnation int64
 	holderTime        int64
@@ -91,7 +92,8 @@
 	resendAt time.Duration
 }
 
-// timedOutQuery is a query whose answer is no longer used.
+// timedOutQuery is a query whose answer is no longer used. If the holder has admitted it, amount is
+// returned.
 type timedOutQuery struct {
 	amount Amount
 	until  time.Duration
@@ -204,8 +206,8 @@
 	p.refillAll(now)
 }
 
-// HandleQuery handles a gateway's query. A coordinator that does not know the group yet gives no answer: it
-// does not know its share, and the gateway asks another one.
+// HandleQuery handles a gateway's query. A coordinator that does not know the group yet gives no
+// answer: it does not know its share, and the gateway asks another one.
 func (p *Pool) HandleQuery(now time.Duration, from string, q Query) {
 	if len(p.members) == 0 {
 		return
--- a/internal/quota/pool_test.go
+++ b/internal/quota/pool_test.go
@@ -55,16 +55,16 @@
 // The holder is killed while a tenant is far above its limit: what it had counted is lost, another one
 // takes over, and the bound holds over both. A tenant below its limit is still served.
 func TestLimitHoldsWhenHolderIsKilled(t *testing.T) {
-	for _, share := range []float64{0.6, 6} {
-		t.Run(fmt.Sprint(share), func(t *testing.T) {
+	for _, loadFactor := range []float64{0.6, 6} {
+		t.Run(fmt.Sprint(loadFactor), func(t *testing.T) {
 			g := newSimulation(t, 11, 6, 65, testLimit)
-			g.generateLoad(warmUp, warmUp+20*time.Second, share, meanRequestUnits)
+			g.generateLoad(warmUp, warmUp+20*time.Second, loadFactor, meanRequestUnits)
 			g.schedule(warmUp+5*time.Second, func() { g.nodes["a"].down = true })
 			g.schedule(warmUp+5*time.Second+electionDelay, func() { g.setLeader("b", "b", "c", "d", "e", "f") })
 			g.schedule(warmUp+9*time.Second, func() { g.start("a"); g.setLeader("b", "a") })
 			g.runUntil(warmUp + 21*time.Second)
 			g.requireBound()
-			if share < 1 {
+			if loadFactor < 1 {
 				require.Less(t, g.refusedUnits/(g.refusedUnits+g.admittedUnits()), 0.05)
 				return
 			}
@@ -180,13 +180,13 @@
 
 // Lost datagrams leave requests charged, so that less is admitted, and not more.
 func TestLostDatagramsDoNotOverrunTheLimit(t *testing.T) {
-	for _, share := range []float64{0.6, 6} {
+	for _, loadFactor := range []float64{0.6, 6} {
 		g := newSimulation(t, 37, 6, 65, testLimit)
 		g.isLost = func(string, string) bool { return g.random.Float64() < 0.05 }
-		g.generateLoad(warmUp, warmUp+20*time.Second, share, meanRequestUnits)
+		g.generateLoad(warmUp, warmUp+20*time.Second, loadFactor, meanRequestUnits)
 		g.runUntil(warmUp + 21*time.Second)
 		g.requireBound()
-		if share < 1 {
+		if loadFactor < 1 {
 			require.Less(t, g.refusedUnits/(g.refusedUnits+g.admittedUnits()), 0.02)
 		}
 	}
--- a/internal/quota/status.go
+++ b/internal/quota/status.go
@@ -36,7 +36,7 @@
 		Rate:      limit.Rate,
 		Burst:     limit.Burst,
 		WindowS:   window.Seconds(),
-		Debt:      p.allowance(tenant).maxDebt,
+		Debt:      p.allowance(tenant).maximumDebt,
 		Tolerance: p.options.Enforcement.tolerance(limit),
 	}
 	if b := p.buckets[tenant]; b != nil {
--- a/internal/stageplan/plan.go
+++ b/internal/stageplan/plan.go
@@ -32,16 +32,16 @@
 // Input is the state that Step decides on.
 type Input struct {
 	Replicas []Replica
-	// RunningStreams is the number of running streams, and ExpectedStreams the number towards which it
-	// tends.
+	// RunningStreams is the number of answers that are being generated, and ExpectedStreams the
+	// number towards which it tends.
 	RunningStreams  float64
 	ExpectedStreams float64
 	// PrefillLoad is the number of replicas that the prompts to be prefilled keep busy.
 	PrefillLoad float64
 	// DemandKnown is false until demand has been reported.
 	DemandKnown bool
-	// Unstable is set while replicas are being added or removed. One more replica is then left to
-	// decode, since present ones may be removed soon.
+	// Unstable is set while replicas are being added or removed, or are unsettled. One more replica
+	// is then left to decode, since present ones may be removed soon.
 	Unstable bool
 	// OtherRegions are the service's replicas in other regions.
 	OtherRegions OtherRegions
@@ -83,13 +83,13 @@
 	Candidates []string
 	Decodes    bool
 	Reason     string
-	// StreamPeak and PrefillPeak are the demand behind the decision: the peak of the running streams,
-	// and the number of replicas that prefill keeps busy.
+	// StreamPeak and PrefillPeak are the demand behind the decision: the decaying peaks of the
+	// running or expected streams, and of the number of replicas that prefill keeps busy.
 	StreamPeak  float64
 	PrefillPeak float64
 	// DecodeReplicas is the number of decode replicas before the change.
 	DecodeReplicas int
-	// SinceLast is the time since the last change of the service.
+	// SinceLast is the time since the planner's last change.
 	SinceLast time.Duration
 }
 
@@ -122,7 +122,7 @@
 	peakDecayTime = 2500 * time.Millisecond
 )
 
-// Planner plans the stages of one service.
+// Planner plans the stages of one service, or of its replicas in one region.
 type Planner struct {
 	// IgnoreForecast plans for the running streams only. DecodeFirst serves decode first when
 	// there are too few replicas for both stages.
@@ -188,7 +188,9 @@
 	return max(input.ExpectedStreams, input.RunningStreams)
 }
 
-// targetDecodeReplicas is the number of replicas that should decode.
+// targetDecodeReplicas is the number of replicas that should decode. Once demand is known, it is the
+// present number unless decode needs more, there are too few replicas for both stages, or decode has
+// more than it needs while the prefill replicas are busy.
 func (p *Planner) targetDecodeReplicas(input Input, decoding int) int {
 	total := countSettled(input.Replicas)
 	minimum := min(minimumReplicas, total-1)
@@ -223,7 +225,8 @@
 
 // splitShortage returns the number of replicas that should decode while there are too few for both
 // stages: each stage gets the same share of the replicas that it needs. Decode replicas are counted
-// at the lower occupancy, since a prefilled prompt is of no use until a decode replica accepts it.
+// at targetOccupancy, which is below fullOccupancy and so gives decode a larger part, since a
+// prefilled prompt is of no use until a decode replica accepts it.
 func (p *Planner) splitShortage(slots float64, total int) (decoding int, short bool) {
 	prefillReplicas := p.prefillPeak / maximumPrefillUtilization
 	if p.streamPeak/(slots*fullOccupancy)+prefillReplicas <= float64(total) {
@@ -242,8 +245,9 @@
 	return maximum
 }
 
-// change selects the replica for a change, and returns nil if the last change went the other way a
-// short time ago, if no replica may be changed, or if the policy does not permit the change.
+// change selects the replica for a change, and returns nil if no replica may be changed, if the
+// policy does not permit the change, or if the last change went the other way less than reversalDelay
+// ago. Overloaded decode replicas get another one without that delay.
 func (p *Planner) change(now time.Duration, input Input, decodes bool, reason string) *Change {
 	if p.changed && p.lastDecodes != decodes && now-p.lastChange < reversalDelay && !(decodes && input.decodeOverloaded()) {
 		return nil
--- a/internal/stageplan/plan_test.go
+++ b/internal/stageplan/plan_test.go
@@ -141,7 +141,7 @@
 }
 
 func TestOverloadedDecodeBypassesReversalDelay(t *testing.T) {
-	for name, generating := range map[string]float64{"calm": 60, "overflowing": 400} {
+	for name, runningStreams := range map[string]float64{"calm": 60, "overflowing": 400} {
 		planner := &stageplan.Planner{}
 		input := stageplan.Input{Replicas: fleet(4, 14), RunningStreams: 40, PrefillLoad: 8, DemandKnown: true}
 		now := time.Duration(0)
@@ -152,14 +152,14 @@
 			}
 		}
 		require.Less(t, countDecode(input.Replicas), 14)
-		input.RunningStreams = generating
+		input.RunningStreams = runningStreams
 		input.ExpectedStreams = 400
 		change := planner.Step(now+100*time.Millisecond, input)
 		assert.Equal(t, name == "overflowing", change != nil && change.Decodes, name)
 	}
 }
 
-func TestChooseReplacesCandidate(t *testing.T) {
+func TestReplaceCandidateChangesReplica(t *testing.T) {
 	planner := &stageplan.Planner{}
 	rules := stageplan.Rules{MinimumDwell: time.Minute}
 	input := stageplan.Input{Replicas: fleet(4, 14), PrefillLoad: 9, RunningStreams: 20, DemandKnown: true, Rules: rules}
@@ -313,8 +313,8 @@
 	assert.LessOrEqual(t, decoding, 4, "two stay in prefill")
 }
 
-// The least busy replica is changed first, and one that rejects everything is idle; it would reject
-// requests in its new stage, too.
+// The coordinator changes the least busy candidate, and a replica that rejects everything is idle; it
+// would reject requests in its new stage, too.
 func TestRejectingReplicaIsNotChanged(t *testing.T) {
 	input := stageplan.Input{Replicas: fleet(6, 2), DemandKnown: true, RunningStreams: 200, ExpectedStreams: 200}
 	for index := range 3 {
