--- a/coordination/consensus/config.go
+++ b/coordination/consensus/config.go
@@ -38,12 +38,13 @@
 	MaxInflightAppends int
 	// SnapshotChunkBytes bounds the data of one snapshot request.
 	SnapshotChunkBytes int
-	// CatchUpEntries is the number of entries that a learner may lag behind the
-	// leader when it is promoted to a voter.
+	// CatchUpEntries is the maximum number of entries by which a learner may lag
+	// behind the leader when it is promoted to a voter.
 	CatchUpEntries uint64
 
 	// Founding is the token of the bootstrap that the replica has promised to
-	// take part in, or zero. The token of a configuration takes precedence.
+	// take part in, or zero. The token in the group's configuration takes
+	// precedence.
 	Founding uint64
 
 	// HardState, Snapshot and Entries are the last saved state. Entries must be
--- a/coordination/consensus/election.go
+++ b/coordination/consensus/election.go
@@ -19,7 +19,8 @@
 }
 
 // resetElectionDeadline sets the next campaign to a random time between one and
-// two election timeouts from now. A sole voter campaigns at the next Tick.
+// two election timeouts from now. A sole voter has no leader or other candidates
+// to wait for, so it campaigns at the next Tick.
 func (c *Core) resetElectionDeadline() {
 	voters := c.configuration().Voters()
 	if len(voters) == 1 && voters[0] == c.config.ID {
--- a/coordination/consensus/log.go
+++ b/coordination/consensus/log.go
@@ -140,7 +140,8 @@
 func entrySize(entry Entry) int { return len(entry.Data) + entryOverheadBytes }
 
 // compactionIndex returns the index before the longest run of entries up to index
-// that has at most maxEntries entries and maxBytes bytes.
+// that has at most maxEntries entries and maxBytes bytes. Those entries are kept when
+// the log is compacted.
 func (l *entryLog) compactionIndex(index, maxEntries uint64, maxBytes int64) uint64 {
 	var bytes int64
 	start := index
--- a/coordination/consensus/message.go
+++ b/coordination/consensus/message.go
@@ -1,16 +1,16 @@
 package consensus
 
 //go:generate go tool msgp -file message.go -o message_gen.go -tests=false -io=false
-// Arrays and maps are limited because decoders allocate the size that a header
-// claims. Byte strings are not: their decoder first checks that the input has that
-// many bytes, and an entry or snapshot that was once accepted must stay readable.
+// Arrays and maps are limited because decoders allocate as many elements as the
+// header claims. Byte strings are not: their decoder first checks that the input has
+// that many bytes, and an entry or snapshot that was once accepted must stay readable.
 //msgp:limit arrays:65536 maps:65536
 
 //msgp:tuple Entry
 
-// ReplicaID identifies one replica. It is generated at random when the data
-// directory is created and is not used again if that is lost; zero means no
-// replica.
+// ReplicaID identifies one replica. It is generated at random when the replica's
+// data directory is created and is never reused after the directory is lost. Zero
+// means no replica.
 type ReplicaID uint64
 
 // MessageKind is the kind of a message between replicas.
--- a/coordination/consensus/progress.go
+++ b/coordination/consensus/progress.go
@@ -110,8 +110,8 @@
 // reject records that the member has rejected the entries after rejectedIndex and
 // reports whether to send an append request again at once. matchCandidate is the
 // last index at which the logs may match. A rejection at or below match is stale,
-// or the member has lost entries; it causes no request, because leader and member
-// would otherwise exchange the same messages forever.
+// or the member has lost entries; it causes no immediate request, because leader
+// and member would otherwise exchange the same messages forever.
 func (p *progress) reject(rejectedIndex, matchCandidate uint64) bool {
 	if rejectedIndex <= p.match {
 		return false
--- a/coordination/consensus/ready.go
+++ b/coordination/consensus/ready.go
@@ -1,6 +1,7 @@
 package consensus
 
-// SoftState is the current state of a replica, which may not be on disk yet.
+// SoftState is the current role, leader and term of a replica. Role and leader are
+// never saved, and the term may not be on disk yet.
 type SoftState struct {
 	Role   Role
 	Leader ReplicaID
--- a/coordination/consensus/replication.go
+++ b/coordination/consensus/replication.go
@@ -161,6 +161,7 @@
 	}
 	member.probeSent = false
 	if member.state == stateReplicating && len(member.inflight) >= c.config.MaxInflightAppends {
+		// One slot is freed, because the requests or their responses may be lost.
 		member.inflight = member.inflight[1:]
 	}
 	if member.match < c.log.lastIndex() || member.state == stateProbing {
--- a/coordination/consensus/snapshot_transfer.go
+++ b/coordination/consensus/snapshot_transfer.go
@@ -65,7 +65,8 @@
 	})
 }
 
-// resendChunk sends a chunk again that was sent at least a heartbeat interval ago.
+// resendChunk sends the current chunk again if it has had no response for a
+// heartbeat interval.
 func (c *Core) resendChunk(id ReplicaID, member *progress) {
 	if c.now-member.snapshotTransfer.sentAt >= c.config.HeartbeatInterval {
 		c.sendChunk(id, member.snapshotTransfer)
--- a/coordination/replica/cluster_checks_test.go
+++ b/coordination/replica/cluster_checks_test.go
@@ -23,21 +23,21 @@
 	New    int
 }
 
-// testMachine is a state machine of registers that reports each applied command
-// to the checks.
-type testMachine struct {
+// registerStore is a state machine that holds registers and reports each applied
+// command to the checks.
+type registerStore struct {
 	checks *checks
 	name   string
 	Values map[int]int
 	Index  uint64
 }
 
-func newTestMachine(checks *checks, name string) *testMachine {
-	return &testMachine{checks: checks, name: name, Values: map[int]int{}}
+func newRegisterStore(checks *checks, name string) *registerStore {
+	return &registerStore{checks: checks, name: name, Values: map[int]int{}}
 }
 
-func (m *testMachine) Apply(index uint64, data []byte) []byte {
-	m.checks.applied(m, index, data)
+func (m *registerStore) Apply(index uint64, data []byte) []byte {
+	m.checks.checkApplied(m, index, data)
 	m.Index = index
 	var command testCommand
 	m.checks.noError("command", json.Unmarshal(data, &command))
@@ -48,9 +48,9 @@
 	return []byte("yes")
 }
 
-func (m *testMachine) Snapshot() ([]byte, error) { return json.Marshal(m) }
+func (m *registerStore) Snapshot() ([]byte, error) { return json.Marshal(m) }
 
-func (m *testMachine) Restore(data []byte) error {
+func (m *registerStore) Restore(data []byte) error {
 	m.Values, m.Index = map[int]int{}, 0
 	if len(data) == 0 {
 		return nil
@@ -95,9 +95,9 @@
 	return errors.Is(err, storage.ErrSyncFailed) || errors.Is(err, storage.ErrDiskFull) || errors.Is(err, memoryfs.ErrCrashed)
 }
 
-// openFailed fails the run unless the error comes from an injected fault or a
+// checkOpenError fails the run unless the error comes from an injected fault or a
 // planted bug.
-func (c *checks) openFailed(m *machine, err error) {
+func (c *checks) checkOpenError(m *machine, err error) {
 	if isInjectedFault(err) {
 		return
 	}
@@ -107,15 +107,15 @@
 	c.fail("%s does not open: %v", m.address(), err)
 }
 
-// quarantined checks that a replica with damaged data does not open.
-func (c *checks) quarantined(m *machine, err error) {
+// checkQuarantined checks that a replica with damaged data does not open.
+func (c *checks) checkQuarantined(m *machine, err error) {
 	if !errors.Is(err, ErrReplicaQuarantined) {
 		c.fail("%s opens with damaged data: %v", m.address(), err)
 	}
 }
 
-// electionSafety checks that there is at most one leader per term.
-func (c *checks) electionSafety(status Status) {
+// checkElectionSafety checks that there is at most one leader per term.
+func (c *checks) checkElectionSafety(status Status) {
 	if status.Role != consensus.RoleLeader {
 		return
 	}
@@ -125,10 +125,10 @@
 	c.leaderByTerm[status.Term] = status.ID
 }
 
-// applied checks state machine safety: a state machine applies each index at most
+// checkApplied checks state machine safety: a state machine applies each index at most
 // once and in ascending order, all apply the same command at an index, and no
 // command is applied at two indexes or after it was reported as not executed.
-func (c *checks) applied(m *testMachine, index uint64, data []byte) {
+func (c *checks) checkApplied(m *registerStore, index uint64, data []byte) {
 	if index <= m.Index {
 		c.fail("%s applies index %d after %d", m.name, index, m.Index)
 	}
@@ -154,10 +154,12 @@
 	}
 }
 
-// logMatching checks the log matching property across all disks: entries with
+// checkLogMatching checks the log matching property across all disks: entries with
 // the same index and term have the same data and the same preceding term.
-func (c *checks) logMatching(machines []*machine) {
-	terms := map[[2]uint64][]byte{}
+func (c *checks) checkLogMatching(machines []*machine) {
+	// The keys are index and term of an entry. With the top bit of the term set, the
+	// value is the term of the preceding entry, otherwise it is the entry's data.
+	seen := map[[2]uint64][]byte{}
 	for _, m := range machines {
 		state, err := storage.ReadState(m.disk, testDirectory)
 		if err != nil {
@@ -169,19 +171,19 @@
 				previous = state.Entries[position-1].Term
 			}
 			key := [2]uint64{entry.Index, entry.Term}
-			if known, found := terms[key]; found && !bytes.Equal(known, entry.Data) {
+			if known, found := seen[key]; found && !bytes.Equal(known, entry.Data) {
 				c.fail("logs differ at index %d of term %d", entry.Index, entry.Term)
 			}
-			terms[key] = entry.Data
+			seen[key] = entry.Data
 			if position == 0 {
 				continue
 			}
 			chain := [2]uint64{entry.Index, entry.Term | 1<<63}
 			value := fmt.Append(nil, previous)
-			if known, found := terms[chain]; found && !bytes.Equal(known, value) {
+			if known, found := seen[chain]; found && !bytes.Equal(known, value) {
 				c.fail("logs differ before index %d of term %d", entry.Index, entry.Term)
 			}
-			terms[chain] = value
+			seen[chain] = value
 		}
 	}
 }
@@ -227,8 +229,8 @@
 	},
 }
 
-// linearizable checks that the clients' history is linearizable.
-func (c *checks) linearizable() {
+// checkLinearizable checks that the clients' history is linearizable.
+func (c *checks) checkLinearizable() {
 	if c.violation != "" {
 		return
 	}
@@ -241,9 +243,9 @@
 	}
 }
 
-// acknowledged checks that an acknowledged command was applied at the index that
+// checkAcknowledged checks that an acknowledged command was applied at the index that
 // its completion reports.
-func (c *checks) acknowledged(completion Completion) {
+func (c *checks) checkAcknowledged(completion Completion) {
 	if index, found := c.indexByNumber[completion.RequestID]; !found || index != completion.Index {
 		c.fail("command %d was acknowledged at %d but applied at %d", completion.RequestID, completion.Index, index)
 	}
--- a/coordination/replica/cluster_clients_test.go
+++ b/coordination/replica/cluster_clients_test.go
@@ -107,7 +107,7 @@
 		if op := c.pending[completion.RequestID]; op != nil {
 			c.finishWrite(op, completion)
 		} else if completion.Err == nil {
-			c.cluster.checks.acknowledged(completion)
+			c.cluster.checks.checkAcknowledged(completion)
 		}
 	}
 	for _, read := range outputs.Reads {
@@ -127,7 +127,7 @@
 	switch {
 	case completion.Err == nil:
 		c.succeeded++
-		c.cluster.checks.acknowledged(completion)
+		c.cluster.checks.checkAcknowledged(completion)
 		c.record(op, registerOutput{swapped: string(completion.Result) == "yes"}, c.cluster.now)
 	case errors.Is(completion.Err, ErrOutcomeUnknown) && !c.cluster.planted.unknownReportedAsNotRun:
 		c.recordUnknown(op)
--- a/coordination/replica/cluster_machine_test.go
+++ b/coordination/replica/cluster_machine_test.go
@@ -18,7 +18,7 @@
 	disk    *memoryfs.FileSystem
 	random  *rand.Rand
 	node    *Node
-	state   *testMachine
+	state   *registerStore
 	paused  bool
 	backlog []func()
 	// clockRate and clockOffset model clock drift and the unrelated origins of
@@ -52,7 +52,7 @@
 	if m.node != nil {
 		return
 	}
-	m.state = newTestMachine(m.cluster.checks, m.address())
+	m.state = newRegisterStore(m.cluster.checks, m.address())
 	node, err := OpenNode(Config{
 		Group:              testGroup,
 		Directory:          testDirectory,
@@ -65,12 +65,12 @@
 		SnapshotChunkBytes: 16,
 	}, m.now())
 	if m.isDamaged && !isInjectedFault(err) {
-		m.cluster.checks.quarantined(m, err)
+		m.cluster.checks.checkQuarantined(m, err)
 		m.discard()
 		return
 	}
 	if err != nil {
-		m.cluster.checks.openFailed(m, err)
+		m.cluster.checks.checkOpenError(m, err)
 		m.handleFailure(err)
 		return
 	}
@@ -129,7 +129,7 @@
 		m.handleFailure(err)
 		return
 	}
-	m.cluster.checks.electionSafety(m.node.Status())
+	m.cluster.checks.checkElectionSafety(m.node.Status())
 }
 
 // stop ends the process. The outcome of its pending writes is unknown.
--- a/coordination/replica/cluster_maintenance_test.go
+++ b/coordination/replica/cluster_maintenance_test.go
@@ -54,6 +54,7 @@
 func (m *maintenance) transfer(leader *machine) {
 	target := m.cluster.machines[m.cluster.random.IntN(len(m.cluster.machines))]
 	if m.cluster.random.IntN(3) == 0 {
+		// The id of zero lets the leader choose the target.
 		target = &machine{}
 	}
 	m.transfers++
@@ -112,8 +113,9 @@
 
 // backUp copies the disk, for restoreBackup.
 func (m *machine) backUp() {
-	// A copy of an empty disk is skipped: a replica may open on it, since it is
-	// itself an empty disk.
+	// Without a running node the disk may still be empty. A copy of an empty disk
+	// would open as a new replica instead of being quarantined, which is what the
+	// checks expect of a restored copy.
 	if m.node != nil {
 		m.backup = m.disk.Copy()
 	}
@@ -137,7 +139,7 @@
 func (m *machine) discard() {
 	err := storage.Discard(m.disk, testDirectory)
 	if err != nil {
-		m.cluster.checks.openFailed(m, err)
+		m.cluster.checks.checkOpenError(m, err)
 		m.disk.Crash(m.cluster.random)
 		m.cluster.after(m.cluster.randomDuration(300*time.Millisecond), m.discard)
 		return
--- a/coordination/replica/cluster_simulation_test.go
+++ b/coordination/replica/cluster_simulation_test.go
@@ -50,7 +50,7 @@
 	maintainer.start()
 	for range 12 {
 		c.runFor(time.Second)
-		c.checks.logMatching(c.machines)
+		c.checks.checkLogMatching(c.machines)
 	}
 	maintainer.stopped = true
 	injector.heal()
@@ -58,10 +58,10 @@
 	c.clients.stopped = true
 	c.runFor(3 * time.Second)
 	c.checkHealed(repairer)
-	c.checks.logMatching(c.machines)
+	c.checks.checkLogMatching(c.machines)
 	if !planted.ignoreSyncs {
 		// With many lost writes the linearizability check takes too long.
-		c.checks.linearizable()
+		c.checks.checkLinearizable()
 	}
 	return runSummary{
 		violation:   c.checks.violation,
@@ -162,9 +162,9 @@
 	for name, second := range cases {
 		t.Run(name, func(t *testing.T) {
 			checks := newChecks()
-			checks.logMatching([]*machine{machineWithLog(t, first), machineWithLog(t, first)})
+			checks.checkLogMatching([]*machine{machineWithLog(t, first), machineWithLog(t, first)})
 			require.Empty(t, checks.violation)
-			checks.logMatching([]*machine{machineWithLog(t, first), machineWithLog(t, second)})
+			checks.checkLogMatching([]*machine{machineWithLog(t, first), machineWithLog(t, second)})
 			require.Contains(t, checks.violation, "logs differ")
 		})
 	}
--- a/coordination/replica/founding.go
+++ b/coordination/replica/founding.go
@@ -138,14 +138,14 @@
 		return Outputs{}, n.failure
 	}
 	var rejection error
-	outputs, err := n.handleInput(now, func() { rejection = n.found(now, founding) })
+	outputs, err := n.handleInput(now, func() { rejection = n.installFounding(now, founding) })
 	if err != nil {
 		return outputs, err
 	}
 	return outputs, rejection
 }
 
-func (n *Node) found(now time.Duration, founding Founding) error {
+func (n *Node) installFounding(now time.Duration, founding Founding) error {
 	if n.stalled.isActive() {
 		return ErrNotWritable
 	}
--- a/coordination/replica/founding_test.go
+++ b/coordination/replica/founding_test.go
@@ -34,7 +34,8 @@
 }
 
 // openFoundAndPropose opens a replica, founds its single-replica group and commits
-// a command.
+// a command. A founded replica is asked again only for a token other than 5, which is
+// to be rejected.
 func openFoundAndPropose(disk *memoryfs.FileSystem, seed uint64, request FoundingRequest) error {
 	node, err := OpenNode(memoryConfig(disk, seed), 0)
 	if err != nil {
--- a/coordination/replica/runner.go
+++ b/coordination/replica/runner.go
@@ -268,7 +268,7 @@
 }
 
 // lastCompletion returns the completion that the goroutine sent before it
-// stopped. If there is none, the goroutine never received the request.
+// stopped. If there is none, the goroutine never passed the request to the node.
 func lastCompletion(completion chan Completion) Completion {
 	select {
 	case last := <-completion:
--- a/coordination/replica/runner_requests.go
+++ b/coordination/replica/runner_requests.go
@@ -58,7 +58,7 @@
 		request.promise.promise = promise
 		r.node.complete(Completion{RequestID: id, Err: err})
 	case request.founding != nil:
-		err := r.node.found(now, *request.founding)
+		err := r.node.installFounding(now, *request.founding)
 		r.node.complete(Completion{RequestID: id, Err: err})
 	}
 }
--- a/coordination/replica/runner_status.go
+++ b/coordination/replica/runner_status.go
@@ -21,8 +21,8 @@
 	LogWriteAccepted = "disk takes writes again"
 )
 
-// logProgress logs the votes, snapshots and starts and ends of stalls between two
-// statuses.
+// logProgress compares two successive statuses and logs a change of term or vote, a
+// new snapshot, and the start or end of a stall.
 func (r *Runner) logProgress(before, status *Status) {
 	if before == nil {
 		return
--- a/coordination/replica/stall.go
+++ b/coordination/replica/stall.go
@@ -24,7 +24,8 @@
 func (s *stall) isActive() bool { return s.cause != nil }
 
 // stall begins or prolongs a stall. The outcome of pending proposals is unknown:
-// their entries have been sent to other replicas, which may still commit them.
+// other replicas may have received their entries and may still commit them, and this
+// replica saves them once the disk accepts writes again.
 func (n *Node) stall(cause error) {
 	n.stalled.cause = cause
 	n.stalled.retryAt = n.now + writeRetryInterval
--- a/coordination/replica/stall_test.go
+++ b/coordination/replica/stall_test.go
@@ -41,7 +41,7 @@
 		require.Same(t, node, stalled.node)
 		require.NoError(t, node.Status().Stalled)
 		require.Equal(t, c.leader().node.Applied(), node.Applied())
-		c.checks.linearizable()
+		c.checks.checkLinearizable()
 		require.Empty(t, c.checks.violation, "seed %d", seed)
 	}
 }
--- a/coordination/replica/types.go
+++ b/coordination/replica/types.go
@@ -28,7 +28,8 @@
 	Directory string
 	// FileSystem is the file system that contains Directory.
 	FileSystem storage.FileSystem
-	// StateMachine must be in its initial state when the replica is opened.
+	// StateMachine must be in its initial state when the replica is opened; the
+	// replica restores the saved state into it.
 	StateMachine StateMachine
 	// Random generates the replica id and the election timeouts.
 	Random *rand.Rand
