--- a/coordination/doc.go
+++ b/coordination/doc.go
@@ -13,15 +13,15 @@
 //   - membership provides sessions, leases and isolation sets.
 //
 // To embed it, write a replica.StateMachine (or take versioned.Store or
-// onceonly.Table), start a replica.Runner on a directory of its own, and commit
+// onceonly.Table), start a replica.Runner on a data folder of its own, and commit
 // commands with Propose. The program in examples/counter does this in some
 // fifty lines for a group of one replica; with more replicas it needs a
-// replica.Transport, and a CollectPromise function for Bootstrap. Each package has a
-// runnable example.
+// replica.Transport, and a CollectPromise function for Bootstrap. Each package
+// has a runnable example.
 //
 // Requirements on the caller:
 //
-//   - a data directory belongs to one replica and is never restored from a copy;
+//   - a data folder belongs to one replica and is never restored from a copy;
 //   - the process exits when Runner.Done is closed;
 //   - commands are deterministic;
 //   - after ErrOutcomeUnknown a proposal may or may not be, or become, committed,
--- a/coordination/examples/counter/main.go
+++ b/coordination/examples/counter/main.go
@@ -49,8 +49,8 @@
 	fmt.Println("counter:", value)
 }
 
-// count adds steps to the counter in a directory, which it creates if necessary,
-// and returns the new value.
+// count adds steps to the counter in a data folder, which it creates if
+// necessary, and returns the new value.
 func count(directory string, steps int) (uint64, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
--- a/coordination/membership/isolation.go
+++ b/coordination/membership/isolation.go
@@ -10,8 +10,8 @@
 	// reservedMember is hashed in place of a member id to select the targets
 	// that are in no isolation set.
 	reservedMember = "\x00reserved"
-	// reservedDivisor: of a group of n targets, n/reservedDivisor, but at least
-	// one, are reserved: in no isolation set.
+	// reservedDivisor: of a group of n > 1 targets, n/reservedDivisor, but at
+	// least one, are reserved: in no isolation set.
 	reservedDivisor = 4
 	// setSizeDivisor: of a group of n targets, a member's set has up to
 	// n/setSizeDivisor, but at least one.
--- a/coordination/membership/lease.go
+++ b/coordination/membership/lease.go
@@ -32,7 +32,8 @@
 	}
 }
 
-// maximumPendingRenewals limits the heartbeat replies that wait for a view.
+// maximumPendingRenewals limits the heartbeat replies that wait for a view; the
+// oldest is dropped first.
 const maximumPendingRenewals = 16
 
 // Lease is a process's own record of its lease, after Gray and Cheriton,
@@ -43,6 +44,8 @@
 // view at least as new as the leader's at the time of the answer. Otherwise a
 // process whose heartbeats resume after a gap, in which the leader considered it
 // stopped, would act on a view from before the gap.
+//
+// All times are readings of the process's own monotonic clock.
 type Lease struct {
 	held            bool
 	terms           Terms
--- a/coordination/membership/liveness.go
+++ b/coordination/membership/liveness.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Margin limits how much later than on the leader's clock an interval may end
-// on a process's own monotonic clock.
+// Margin limits how much later an interval may end by a process's own monotonic
+// clock than by the leader's.
 type Margin struct {
 	// Rate limits the relative difference between the rates of two monotonic
 	// clocks.
@@ -18,15 +18,15 @@
 	return Margin{Rate: 0.02, Constant: 250 * time.Millisecond}
 }
 
-// Stretch returns the time on the leader's clock after which term has certainly
+// Stretch returns the time on the leader's clock after which duration has certainly
 // passed on the process's clock.
-func (m Margin) Stretch(term time.Duration) time.Duration {
-	return term + time.Duration(float64(term)*m.Rate) + m.Constant
+func (m Margin) Stretch(duration time.Duration) time.Duration {
+	return duration + time.Duration(float64(duration)*m.Rate) + m.Constant
 }
 
 // Liveness is the leader's soft state about its sessions. It is not replicated: a
 // new leader starts with an empty one, and treats each session as heard when it
-// first checks it.
+// first checks it. All times are readings of the leader's monotonic clock.
 type Liveness struct {
 	margin   Margin
 	contacts map[uint64]sessionContact
@@ -43,9 +43,9 @@
 	return &Liveness{margin: margin, contacts: make(map[uint64]sessionContact)}
 }
 
-// RecordHeartbeat records a heartbeat, or a request to open the session, that arrived at
-// now and acknowledges the view at position acknowledged, 0 for none. It must
-// be called before the request is answered.
+// RecordHeartbeat records a heartbeat, or a request to open the session, that
+// arrived at now and acknowledges the view at position acknowledged, 0 for none.
+// It must be called before the request is answered.
 func (l *Liveness) RecordHeartbeat(now time.Duration, sessionID, acknowledged uint64) {
 	contact := l.contacts[sessionID]
 	contact.heardAt = max(contact.heardAt, now)
@@ -53,9 +53,9 @@
 	l.contacts[sessionID] = contact
 }
 
-// SinceLastHeartbeat returns the time since the session's last heartbeat. It treats an
-// unknown session as heard now: a former leader may just have answered its
-// heartbeat, or it may just have been opened.
+// SinceLastHeartbeat returns the time since the session's last heartbeat. It
+// treats an unknown session as heard now: a former leader may just have answered
+// its heartbeat, or it may just have been opened.
 func (l *Liveness) SinceLastHeartbeat(now time.Duration, sessionID uint64) time.Duration {
 	contact, found := l.contacts[sessionID]
 	if !found {
@@ -84,7 +84,10 @@
 }
 
 // HasStopped reports whether the session's process certainly starts no new work
-// on a target that was withheld at log position withheld.
+// on a target that was withheld at log position withheld: the process has the
+// view at that position, or its lease has ended and the target is in no set that
+// it may be using, or its isolation time has ended. A session that was opened
+// later has started with such a view.
 func (l *Liveness) HasStopped(now time.Duration, session *Session, target string, withheld uint64) bool {
 	if session.OpenedAt > withheld || l.Acknowledged(session.ID) >= withheld {
 		return true
--- a/coordination/membership/session.go
+++ b/coordination/membership/session.go
@@ -44,7 +44,7 @@
 	// ID is unique among all sessions; later sessions have higher ids.
 	ID       uint64 `msg:"id"`
 	MemberID string `msg:"member_id"`
-	// Incarnation is drawn at random at each start of the process.
+	// Incarnation is chosen at random at each start of the process.
 	Incarnation uint64 `msg:"incarnation"`
 	// Address stays bound by the process for as long as it may use a target.
 	Address     string `msg:"address"`
@@ -81,8 +81,8 @@
 }
 
 // MayUseIsolated reports whether a process that has acknowledged the view at
-// position acknowledged may use target while it is cut off. A set may
-// be in use until the process has acknowledged a later one.
+// position acknowledged may use target while it is cut off. A set may be in use
+// until the process has acknowledged a later one.
 func (s *Session) MayUseIsolated(target string, acknowledged uint64) bool {
 	for i := s.firstSetInUse(acknowledged); i < len(s.Sets); i++ {
 		if s.Sets[i].Contains(target) {
--- a/coordination/membership/table.go
+++ b/coordination/membership/table.go
@@ -37,10 +37,12 @@
 
 // Outcomes of opening a session.
 const (
-	// OpenDone: the session is open, now or since an earlier equal request.
+	// OpenDone: the session was opened, or was already open for this
+	// incarnation and address.
 	OpenDone OpenOutcome = "done"
-	// OpenStale: the ticket is older than the member's current session; the
-	// process must fetch a new one.
+	// OpenStale: the ticket is older than the member's current session, as in
+	// a delayed request of an earlier incarnation. A live process must fetch a
+	// new ticket.
 	OpenStale OpenOutcome = "stale_ticket"
 	// OpenAddressInUse: the member has a session with another address, whose
 	// process may still be running.
@@ -52,8 +54,8 @@
 )
 
 // Open adds a session with the given id at a log position. It returns the
-// session and, if this ended the member's earlier session, the id of that as
-// superseded.
+// session and, if it ended an earlier session of the member, the id of that
+// session as superseded.
 func (t *Table) Open(position, id uint64, request OpenRequest) (session *Session, superseded uint64, outcome OpenOutcome) {
 	if request.MemberID == "" || request.Address == "" || !request.Terms.Valid() {
 		return nil, 0, OpenInvalid
--- a/coordination/onceonly/command.go
+++ b/coordination/onceonly/command.go
@@ -23,7 +23,8 @@
 	// KindAdvance advances the log time, marks overdue claims unknown and
 	// removes entries below the horizon.
 	KindAdvance Kind = "advance"
-	// KindRefound raises the horizon of a table that replaces a lost one.
+	// KindRefound raises the horizon of a table that replaces a lost one, and
+	// rejects opaque keys for RetentionMillis.
 	KindRefound Kind = "refound"
 )
 
@@ -43,7 +44,8 @@
 
 // Parameters are the table's limits and durations.
 type Parameters struct {
-	// RetentionMillis is the minimum time for which a claim is stored.
+	// RetentionMillis is the minimum time for which a claim is stored, counted
+	// from the key's minting time, or for an opaque key from its last claim.
 	RetentionMillis int64 `msg:"retention_ms"`
 	// ClaimMillis is the log time after which a claim in progress is marked
 	// unknown.
@@ -93,7 +95,7 @@
 	BodyHash []byte `msg:"body_hash"`
 	// AttemptID is unique among all attempts ever made.
 	AttemptID string `msg:"attempt_id"`
-	// Holder identifies the session; its end marks the claim unknown.
+	// Holder identifies the session whose end marks the claim unknown.
 	Holder string `msg:"holder"`
 }
 
--- a/coordination/onceonly/doc.go
+++ b/coordination/onceonly/doc.go
@@ -8,8 +8,8 @@
 // becoming unknown; an unknown claim is never granted again.
 //
 // The table removes claims after a retention time. For keys that carry their
-// minting time this does not depend on synchronised clocks: the replicated
-// horizon that permits removing a key also rejects the key from then on. For
+// minting time this is safe whatever clocks show: the same replicated horizon
+// that permits removing a key also rejects the key from then on. For
 // opaque keys it depends on callers not repeating them after the retention time.
 //
 // Table implements the StateMachine of package replica, and its transitions can
--- a/coordination/onceonly/key.go
+++ b/coordination/onceonly/key.go
@@ -31,7 +31,7 @@
 type Key struct {
 	// Zone is the home zone, whose group stores the key's record.
 	Zone string
-	// Rest is the key without its zone. A UUID is in lower case.
+	// Rest is the key without its zone. A UUIDv7 is in lower case.
 	Rest string
 	// MintedMillis is the minting time in Unix milliseconds that a UUIDv7
 	// carries (RFC 9562 section 5.7); 0 for an opaque key.
--- a/coordination/onceonly/table.go
+++ b/coordination/onceonly/table.go
@@ -30,7 +30,9 @@
 	// known.
 	opaqueBlockedMillis int64
 
-	entries  map[entryID]*entry
+	entries map[entryID]*entry
+	// byHolder and byClaim index the claims in progress, byAge all entries,
+	// and byAnswer the stored answers.
 	byHolder map[string]map[entryID]struct{}
 	byAge    timeline
 	byClaim  timeline
--- a/coordination/storage/folder.go
+++ b/coordination/storage/folder.go
@@ -52,8 +52,8 @@
 // checkFiles returns a *CorruptionError for combinations of files that no crash
 // can leave behind, and for a replica that was marked as damaged.
 func (f *folderContent) checkFiles(directory string) error {
-	segments := numberedFiles(f.names, segmentPrefix, segmentSuffix)
-	snapshots := numberedFiles(f.names, snapshotPrefix, snapshotSuffix)
+	segments := fileNumbers(f.names, segmentPrefix, segmentSuffix)
+	snapshots := fileNumbers(f.names, snapshotPrefix, snapshotSuffix)
 	if f.identity == nil && len(segments)+len(snapshots) > 0 {
 		return &CorruptionError{Path: directory, Reason: "log without identity"}
 	}
@@ -67,7 +67,7 @@
 }
 
 func (f *folderContent) readSegments(fileSystem FileSystem, directory string) error {
-	sequences := numberedFiles(f.names, segmentPrefix, segmentSuffix)
+	sequences := fileNumbers(f.names, segmentPrefix, segmentSuffix)
 	restored := replay{identity: *f.identity}
 	for position, sequence := range sequences {
 		if position > 0 && sequence != sequences[position-1]+1 {
--- a/coordination/storage/frame.go
+++ b/coordination/storage/frame.go
@@ -11,7 +11,8 @@
 // A frame is: magic (4 bytes), payload length (4), checksum (8), payload.
 // Integers are little-endian. The checksum is the xxhash64 of the segment's
 // sequence number, the frame's offset, the length and the payload, so that a
-// frame is valid only at its original location.
+// frame is valid only at its original location. A file that consists of one frame
+// has sequence number 0.
 const (
 	frameHeaderBytes = 16
 	frameMagic       = "PHF1"
--- a/coordination/storage/inspect.go
+++ b/coordination/storage/inspect.go
@@ -125,7 +125,7 @@
 	if name == identityName || path.Ext(name) == temporarySuffix {
 		return true
 	}
-	_, isSegment := numberedName(name, segmentPrefix, segmentSuffix)
-	_, isSnapshot := numberedName(name, snapshotPrefix, snapshotSuffix)
+	_, isSegment := parseNumberedName(name, segmentPrefix, segmentSuffix)
+	_, isSnapshot := parseNumberedName(name, snapshotPrefix, snapshotSuffix)
 	return isSegment || isSnapshot
 }
--- a/coordination/storage/memoryfs/memoryfs.go
+++ b/coordination/storage/memoryfs/memoryfs.go
@@ -137,7 +137,8 @@
 // Crash simulates a crash of the machine. A directory loses either all of its
 // unsynced entry changes or none. A file loses unsynced data from a random
 // position on; sometimes random bytes replace the end of what remains (a torn
-// write). Open files become unusable, and locks are released.
+// write). A file that was truncated or overwritten without a sync gets its durable
+// content back. Open files become unusable, and locks are released.
 func (f *FileSystem) Crash(random *rand.Rand) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -149,9 +150,9 @@
 	}
 }
 
-// KillProcess simulates a crash of the process, not of the machine: open files become
-// unusable, and locks are released. Unsynced data can still be read, and a later
-// Crash may still lose it.
+// KillProcess simulates a crash of the process, not of the machine: open files
+// become unusable, and locks are released. Unsynced data can still be read, and a
+// later Crash may still lose it.
 func (f *FileSystem) KillProcess() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/coordination/storage/osfs.go
+++ b/coordination/storage/osfs.go
@@ -25,7 +25,8 @@
 
 var _ FileSystem = OSFileSystem{}
 
-// MakeDirectory implements FileSystem.
+// MakeDirectory implements FileSystem. It syncs the parents up to the root, or up
+// to the first one that the process has no permission to open.
 func (OSFileSystem) MakeDirectory(path string) error {
 	path, err := filepath.Abs(path)
 	if err != nil {
--- a/coordination/storage/save.go
+++ b/coordination/storage/save.go
@@ -74,9 +74,9 @@
 	return s.InstallIdentity(identity)
 }
 
-// maxReusedBufferBytes bounds the capacity of the encoding buffer that is reused
+// maximumReusedBufferBytes bounds the capacity of the encoding buffer that is reused
 // for the next batch.
-const maxReusedBufferBytes = 1 << 20
+const maximumReusedBufferBytes = 1 << 20
 
 func (s *Storage) appendBatch(saved batch) error {
 	if err := s.rotateFullSegment(); err != nil {
@@ -90,7 +90,7 @@
 	if err != nil {
 		return err
 	}
-	if cap(frame) <= maxReusedBufferBytes {
+	if cap(frame) <= maximumReusedBufferBytes {
 		s.buffer = frame
 	}
 	fillFrameHeader(frame, active.sequence, active.bytes)
@@ -168,7 +168,7 @@
 	if err != nil {
 		return s.fail(&IOError{Operation: "list", Path: s.options.Directory, Err: err})
 	}
-	for _, index := range numberedFiles(names, snapshotPrefix, snapshotSuffix) {
+	for _, index := range fileNumbers(names, snapshotPrefix, snapshotSuffix) {
 		if index >= s.snapshotIndex {
 			continue
 		}
--- a/coordination/storage/segment.go
+++ b/coordination/storage/segment.go
@@ -35,9 +35,9 @@
 	return fmt.Sprintf("%s%016x%s", segmentPrefix, sequence, segmentSuffix)
 }
 
-// numberedName returns the hexadecimal number between a file name's prefix and
+// parseNumberedName returns the hexadecimal number between a file name's prefix and
 // suffix.
-func numberedName(name, prefix, suffix string) (uint64, bool) {
+func parseNumberedName(name, prefix, suffix string) (uint64, bool) {
 	middle, found := strings.CutPrefix(name, prefix)
 	if !found {
 		return 0, false
@@ -50,10 +50,12 @@
 	return number, err == nil
 }
 
-func numberedFiles(names []string, prefix, suffix string) []uint64 {
+// fileNumbers returns the numbers of the files with a prefix and suffix, in
+// ascending order.
+func fileNumbers(names []string, prefix, suffix string) []uint64 {
 	var numbers []uint64
 	for _, name := range names {
-		if number, found := numberedName(name, prefix, suffix); found {
+		if number, found := parseNumberedName(name, prefix, suffix); found {
 			numbers = append(numbers, number)
 		}
 	}
--- a/coordination/storage/snapshot.go
+++ b/coordination/storage/snapshot.go
@@ -33,16 +33,18 @@
 }
 
 // PrepareSnapshot writes a snapshot of the applied state, which takes effect only
-// with InstallPreparedSnapshot. It may be called concurrently with all other methods,
-// but not with itself and not after Close.
+// with InstallPreparedSnapshot. It may be called concurrently with all other
+// methods, but not with itself and not after Close. It does not mark the storage
+// as failed: after an error that does not match ErrNotWritten the caller must stop
+// using it.
 func (s *Storage) PrepareSnapshot(snapshot consensus.Snapshot) error {
 	return writeSnapshot(s.options.FileSystem, s.options.Directory, snapshot)
 }
 
-// InstallPreparedSnapshot makes the snapshot written by PrepareSnapshot the current one
-// and removes the segments whose entries all have an index of at most compactIndex,
-// which is limited to index. If the current snapshot is as recent or more recent,
-// it removes the prepared one instead.
+// InstallPreparedSnapshot makes the snapshot written by PrepareSnapshot the
+// current one and removes the segments whose entries all have an index of at most
+// compactIndex, which is limited to index. If the current snapshot is as recent or
+// more recent, it removes the prepared one instead.
 func (s *Storage) InstallPreparedSnapshot(index, compactIndex uint64) error {
 	if s.failure != nil {
 		return s.earlierFailure()
@@ -58,8 +60,8 @@
 	return s.removeObsoleteFiles(min(compactIndex, index))
 }
 
-// RemovePreparedSnapshot frees the space of a prepared snapshot that could not be written
-// or is no longer needed.
+// RemovePreparedSnapshot frees the space of a prepared snapshot that could not be
+// written or is no longer needed.
 func (s *Storage) RemovePreparedSnapshot(index uint64) {
 	name := path.Join(s.options.Directory, snapshotName(index)+temporarySuffix)
 	// If this fails, the next Open removes the file.
@@ -90,7 +92,7 @@
 // an error, because the log before it may have been removed.
 func readLatestSnapshot(fileSystem FileSystem, directory string, names []string) (consensus.Snapshot, error) {
 	var snapshot consensus.Snapshot
-	indexes := numberedFiles(names, snapshotPrefix, snapshotSuffix)
+	indexes := fileNumbers(names, snapshotPrefix, snapshotSuffix)
 	if len(indexes) == 0 {
 		return snapshot, nil
 	}
--- a/coordination/storage/storage.go
+++ b/coordination/storage/storage.go
@@ -28,8 +28,9 @@
 
 // Storage is the open data folder of one replica. It is not safe for
 // concurrent use, except for PrepareSnapshot. After a method returns an error
-// it is unusable, unless the error wraps ErrNotWritten: then the call may be
-// retried.
+// it must not be used any more, unless the error wraps ErrNotWritten: then the
+// call may be retried. All methods that save data, except PrepareSnapshot,
+// enforce this with ErrFailed.
 type Storage struct {
 	options  Options
 	lock     io.Closer
--- a/coordination/storage/storage_test.go
+++ b/coordination/storage/storage_test.go
@@ -41,7 +41,8 @@
 	return result
 }
 
-// saveThreeBatches saves entries 1 to 3 with one sync each and returns the segment's content.
+// saveThreeBatches saves entries 1 to 3 with one sync each and returns the file
+// system and the segment's content.
 func saveThreeBatches(t *testing.T) (*memoryfs.FileSystem, []byte) {
 	disk := memoryfs.New()
 	opened, _ := open(t, disk)
--- a/coordination/versioned/command.go
+++ b/coordination/versioned/command.go
@@ -82,7 +82,8 @@
 type Result struct {
 	Outcome Outcome `msg:"outcome"`
 	// DocumentRevision is the document's revision after the command, also when
-	// the command was rejected; 0 if the name has never been used.
+	// the command was rejected; 0 if the name has never been used. For an
+	// import it is the store's revision.
 	DocumentRevision uint64 `msg:"document_revision"`
 	// Deleted is true if DocumentRevision is that of a tombstone.
 	Deleted bool `msg:"deleted,omitempty"`
--- a/coordination/versioned/requests.go
+++ b/coordination/versioned/requests.go
@@ -1,11 +1,11 @@
 package versioned
 
-// requestTable stores the first results of the newest request ids. Its order is
-// oldest first.
+// requestTable stores the first results of the newest request ids.
 type requestTable struct {
 	limit   int
 	results map[string]storedResult
-	order   []string
+	// order lists the request ids, oldest first.
+	order []string
 }
 
 func newRequestTable(limit int) *requestTable {
--- a/coordination/versioned/store.go
+++ b/coordination/versioned/store.go
@@ -67,9 +67,10 @@
 	// beginning.
 	baseRevision uint64
 	revision     uint64
-	bytes        int64
-	documents    map[documentKey]Document
-	requests     *requestTable
+	// bytes is the total size of the bodies.
+	bytes     int64
+	documents map[documentKey]Document
+	requests  *requestTable
 }
 
 // New returns an empty store.
