--- a/bench/manygateways/deciders.go
+++ b/bench/manygateways/deciders.go
@@ -61,8 +61,8 @@
 		return d.server.HandleMessage(message)
 	}
 	return &relay.RemotePlacement{
-		Ask: func(_ context.Context, question *region.PlacementQuestion, _ time.Duration) (*region.PlacementAnswer, string, error) {
-			if question.Kind != region.AskIdle {
+		Ask: func(_ context.Context, question *region.PlacementQuery, _ time.Duration) (*region.PlacementAnswer, string, error) {
+			if question.Kind != region.QueryIdle {
 				d.leases++
 				question.Lease = d.leases
 			}
--- a/internal/coordinator/activity.go
+++ b/internal/coordinator/activity.go
@@ -81,7 +81,7 @@
 	return demands
 }
 
-// activityInput describes the replicas and the demand to the planner. limited are the incarnations, by Life.Name,
+// activityInput describes the replicas and the demand to the planner. limited are the incarnations, by Incarnation.Name,
 // that declare a rate limit: they stay active up to that limit, and replicas on standby take over the excess at
 // once. groupOf returns the region of a zone.
 func activityInput(state region.State, demands map[activeset.Group]region.ServiceDemand, limited map[string]bool, groupOf func(zone string) string) activeset.Input {
@@ -102,9 +102,9 @@
 	changing := changingReplicas(state)
 	for _, listed := range state.Replicas {
 		replica := listed.Replica
-		eligible := !replica.Leaves() && !changing[replica.ID]
+		eligible := !replica.IsLeaving() && !changing[replica.ID]
 		if eligible && len(unreachable)+len(limited) > 0 {
-			name := replica.Life().Name()
+			name := replica.Incarnation().Name()
 			eligible = !unreachable[name] && !limited[name]
 		}
 		input.Replicas = append(input.Replicas, activeset.Replica{
--- a/internal/coordinator/activity_test.go
+++ b/internal/coordinator/activity_test.go
@@ -194,7 +194,7 @@
 func TestServiceDemandDeterminesActiveReplicas(t *testing.T) {
 	state := region.State{}
 	applyListChange(&state, 0, listCommandWithStandby(bigList(2000)...))
-	unreachable := state.Replicas[0].Replica.Life().Name()
+	unreachable := state.Replicas[0].Replica.Incarnation().Name()
 	demands := map[activeset.Group]region.ServiceDemand{
 		{Service: "model"}: {Reading: 100, Generating: 4, Expected: 5, Unreachable: []string{unreachable, unreachable}},
 	}
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -220,7 +220,7 @@
 	rpc.Handle(engine, region.PathReplicaLimits, c.limits.handleStatus)
 	rpc.Handle(engine, region.PathBuilds, c.handleBuilds)
 	rpc.Handle(engine, region.PathPermit, c.handlePermit)
-	rpc.Handle(engine, region.PathKept, c.handleCached)
+	rpc.Handle(engine, region.PathCached, c.handleCached)
 	rpc.Handle(engine, region.PathLeaving, c.handleLeaving)
 	return engine
 }
--- a/internal/coordinator/fleet.go
+++ b/internal/coordinator/fleet.go
@@ -128,7 +128,7 @@
 			continue
 		}
 		zone := zoneOf(replica.Zone)
-		if replica.Leaves() {
+		if replica.IsLeaving() {
 			zone.Leaving[kindOf(replica.Preemptible)]++
 		} else {
 			zone.Serving[kindOf(replica.Preemptible)]++
--- a/internal/coordinator/kept.go
+++ b/internal/coordinator/kept.go
@@ -71,9 +71,9 @@
 }
 
 // handleCached returns to another coordinator what the replicas that this one owns have cached.
-func (c *Coordinator) handleCached(_ context.Context, _ *region.KeptRequest) (*region.KeptReply, error) {
+func (c *Coordinator) handleCached(_ context.Context, _ *region.CachedRequest) (*region.CachedReply, error) {
 	members := c.group.MemberAddresses()
-	reply := &region.KeptReply{}
+	reply := &region.CachedReply{}
 	reply.Kept, reply.Whole = c.placement.directory.Cached(func(replica region.Replica) bool {
 		return len(members) > 0 && cacheOwnerOf(members, replica.ID) == c.settings.Address
 	})
@@ -104,8 +104,8 @@
 func (c *Coordinator) learnCachedFrom(ctx context.Context, member string) bool {
 	ctx, cancel := context.WithTimeout(ctx, cacheQueryTimeout)
 	defer cancel()
-	reply := &region.KeptReply{}
-	if err := c.client.Call(ctx, member, region.PathKept, &region.KeptRequest{From: c.settings.Address}, reply); err != nil {
+	reply := &region.CachedReply{}
+	if err := c.client.Call(ctx, member, region.PathCached, &region.CachedRequest{From: c.settings.Address}, reply); err != nil {
 		c.logger.V(1).Info(event.PrefixesUnknown, "coordinator", member, "error", err.Error())
 		c.cacheOwners.recordFailure(member)
 		return false
--- a/internal/coordinator/leaving.go
+++ b/internal/coordinator/leaving.go
@@ -20,7 +20,7 @@
 	received chan string
 
 	mutex sync.Mutex
-	// reportedAt holds, by Life.Name, when a replica was last reported to the leader.
+	// reportedAt holds, by Incarnation.Name, when a replica was last reported to the leader.
 	reportedAt map[string]time.Duration
 }
 
@@ -94,7 +94,7 @@
 	var unlisted []string
 	for index := range replicas {
 		replica := &replicas[index].Replica
-		if name := replica.Life().Name(); wanted[name] && !replica.Leaves() {
+		if name := replica.Incarnation().Name(); wanted[name] && !replica.IsLeaving() {
 			unlisted = append(unlisted, name)
 		}
 	}
@@ -111,7 +111,7 @@
 	change := &region.ListCommand{Standby: true}
 	for index := range state.Replicas {
 		replica := state.Replicas[index].Replica
-		if !wanted[replica.Life().Name()] || replica.Leaves() {
+		if !wanted[replica.Incarnation().Name()] || replica.IsLeaving() {
 			continue
 		}
 		replica.Leaving = true
--- a/internal/coordinator/leaving_test.go
+++ b/internal/coordinator/leaving_test.go
@@ -22,18 +22,18 @@
 	gateway := newFollower()
 	gateway.follow(m)
 	shown := gateway.list["a"]
-	assert.True(t, shown.Leaves())
+	assert.True(t, shown.IsLeaving())
 	state, _ := m.read()
 	services, _ := modelReplicas(state, func(string) string { return "" })
 	assert.Empty(t, services["model"], "the plan of stages does not count it")
-	assert.Empty(t, notYetListedAsLeaving(state.Replicas, []string{leaving.Life().Name()}), "it is reported once")
+	assert.Empty(t, notYetListedAsLeaving(state.Replicas, []string{leaving.Incarnation().Name()}), "it is reported once")
 
 	assert.True(t, setOnlyReplica(t, m, 4, engineAt(9, region.StageDecode)))
 	gateway.follow(m)
 	shown = gateway.list["a"]
-	assert.False(t, shown.Leaves(), "another incarnation")
+	assert.False(t, shown.IsLeaving(), "another incarnation")
 	state, _ = m.read()
-	assert.Empty(t, notYetListedAsLeaving(state.Replicas, []string{leaving.Life().Name()}), "a late report of the previous incarnation")
+	assert.Empty(t, notYetListedAsLeaving(state.Replicas, []string{leaving.Incarnation().Name()}), "a late report of the previous incarnation")
 }
 
 // A thousand gateways report that a replica is leaving; the report is forwarded to the leader once a second.
--- a/internal/coordinator/life_test.go
+++ b/internal/coordinator/life_test.go
@@ -106,14 +106,14 @@
 	planner := newTestStagePlanner(nil, newTestStateMachine())
 	now := planner.now()
 	before, after := engineAt(5, region.StageDecode), engineAt(9, region.StageDecode)
-	planner.ordersHeldUntil[before.Life().Name()] = now + unansweredOrderHold
+	planner.ordersHeldUntil[before.Incarnation().Name()] = now + unansweredOrderHold
 	planner.gatewayDemand.put(now, "gateway", []region.ServiceDemand{{
-		Service: "model", Gateways: 2, Unreachable: []string{before.Life().Name(), before.Life().Name()},
+		Service: "model", Gateways: 2, Unreachable: []string{before.Incarnation().Name(), before.Incarnation().Name()},
 	}})
 	changes := []region.StageChange{{Replica: "a", Born: 5, Stage: region.StagePrefill}}
 	assert.Empty(t, planner.inputsFor(now, "model", []region.Replica{before}, changes)[0].Replicas)
 	planned := planner.inputsFor(now, "model", []region.Replica{after}, changes)[0].Replicas
-	assert.Equal(t, []stageplan.Replica{{ID: after.Life().Name(), Slots: 4, Decodes: true}}, planned)
+	assert.Equal(t, []stageplan.Replica{{ID: after.Incarnation().Name(), Slots: 4, Decodes: true}}, planned)
 }
 
 // TestReplicaRestartMakesFleetRestless: a restart counts as the removal of one replica and the
@@ -158,11 +158,11 @@
 // accepted and undo the new one.
 func TestUnansweredOrderIsNotEnabledByLaterOrder(t *testing.T) {
 	var orders unansweredOrders
-	before, after := region.Life{ID: "a", Born: 5}, region.Life{ID: "a", Born: 9}
+	before, after := region.Incarnation{ID: "a", Born: 5}, region.Incarnation{ID: "a", Born: 9}
 	orders.add(time.Second, before, 1)
 	assert.True(t, orders.wouldEnableOlder(2*time.Second, after, 0))
 	assert.False(t, orders.wouldEnableOlder(2*time.Second, after, 1), "the replica rejects the old order from now on")
-	assert.False(t, orders.wouldEnableOlder(2*time.Second, region.Life{ID: "b", Born: 9}, 0))
+	assert.False(t, orders.wouldEnableOlder(2*time.Second, region.Incarnation{ID: "b", Born: 9}, 0))
 	assert.False(t, orders.wouldEnableOlder(2*time.Second, before, 0), "that incarnation is given no orders anyway")
 	assert.False(t, orders.wouldEnableOlder(time.Second+unansweredOrderHold, after, 0))
 	orders.add(time.Second+unansweredOrderHold, after, 4)
--- a/internal/coordinator/limitprojection_test.go
+++ b/internal/coordinator/limitprojection_test.go
@@ -26,7 +26,7 @@
 	require.NoError(t, err)
 	replica := region.Replica{ID: "i", Service: "s", Address: "127.0.0.1:2"}
 	c.limits.mutex.Lock()
-	c.limits.table.Merge(c.now(), ratelimit.Report{Replica: replica.Life().Name(), Declared: true, Rate: 1})
+	c.limits.table.Merge(c.now(), ratelimit.Report{Replica: replica.Incarnation().Name(), Declared: true, Rate: 1})
 	c.limits.mutex.Unlock()
 	apply(t, c.machine, 1, listed(replica))
 	c.limits.updateListed()
--- a/internal/coordinator/regionload.go
+++ b/internal/coordinator/regionload.go
@@ -38,9 +38,9 @@
 // RegionLoads returns the load of each service in each region, sorted by region and service.
 func (c *Coordinator) RegionLoads() []RegionLoad {
 	state, _ := c.machine.read()
-	changing := map[region.Life]bool{}
+	changing := map[region.Incarnation]bool{}
 	for _, change := range state.Changes {
-		changing[change.Life()] = true
+		changing[change.Incarnation()] = true
 	}
 	work := c.placement.directory.Requests()
 	loads := map[stageGroup]*RegionLoad{}
@@ -53,11 +53,11 @@
 			continue
 		}
 		load.Slots += replica.Slots
-		requests := work[replica.Life().Name()]
+		requests := work[replica.Incarnation().Name()]
 		load.Requests += requests.All
 		load.PlacedHere += requests.Own
 		switch {
-		case changing[replica.Life()] || replica.Stage == region.StageChanging:
+		case changing[replica.Incarnation()] || replica.Stage == region.StageChanging:
 			load.Changing++
 		case replica.Stage == region.StagePrefill:
 			load.Reading++
--- a/internal/coordinator/replicalimits.go
+++ b/internal/coordinator/replicalimits.go
@@ -32,7 +32,7 @@
 	*poolService
 	// The mutex of poolService guards the fields that follow.
 	table *ratelimit.Table
-	// listed are the active replicas, which gateways know, by Life.Name, as of listRevision.
+	// listed are the active replicas, which gateways know, by Incarnation.Name, as of listRevision.
 	listed       map[string]bool
 	listRevision uint64
 	// expireAt is when expired limits are next deleted.
@@ -71,7 +71,7 @@
 		l.listed = make(map[string]bool, len(state.Replicas))
 		for index := range state.Replicas {
 			if each := &state.Replicas[index]; !each.Standby {
-				l.listed[each.Replica.Life().Name()] = true
+				l.listed[each.Replica.Incarnation().Name()] = true
 			}
 		}
 	}
@@ -232,7 +232,7 @@
 
 // ReplicaLimitState is the rate limit of a replica.
 type ReplicaLimitState struct {
-	// Replica is a region.Life.Name.
+	// Replica is a region.Incarnation.Name.
 	Replica string `json:"replica"`
 	// Rate is the limit in requests a second, and DeclaredForS the time in seconds for which the replica has
 	// declared a limit.
@@ -284,7 +284,7 @@
 	return l.table.Dropped
 }
 
-// limitedReplicas returns the incarnations, by Life.Name, that declare limits; nil if there are none.
+// limitedReplicas returns the incarnations, by Incarnation.Name, that declare limits; nil if there are none.
 func (l *limitService) limitedReplicas() map[string]bool {
 	limits := l.declared()
 	if len(limits) == 0 {
--- a/internal/coordinator/replicalist.go
+++ b/internal/coordinator/replicalist.go
@@ -27,16 +27,16 @@
 // diffLists returns the change that turns one list into another, or nil if they are
 // the same. A replica that has restarted counts as changed.
 func diffLists(before []region.ListedReplica, after []region.Replica) *region.ListCommand {
-	region.KeepLives(after, func(id string) (region.Life, bool) {
+	region.KeepIncarnations(after, func(id string) (region.Incarnation, bool) {
 		known, found := findListed(before, id)
-		return known.Life(), found
+		return known.Incarnation(), found
 	})
 	change := &region.ListCommand{}
 	present := make(map[string]bool, len(after))
 	for _, replica := range after {
 		present[replica.ID] = true
 		at, found := slices.BinarySearchFunc(before, replica.ID, compareReplica)
-		if found && before[at].Replica.Life() == replica.Life() {
+		if found && before[at].Replica.Incarnation() == replica.Incarnation() {
 			// The replica itself has reported that it is leaving, which the platform's list may not show.
 			replica.Leaving = before[at].Replica.Leaving
 		}
@@ -221,7 +221,7 @@
 // shows the incarnation that was ordered to change.
 func isFinished(change region.StageChange, replicas []region.ListedReplica) bool {
 	replica, found := findListed(replicas, change.Replica)
-	return !found || replica.Life() != change.Life() || replica.Stage == change.Stage
+	return !found || replica.Incarnation() != change.Incarnation() || replica.Stage == change.Stage
 }
 
 // addListChanges adds to a view what has changed since a revision of the list, which the
--- a/internal/coordinator/stageinput.go
+++ b/internal/coordinator/stageinput.go
@@ -89,7 +89,7 @@
 	since, reported := k.demandSince[group]
 	input.DemandKnown = reported && now-since > demandSettleTime
 	for _, replica := range replicas {
-		incarnation := replica.Life()
+		incarnation := replica.Incarnation()
 		name := incarnation.Name()
 		if now < k.ordersHeldUntil[name] {
 			continue
@@ -99,7 +99,7 @@
 		planned.Rejects = refusing[name]
 		input.Unstable = input.Unstable || planned.Unsettled
 		for _, change := range changes {
-			if change.Life() == incarnation {
+			if change.Incarnation() == incarnation {
 				planned.Changing = true
 				planned.Decodes = change.Stage == region.StageDecode
 			}
@@ -114,7 +114,7 @@
 func (k *stagePlanner) noteListChange(now time.Duration, group stageGroup, replicas []region.Replica) {
 	names := make([]string, 0, len(replicas))
 	for _, replica := range replicas {
-		names = append(names, replica.Life().Name())
+		names = append(names, replica.Incarnation().Name())
 	}
 	slices.Sort(names)
 	current := strings.Join(names, ",")
--- a/internal/coordinator/stages.go
+++ b/internal/coordinator/stages.go
@@ -76,7 +76,7 @@
 )
 
 // stagePlanner plans and orders the stages of replicas at the leader. Its maps of replicas, and those of the
-// planners, are keyed by Life.Name.
+// planners, are keyed by Incarnation.Name.
 type stagePlanner struct {
 	dutyHolder
 	plans           map[string]*stageplan.Regions
@@ -197,7 +197,7 @@
 	for _, listed := range state.Replicas {
 		replica := listed.Replica
 		switch {
-		case replica.Stage == "" || replica.Leaves():
+		case replica.Stage == "" || replica.IsLeaving():
 		case !listed.Standby:
 			services[replica.Service] = append(services[replica.Service], replica)
 		default:
@@ -218,7 +218,7 @@
 func (k *stagePlanner) endStuckChanges(ctx context.Context, now time.Duration, state region.State) {
 	changing := map[string]bool{}
 	for _, change := range state.Changes {
-		name := change.Life().Name()
+		name := change.Incarnation().Name()
 		changing[name] = true
 		begun, known := k.changeStartedAt[name]
 		if !known {
@@ -227,7 +227,7 @@
 		}
 		if now-begun > changeTimeout {
 			k.logger.Info(event.ChangeStuck, "replica", change.Replica, "stage", change.Stage)
-			k.endChange(ctx, change.Life(), unansweredOrderHold)
+			k.endChange(ctx, change.Incarnation(), unansweredOrderHold)
 		}
 	}
 	for replica := range k.changeStartedAt {
@@ -238,7 +238,7 @@
 }
 
 // endChange commits the end of a change, and holds back further orders to the replica for a time.
-func (k *stagePlanner) endChange(ctx context.Context, incarnation region.Life, hold time.Duration) {
+func (k *stagePlanner) endChange(ctx context.Context, incarnation region.Incarnation, hold time.Duration) {
 	k.ordersHeldUntil[incarnation.Name()] = k.now() + hold
 	delete(k.changeStartedAt, incarnation.Name())
 	command := &region.Command{ChangeEnd: &region.ChangeEndCommand{Replica: incarnation.ID}}
@@ -266,7 +266,7 @@
 	case errors.Is(err, ErrOrderRejected):
 		k.ordersHeldUntil[change.ReplicaID] = k.now() + refusedOrderHold
 		if _, committed := k.changeStartedAt[change.ReplicaID]; committed {
-			k.endChange(ctx, replica.Life(), refusedOrderHold)
+			k.endChange(ctx, replica.Incarnation(), refusedOrderHold)
 		}
 	default:
 		k.ordersHeldUntil[change.ReplicaID] = k.now() + unansweredOrderHold
@@ -276,7 +276,7 @@
 // maximumReportQueries bounds the replicas whose load is queried before one of them is changed.
 const maximumReportQueries = 8
 
-// leastBusy returns the candidate, by Life.Name, that reports the fewest requests, since these have to end
+// leastBusy returns the candidate, by Incarnation.Name, that reports the fewest requests, since these have to end
 // before its stage changes. A replica that does not answer counts as the busiest.
 func (k *stagePlanner) leastBusy(ctx context.Context, replicas []region.Replica, candidates []string) string {
 	if len(candidates) == 1 {
@@ -302,7 +302,7 @@
 
 func findReplica(replicas []region.Replica, name string) (region.Replica, bool) {
 	for _, replica := range replicas {
-		if replica.Life().Name() == name {
+		if replica.Incarnation().Name() == name {
 			return replica, true
 		}
 	}
@@ -316,7 +316,7 @@
 	if err != nil {
 		return errors.Join(ErrOrderRejected, err)
 	}
-	incarnation := replica.Life()
+	incarnation := replica.Incarnation()
 	if report.Changing || k.unanswered.wouldEnableOlder(k.now(), incarnation, report.Sequence) {
 		return ErrOrderRejected
 	}
@@ -353,10 +353,10 @@
 var errReplicaRestarted = errors.New("the replica has started again")
 
 // isListed reports whether the list still shows an incarnation.
-func (k *stagePlanner) isListed(incarnation region.Life) bool {
+func (k *stagePlanner) isListed(incarnation region.Incarnation) bool {
 	state, _ := k.machine.read()
 	listed, found := findListed(state.Replicas, incarnation.ID)
-	return found && listed.Life() == incarnation
+	return found && listed.Incarnation() == incarnation
 }
 
 // commit proposes a command and returns its log position.
--- a/internal/coordinator/unansweredorders.go
+++ b/internal/coordinator/unansweredorders.go
@@ -15,20 +15,20 @@
 type unansweredOrders []unansweredOrder
 
 type unansweredOrder struct {
-	incarnation region.Life
+	incarnation region.Incarnation
 	sequence    uint64
 	until       time.Duration
 }
 
 // add records an order with the count of orders that it expects.
-func (d *unansweredOrders) add(now time.Duration, incarnation region.Life, sequence uint64) {
+func (d *unansweredOrders) add(now time.Duration, incarnation region.Incarnation, sequence uint64) {
 	unexpired := slices.DeleteFunc(*d, func(each unansweredOrder) bool { return now >= each.until })
 	*d = append(unexpired, unansweredOrder{incarnation: incarnation, sequence: sequence, until: now + unansweredOrderHold})
 }
 
 // wouldEnableOlder reports whether an order to an incarnation whose count of orders is sequence would allow an
 // older order, sent to a previous incarnation, to be carried out.
-func (d unansweredOrders) wouldEnableOlder(now time.Duration, incarnation region.Life, sequence uint64) bool {
+func (d unansweredOrders) wouldEnableOlder(now time.Duration, incarnation region.Incarnation, sequence uint64) bool {
 	return slices.ContainsFunc(d, func(each unansweredOrder) bool {
 		return now < each.until && each.incarnation.ID == incarnation.ID && each.incarnation != incarnation && each.sequence == sequence+1
 	})
--- a/internal/datagram/socket.go
+++ b/internal/datagram/socket.go
@@ -36,7 +36,7 @@
 	KindLimitReply
 	KindLimitPeer
 	KindLimitWord
-	// KindResting carries a region.Resting.
+	// KindResting carries a region.BackoffReport.
 	KindResting
 	kindEnd
 )
--- a/internal/peers/backoffs.go
+++ b/internal/peers/backoffs.go
@@ -28,7 +28,7 @@
 		return
 	}
 	b.resendAt = now.Add(fullInterval)
-	message := &region.Resting{Gateway: parent.peers.name, Replicas: backoffs}
+	message := &region.BackoffReport{Gateway: parent.peers.name, Replicas: backoffs}
 	sent := parent.peers.socket.Send(datagram.KindResting, message, near[:min(len(near), Maximum)]...)
 	parent.allowance -= float64(sent)
 	parent.peers.count(Counts{OwnRegion: uint64(sent)})
@@ -36,7 +36,7 @@
 
 // receiveBackoffs handles a peer's report of replicas that reject its requests.
 func (p *Peers) receiveBackoffs(_ netip.AddrPort, payload []byte) error {
-	var message region.Resting
+	var message region.BackoffReport
 	if _, err := message.UnmarshalMsg(payload); err != nil {
 		return err
 	}
--- a/internal/placement/client.go
+++ b/internal/placement/client.go
@@ -155,7 +155,7 @@
 }
 
 // Query sends a query to the coordinator, and returns the answer and the coordinator's address.
-func (c *Client) Query(ctx context.Context, query *region.PlacementQuestion, within time.Duration) (*region.PlacementAnswer, string, error) {
+func (c *Client) Query(ctx context.Context, query *region.PlacementQuery, within time.Duration) (*region.PlacementAnswer, string, error) {
 	answers, coordinator, err := c.registerQuery(query)
 	if err != nil {
 		return nil, "", err
@@ -181,7 +181,7 @@
 }
 
 // registerQuery registers a query and assigns its lease id.
-func (c *Client) registerQuery(query *region.PlacementQuestion) (<-chan *region.PlacementAnswer, netip.AddrPort, error) {
+func (c *Client) registerQuery(query *region.PlacementQuery) (<-chan *region.PlacementAnswer, netip.AddrPort, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if !c.coordinator.IsValid() {
@@ -191,7 +191,7 @@
 		c.counts.Suspended++
 		return nil, netip.AddrPort{}, errNotAnswered
 	}
-	if query.Kind != region.AskIdle {
+	if query.Kind != region.QueryIdle {
 		c.lastLease++
 		query.Lease = c.lastLease
 		c.openLeases[query.Lease] = true
@@ -203,11 +203,11 @@
 }
 
 // abandonQuery gives a query up. timedOut says that the coordinator did not answer in time.
-func (c *Client) abandonQuery(query *region.PlacementQuestion, timedOut bool) {
+func (c *Client) abandonQuery(query *region.PlacementQuery, timedOut bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	delete(c.pending, query.Lease)
-	if query.Kind != region.AskIdle {
+	if query.Kind != region.QueryIdle {
 		c.releaseLease(query.Lease)
 	}
 	if !timedOut {
@@ -279,7 +279,7 @@
 }
 
 // send sends a message with pending events, and with a query unless it is nil.
-func (c *Client) send(to netip.AddrPort, query *region.PlacementQuestion) {
+func (c *Client) send(to netip.AddrPort, query *region.PlacementQuery) {
 	c.mutex.Lock()
 	message := c.nextMessage()
 	message.Question = query
--- a/internal/placement/server.go
+++ b/internal/placement/server.go
@@ -187,7 +187,7 @@
 func (s *Server) answerQuery(gateway *gatewayLeases, message *region.PlacementMessage) *region.PlacementAnswer {
 	query := message.Question
 	held, known := gateway.leases[query.Lease]
-	if query.Kind == region.AskIdle {
+	if query.Kind == region.QueryIdle {
 		return idleAnswer(query.Lease, held)
 	}
 	if known {
@@ -272,17 +272,17 @@
 			lease.StreamPaused(time.Duration(reported.Micros) * time.Microsecond)
 		}
 		g.release(reported.Lease)
-	case region.LeaseRead:
+	case region.LeasePrefilled:
 		lease.PrefillDone()
-	case region.LeaseKept:
+	case region.LeaseCached:
 		lease.PromptCached(held.prompt)
-	case region.LeaseBegun:
+	case region.LeaseStarted:
 		lease.StreamBegun("", reported.HandedOver)
-	case region.LeasePaused:
+	case region.LeaseGap:
 		lease.StreamPaused(time.Duration(reported.Micros) * time.Microsecond)
 	case region.LeaseAnswered:
 		lease.Answered(reported.Failed, reportedLoad(reported))
-	case region.LeaseFull:
+	case region.LeaseRejected:
 		lease.Refused(time.Duration(max(reported.Micros, 0)) * time.Microsecond)
 	case region.LeaseUnreachable:
 		lease.Unreachable(reported.HandedOver)
--- a/internal/placement/server_test.go
+++ b/internal/placement/server_test.go
@@ -41,9 +41,9 @@
 	}
 }
 
-func newPrefillQuery(lease uint64, part string) *region.PlacementQuestion {
-	return &region.PlacementQuestion{
-		Lease: lease, Kind: region.PlaceRead, Service: "s", Zone: "z",
+func newPrefillQuery(lease uint64, part string) *region.PlacementQuery {
+	return &region.PlacementQuery{
+		Lease: lease, Kind: region.PlacePrefill, Service: "s", Zone: "z",
 		Tokens: 9000, Parts: []region.PlacedPart{{ID: part, Tokens: 8000}, {ID: part + "-own", Tokens: 1000}},
 		ObjectiveMicros: 1e6, AimLeftMicros: 1e6, LeftMicros: 4e6, GapMicros: 1e5,
 	}
@@ -59,7 +59,7 @@
 	return s.HandleMessage(&message)
 }
 
-func (s *testServer) query(t *testing.T, gateway string, query *region.PlacementQuestion) *region.PlacementAnswer {
+func (s *testServer) query(t *testing.T, gateway string, query *region.PlacementQuery) *region.PlacementAnswer {
 	t.Helper()
 	reply := s.send(gateway, region.PlacementMessage{Question: query})
 	require.NotNil(t, reply)
@@ -81,7 +81,7 @@
 	first := s.query(t, "gateway-1", newPrefillQuery(1, "shared"))
 	s.now += 300 * time.Millisecond
 	s.send("gateway-1", region.PlacementMessage{Events: []region.LeaseEvent{
-		{Lease: 1, Kind: region.LeaseRead}, {Lease: 1, Kind: region.LeaseKept}, {Lease: 1, Kind: region.LeaseReleased},
+		{Lease: 1, Kind: region.LeasePrefilled}, {Lease: 1, Kind: region.LeaseCached}, {Lease: 1, Kind: region.LeaseReleased},
 	}})
 	query := newPrefillQuery(1, "shared")
 	query.Parts[1].ID = "another"
@@ -210,7 +210,7 @@
 	s := newTestServer(fleet()...)
 	first := s.query(t, "gateway-1", newPrefillQuery(1, "x"))
 	s.send("gateway-1", region.PlacementMessage{Events: []region.LeaseEvent{
-		{Lease: 1, Kind: region.LeaseFull, Micros: 3e6}, {Lease: 1, Kind: region.LeaseReleased},
+		{Lease: 1, Kind: region.LeaseRejected, Micros: 3e6}, {Lease: 1, Kind: region.LeaseReleased},
 	}})
 	for lease := range uint64(3) {
 		s.now += 500 * time.Millisecond
@@ -226,9 +226,9 @@
 	s := newTestServer(fleet()...)
 	s.query(t, "gateway", newPrefillQuery(1, "x"))
 	s.now += 700 * time.Millisecond
-	answer := s.query(t, "gateway", &region.PlacementQuestion{Lease: 1, Kind: region.AskIdle})
+	answer := s.query(t, "gateway", &region.PlacementQuery{Lease: 1, Kind: region.QueryIdle})
 	assert.EqualValues(t, 700_000, answer.IdleMicros)
-	unknown := s.query(t, "gateway", &region.PlacementQuestion{Lease: 9, Kind: region.AskIdle})
+	unknown := s.query(t, "gateway", &region.PlacementQuery{Lease: 9, Kind: region.QueryIdle})
 	assert.Equal(t, region.PlacementNoReplica, unknown.Outcome)
 }
 
@@ -259,7 +259,7 @@
 	answered := 0
 	for lease := range uint64(5000) {
 		query := newPrefillQuery(lease+1, "x")
-		query.Kind = region.PlaceGenerate
+		query.Kind = region.PlaceDecode
 		if s.send("greedy", region.PlacementMessage{Question: query}) != nil {
 			answered++
 		}
--- a/internal/placement/warmup.go
+++ b/internal/placement/warmup.go
@@ -48,15 +48,15 @@
 		return
 	}
 	startedAt := time.Now()
-	queried := map[region.Life]bool{}
+	queried := map[region.Incarnation]bool{}
 	semaphore := make(chan struct{}, maximumWarmupCalls)
 	var calls sync.WaitGroup
 	for time.Since(startedAt) < WarmupTime && lifecycle.Sleep(ctx, warmupPollInterval) {
 		for _, replica := range w.Directory.ModelReplicas() {
-			if queried[replica.Life()] || w.Owns != nil && !w.Owns(replica) {
+			if queried[replica.Incarnation()] || w.Owns != nil && !w.Owns(replica) {
 				continue
 			}
-			queried[replica.Life()] = true
+			queried[replica.Incarnation()] = true
 			calls.Go(func() {
 				semaphore <- struct{}{}
 				defer func() { <-semaphore }()
@@ -75,6 +75,6 @@
 		w.Logger.V(1).Info(event.PrefixesUnknown, "replica", replica.ID, "error", err.Error())
 		return
 	}
-	w.Directory.AddCached(replica.Life(), parts)
+	w.Directory.AddCached(replica.Incarnation(), parts)
 	w.Logger.V(1).Info(event.PrefixesLearned, "replica", replica.ID, "parts", len(parts))
 }
--- a/internal/placement/warmup_test.go
+++ b/internal/placement/warmup_test.go
@@ -18,13 +18,13 @@
 	directory *relay.Directory
 	stop      context.CancelFunc
 	mutex     sync.Mutex
-	queried   []region.Life
+	queried   []region.Incarnation
 }
 
 func (s *restartingSource) Cached(_ context.Context, replica region.Replica) ([]relay.PromptPart, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.queried = append(s.queried, replica.Life())
+	s.queried = append(s.queried, replica.Incarnation())
 	if len(s.queried) == 2 {
 		s.stop()
 		return nil, nil
@@ -42,7 +42,7 @@
 	source := &restartingSource{directory: s.directory, stop: cancel}
 	warmup := &placement.Warmup{Source: source, Directory: s.directory, Logger: logr.Discard()}
 	warmup.Run(ctx)
-	assert.Equal(t, []region.Life{{ID: "g", Born: 5}, {ID: "g", Born: 6}}, source.queried)
+	assert.Equal(t, []region.Incarnation{{ID: "g", Born: 5}, {ID: "g", Born: 6}}, source.queried)
 	query := newPrefillQuery(1, "x")
 	query.Kind = region.PlaceDirect
 	assert.Equal(t, 9000, s.query(t, "gateway", query).Missing)
--- a/internal/ratelimit/word.go
+++ b/internal/ratelimit/word.go
@@ -8,7 +8,7 @@
 
 // Report is a limit report: what one response of a replica said of its rate limit.
 type Report struct {
-	// Replica is a region.Life.Name.
+	// Replica is a region.Incarnation.Name.
 	Replica string `msg:"replica"`
 	// Declared is set if the response declared a limit, and Rate is that limit in requests a second.
 	Declared bool    `msg:"named"`
--- a/internal/region/life.go
+++ b/internal/region/life.go
@@ -2,10 +2,10 @@
 
 import "strconv"
 
-// Life identifies an incarnation of a replica, which is one run of its process. A replica that restarts
+// Incarnation identifies an incarnation of a replica, which is one run of its process. A replica that restarts
 // under the same id is another incarnation, and has lost the state of the one before. Data about
 // replicas is therefore stored by incarnation.
-type Life struct {
+type Incarnation struct {
 	ID string
 	// Born is the start time of the process in milliseconds since 1970, 0 if it is not reported.
 	Born int64
@@ -22,22 +22,22 @@
 )
 
 // Name returns a name of the incarnation that is a few bytes longer than the replica's id.
-func (l Life) Name() string {
-	if l.Born == 0 {
-		return l.ID
+func (i Incarnation) Name() string {
+	if i.Born == 0 {
+		return i.ID
 	}
-	return l.ID + nameSeparator + strconv.FormatInt(l.Born%nameModulus, nameBase)
+	return i.ID + nameSeparator + strconv.FormatInt(i.Born%nameModulus, nameBase)
 }
 
-// Life returns the replica's incarnation.
-func (r *Replica) Life() Life { return Life{ID: r.ID, Born: r.Born} }
+// Incarnation returns the replica's incarnation.
+func (r *Replica) Incarnation() Incarnation { return Incarnation{ID: r.ID, Born: r.Born} }
 
-// Life returns the incarnation that was ordered to change its stage.
-func (c *StageChange) Life() Life { return Life{ID: c.Replica, Born: c.Born} }
+// Incarnation returns the incarnation that was ordered to change its stage.
+func (c *StageChange) Incarnation() Incarnation { return Incarnation{ID: c.Replica, Born: c.Born} }
 
-// KeepLives fills in the start times that a list lacks with the known ones. An entry without a start
+// KeepIncarnations fills in the start times that a list lacks with the known ones. An entry without a start
 // time does not mean that the replica has restarted.
-func KeepLives(list []Replica, known func(id string) (Life, bool)) {
+func KeepIncarnations(list []Replica, known func(id string) (Incarnation, bool)) {
 	for index := range list {
 		replica := &list[index]
 		if replica.Born != 0 {
--- a/internal/region/messages.go
+++ b/internal/region/messages.go
@@ -20,7 +20,7 @@
 	PathQuotas        = "/internal/v1/region/quotas"
 	PathReplicaLimits = "/internal/v1/region/replica-limits"
 	PathPermit        = "/internal/v1/region/permit"
-	PathKept          = "/internal/v1/region/kept"
+	PathCached        = "/internal/v1/region/kept"
 	PathBuilds        = "/internal/v1/region/builds"
 	PathLeaving       = "/internal/v1/region/leaving"
 )
@@ -54,8 +54,8 @@
 	Leaving bool `msg:"leaving,omitempty"`
 }
 
-// Leaves reports whether the replica takes no new work until its incarnation ends.
-func (r *Replica) Leaves() bool { return r.Draining || r.Leaving }
+// IsLeaving reports whether the replica takes no new work until its incarnation ends.
+func (r *Replica) IsLeaving() bool { return r.Draining || r.Leaving }
 
 // State is the state that the coordinators replicate.
 type State struct {
@@ -356,7 +356,7 @@
 	// Delayed is the number of prompts per second that are late because they have to wait.
 	Delayed float64 `msg:"delayed"`
 	// Unreachable are the replicas that did not respond, or have rejected everything, for some time, by
-	// Life.Name.
+	// Incarnation.Name.
 	Unreachable []string `msg:"unreachable"`
 	// Refusing are those that have recently rejected several requests, or have requested a backoff.
 	Refusing []string `msg:"refusing,omitempty"`
@@ -419,7 +419,7 @@
 	// Prompts are the gateway's recent prefills. Some of them were in earlier
 	// messages.
 	Prompts []PlacedPrompt `msg:"prompts"`
-	// Unreachable are the replicas, by Life.Name, that accept no connection from the gateway, or
+	// Unreachable are the replicas, by Incarnation.Name, that accept no connection from the gateway, or
 	// have stopped responding.
 	Unreachable []string `msg:"unreachable"`
 	// Whole says that Replicas contains all of the gateway's work. Otherwise it contains what has
@@ -433,22 +433,22 @@
 	WallNanos int64  `msg:"wall"`
 }
 
-// KeptRequest asks a coordinator for the cached prefixes of the replicas of which it is the cache owner.
-type KeptRequest struct {
+// CachedRequest asks a coordinator for the cached prefixes of the replicas of which it is the cache owner.
+type CachedRequest struct {
 	// From is the requesting coordinator's address.
 	From string `msg:"from"`
 }
 
-// KeptReply is the reply to a KeptRequest.
-type KeptReply struct {
-	Kept []KeptParts `msg:"kept"`
+// CachedReply is the reply to a CachedRequest.
+type CachedReply struct {
+	Kept []CachedParts `msg:"kept"`
 	// Whole says that the coordinator knows what each of these replicas has cached.
 	Whole bool `msg:"whole"`
 }
 
-// KeptParts are the parts of prompts that a replica has cached, the least recently used first.
-type KeptParts struct {
-	// Replica is a Life.Name.
+// CachedParts are the parts of prompts that a replica has cached, the least recently used first.
+type CachedParts struct {
+	// Replica is an Incarnation.Name.
 	Replica string       `msg:"replica"`
 	Parts   []PlacedPart `msg:"parts"`
 }
@@ -467,7 +467,7 @@
 type PlacedPrompt struct {
 	// Sequence grows with each prompt that the gateway places.
 	Sequence uint64 `msg:"sequence"`
-	// Replica is a Life.Name.
+	// Replica is an Incarnation.Name.
 	Replica string       `msg:"replica"`
 	Parts   []PlacedPart `msg:"parts"`
 	// ReadyMillis is the expected time until the prefill is complete.
@@ -480,16 +480,16 @@
 	Tokens int    `msg:"tokens"`
 }
 
-// Resting reports the replicas that reject a process's requests; other processes avoid them if they can. It
+// BackoffReport reports the replicas that reject a process's requests; other processes avoid them if they can. It
 // is a separate message because earlier builds can't decode an Outstanding with an additional field.
-type Resting struct {
+type BackoffReport struct {
 	Gateway  string           `msg:"gateway"`
-	Replicas []RestingReplica `msg:"replicas"`
+	Replicas []BackoffReplica `msg:"replicas"`
 }
 
-// RestingReplica is a replica that rejects a process's requests.
-type RestingReplica struct {
-	// Replica is a Life.Name.
+// BackoffReplica is a replica that rejects a process's requests.
+type BackoffReplica struct {
+	// Replica is an Incarnation.Name.
 	Replica string `msg:"replica"`
 	// LeftMillis is the remaining backoff, in milliseconds, during which the process sends it no requests.
 	LeftMillis int `msg:"left_ms"`
@@ -497,13 +497,13 @@
 
 // LeavingReport lists replicas that have declared in a response that they are leaving.
 type LeavingReport struct {
-	// Replicas are Life.Names.
+	// Replicas are Incarnation.Names.
 	Replicas []string `msg:"replicas"`
 }
 
 // OutstandingWork is a gateway's work at one replica.
 type OutstandingWork struct {
-	// Replica is a Life.Name.
+	// Replica is an Incarnation.Name.
 	Replica  string `msg:"replica"`
 	Requests int    `msg:"requests"`
 	// InTimeMicros and LateMicros are the remaining prefill times in microseconds: of the
--- a/internal/region/messages_gen.go
+++ b/internal/region/messages_gen.go
@@ -126,6 +126,198 @@
 	return
 }
 
+// MarshalMsg implements msgp.Marshaler
+func (z BackoffReplica) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 2
+	// string "replica"
+	o = append(o, 0x82, 0xa7, 0x72, 0x65, 0x70, 0x6c, 0x69, 0x63, 0x61)
+	o = msgp.AppendString(o, z.Replica)
+	// string "left_ms"
+	o = append(o, 0xa7, 0x6c, 0x65, 0x66, 0x74, 0x5f, 0x6d, 0x73)
+	o = msgp.AppendInt(o, z.LeftMillis)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *BackoffReplica) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 > z2c18a699limitMaps {
+		err = msgp.ErrLimitExceeded
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "replica":
+			z.Replica, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Replica")
+				return
+			}
+		case "left_ms":
+			z.LeftMillis, bts, err = msgp.ReadIntBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "LeftMillis")
+				return
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z BackoffReplica) Msgsize() (s int) {
+	s = 1 + 8 + msgp.StringPrefixSize + len(z.Replica) + 8 + msgp.IntSize
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *BackoffReport) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 2
+	// string "gateway"
+	o = append(o, 0x82, 0xa7, 0x67, 0x61, 0x74, 0x65, 0x77, 0x61, 0x79)
+	o = msgp.AppendString(o, z.Gateway)
+	// string "replicas"
+	o = append(o, 0xa8, 0x72, 0x65, 0x70, 0x6c, 0x69, 0x63, 0x61, 0x73)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Replicas)))
+	for za0001 := range z.Replicas {
+		// map header, size 2
+		// string "replica"
+		o = append(o, 0x82, 0xa7, 0x72, 0x65, 0x70, 0x6c, 0x69, 0x63, 0x61)
+		o = msgp.AppendString(o, z.Replicas[za0001].Replica)
+		// string "left_ms"
+		o = append(o, 0xa7, 0x6c, 0x65, 0x66, 0x74, 0x5f, 0x6d, 0x73)
+		o = msgp.AppendInt(o, z.Replicas[za0001].LeftMillis)
+	}
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *BackoffReport) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 > z2c18a699limitMaps {
+		err = msgp.ErrLimitExceeded
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "gateway":
+			z.Gateway, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Gateway")
+				return
+			}
+		case "replicas":
+			var zb0002 uint32
+			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Replicas")
+				return
+			}
+			if zb0002 > z2c18a699limitArrays {
+				err = msgp.ErrLimitExceeded
+				return
+			}
+			if cap(z.Replicas) >= int(zb0002) {
+				z.Replicas = (z.Replicas)[:zb0002]
+			} else {
+				z.Replicas = make([]BackoffReplica, zb0002)
+			}
+			for za0001 := range z.Replicas {
+				var zb0003 uint32
+				zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Replicas", za0001)
+					return
+				}
+				if zb0003 > z2c18a699limitMaps {
+					err = msgp.ErrLimitExceeded
+					return
+				}
+				for zb0003 > 0 {
+					zb0003--
+					field, bts, err = msgp.ReadMapKeyZC(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "Replicas", za0001)
+						return
+					}
+					switch msgp.UnsafeString(field) {
+					case "replica":
+						z.Replicas[za0001].Replica, bts, err = msgp.ReadStringBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Replicas", za0001, "Replica")
+							return
+						}
+					case "left_ms":
+						z.Replicas[za0001].LeftMillis, bts, err = msgp.ReadIntBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Replicas", za0001, "LeftMillis")
+							return
+						}
+					default:
+						bts, err = msgp.Skip(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Replicas", za0001)
+							return
+						}
+					}
+				}
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *BackoffReport) Msgsize() (s int) {
+	s = 1 + 8 + msgp.StringPrefixSize + len(z.Gateway) + 9 + msgp.ArrayHeaderSize
+	for za0001 := range z.Replicas {
+		s += 1 + 8 + msgp.StringPrefixSize + len(z.Replicas[za0001].Replica) + 8 + msgp.IntSize
+	}
+	return
+}
+
 // MarshalMsg implements msgp.Marshaler
 func (z Build) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
@@ -403,23 +595,26 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z ChangeCommand) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *CachedParts) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 3
+	// map header, size 2
 	// string "replica"
-	o = append(o, 0x83, 0xa7, 0x72, 0x65, 0x70, 0x6c, 0x69, 0x63, 0x61)
+	o = append(o, 0x82, 0xa7, 0x72, 0x65, 0x70, 0x6c, 0x69, 0x63, 0x61)
 	o = msgp.AppendString(o, z.Replica)
-	// string "born"
-	o = append(o, 0xa4, 0x62, 0x6f, 0x72, 0x6e)
-	o = msgp.AppendInt64(o, z.Born)
-	// string "stage"
-	o = append(o, 0xa5, 0x73, 0x74, 0x61, 0x67, 0x65)
-	o = msgp.AppendString(o, z.Stage)
+	// string "parts"
+	o = append(o, 0xa5, 0x70, 0x61, 0x72, 0x74, 0x73)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Parts)))
+	for za0001 := range z.Parts {
+		// array header, size 2
+		o = append(o, 0x92)
+		o = msgp.AppendString(o, z.Parts[za0001].ID)
+		o = msgp.AppendInt(o, z.Parts[za0001].Tokens)
+	}
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *ChangeCommand) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *CachedParts) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -446,18 +641,44 @@
 				err = msgp.WrapError(err, "Replica")
 				return
 			}
-		case "born":
-			z.Born, bts, err = msgp.ReadInt64Bytes(bts)
+		case "parts":
+			var zb0002 uint32
+			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Born")
+				err = msgp.WrapError(err, "Parts")
 				return
 			}
-		case "stage":
-			z.Stage, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Stage")
+			if zb0002 > z2c18a699limitArrays {
+				err = msgp.ErrLimitExceeded
 				return
 			}
+			if cap(z.Parts) >= int(zb0002) {
+				z.Parts = (z.Parts)[:zb0002]
+			} else {
+				z.Parts = make([]PlacedPart, zb0002)
+			}
+			for za0001 := range z.Parts {
+				var zb0003 uint32
+				zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Parts", za0001)
+					return
+				}
+				if zb0003 != 2 {
+					err = msgp.ArrayError{Wanted: 2, Got: zb0003}
+					return
+				}
+				z.Parts[za0001].ID, bts, err = msgp.ReadStringBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Parts", za0001, "ID")
+					return
+				}
+				z.Parts[za0001].Tokens, bts, err = msgp.ReadIntBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Parts", za0001, "Tokens")
+					return
+				}
+			}
 		default:
 			bts, err = msgp.Skip(bts)
 			if err != nil {
@@ -471,17 +692,319 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z ChangeCommand) Msgsize() (s int) {
-	s = 1 + 8 + msgp.StringPrefixSize + len(z.Replica) + 5 + msgp.Int64Size + 6 + msgp.StringPrefixSize + len(z.Stage)
+func (z *CachedParts) Msgsize() (s int) {
+	s = 1 + 8 + msgp.StringPrefixSize + len(z.Replica) + 6 + msgp.ArrayHeaderSize
+	for za0001 := range z.Parts {
+		s += 1 + msgp.StringPrefixSize + len(z.Parts[za0001].ID) + msgp.IntSize
+	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z ChangeEndCommand) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *CachedReply) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 1
-	// string "replica"
-	o = append(o, 0x81, 0xa7, 0x72, 0x65, 0x70, 0x6c, 0x69, 0x63, 0x61)
+	// map header, size 2
+	// string "kept"
+	o = append(o, 0x82, 0xa4, 0x6b, 0x65, 0x70, 0x74)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Kept)))
+	for za0001 := range z.Kept {
+		// map header, size 2
+		// string "replica"
+		o = append(o, 0x82, 0xa7, 0x72, 0x65, 0x70, 0x6c, 0x69, 0x63, 0x61)
+		o = msgp.AppendString(o, z.Kept[za0001].Replica)
+		// string "parts"
+		o = append(o, 0xa5, 0x70, 0x61, 0x72, 0x74, 0x73)
+		o = msgp.AppendArrayHeader(o, uint32(len(z.Kept[za0001].Parts)))
+		for za0002 := range z.Kept[za0001].Parts {
+			// array header, size 2
+			o = append(o, 0x92)
+			o = msgp.AppendString(o, z.Kept[za0001].Parts[za0002].ID)
+			o = msgp.AppendInt(o, z.Kept[za0001].Parts[za0002].Tokens)
+		}
+	}
+	// string "whole"
+	o = append(o, 0xa5, 0x77, 0x68, 0x6f, 0x6c, 0x65)
+	o = msgp.AppendBool(o, z.Whole)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *CachedReply) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 > z2c18a699limitMaps {
+		err = msgp.ErrLimitExceeded
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "kept":
+			var zb0002 uint32
+			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Kept")
+				return
+			}
+			if zb0002 > z2c18a699limitArrays {
+				err = msgp.ErrLimitExceeded
+				return
+			}
+			if cap(z.Kept) >= int(zb0002) {
+				z.Kept = (z.Kept)[:zb0002]
+			} else {
+				z.Kept = make([]CachedParts, zb0002)
+			}
+			for za0001 := range z.Kept {
+				var zb0003 uint32
+				zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Kept", za0001)
+					return
+				}
+				if zb0003 > z2c18a699limitMaps {
+					err = msgp.ErrLimitExceeded
+					return
+				}
+				for zb0003 > 0 {
+					zb0003--
+					field, bts, err = msgp.ReadMapKeyZC(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "Kept", za0001)
+						return
+					}
+					switch msgp.UnsafeString(field) {
+					case "replica":
+						z.Kept[za0001].Replica, bts, err = msgp.ReadStringBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Kept", za0001, "Replica")
+							return
+						}
+					case "parts":
+						var zb0004 uint32
+						zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Kept", za0001, "Parts")
+							return
+						}
+						if zb0004 > z2c18a699limitArrays {
+							err = msgp.ErrLimitExceeded
+							return
+						}
+						if cap(z.Kept[za0001].Parts) >= int(zb0004) {
+							z.Kept[za0001].Parts = (z.Kept[za0001].Parts)[:zb0004]
+						} else {
+							z.Kept[za0001].Parts = make([]PlacedPart, zb0004)
+						}
+						for za0002 := range z.Kept[za0001].Parts {
+							var zb0005 uint32
+							zb0005, bts, err = msgp.ReadArrayHeaderBytes(bts)
+							if err != nil {
+								err = msgp.WrapError(err, "Kept", za0001, "Parts", za0002)
+								return
+							}
+							if zb0005 != 2 {
+								err = msgp.ArrayError{Wanted: 2, Got: zb0005}
+								return
+							}
+							z.Kept[za0001].Parts[za0002].ID, bts, err = msgp.ReadStringBytes(bts)
+							if err != nil {
+								err = msgp.WrapError(err, "Kept", za0001, "Parts", za0002, "ID")
+								return
+							}
+							z.Kept[za0001].Parts[za0002].Tokens, bts, err = msgp.ReadIntBytes(bts)
+							if err != nil {
+								err = msgp.WrapError(err, "Kept", za0001, "Parts", za0002, "Tokens")
+								return
+							}
+						}
+					default:
+						bts, err = msgp.Skip(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Kept", za0001)
+							return
+						}
+					}
+				}
+			}
+		case "whole":
+			z.Whole, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Whole")
+				return
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *CachedReply) Msgsize() (s int) {
+	s = 1 + 5 + msgp.ArrayHeaderSize
+	for za0001 := range z.Kept {
+		s += 1 + 8 + msgp.StringPrefixSize + len(z.Kept[za0001].Replica) + 6 + msgp.ArrayHeaderSize
+		for za0002 := range z.Kept[za0001].Parts {
+			s += 1 + msgp.StringPrefixSize + len(z.Kept[za0001].Parts[za0002].ID) + msgp.IntSize
+		}
+	}
+	s += 6 + msgp.BoolSize
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z CachedRequest) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 1
+	// string "from"
+	o = append(o, 0x81, 0xa4, 0x66, 0x72, 0x6f, 0x6d)
+	o = msgp.AppendString(o, z.From)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *CachedRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 > z2c18a699limitMaps {
+		err = msgp.ErrLimitExceeded
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "from":
+			z.From, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "From")
+				return
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z CachedRequest) Msgsize() (s int) {
+	s = 1 + 5 + msgp.StringPrefixSize + len(z.From)
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z ChangeCommand) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 3
+	// string "replica"
+	o = append(o, 0x83, 0xa7, 0x72, 0x65, 0x70, 0x6c, 0x69, 0x63, 0x61)
+	o = msgp.AppendString(o, z.Replica)
+	// string "born"
+	o = append(o, 0xa4, 0x62, 0x6f, 0x72, 0x6e)
+	o = msgp.AppendInt64(o, z.Born)
+	// string "stage"
+	o = append(o, 0xa5, 0x73, 0x74, 0x61, 0x67, 0x65)
+	o = msgp.AppendString(o, z.Stage)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *ChangeCommand) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 > z2c18a699limitMaps {
+		err = msgp.ErrLimitExceeded
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "replica":
+			z.Replica, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Replica")
+				return
+			}
+		case "born":
+			z.Born, bts, err = msgp.ReadInt64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Born")
+				return
+			}
+		case "stage":
+			z.Stage, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Stage")
+				return
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z ChangeCommand) Msgsize() (s int) {
+	s = 1 + 8 + msgp.StringPrefixSize + len(z.Replica) + 5 + msgp.Int64Size + 6 + msgp.StringPrefixSize + len(z.Stage)
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z ChangeEndCommand) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 1
+	// string "replica"
+	o = append(o, 0x81, 0xa7, 0x72, 0x65, 0x70, 0x6c, 0x69, 0x63, 0x61)
 	o = msgp.AppendString(o, z.Replica)
 	return
 }
@@ -1169,255 +1692,40 @@
 	}
 	s += 6
 	if z.Fleet == nil {
-		s += msgp.NilSize
-	} else {
-		s += z.Fleet.Msgsize()
-	}
-	s += 7
-	if z.Poison == nil {
-		s += msgp.NilSize
-	} else {
-		s += z.Poison.Msgsize()
-	}
-	s += 9
-	if z.Activity == nil {
-		s += msgp.NilSize
-	} else {
-		s += z.Activity.Msgsize()
-	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *ConfigurationCommand) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
-	// string "version"
-	o = append(o, 0x82, 0xa7, 0x76, 0x65, 0x72, 0x73, 0x69, 0x6f, 0x6e)
-	o = msgp.AppendUint64(o, z.Version)
-	// string "document"
-	o = append(o, 0xa8, 0x64, 0x6f, 0x63, 0x75, 0x6d, 0x65, 0x6e, 0x74)
-	o = msgp.AppendBytes(o, z.Document)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *ConfigurationCommand) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 > z2c18a699limitMaps {
-		err = msgp.ErrLimitExceeded
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "version":
-			z.Version, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Version")
-				return
-			}
-		case "document":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadBytesHeader(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Document")
-				return
-			}
-			if zb0002 > 67108864 {
-				err = msgp.ErrLimitExceeded
-				return
-			}
-			if z.Document == nil || uint32(cap(z.Document)) < zb0002 {
-				z.Document = make([]byte, zb0002)
-			} else {
-				z.Document = z.Document[:zb0002]
-			}
-			if uint32(len(bts)) < zb0002 {
-				err = msgp.ErrShortBytes
-				return
-			}
-			copy(z.Document, bts[:zb0002])
-			bts = bts[zb0002:]
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *ConfigurationCommand) Msgsize() (s int) {
-	s = 1 + 8 + msgp.Uint64Size + 9 + msgp.BytesPrefixSize + len(z.Document)
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z CoordinatorZone) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
-	// string "address"
-	o = append(o, 0x82, 0xa7, 0x61, 0x64, 0x64, 0x72, 0x65, 0x73, 0x73)
-	o = msgp.AppendString(o, z.Address)
-	// string "zone"
-	o = append(o, 0xa4, 0x7a, 0x6f, 0x6e, 0x65)
-	o = msgp.AppendString(o, z.Zone)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *CoordinatorZone) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 > z2c18a699limitMaps {
-		err = msgp.ErrLimitExceeded
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "address":
-			z.Address, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Address")
-				return
-			}
-		case "zone":
-			z.Zone, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Zone")
-				return
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z CoordinatorZone) Msgsize() (s int) {
-	s = 1 + 8 + msgp.StringPrefixSize + len(z.Address) + 5 + msgp.StringPrefixSize + len(z.Zone)
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *EngineCost) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// array header, size 5
-	o = append(o, 0x95)
-	o = msgp.AppendString(o, z.Service)
-	o = msgp.AppendInt(o, z.Samples)
-	o = msgp.AppendFloat64(o, z.Fixed)
-	o = msgp.AppendFloat64(o, z.Token)
-	o = msgp.AppendFloat64(o, z.Pair)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *EngineCost) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 != 5 {
-		err = msgp.ArrayError{Wanted: 5, Got: zb0001}
-		return
-	}
-	z.Service, bts, err = msgp.ReadStringBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Service")
-		return
-	}
-	z.Samples, bts, err = msgp.ReadIntBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Samples")
-		return
-	}
-	z.Fixed, bts, err = msgp.ReadFloat64Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Fixed")
-		return
+		s += msgp.NilSize
+	} else {
+		s += z.Fleet.Msgsize()
 	}
-	z.Token, bts, err = msgp.ReadFloat64Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Token")
-		return
+	s += 7
+	if z.Poison == nil {
+		s += msgp.NilSize
+	} else {
+		s += z.Poison.Msgsize()
 	}
-	z.Pair, bts, err = msgp.ReadFloat64Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Pair")
-		return
+	s += 9
+	if z.Activity == nil {
+		s += msgp.NilSize
+	} else {
+		s += z.Activity.Msgsize()
 	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *EngineCost) Msgsize() (s int) {
-	s = 1 + msgp.StringPrefixSize + len(z.Service) + msgp.IntSize + msgp.Float64Size + msgp.Float64Size + msgp.Float64Size
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *FleetOrder) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *ConfigurationCommand) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 5
-	// string "service"
-	o = append(o, 0x85, 0xa7, 0x73, 0x65, 0x72, 0x76, 0x69, 0x63, 0x65)
-	o = msgp.AppendString(o, z.Service)
-	// string "zone"
-	o = append(o, 0xa4, 0x7a, 0x6f, 0x6e, 0x65)
-	o = msgp.AppendString(o, z.Zone)
-	// string "preemptible"
-	o = append(o, 0xab, 0x70, 0x72, 0x65, 0x65, 0x6d, 0x70, 0x74, 0x69, 0x62, 0x6c, 0x65)
-	o = msgp.AppendBool(o, z.Preemptible)
-	// string "count"
-	o = append(o, 0xa5, 0x63, 0x6f, 0x75, 0x6e, 0x74)
-	o = msgp.AppendInt(o, z.Count)
-	// string "base"
-	o = append(o, 0xa4, 0x62, 0x61, 0x73, 0x65)
-	o = msgp.AppendInt(o, z.Base)
+	// map header, size 2
+	// string "version"
+	o = append(o, 0x82, 0xa7, 0x76, 0x65, 0x72, 0x73, 0x69, 0x6f, 0x6e)
+	o = msgp.AppendUint64(o, z.Version)
+	// string "document"
+	o = append(o, 0xa8, 0x64, 0x6f, 0x63, 0x75, 0x6d, 0x65, 0x6e, 0x74)
+	o = msgp.AppendBytes(o, z.Document)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *FleetOrder) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *ConfigurationCommand) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1438,36 +1746,34 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "service":
-			z.Service, bts, err = msgp.ReadStringBytes(bts)
+		case "version":
+			z.Version, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Service")
+				err = msgp.WrapError(err, "Version")
 				return
 			}
-		case "zone":
-			z.Zone, bts, err = msgp.ReadStringBytes(bts)
+		case "document":
+			var zb0002 uint32
+			zb0002, bts, err = msgp.ReadBytesHeader(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Zone")
+				err = msgp.WrapError(err, "Document")
 				return
 			}
-		case "preemptible":
-			z.Preemptible, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Preemptible")
+			if zb0002 > 67108864 {
+				err = msgp.ErrLimitExceeded
 				return
 			}
-		case "count":
-			z.Count, bts, err = msgp.ReadIntBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Count")
-				return
+			if z.Document == nil || uint32(cap(z.Document)) < zb0002 {
+				z.Document = make([]byte, zb0002)
+			} else {
+				z.Document = z.Document[:zb0002]
 			}
-		case "base":
-			z.Base, bts, err = msgp.ReadIntBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Base")
+			if uint32(len(bts)) < zb0002 {
+				err = msgp.ErrShortBytes
 				return
 			}
+			copy(z.Document, bts[:zb0002])
+			bts = bts[zb0002:]
 		default:
 			bts, err = msgp.Skip(bts)
 			if err != nil {
@@ -1481,39 +1787,26 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *FleetOrder) Msgsize() (s int) {
-	s = 1 + 8 + msgp.StringPrefixSize + len(z.Service) + 5 + msgp.StringPrefixSize + len(z.Zone) + 12 + msgp.BoolSize + 6 + msgp.IntSize + 5 + msgp.IntSize
+func (z *ConfigurationCommand) Msgsize() (s int) {
+	s = 1 + 8 + msgp.Uint64Size + 9 + msgp.BytesPrefixSize + len(z.Document)
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *GatewayUsage) MarshalMsg(b []byte) (o []byte, err error) {
+func (z CoordinatorZone) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 4
-	// string "gateway"
-	o = append(o, 0x84, 0xa7, 0x67, 0x61, 0x74, 0x65, 0x77, 0x61, 0x79)
-	o = msgp.AppendString(o, z.Gateway)
-	// string "life"
-	o = append(o, 0xa4, 0x6c, 0x69, 0x66, 0x65)
-	o = msgp.AppendInt64(o, z.Life)
-	// string "told_at"
-	o = append(o, 0xa7, 0x74, 0x6f, 0x6c, 0x64, 0x5f, 0x61, 0x74)
-	o = msgp.AppendInt64(o, z.ToldAt)
-	// string "counts"
-	o = append(o, 0xa6, 0x63, 0x6f, 0x75, 0x6e, 0x74, 0x73)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Counts)))
-	for za0001 := range z.Counts {
-		// array header, size 3
-		o = append(o, 0x93)
-		o = msgp.AppendUint64(o, z.Counts[za0001].Window)
-		o = msgp.AppendString(o, z.Counts[za0001].Tenant)
-		o = msgp.AppendUint32(o, z.Counts[za0001].Count)
-	}
+	// map header, size 2
+	// string "address"
+	o = append(o, 0x82, 0xa7, 0x61, 0x64, 0x64, 0x72, 0x65, 0x73, 0x73)
+	o = msgp.AppendString(o, z.Address)
+	// string "zone"
+	o = append(o, 0xa4, 0x7a, 0x6f, 0x6e, 0x65)
+	o = msgp.AppendString(o, z.Zone)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *GatewayUsage) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *CoordinatorZone) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1534,67 +1827,18 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "gateway":
-			z.Gateway, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Gateway")
-				return
-			}
-		case "life":
-			z.Life, bts, err = msgp.ReadInt64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Life")
-				return
-			}
-		case "told_at":
-			z.ToldAt, bts, err = msgp.ReadInt64Bytes(bts)
+		case "address":
+			z.Address, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "ToldAt")
+				err = msgp.WrapError(err, "Address")
 				return
 			}
-		case "counts":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+		case "zone":
+			z.Zone, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Counts")
-				return
-			}
-			if zb0002 > z2c18a699limitArrays {
-				err = msgp.ErrLimitExceeded
+				err = msgp.WrapError(err, "Zone")
 				return
 			}
-			if cap(z.Counts) >= int(zb0002) {
-				z.Counts = (z.Counts)[:zb0002]
-			} else {
-				z.Counts = make([]UsageCount, zb0002)
-			}
-			for za0001 := range z.Counts {
-				var zb0003 uint32
-				zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Counts", za0001)
-					return
-				}
-				if zb0003 != 3 {
-					err = msgp.ArrayError{Wanted: 3, Got: zb0003}
-					return
-				}
-				z.Counts[za0001].Window, bts, err = msgp.ReadUint64Bytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Counts", za0001, "Window")
-					return
-				}
-				z.Counts[za0001].Tenant, bts, err = msgp.ReadStringBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Counts", za0001, "Tenant")
-					return
-				}
-				z.Counts[za0001].Count, bts, err = msgp.ReadUint32Bytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Counts", za0001, "Count")
-					return
-				}
-			}
 		default:
 			bts, err = msgp.Skip(bts)
 			if err != nil {
@@ -1608,100 +1852,95 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *GatewayUsage) Msgsize() (s int) {
-	s = 1 + 8 + msgp.StringPrefixSize + len(z.Gateway) + 5 + msgp.Int64Size + 8 + msgp.Int64Size + 7 + msgp.ArrayHeaderSize
-	for za0001 := range z.Counts {
-		s += 1 + msgp.Uint64Size + msgp.StringPrefixSize + len(z.Counts[za0001].Tenant) + msgp.Uint32Size
-	}
+func (z CoordinatorZone) Msgsize() (s int) {
+	s = 1 + 8 + msgp.StringPrefixSize + len(z.Address) + 5 + msgp.StringPrefixSize + len(z.Zone)
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z JoinRequest) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *EngineCost) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
-	// string "address"
-	o = append(o, 0x82, 0xa7, 0x61, 0x64, 0x64, 0x72, 0x65, 0x73, 0x73)
-	o = msgp.AppendString(o, z.Address)
-	// string "replica"
-	o = append(o, 0xa7, 0x72, 0x65, 0x70, 0x6c, 0x69, 0x63, 0x61)
-	o = msgp.AppendUint64(o, z.Replica)
+	// array header, size 5
+	o = append(o, 0x95)
+	o = msgp.AppendString(o, z.Service)
+	o = msgp.AppendInt(o, z.Samples)
+	o = msgp.AppendFloat64(o, z.Fixed)
+	o = msgp.AppendFloat64(o, z.Token)
+	o = msgp.AppendFloat64(o, z.Pair)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *JoinRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
+func (z *EngineCost) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err)
 		return
 	}
-	if zb0001 > z2c18a699limitMaps {
-		err = msgp.ErrLimitExceeded
+	if zb0001 != 5 {
+		err = msgp.ArrayError{Wanted: 5, Got: zb0001}
 		return
 	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "address":
-			z.Address, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Address")
-				return
-			}
-		case "replica":
-			z.Replica, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Replica")
-				return
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
+	z.Service, bts, err = msgp.ReadStringBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Service")
+		return
+	}
+	z.Samples, bts, err = msgp.ReadIntBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Samples")
+		return
+	}
+	z.Fixed, bts, err = msgp.ReadFloat64Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Fixed")
+		return
+	}
+	z.Token, bts, err = msgp.ReadFloat64Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Token")
+		return
+	}
+	z.Pair, bts, err = msgp.ReadFloat64Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Pair")
+		return
 	}
 	o = bts
 	return
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z JoinRequest) Msgsize() (s int) {
-	s = 1 + 8 + msgp.StringPrefixSize + len(z.Address) + 8 + msgp.Uint64Size
+func (z *EngineCost) Msgsize() (s int) {
+	s = 1 + msgp.StringPrefixSize + len(z.Service) + msgp.IntSize + msgp.Float64Size + msgp.Float64Size + msgp.Float64Size
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *KeptParts) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *FleetOrder) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
-	// string "replica"
-	o = append(o, 0x82, 0xa7, 0x72, 0x65, 0x70, 0x6c, 0x69, 0x63, 0x61)
-	o = msgp.AppendString(o, z.Replica)
-	// string "parts"
-	o = append(o, 0xa5, 0x70, 0x61, 0x72, 0x74, 0x73)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Parts)))
-	for za0001 := range z.Parts {
-		// array header, size 2
-		o = append(o, 0x92)
-		o = msgp.AppendString(o, z.Parts[za0001].ID)
-		o = msgp.AppendInt(o, z.Parts[za0001].Tokens)
-	}
+	// map header, size 5
+	// string "service"
+	o = append(o, 0x85, 0xa7, 0x73, 0x65, 0x72, 0x76, 0x69, 0x63, 0x65)
+	o = msgp.AppendString(o, z.Service)
+	// string "zone"
+	o = append(o, 0xa4, 0x7a, 0x6f, 0x6e, 0x65)
+	o = msgp.AppendString(o, z.Zone)
+	// string "preemptible"
+	o = append(o, 0xab, 0x70, 0x72, 0x65, 0x65, 0x6d, 0x70, 0x74, 0x69, 0x62, 0x6c, 0x65)
+	o = msgp.AppendBool(o, z.Preemptible)
+	// string "count"
+	o = append(o, 0xa5, 0x63, 0x6f, 0x75, 0x6e, 0x74)
+	o = msgp.AppendInt(o, z.Count)
+	// string "base"
+	o = append(o, 0xa4, 0x62, 0x61, 0x73, 0x65)
+	o = msgp.AppendInt(o, z.Base)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *KeptParts) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *FleetOrder) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1722,49 +1961,35 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "replica":
-			z.Replica, bts, err = msgp.ReadStringBytes(bts)
+		case "service":
+			z.Service, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Replica")
+				err = msgp.WrapError(err, "Service")
 				return
 			}
-		case "parts":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+		case "zone":
+			z.Zone, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Parts")
+				err = msgp.WrapError(err, "Zone")
 				return
 			}
-			if zb0002 > z2c18a699limitArrays {
-				err = msgp.ErrLimitExceeded
+		case "preemptible":
+			z.Preemptible, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Preemptible")
 				return
 			}
-			if cap(z.Parts) >= int(zb0002) {
-				z.Parts = (z.Parts)[:zb0002]
-			} else {
-				z.Parts = make([]PlacedPart, zb0002)
+		case "count":
+			z.Count, bts, err = msgp.ReadIntBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Count")
+				return
 			}
-			for za0001 := range z.Parts {
-				var zb0003 uint32
-				zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Parts", za0001)
-					return
-				}
-				if zb0003 != 2 {
-					err = msgp.ArrayError{Wanted: 2, Got: zb0003}
-					return
-				}
-				z.Parts[za0001].ID, bts, err = msgp.ReadStringBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Parts", za0001, "ID")
-					return
-				}
-				z.Parts[za0001].Tokens, bts, err = msgp.ReadIntBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Parts", za0001, "Tokens")
-					return
-				}
+		case "base":
+			z.Base, bts, err = msgp.ReadIntBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Base")
+				return
 			}
 		default:
 			bts, err = msgp.Skip(bts)
@@ -1779,44 +2004,39 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *KeptParts) Msgsize() (s int) {
-	s = 1 + 8 + msgp.StringPrefixSize + len(z.Replica) + 6 + msgp.ArrayHeaderSize
-	for za0001 := range z.Parts {
-		s += 1 + msgp.StringPrefixSize + len(z.Parts[za0001].ID) + msgp.IntSize
-	}
+func (z *FleetOrder) Msgsize() (s int) {
+	s = 1 + 8 + msgp.StringPrefixSize + len(z.Service) + 5 + msgp.StringPrefixSize + len(z.Zone) + 12 + msgp.BoolSize + 6 + msgp.IntSize + 5 + msgp.IntSize
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *KeptReply) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *GatewayUsage) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
-	// string "kept"
-	o = append(o, 0x82, 0xa4, 0x6b, 0x65, 0x70, 0x74)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Kept)))
-	for za0001 := range z.Kept {
-		// map header, size 2
-		// string "replica"
-		o = append(o, 0x82, 0xa7, 0x72, 0x65, 0x70, 0x6c, 0x69, 0x63, 0x61)
-		o = msgp.AppendString(o, z.Kept[za0001].Replica)
-		// string "parts"
-		o = append(o, 0xa5, 0x70, 0x61, 0x72, 0x74, 0x73)
-		o = msgp.AppendArrayHeader(o, uint32(len(z.Kept[za0001].Parts)))
-		for za0002 := range z.Kept[za0001].Parts {
-			// array header, size 2
-			o = append(o, 0x92)
-			o = msgp.AppendString(o, z.Kept[za0001].Parts[za0002].ID)
-			o = msgp.AppendInt(o, z.Kept[za0001].Parts[za0002].Tokens)
-		}
+	// map header, size 4
+	// string "gateway"
+	o = append(o, 0x84, 0xa7, 0x67, 0x61, 0x74, 0x65, 0x77, 0x61, 0x79)
+	o = msgp.AppendString(o, z.Gateway)
+	// string "life"
+	o = append(o, 0xa4, 0x6c, 0x69, 0x66, 0x65)
+	o = msgp.AppendInt64(o, z.Life)
+	// string "told_at"
+	o = append(o, 0xa7, 0x74, 0x6f, 0x6c, 0x64, 0x5f, 0x61, 0x74)
+	o = msgp.AppendInt64(o, z.ToldAt)
+	// string "counts"
+	o = append(o, 0xa6, 0x63, 0x6f, 0x75, 0x6e, 0x74, 0x73)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Counts)))
+	for za0001 := range z.Counts {
+		// array header, size 3
+		o = append(o, 0x93)
+		o = msgp.AppendUint64(o, z.Counts[za0001].Window)
+		o = msgp.AppendString(o, z.Counts[za0001].Tenant)
+		o = msgp.AppendUint32(o, z.Counts[za0001].Count)
 	}
-	// string "whole"
-	o = append(o, 0xa5, 0x77, 0x68, 0x6f, 0x6c, 0x65)
-	o = msgp.AppendBool(o, z.Whole)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *KeptReply) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *GatewayUsage) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1837,100 +2057,67 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "kept":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+		case "gateway":
+			z.Gateway, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Kept")
+				err = msgp.WrapError(err, "Gateway")
 				return
 			}
-			if zb0002 > z2c18a699limitArrays {
-				err = msgp.ErrLimitExceeded
+		case "life":
+			z.Life, bts, err = msgp.ReadInt64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Life")
 				return
 			}
-			if cap(z.Kept) >= int(zb0002) {
-				z.Kept = (z.Kept)[:zb0002]
-			} else {
-				z.Kept = make([]KeptParts, zb0002)
-			}
-			for za0001 := range z.Kept {
-				var zb0003 uint32
-				zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Kept", za0001)
-					return
-				}
-				if zb0003 > z2c18a699limitMaps {
-					err = msgp.ErrLimitExceeded
-					return
-				}
-				for zb0003 > 0 {
-					zb0003--
-					field, bts, err = msgp.ReadMapKeyZC(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Kept", za0001)
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "replica":
-						z.Kept[za0001].Replica, bts, err = msgp.ReadStringBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Kept", za0001, "Replica")
-							return
-						}
-					case "parts":
-						var zb0004 uint32
-						zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Kept", za0001, "Parts")
-							return
-						}
-						if zb0004 > z2c18a699limitArrays {
-							err = msgp.ErrLimitExceeded
-							return
-						}
-						if cap(z.Kept[za0001].Parts) >= int(zb0004) {
-							z.Kept[za0001].Parts = (z.Kept[za0001].Parts)[:zb0004]
-						} else {
-							z.Kept[za0001].Parts = make([]PlacedPart, zb0004)
-						}
-						for za0002 := range z.Kept[za0001].Parts {
-							var zb0005 uint32
-							zb0005, bts, err = msgp.ReadArrayHeaderBytes(bts)
-							if err != nil {
-								err = msgp.WrapError(err, "Kept", za0001, "Parts", za0002)
-								return
-							}
-							if zb0005 != 2 {
-								err = msgp.ArrayError{Wanted: 2, Got: zb0005}
-								return
-							}
-							z.Kept[za0001].Parts[za0002].ID, bts, err = msgp.ReadStringBytes(bts)
-							if err != nil {
-								err = msgp.WrapError(err, "Kept", za0001, "Parts", za0002, "ID")
-								return
-							}
-							z.Kept[za0001].Parts[za0002].Tokens, bts, err = msgp.ReadIntBytes(bts)
-							if err != nil {
-								err = msgp.WrapError(err, "Kept", za0001, "Parts", za0002, "Tokens")
-								return
-							}
-						}
-					default:
-						bts, err = msgp.Skip(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Kept", za0001)
-							return
-						}
-					}
-				}
+		case "told_at":
+			z.ToldAt, bts, err = msgp.ReadInt64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "ToldAt")
+				return
 			}
-		case "whole":
-			z.Whole, bts, err = msgp.ReadBoolBytes(bts)
+		case "counts":
+			var zb0002 uint32
+			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Whole")
+				err = msgp.WrapError(err, "Counts")
+				return
+			}
+			if zb0002 > z2c18a699limitArrays {
+				err = msgp.ErrLimitExceeded
 				return
 			}
+			if cap(z.Counts) >= int(zb0002) {
+				z.Counts = (z.Counts)[:zb0002]
+			} else {
+				z.Counts = make([]UsageCount, zb0002)
+			}
+			for za0001 := range z.Counts {
+				var zb0003 uint32
+				zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Counts", za0001)
+					return
+				}
+				if zb0003 != 3 {
+					err = msgp.ArrayError{Wanted: 3, Got: zb0003}
+					return
+				}
+				z.Counts[za0001].Window, bts, err = msgp.ReadUint64Bytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Counts", za0001, "Window")
+					return
+				}
+				z.Counts[za0001].Tenant, bts, err = msgp.ReadStringBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Counts", za0001, "Tenant")
+					return
+				}
+				z.Counts[za0001].Count, bts, err = msgp.ReadUint32Bytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Counts", za0001, "Count")
+					return
+				}
+			}
 		default:
 			bts, err = msgp.Skip(bts)
 			if err != nil {
@@ -1944,30 +2131,29 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *KeptReply) Msgsize() (s int) {
-	s = 1 + 5 + msgp.ArrayHeaderSize
-	for za0001 := range z.Kept {
-		s += 1 + 8 + msgp.StringPrefixSize + len(z.Kept[za0001].Replica) + 6 + msgp.ArrayHeaderSize
-		for za0002 := range z.Kept[za0001].Parts {
-			s += 1 + msgp.StringPrefixSize + len(z.Kept[za0001].Parts[za0002].ID) + msgp.IntSize
-		}
+func (z *GatewayUsage) Msgsize() (s int) {
+	s = 1 + 8 + msgp.StringPrefixSize + len(z.Gateway) + 5 + msgp.Int64Size + 8 + msgp.Int64Size + 7 + msgp.ArrayHeaderSize
+	for za0001 := range z.Counts {
+		s += 1 + msgp.Uint64Size + msgp.StringPrefixSize + len(z.Counts[za0001].Tenant) + msgp.Uint32Size
 	}
-	s += 6 + msgp.BoolSize
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z KeptRequest) MarshalMsg(b []byte) (o []byte, err error) {
+func (z JoinRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 1
-	// string "from"
-	o = append(o, 0x81, 0xa4, 0x66, 0x72, 0x6f, 0x6d)
-	o = msgp.AppendString(o, z.From)
+	// map header, size 2
+	// string "address"
+	o = append(o, 0x82, 0xa7, 0x61, 0x64, 0x64, 0x72, 0x65, 0x73, 0x73)
+	o = msgp.AppendString(o, z.Address)
+	// string "replica"
+	o = append(o, 0xa7, 0x72, 0x65, 0x70, 0x6c, 0x69, 0x63, 0x61)
+	o = msgp.AppendUint64(o, z.Replica)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *KeptRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *JoinRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1988,10 +2174,16 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "from":
-			z.From, bts, err = msgp.ReadStringBytes(bts)
+		case "address":
+			z.Address, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "From")
+				err = msgp.WrapError(err, "Address")
+				return
+			}
+		case "replica":
+			z.Replica, bts, err = msgp.ReadUint64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Replica")
 				return
 			}
 		default:
@@ -2007,8 +2199,8 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z KeptRequest) Msgsize() (s int) {
-	s = 1 + 5 + msgp.StringPrefixSize + len(z.From)
+func (z JoinRequest) Msgsize() (s int) {
+	s = 1 + 8 + msgp.StringPrefixSize + len(z.Address) + 8 + msgp.Uint64Size
 	return
 }
 
@@ -3744,198 +3936,6 @@
 	return
 }
 
-// MarshalMsg implements msgp.Marshaler
-func (z *Resting) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
-	// string "gateway"
-	o = append(o, 0x82, 0xa7, 0x67, 0x61, 0x74, 0x65, 0x77, 0x61, 0x79)
-	o = msgp.AppendString(o, z.Gateway)
-	// string "replicas"
-	o = append(o, 0xa8, 0x72, 0x65, 0x70, 0x6c, 0x69, 0x63, 0x61, 0x73)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Replicas)))
-	for za0001 := range z.Replicas {
-		// map header, size 2
-		// string "replica"
-		o = append(o, 0x82, 0xa7, 0x72, 0x65, 0x70, 0x6c, 0x69, 0x63, 0x61)
-		o = msgp.AppendString(o, z.Replicas[za0001].Replica)
-		// string "left_ms"
-		o = append(o, 0xa7, 0x6c, 0x65, 0x66, 0x74, 0x5f, 0x6d, 0x73)
-		o = msgp.AppendInt(o, z.Replicas[za0001].LeftMillis)
-	}
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Resting) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 > z2c18a699limitMaps {
-		err = msgp.ErrLimitExceeded
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "gateway":
-			z.Gateway, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Gateway")
-				return
-			}
-		case "replicas":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Replicas")
-				return
-			}
-			if zb0002 > z2c18a699limitArrays {
-				err = msgp.ErrLimitExceeded
-				return
-			}
-			if cap(z.Replicas) >= int(zb0002) {
-				z.Replicas = (z.Replicas)[:zb0002]
-			} else {
-				z.Replicas = make([]RestingReplica, zb0002)
-			}
-			for za0001 := range z.Replicas {
-				var zb0003 uint32
-				zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Replicas", za0001)
-					return
-				}
-				if zb0003 > z2c18a699limitMaps {
-					err = msgp.ErrLimitExceeded
-					return
-				}
-				for zb0003 > 0 {
-					zb0003--
-					field, bts, err = msgp.ReadMapKeyZC(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Replicas", za0001)
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "replica":
-						z.Replicas[za0001].Replica, bts, err = msgp.ReadStringBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Replicas", za0001, "Replica")
-							return
-						}
-					case "left_ms":
-						z.Replicas[za0001].LeftMillis, bts, err = msgp.ReadIntBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Replicas", za0001, "LeftMillis")
-							return
-						}
-					default:
-						bts, err = msgp.Skip(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Replicas", za0001)
-							return
-						}
-					}
-				}
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Resting) Msgsize() (s int) {
-	s = 1 + 8 + msgp.StringPrefixSize + len(z.Gateway) + 9 + msgp.ArrayHeaderSize
-	for za0001 := range z.Replicas {
-		s += 1 + 8 + msgp.StringPrefixSize + len(z.Replicas[za0001].Replica) + 8 + msgp.IntSize
-	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z RestingReplica) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
-	// string "replica"
-	o = append(o, 0x82, 0xa7, 0x72, 0x65, 0x70, 0x6c, 0x69, 0x63, 0x61)
-	o = msgp.AppendString(o, z.Replica)
-	// string "left_ms"
-	o = append(o, 0xa7, 0x6c, 0x65, 0x66, 0x74, 0x5f, 0x6d, 0x73)
-	o = msgp.AppendInt(o, z.LeftMillis)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *RestingReplica) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 > z2c18a699limitMaps {
-		err = msgp.ErrLimitExceeded
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "replica":
-			z.Replica, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Replica")
-				return
-			}
-		case "left_ms":
-			z.LeftMillis, bts, err = msgp.ReadIntBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "LeftMillis")
-				return
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z RestingReplica) Msgsize() (s int) {
-	s = 1 + 8 + msgp.StringPrefixSize + len(z.Replica) + 8 + msgp.IntSize
-	return
-}
-
 // MarshalMsg implements msgp.Marshaler
 func (z *ServiceDemand) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
--- a/internal/region/placement.go
+++ b/internal/region/placement.go
@@ -2,7 +2,7 @@
 
 //go:generate go tool msgp -file placement.go -tests=false -io=false
 //msgp:limit arrays:4096 maps:4096
-//msgp:tuple PlacementMessage PlacementQuestion LeaseEvent PlacementReply PlacementAnswer
+//msgp:tuple PlacementMessage PlacementQuery LeaseEvent PlacementReply PlacementAnswer
 
 // PlacementMessage is sent by a gateway to the coordinator that places prompts for it. A full
 // message repairs the effects of lost ones.
@@ -17,8 +17,8 @@
 	// requested.
 	Open []uint64 `msg:"open"`
 	// Question is nil if the message contains no placement query.
-	Question *PlacementQuestion `msg:"question"`
-	Events   []LeaseEvent       `msg:"events"`
+	Question *PlacementQuery `msg:"question"`
+	Events   []LeaseEvent    `msg:"events"`
 	// Work is the work that the gateway has placed locally, or through another coordinator.
 	Work []OutstandingWork `msg:"work"`
 }
@@ -28,20 +28,20 @@
 
 // Kinds of placement queries.
 const (
-	// PlaceRead asks for a replica to prefill a prompt, or to prefill it and to decode.
-	PlaceRead PlacementKind = iota + 1
+	// PlacePrefill asks for a replica to prefill a prompt, or to prefill it and to decode.
+	PlacePrefill PlacementKind = iota + 1
 	// PlaceDirect asks for a replica to prefill a prompt and to decode.
 	PlaceDirect
-	// PlaceGenerate asks for a replica to decode after the prefill.
-	PlaceGenerate
-	// PlaceRoom asks for a replica with capacity for a stream that has to move away from another one.
-	PlaceRoom
-	// AskIdle asks for how long the replica of a lease has had no known prefill work.
-	AskIdle
+	// PlaceDecode asks for a replica to decode after the prefill.
+	PlaceDecode
+	// PlaceWithCapacity asks for a replica with capacity for a stream that has to move away from another one.
+	PlaceWithCapacity
+	// QueryIdle asks for how long the replica of a lease has had no known prefill work.
+	QueryIdle
 )
 
-// PlacementQuestion is a placement query: it asks for a lease on a replica.
-type PlacementQuestion struct {
+// PlacementQuery is a placement query: it asks for a lease on a replica.
+type PlacementQuery struct {
 	// Lease is the gateway's id of the lease that it asks for, or asks about. A query that is sent
 	// again has the same id and gets the same answer.
 	Lease   uint64        `msg:"lease"`
@@ -64,7 +64,7 @@
 	Rank int `msg:"rank"`
 	// Tenant identifies the caller's tenant, 0 if there is none.
 	Tenant uint64 `msg:"tenant"`
-	// Excluded lists replicas, by Life.Name, that must not be chosen.
+	// Excluded lists replicas, by Incarnation.Name, that must not be chosen.
 	Excluded []string `msg:"excluded"`
 }
 
@@ -76,21 +76,21 @@
 	// LeaseReleased: the lease has ended. Micros is the longest inter-token gap of the stream that ran
 	// there.
 	LeaseReleased LeaseEventKind = iota + 1
-	// LeaseRead: the prefill is complete.
-	LeaseRead
-	// LeaseKept: the replica has the prompt cached.
-	LeaseKept
-	// LeaseBegun: the stream has started. HandedOver says that another replica did the
+	// LeasePrefilled: the prefill is complete.
+	LeasePrefilled
+	// LeaseCached: the replica has the prompt cached.
+	LeaseCached
+	// LeaseStarted: the stream has started. HandedOver says that another replica did the
 	// prefill.
-	LeaseBegun
-	// LeasePaused: the stream had an inter-token gap of Micros.
-	LeasePaused
+	LeaseStarted
+	// LeaseGap: the stream had an inter-token gap of Micros.
+	LeaseGap
 	// LeaseAnswered: the replica has responded, with a failure of its own if Failed is set.
 	// Running, Waiting and Slots are the load that it reported.
 	LeaseAnswered
-	// LeaseFull: the replica rejected the request. Micros is the backoff that it requested from the
+	// LeaseRejected: the replica rejected the request. Micros is the backoff that it requested from the
 	// gateway, 0 if it requested none.
-	LeaseFull
+	LeaseRejected
 	// LeaseUnreachable: the replica did not respond. HandedOver says that it had accepted the
 	// request.
 	LeaseUnreachable
@@ -129,17 +129,17 @@
 const (
 	// PlacementGranted: the lease on Replica is granted.
 	PlacementGranted PlacementOutcome = iota + 1
-	// PlacementNoRoom: no replica has capacity for the prompt before UntilMicros have passed.
-	PlacementNoRoom
+	// PlacementNoCapacity: no replica has capacity for the prompt before UntilMicros have passed.
+	PlacementNoCapacity
 	// PlacementNoReplica: no replica can be chosen.
 	PlacementNoReplica
 )
 
-// PlacementAnswer is the answer to a PlacementQuestion.
+// PlacementAnswer is the answer to a PlacementQuery.
 type PlacementAnswer struct {
 	Lease   uint64           `msg:"lease"`
 	Outcome PlacementOutcome `msg:"outcome"`
-	// Replica and Fetch are Life.Names. A gateway must not use an answer about an incarnation that it
+	// Replica and Fetch are Incarnation.Names. A gateway must not use an answer about an incarnation that it
 	// does not know.
 	Replica string `msg:"replica"`
 	// Fetch is the replica from which the cached prefix of the prompt is to be fetched, empty if
@@ -157,7 +157,7 @@
 	WholeMicros int64 `msg:"whole_us"`
 	// UntilMicros is the time until a replica is expected to have capacity.
 	UntilMicros int64 `msg:"until_us"`
-	// IdleMicros is the answer to AskIdle.
+	// IdleMicros is the answer to QueryIdle.
 	IdleMicros int64 `msg:"idle_us"`
 	// Candidates, InFlight, OccupancyPercent and PeersAgeMillis describe the data on which the choice
 	// was based.
--- a/internal/region/placement_gen.go
+++ b/internal/region/placement_gen.go
@@ -383,7 +383,7 @@
 		z.Question = nil
 	} else {
 		if z.Question == nil {
-			z.Question = new(PlacementQuestion)
+			z.Question = new(PlacementQuery)
 		}
 		bts, err = z.Question.UnmarshalMsg(bts)
 		if err != nil {
@@ -487,7 +487,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *PlacementQuestion) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *PlacementQuery) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 14
 	o = append(o, 0x9e)
@@ -519,7 +519,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *PlacementQuestion) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *PlacementQuery) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var zb0001 uint32
 	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
@@ -643,7 +643,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *PlacementQuestion) Msgsize() (s int) {
+func (z *PlacementQuery) Msgsize() (s int) {
 	s = 1 + msgp.Uint64Size + msgp.Uint8Size + msgp.StringPrefixSize + len(z.Service) + msgp.StringPrefixSize + len(z.Zone) + msgp.StringPrefixSize + len(z.Near) + msgp.IntSize + msgp.ArrayHeaderSize
 	for za0001 := range z.Parts {
 		s += z.Parts[za0001].Msgsize()
--- a/internal/region/versions_test.go
+++ b/internal/region/versions_test.go
@@ -32,7 +32,7 @@
 		"command_fleet":      &Command{Fleet: &FleetOrder{Service: "model", Zone: "z", Count: 4, Base: 3}},
 		"state":              &State{Version: 3, Document: []byte("document"), ListRevision: 11, Replicas: []ListedReplica{{Replica: replicaOf("a"), Revision: 11}}, Removed: []RemovedReplica{{ID: "b", Revision: 10}}, RemovedSince: 1, Changes: []StageChange{{Replica: "a", Born: 5, Stage: StagePrefill, Fence: 9}}, NextWindow: 4},
 		"outstanding":        &Outstanding{Gateway: "g", Life: 1, Sequence: 2, Replicas: []OutstandingWork{{Replica: "a@5", Requests: 2, InTimeMicros: 3, LateMicros: 4}}, Prompts: []PlacedPrompt{{Sequence: 1, Replica: "a@5", Parts: []PlacedPart{{ID: "x", Tokens: 9}}, ReadyMillis: 3}}, Unreachable: []string{"b@6"}, Whole: true, Costs: []EngineCost{{Service: "model", Samples: 3, Fixed: 0.1, Token: 0.2, Pair: 0.3}}, Zone: "z", WallNanos: 99},
-		"placement_message":  &PlacementMessage{Gateway: "g", Life: 1, Sequence: 2, Question: &PlacementQuestion{Lease: 3, Kind: PlaceRead, Service: "model", Tokens: 9}},
+		"placement_message":  &PlacementMessage{Gateway: "g", Life: 1, Sequence: 2, Question: &PlacementQuery{Lease: 3, Kind: PlacePrefill, Service: "model", Tokens: 9}},
 		"placement_reply":    &PlacementReply{Life: 1, Answer: &PlacementAnswer{Lease: 3, Outcome: PlacementGranted, Replica: "a@5"}},
 	}
 }
--- a/internal/relay/backpressure.go
+++ b/internal/relay/backpressure.go
@@ -18,7 +18,7 @@
 
 // OnLeaving sets a function that is called with the incarnation name of each replica that tells this process
 // that it is leaving. It must be called before first use.
-func (d *Directory) OnLeaving(notify func(life string)) { d.onLeaving = notify }
+func (d *Directory) OnLeaving(notify func(incarnation string)) { d.onLeaving = notify }
 
 // updatePeerState attaches the gate's peer state to a replica that has asked for a backoff, or has said that it
 // is leaving.
@@ -47,7 +47,7 @@
 	defer d.mutex.Unlock()
 	var names []string
 	for name, replica := range d.replicas {
-		if replica.declaresLeaving() && !replica.Leaves() {
+		if replica.declaresLeaving() && !replica.IsLeaving() {
 			names = append(names, name)
 		}
 	}
--- a/internal/relay/connected_test.go
+++ b/internal/relay/connected_test.go
@@ -21,10 +21,10 @@
 		}
 		d := newDirectory(list...)
 		connections := map[string]bool{}
-		d.SetConnected(func(_, life string) bool { return connections[life] })
+		d.SetConnected(func(_, incarnation string) bool { return connections[incarnation] })
 		for range 40 {
 			lease := d.PickAny("s", relay.Wanted{})
-			connections[lease.Replica.Life().Name()] = true
+			connections[lease.Replica.Incarnation().Name()] = true
 			lease.Release()
 		}
 		assert.Len(t, connections, 1, size)
--- a/internal/relay/directory.go
+++ b/internal/relay/directory.go
@@ -29,7 +29,7 @@
 	crossRegionLog crossRegionLog
 	// firstListAt is when the first list was received.
 	firstListAt time.Duration
-	// replicas are by Life.Name: a replica that restarts is a new entry without history, and reports about
+	// replicas are by Incarnation.Name: a replica that restarts is a new entry without history, and reports about
 	// its previous incarnation do not apply to it.
 	replicas map[string]*Replica
 	services map[string][]*Replica
@@ -50,9 +50,9 @@
 	// grantGeneration is the generation of the coordinator's leases: it grows when the coordinator changes or
 	// forgets its leases, and only grants of the current generation count.
 	grantGeneration uint64
-	onDropped       func(address, life string)
+	onDropped       func(address, incarnation string)
 	// connected reports whether this process has a connection to an incarnation; nil if that is unknown.
-	connected func(address, life string) bool
+	connected func(address, incarnation string) bool
 	// limited counts the replicas that declare a rate limit, so that calls skip the check while there are
 	// none.
 	limited atomic.Int64
@@ -61,7 +61,7 @@
 	// gate tracks what replicas ask of this process (backoff, leaving); nil if they can't ask for anything.
 	gate *backpressure.Gate
 	// onLeaving is called for each replica that announces to this process that it is leaving.
-	onLeaving func(life string)
+	onLeaving func(incarnation string)
 	// backoffRevision grows with each backoff that is requested of this process, or of one that it places for.
 	backoffRevision uint64
 	// retryAt is, by service, when the caller that was last refused because of rate limits or backoffs
@@ -83,7 +83,7 @@
 
 // SetConnected makes the directory prefer replicas to which this process has a connection. It must be
 // called before any other use.
-func (d *Directory) SetConnected(connected func(address, life string) bool) {
+func (d *Directory) SetConnected(connected func(address, incarnation string) bool) {
 	d.connected = connected
 }
 
@@ -100,7 +100,7 @@
 
 // NewDirectory returns an empty directory. onDropped is called with the address and the name of each
 // incarnation that is removed from the list or found to have ended (Misdirected).
-func NewDirectory(clock func() time.Duration, zone string, onDropped func(address, life string), logger logr.Logger) *Directory {
+func NewDirectory(clock func() time.Duration, zone string, onDropped func(address, incarnation string), logger logr.Logger) *Directory {
 	return &Directory{
 		clock:         clock,
 		zone:          zone,
@@ -134,7 +134,7 @@
 	replicas := make(map[string]*Replica, len(list))
 	services := map[string][]*Replica{}
 	for _, listed := range list {
-		name := listed.Life().Name()
+		name := listed.Incarnation().Name()
 		known, found := d.replicas[name]
 		if !found || known.Address != listed.Address {
 			// Except in the first list, a new replica has just started and has nothing cached.
@@ -174,13 +174,13 @@
 
 // keepLives fills in the incarnations that a list does not state. The caller must hold d.mutex.
 func (d *Directory) keepLives(list []region.Replica) {
-	lives := make(map[string]region.Life, len(d.replicas))
+	incarnations := make(map[string]region.Incarnation, len(d.replicas))
 	for _, replica := range d.replicas {
-		lives[replica.ID] = replica.Life()
+		incarnations[replica.ID] = replica.Incarnation()
 	}
-	region.KeepLives(list, func(id string) (region.Life, bool) {
-		life, known := lives[id]
-		return life, known
+	region.KeepIncarnations(list, func(id string) (region.Incarnation, bool) {
+		incarnation, known := incarnations[id]
+		return incarnation, known
 	})
 }
 
@@ -201,14 +201,14 @@
 
 // ProcessEnded records that the process of an incarnation has ended, and with it its cache. Until the list shows
 // the replacement, requests are sent to it under the old incarnation's name.
-func (d *Directory) ProcessEnded(life string) {
+func (d *Directory) ProcessEnded(incarnation string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if replica, known := d.replicas[life]; known {
+	if replica, known := d.replicas[incarnation]; known {
 		replica.prefixes = newPrefixCache()
 		replica.load, replica.loadAt = Load{}, 0
 		// The limit that the process declared ended with it.
-		d.mergeLimit(ratelimit.Report{Replica: life}, d.clock())
+		d.mergeLimit(ratelimit.Report{Replica: incarnation}, d.clock())
 		d.clearPeerState(replica)
 	}
 }
--- a/internal/relay/directory_test.go
+++ b/internal/relay/directory_test.go
@@ -150,7 +150,7 @@
 func TestPrefixOfBusyReplicaIsFetched(t *testing.T) {
 	d := newDirectory(replica("g", region.StageDecode), replica("a", region.StagePrefill), replica("b", region.StagePrefill))
 	shared := relay.PromptPart{ID: "shared", Tokens: 10_000}
-	d.AddCached(region.Life{ID: "a"}, []relay.PromptPart{shared})
+	d.AddCached(region.Incarnation{ID: "a"}, []relay.PromptPart{shared})
 	d.TakeOutstanding("peer", []region.OutstandingWork{{Replica: "a", Requests: 3, InTimeMicros: 600_000}}, true)
 	whole := prompt(shared, relay.PromptPart{ID: "1", Tokens: 500})
 	lease := d.placePrefill(whole)
@@ -203,8 +203,8 @@
 func TestPrefixBeyondCacheCapacityIsEvicted(t *testing.T) {
 	d := newDirectory(replica("g", region.StageDecode), replica("a", region.StagePrefill), replica("b", region.StagePrefill))
 	d.SetEngine("s", traffic.Engine{CacheTokens: 15_000})
-	d.AddCached(region.Life{ID: "a"}, []relay.PromptPart{{ID: "old", Tokens: 10_000}})
-	d.AddCached(region.Life{ID: "a"}, []relay.PromptPart{{ID: "new", Tokens: 10_000}})
+	d.AddCached(region.Incarnation{ID: "a"}, []relay.PromptPart{{ID: "old", Tokens: 10_000}})
+	d.AddCached(region.Incarnation{ID: "a"}, []relay.PromptPart{{ID: "new", Tokens: 10_000}})
 	lease := d.placePrefill(prompt(relay.PromptPart{ID: "x", Tokens: 10}))
 	lease.Release()
 	old := prompt(relay.PromptPart{ID: "old", Tokens: 10_000}, relay.PromptPart{ID: "own", Tokens: 10})
--- a/internal/relay/grant.go
+++ b/internal/relay/grant.go
@@ -137,7 +137,7 @@
 		return
 	}
 	l.grant.nextGapReportAt = now + gapReportInterval
-	l.report(region.LeaseEvent{Kind: region.LeasePaused, Micros: gap.Microseconds()})
+	l.report(region.LeaseEvent{Kind: region.LeaseGap, Micros: gap.Microseconds()})
 }
 
 // answeredEvent returns the event that reports a replica's response to a coordinator.
--- a/internal/relay/lease.go
+++ b/internal/relay/lease.go
@@ -144,7 +144,7 @@
 	stream := d.streams[service].of(route)
 	stream.begin(now)
 	l.addStream(stream)
-	l.report(region.LeaseEvent{Kind: region.LeaseBegun, HandedOver: handedOver})
+	l.report(region.LeaseEvent{Kind: region.LeaseStarted, HandedOver: handedOver})
 	if handedOver {
 		d.handoverTimes.observe(service, now-l.startedAt)
 	}
@@ -182,7 +182,7 @@
 	stream := l.stream
 	l.removeStream()
 	target.addStream(stream)
-	target.report(region.LeaseEvent{Kind: region.LeaseBegun})
+	target.report(region.LeaseEvent{Kind: region.LeaseStarted})
 }
 
 // StreamContinued records the arrival of a further event of the stream.
@@ -213,7 +213,7 @@
 	defer l.directory.mutex.Unlock()
 	l.Replica.progressAt = l.directory.clock()
 	l.recordSuccess(l.Replica.progressAt)
-	l.report(region.LeaseEvent{Kind: region.LeaseRead})
+	l.report(region.LeaseEvent{Kind: region.LeasePrefilled})
 	l.observeOverrun()
 	l.observeCost()
 	if l.prefill != nil {
@@ -259,7 +259,7 @@
 func (l *Lease) PromptCached(prompt *Prompt) {
 	l.directory.mutex.Lock()
 	defer l.directory.mutex.Unlock()
-	l.report(region.LeaseEvent{Kind: region.LeaseKept})
+	l.report(region.LeaseEvent{Kind: region.LeaseCached})
 	if l.Replica.Stage == region.StageDecode {
 		l.directory.placed.add(l.Replica.name, prompt, l.directory.clock())
 	}
@@ -301,7 +301,7 @@
 	l.directory.mutex.Lock()
 	defer l.directory.mutex.Unlock()
 	l.directory.recordRejection(l, backoff)
-	l.report(region.LeaseEvent{Kind: region.LeaseFull, Micros: backoff.Microseconds()})
+	l.report(region.LeaseEvent{Kind: region.LeaseRejected, Micros: backoff.Microseconds()})
 }
 
 // Misdirected records that another incarnation answers at the replica's address.
--- a/internal/relay/life_test.go
+++ b/internal/relay/life_test.go
@@ -23,7 +23,9 @@
 	return replica
 }
 
-func incarnationName(id string, born int64) string { return region.Life{ID: id, Born: born}.Name() }
+func incarnationName(id string, born int64) string {
+	return region.Incarnation{ID: id, Born: born}.Name()
+}
 
 // A replica restarts under its id. When state was kept by id, the new process counted as busy, avoided and
 // full, and as having the prompts of its predecessor cached.
@@ -31,7 +33,7 @@
 	shared := relay.PromptPart{ID: "shared", Tokens: 8000}
 	prompted := prompt(shared, relay.PromptPart{ID: "own", Tokens: 100})
 	for name, observe := range map[string]func(*directory){
-		"cached prefixes":    func(d *directory) { d.AddCached(region.Life{ID: "a", Born: 5}, []relay.PromptPart{shared}) },
+		"cached prefixes":    func(d *directory) { d.AddCached(region.Incarnation{ID: "a", Born: 5}, []relay.PromptPart{shared}) },
 		"placed by peers":    func(d *directory) { d.TakePlaced(placedAt(incarnationName("a", 5), shared)) },
 		"failures":           func(d *directory) { d.PickAny("s", relay.Wanted{}).Unreachable(false) },
 		"refusals":           func(d *directory) { d.PickAny("s", relay.Wanted{}).Refused(0) },
@@ -73,12 +75,12 @@
 	return d
 }
 
-func placedAt(life string, part relay.PromptPart) []region.PlacedPrompt {
-	return []region.PlacedPrompt{{Sequence: 1, Replica: life, Parts: []region.PlacedPart{{ID: part.ID, Tokens: part.Tokens}}}}
+func placedAt(incarnation string, part relay.PromptPart) []region.PlacedPrompt {
+	return []region.PlacedPrompt{{Sequence: 1, Replica: incarnation, Parts: []region.PlacedPart{{ID: part.ID, Tokens: part.Tokens}}}}
 }
 
-func workAt(life string) []region.OutstandingWork {
-	return []region.OutstandingWork{{Replica: life, Requests: 3, InTimeMicros: 400_000}}
+func workAt(incarnation string) []region.OutstandingWork {
+	return []region.OutstandingWork{{Replica: incarnation, Requests: 3, InTimeMicros: 400_000}}
 }
 
 // Reports on a former incarnation may arrive after the new list, because peers learn of a restart later.
@@ -89,7 +91,7 @@
 	d.TakeOutstanding("peer", workAt(before), true)
 	d.TakeUnreachable([]string{before})
 	d.TakePlaced(placedAt(before, shared))
-	d.AddCached(region.Life{ID: "a", Born: 5}, []relay.PromptPart{shared})
+	d.AddCached(region.Incarnation{ID: "a", Born: 5}, []relay.PromptPart{shared})
 	d.ProcessEnded(before)
 	fresh := newDirectory(startedAt(9, replica("a", "")))
 	assert.Equal(t, fresh.PickAny("s", relay.Wanted{}).Choice, d.PickAny("s", relay.Wanted{}).Choice)
@@ -179,7 +181,7 @@
 func TestEndedProcessHasEmptyCache(t *testing.T) {
 	shared := relay.PromptPart{ID: "shared", Tokens: 8000}
 	d := newDirectory(startedAt(5, replica("a", "")))
-	d.AddCached(region.Life{ID: "a", Born: 5}, []relay.PromptPart{shared})
+	d.AddCached(region.Incarnation{ID: "a", Born: 5}, []relay.PromptPart{shared})
 	assert.Zero(t, d.Missing("a", prompt(shared)))
 	d.ProcessEnded(incarnationName("a", 5))
 	assert.Equal(t, 8000, d.Missing("a", prompt(shared)))
@@ -191,12 +193,12 @@
 	cached, whole := source.Cached(func(region.Replica) bool { return true })
 	assert.Empty(t, cached)
 	assert.False(t, whole, "the replica has not reported yet")
-	life := replica("a", region.StageDecode)
-	source.AddCached(life.Life(), []relay.PromptPart{{ID: "old", Tokens: 10}, {ID: "new", Tokens: 20}})
+	listed := replica("a", region.StageDecode)
+	source.AddCached(listed.Incarnation(), []relay.PromptPart{{ID: "old", Tokens: 10}, {ID: "new", Tokens: 20}})
 	cached, whole = source.Cached(func(region.Replica) bool { return true })
 	assert.True(t, whole)
-	assert.Equal(t, []region.KeptParts{{Replica: life.Life().Name(), Parts: []region.PlacedPart{{ID: "old", Tokens: 10}, {ID: "new", Tokens: 20}}}}, cached)
-	other.TakeCached(append(cached, region.KeptParts{Replica: "gone", Parts: []region.PlacedPart{{ID: "x", Tokens: 1}}}))
+	assert.Equal(t, []region.CachedParts{{Replica: listed.Incarnation().Name(), Parts: []region.PlacedPart{{ID: "old", Tokens: 10}, {ID: "new", Tokens: 20}}}}, cached)
+	other.TakeCached(append(cached, region.CachedParts{Replica: "gone", Parts: []region.PlacedPart{{ID: "x", Tokens: 1}}}))
 	taken, whole := other.Cached(func(region.Replica) bool { return true })
 	assert.True(t, whole)
 	assert.Equal(t, cached, taken)
@@ -215,8 +217,8 @@
 }
 
 // requestBackoffAndLeave has an incarnation ask for a backoff and announce that it is leaving.
-func requestBackoffAndLeave(gate *backpressure.Gate, life string) {
-	peer := backpressure.Peer{Address: replica("a", "").Address, Instance: life}
+func requestBackoffAndLeave(gate *backpressure.Gate, incarnation string) {
+	peer := backpressure.Peer{Address: replica("a", "").Address, Instance: incarnation}
 	gate.Observe(peer, http.StatusServiceUnavailable, http.Header{"Retry-After": {"600"}, "Leaving": {"1"}})
 }
 
@@ -225,7 +227,7 @@
 	before, next := incarnationName("a", 5), incarnationName("a", 9)
 	sendReports := func(d *directory, gate *backpressure.Gate) {
 		requestBackoffAndLeave(gate, before)
-		d.ApplyBackoffs([]region.RestingReplica{{Replica: before, LeftMillis: 5000}})
+		d.ApplyBackoffs([]region.BackoffReplica{{Replica: before, LeftMillis: 5000}})
 		d.MarkLeaving([]string{before})
 	}
 	d, gate := newDirectoryWithGate(startedAt(5, replica("a", "")))
--- a/internal/relay/limited_test.go
+++ b/internal/relay/limited_test.go
@@ -34,16 +34,16 @@
 	c := &fakeCounter{capacity: capacity, asked: map[string]int{}, returned: map[string]int{}, withoutPermit: map[string]int{}, wait: time.Minute}
 	w.runner.EnforceLimits(&relay.ReplicaLimits{
 		Ask:   c.ask,
-		Count: func(life string) { c.add(c.withoutPermit, life) },
+		Count: func(incarnation string) { c.add(c.withoutPermit, incarnation) },
 	})
 	w.directory.SetPlacerCount(func() int { return 4 })
 	return c
 }
 
-func (c *fakeCounter) add(to map[string]int, life string) {
+func (c *fakeCounter) add(to map[string]int, incarnation string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	to[life]++
+	to[incarnation]++
 }
 
 func (c *fakeCounter) ask(_ context.Context, asked relay.PermitRequest) relay.Permit {
@@ -58,10 +58,10 @@
 }
 
 // count returns the count of a replica.
-func (c *fakeCounter) count(from map[string]int, life string) int {
+func (c *fakeCounter) count(from map[string]int, incarnation string) int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return from[life]
+	return from[incarnation]
 }
 
 // declareLimit makes replicas have a declared limit, as reported by another process.
--- a/internal/relay/move_test.go
+++ b/internal/relay/move_test.go
@@ -177,7 +177,7 @@
 	w.addReplica("draining", "", first.serveHTTP)
 	w.listReplica("other", "", "127.0.0.1:1")
 	w.runner.SetRemotePlacement(&relay.RemotePlacement{
-		Ask: func(context.Context, *region.PlacementQuestion, time.Duration) (*region.PlacementAnswer, string, error) {
+		Ask: func(context.Context, *region.PlacementQuery, time.Duration) (*region.PlacementAnswer, string, error) {
 			t.Error("a placement is requested")
 			return nil, "", errCallerDisconnected
 		},
--- a/internal/relay/outstanding.go
+++ b/internal/relay/outstanding.go
@@ -222,10 +222,10 @@
 }
 
 // AddCached records the parts of prompts that an incarnation of a replica reports as cached.
-func (d *Directory) AddCached(life region.Life, parts []PromptPart) {
+func (d *Directory) AddCached(incarnation region.Incarnation, parts []PromptPart) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if replica, known := d.replicas[life.Name()]; known {
+	if replica, known := d.replicas[incarnation.Name()]; known {
 		replica.prefixes.add(parts, d.engines[replica.Service].CacheTokens, d.clock())
 		replica.cacheKnown = true
 	}
@@ -233,7 +233,7 @@
 
 // Cached returns what the selected replicas have cached, as far as it is known; whole reports whether it is
 // known for all of them.
-func (d *Directory) Cached(wanted func(replica region.Replica) bool) (cached []region.KeptParts, whole bool) {
+func (d *Directory) Cached(wanted func(replica region.Replica) bool) (cached []region.CachedParts, whole bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	whole = len(d.replicas) > 0
@@ -245,13 +245,13 @@
 			whole = false
 			continue
 		}
-		cached = append(cached, region.KeptParts{Replica: name, Parts: replica.prefixes.list()})
+		cached = append(cached, region.CachedParts{Replica: name, Parts: replica.prefixes.list()})
 	}
 	return cached, whole
 }
 
 // TakeCached records what replicas have cached according to another process.
-func (d *Directory) TakeCached(cached []region.KeptParts) {
+func (d *Directory) TakeCached(cached []region.CachedParts) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := d.clock()
--- a/internal/relay/picker.go
+++ b/internal/relay/picker.go
@@ -170,7 +170,7 @@
 	// random breaks ties between replicas with about the same score.
 	random func() float64
 	// connected reports whether there is a connection to an incarnation; nil if connections don't count.
-	connected func(address, life string) bool
+	connected func(address, incarnation string) bool
 }
 
 const (
--- a/internal/relay/placer.go
+++ b/internal/relay/placer.go
@@ -20,7 +20,7 @@
 type RemotePlacement struct {
 	// Ask sends a query and waits for at most a given time (within). An error means that the gateway has to
 	// choose by itself; by names the coordinator that has answered.
-	Ask func(ctx context.Context, question *region.PlacementQuestion, within time.Duration) (answer *region.PlacementAnswer, by string, err error)
+	Ask func(ctx context.Context, query *region.PlacementQuery, within time.Duration) (answer *region.PlacementAnswer, by string, err error)
 	// Tell reports an event on a leased replica. It does not block.
 	Tell func(event region.LeaseEvent)
 }
@@ -35,7 +35,7 @@
 
 // PlacePrefill leases the replica that is to prefill a prompt, as Directory.PlacePrefill does.
 func (p *Placer) PlacePrefill(ctx context.Context, service string, request ReadRequest) (*Lease, error) {
-	lease, err := p.ask(ctx, region.PlaceRead, service, request, "", region.StagePrefill, region.StageDecode)
+	lease, err := p.ask(ctx, region.PlacePrefill, service, request, "", region.StagePrefill, region.StageDecode)
 	if lease != nil || err != nil {
 		return lease, err
 	}
@@ -52,7 +52,7 @@
 
 // PlaceDecode leases a decode replica, near the zone where a prompt was prefilled.
 func (p *Placer) PlaceDecode(ctx context.Context, service string, request ReadRequest, zone string) *Lease {
-	if lease, _ := p.ask(ctx, region.PlaceGenerate, service, request, zone, region.StageDecode); lease != nil {
+	if lease, _ := p.ask(ctx, region.PlaceDecode, service, request, zone, region.StageDecode); lease != nil {
 		return lease
 	}
 	return p.Directory.PickDecode(service, request.wanted(), zone)
@@ -62,7 +62,7 @@
 func (p *Placer) PlaceWithCapacity(ctx context.Context, from *Lease, request ReadRequest) *Lease {
 	request.Excluded = append(slices.Clone(request.Excluded), from.Replica)
 	service, zone := from.Replica.Service, from.Replica.Zone
-	lease, err := p.ask(ctx, region.PlaceRoom, service, request, zone, region.StageDecode)
+	lease, err := p.ask(ctx, region.PlaceWithCapacity, service, request, zone, region.StageDecode)
 	if lease != nil || err != nil {
 		return lease
 	}
@@ -76,19 +76,19 @@
 		// A coordinator is not told which replicas have a rate limit.
 		return nil, nil
 	}
-	question := p.query(kind, service, request, near)
-	answer, by, err := p.Remote.Ask(ctx, question, coordinatorTimeout(request))
+	query := p.query(kind, service, request, near)
+	answer, by, err := p.Remote.Ask(ctx, query, coordinatorTimeout(request))
 	if err != nil {
 		return nil, nil
 	}
-	if answer.Outcome == region.PlacementNoRoom {
+	if answer.Outcome == region.PlacementNoCapacity {
 		full := &noCapacityError{until: micros(answer.UntilMicros), busy: micros(answer.BusyMicros)}
 		p.Directory.recordRefused(service, rejectedTimes(request, full.busy))
 		return nil, full
 	}
-	lease := p.Directory.takeGrant(&grant{id: question.Lease, by: by, tell: p.Remote.Tell}, answer, request, stages...)
+	lease := p.Directory.takeGrant(&grant{id: query.Lease, by: by, tell: p.Remote.Tell}, answer, request, stages...)
 	if lease == nil {
-		p.Remote.Tell(region.LeaseEvent{Lease: question.Lease, Kind: region.LeaseReleased})
+		p.Remote.Tell(region.LeaseEvent{Lease: query.Lease, Kind: region.LeaseReleased})
 	}
 	return lease, nil
 }
@@ -100,8 +100,8 @@
 
 // query creates the placement query for a request. It excludes the replicas that were tried, those that
 // this gateway can't reach, and those that have asked it to back off.
-func (p *Placer) query(kind region.PlacementKind, service string, request ReadRequest, near string) *region.PlacementQuestion {
-	question := &region.PlacementQuestion{
+func (p *Placer) query(kind region.PlacementKind, service string, request ReadRequest, near string) *region.PlacementQuery {
+	query := &region.PlacementQuery{
 		Kind:            kind,
 		Service:         service,
 		Zone:            request.Zone,
@@ -116,16 +116,16 @@
 		Excluded:        append(p.Directory.Unreachable(), p.Directory.inBackoffHere()...),
 	}
 	for _, replica := range request.Excluded {
-		question.Excluded = append(question.Excluded, replica.name)
+		query.Excluded = append(query.Excluded, replica.name)
 	}
-	if kind == region.PlaceRoom {
+	if kind == region.PlaceWithCapacity {
 		// The stream's KV cache moves with it, so that the prompt's parts don't matter.
-		return question
+		return query
 	}
 	for _, part := range request.Prompt.Parts {
-		question.Parts = append(question.Parts, region.PlacedPart{ID: part.ID, Tokens: part.Tokens})
+		query.Parts = append(query.Parts, region.PlacedPart{ID: part.ID, Tokens: part.Tokens})
 	}
-	return question
+	return query
 }
 
 // idleTime returns for how long the replica of a lease has had no known prefill work.
@@ -133,8 +133,8 @@
 	if lease.grant == nil || p.Remote == nil {
 		return lease.IdleTime()
 	}
-	question := &region.PlacementQuestion{Lease: lease.grant.id, Kind: region.AskIdle}
-	answer, _, err := p.Remote.Ask(ctx, question, maximumCoordinatorTimeout)
+	query := &region.PlacementQuery{Lease: lease.grant.id, Kind: region.QueryIdle}
+	answer, _, err := p.Remote.Ask(ctx, query, maximumCoordinatorTimeout)
 	if err != nil || answer.Outcome != region.PlacementGranted {
 		return lease.IdleTime()
 	}
--- a/internal/relay/question.go
+++ b/internal/relay/question.go
@@ -8,46 +8,46 @@
 )
 
 // Place answers a placement query from this directory.
-func (d *Directory) Place(question *region.PlacementQuestion) (*Lease, *region.PlacementAnswer) {
-	request := d.requestOf(question)
+func (d *Directory) Place(query *region.PlacementQuery) (*Lease, *region.PlacementAnswer) {
+	request := d.requestOf(query)
 	var lease *Lease
 	var err error
-	switch question.Kind {
-	case region.PlaceRead:
-		lease, err = d.PlacePrefill(question.Service, request)
+	switch query.Kind {
+	case region.PlacePrefill:
+		lease, err = d.PlacePrefill(query.Service, request)
 	case region.PlaceDirect:
-		lease = d.PlaceDirect(question.Service, request)
-	case region.PlaceGenerate:
-		lease = d.PickDecode(question.Service, request.wanted(), question.Near)
-	case region.PlaceRoom:
-		lease = d.PickWithCapacity(question.Service, request.wanted(), question.Near)
+		lease = d.PlaceDirect(query.Service, request)
+	case region.PlaceDecode:
+		lease = d.PickDecode(query.Service, request.wanted(), query.Near)
+	case region.PlaceWithCapacity:
+		lease = d.PickWithCapacity(query.Service, request.wanted(), query.Near)
 	}
 	answer := &region.PlacementAnswer{Outcome: region.PlacementNoReplica}
 	if lease != nil {
 		answer = lease.Describe()
 	}
 	if full := (*noCapacityError)(nil); errors.As(err, &full) {
-		answer.Outcome = region.PlacementNoRoom
+		answer.Outcome = region.PlacementNoCapacity
 		answer.UntilMicros = full.until.Microseconds()
 		answer.BusyMicros = full.busy.Microseconds()
 	}
-	answer.Lease = question.Lease
+	answer.Lease = query.Lease
 	return lease, answer
 }
 
 // requestOf converts a query to a request, and bounds the values that the gateway has sent.
-func (d *Directory) requestOf(question *region.PlacementQuestion) ReadRequest {
-	prompt := PromptOf(question)
+func (d *Directory) requestOf(query *region.PlacementQuery) ReadRequest {
+	prompt := PromptOf(query)
 	return ReadRequest{
 		Prompt:         prompt,
-		Objective:      boundedMicros(question.ObjectiveMicros),
-		TargetTokenGap: boundedMicros(question.GapMicros),
-		AimLeft:        boundedMicros(question.AimLeftMicros),
-		Left:           boundedMicros(question.LeftMicros),
-		Rank:           rankOf(question.Rank),
-		Tenant:         question.Tenant,
-		Zone:           question.Zone,
-		Excluded:       d.Find(question.Excluded),
+		Objective:      boundedMicros(query.ObjectiveMicros),
+		TargetTokenGap: boundedMicros(query.GapMicros),
+		AimLeft:        boundedMicros(query.AimLeftMicros),
+		Left:           boundedMicros(query.LeftMicros),
+		Rank:           rankOf(query.Rank),
+		Tenant:         query.Tenant,
+		Zone:           query.Zone,
+		Excluded:       d.Find(query.Excluded),
 	}
 }
 
@@ -63,9 +63,9 @@
 }
 
 // PromptOf returns the prompt of a query.
-func PromptOf(question *region.PlacementQuestion) *Prompt {
-	prompt := &Prompt{Tokens: boundedTokens(question.Tokens)}
-	for _, part := range question.Parts {
+func PromptOf(query *region.PlacementQuery) *Prompt {
+	prompt := &Prompt{Tokens: boundedTokens(query.Tokens)}
+	for _, part := range query.Parts {
 		prompt.Parts = append(prompt.Parts, PromptPart{ID: part.ID, Tokens: boundedTokens(part.Tokens)})
 	}
 	return prompt
--- a/internal/relay/ratelimit.go
+++ b/internal/relay/ratelimit.go
@@ -22,14 +22,14 @@
 	// Ask requests a permit to send a request to a replica.
 	Ask func(ctx context.Context, asked PermitRequest) Permit
 	// Count counts a message that was sent to an incarnation of a replica without a permit.
-	Count func(life string)
+	Count func(incarnation string)
 }
 
 // PermitRequest asks for a permit to send a request to a replica that declares a limit.
 type PermitRequest struct {
 	// Request is the request ID.
 	Request string
-	// Life is the replica's incarnation, by Life.Name, and Rate the limit that it declares.
+	// Life is the replica's incarnation, by Incarnation.Name, and Rate the limit that it declares.
 	Life string
 	Rate float64
 	// Rank is the priority rank of the request's route.
@@ -189,10 +189,10 @@
 }
 
 // NoteDenial records that a replica has no capacity for requests of a rank for a time.
-func (d *Directory) NoteDenial(life string, rank int, wait time.Duration) {
+func (d *Directory) NoteDenial(incarnation string, rank int, wait time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if replica, listed := d.replicas[life]; listed && replica.limit.declared {
+	if replica, listed := d.replicas[incarnation]; listed && replica.limit.declared {
 		replica.limit.deniedUntil[rankOf(rank)] = d.clock() + max(wait, minimumDenialTime)
 	}
 }
--- a/internal/relay/reading_test.go
+++ b/internal/relay/reading_test.go
@@ -169,7 +169,7 @@
 	} {
 		d := newDirectoryWithKnownCosts(replica("g", region.StageDecode), replica("a", region.StagePrefill), replica("b", region.StagePrefill))
 		d.SetEngine("s", traffic.Engine{TokenBytes: 1000, LinkBitsPerSecond: test.link})
-		d.AddCached(region.Life{ID: "b"}, []relay.PromptPart{shared})
+		d.AddCached(region.Incarnation{ID: "b"}, []relay.PromptPart{shared})
 		d.reportPeerWork("b", 900*time.Millisecond)
 		lease := d.placePrefill(prompt(shared, relay.PromptPart{ID: "own", Tokens: 100}))
 		require.Equal(t, "a", lease.Replica.ID)
@@ -232,7 +232,7 @@
 		prefill(fmt.Sprint(number))
 	}
 	assert.Empty(t, d.Costs())
-	d.AddCached(region.Life{ID: "r"}, nil)
+	d.AddCached(region.Incarnation{ID: "r"}, nil)
 	for number := range 5 {
 		prefill(fmt.Sprint("kept-", number))
 	}
--- a/internal/relay/refusal.go
+++ b/internal/relay/refusal.go
@@ -132,27 +132,27 @@
 
 // Resting lists the replicas that have requested a backoff from this process, or from one that this
 // process places requests for, longest backoff first.
-func (d *Directory) Resting() []region.RestingReplica {
+func (d *Directory) Resting() []region.BackoffReplica {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.backoffRevision == 0 {
 		return nil
 	}
-	var reported []region.RestingReplica
+	var reported []region.BackoffReplica
 	now := d.clock()
 	for name, replica := range d.replicas {
 		if left := replica.rejections.backoffUntil - now; left > 0 {
-			reported = append(reported, region.RestingReplica{Replica: name, LeftMillis: int(left.Milliseconds())})
+			reported = append(reported, region.BackoffReplica{Replica: name, LeftMillis: int(left.Milliseconds())})
 		}
 	}
-	slices.SortFunc(reported, func(a, b region.RestingReplica) int {
+	slices.SortFunc(reported, func(a, b region.BackoffReplica) int {
 		return cmp.Or(cmp.Compare(b.LeftMillis, a.LeftMillis), strings.Compare(a.Replica, b.Replica))
 	})
 	return reported[:min(len(reported), maximumReportedBackoffs)]
 }
 
 // ApplyBackoffs records the replicas that have requested a backoff from another process.
-func (d *Directory) ApplyBackoffs(reported []region.RestingReplica) {
+func (d *Directory) ApplyBackoffs(reported []region.BackoffReplica) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := d.clock()
--- a/internal/relay/replica.go
+++ b/internal/relay/replica.go
@@ -192,7 +192,7 @@
 
 // isLeavingForGood reports whether the replica takes no new work until its incarnation ends, according to the list or
 // its own answers. The caller must hold Directory.mutex.
-func (r *Replica) isLeavingForGood() bool { return r.Leaves() || r.declaresLeaving() }
+func (r *Replica) isLeavingForGood() bool { return r.IsLeaving() || r.declaresLeaving() }
 
 // notifyStreams notifies the streams on the replica that it is leaving. The caller must hold Directory.mutex.
 func (r *Replica) notifyStreams() {
--- a/internal/relay/rest_test.go
+++ b/internal/relay/rest_test.go
@@ -135,12 +135,12 @@
 	w.addReplica("generator", region.StageDecode, streamEvents(1, 3, false))
 	asked, excluded, released := 0, 0, 0
 	w.runner.SetRemotePlacement(&relay.RemotePlacement{
-		Ask: func(_ context.Context, question *region.PlacementQuestion, _ time.Duration) (*region.PlacementAnswer, string, error) {
-			answer := &region.PlacementAnswer{Lease: question.Lease, Outcome: region.PlacementGranted, Replica: "generator"}
-			if question.Kind == region.PlaceRead {
+		Ask: func(_ context.Context, query *region.PlacementQuery, _ time.Duration) (*region.PlacementAnswer, string, error) {
+			answer := &region.PlacementAnswer{Lease: query.Lease, Outcome: region.PlacementGranted, Replica: "generator"}
+			if query.Kind == region.PlacePrefill {
 				asked++
 				answer.Replica, answer.BusyMicros = "resting", 1
-				if slices.Contains(question.Excluded, "resting") {
+				if slices.Contains(query.Excluded, "resting") {
 					excluded++
 				}
 			}
--- a/internal/relay/runner.go
+++ b/internal/relay/runner.go
@@ -67,9 +67,9 @@
 func (r *Runner) SetGuard(guard *poison.Guard) {
 	r.guard = guard
 	r.crashDetector = poison.NewGuardedDetector(guard, upstream.Refuses, r.logger)
-	r.crashDetector.OnCrash = func(life string, under []poison.Digest) {
-		r.directory.ProcessEnded(life)
-		guard.ReplicaCrashed(life, under)
+	r.crashDetector.OnCrash = func(incarnation string, under []poison.Digest) {
+		r.directory.ProcessEnded(incarnation)
+		guard.ReplicaCrashed(incarnation, under)
 	}
 }
 
