--- a/bench/manygateways/deciders.go
+++ b/bench/manygateways/deciders.go
@@ -123,7 +123,7 @@
 		for offset := 1; offset < min(count, promptPeers+1); offset++ {
 			to := w.gateways[(index+offset)%count]
 			to.directory.TakePlaced(placed)
-			if offset <= peers.Maximum {
+			if offset <= peers.MaximumWorkPeers {
 				to.directory.TakeOutstanding(from.name, work, true)
 				to.directory.TakeCosts(costs)
 			}
--- a/internal/config/regional/settings.go
+++ b/internal/config/regional/settings.go
@@ -198,8 +198,8 @@
 	if s.ContactMillis < 0 {
 		report("contact_ms must not be negative")
 	}
-	if s.OtherRegionsRate < 0 || s.OtherRegionsRate > 0 && s.OtherRegionsRate < peers.LeastOtherRegionsRate {
-		report("other_regions_bytes_per_second must be 0 or at least %d", peers.LeastOtherRegionsRate)
+	if s.OtherRegionsRate < 0 || s.OtherRegionsRate > 0 && s.OtherRegionsRate < peers.MinimumOtherRegionsRate {
+		report("other_regions_bytes_per_second must be 0 or at least %d", peers.MinimumOtherRegionsRate)
 	}
 	if s.HoldSeconds < 0 {
 		report("hold_seconds must not be negative")
@@ -258,8 +258,8 @@
 func (s *Settings) Voters() int { return 2*s.ToleratedLosses + 1 }
 
 // DefaultPlacesAbove is the number of gateways up to which each tells all others of its work
-// (peers.Maximum), and knows enough to choose by itself.
-const DefaultPlacesAbove = peers.Maximum + 1
+// (peers.MaximumWorkPeers), and knows enough to choose by itself.
+const DefaultPlacesAbove = peers.MaximumWorkPeers + 1
 
 // PlacesFrom is the number of gateways above which coordinators choose replicas for them.
 func (s *Settings) PlacesFrom() int {
--- a/internal/coordinator/place.go
+++ b/internal/coordinator/place.go
@@ -40,7 +40,7 @@
 		peers: peers.New(peers.Options{
 			Name:              settings.Name,
 			Address:           settings.Address,
-			Life:              startedAt,
+			Incarnation:       startedAt,
 			Zone:              settings.Zone,
 			Topology:          settings.Topology,
 			LinkBitsPerSecond: settings.LinkBitsPerSecond,
@@ -80,7 +80,7 @@
 	var loops sync.WaitGroup
 	for _, loop := range []func(context.Context){
 		c.syncDirectory, c.syncPlacementPeers,
-		c.placement.server.Sweep, c.placement.peers.Tell, c.placement.warmup.Run, c.learnCached, c.logRegionReports,
+		c.placement.server.Sweep, c.placement.peers.Run, c.placement.warmup.Run, c.learnCached, c.logRegionReports,
 	} {
 		loops.Go(func() { loop(ctx) })
 	}
@@ -136,8 +136,8 @@
 func (c *Coordinator) syncPlacementPeers(ctx context.Context) {
 	for {
 		addresses := c.sortedMembers()
-		if hash := hashAddresses(addresses); hash != c.placement.peers.Known() {
-			c.placement.peers.Take(hash, addresses)
+		if hash := hashAddresses(addresses); hash != c.placement.peers.AddressesHash() {
+			c.placement.peers.SetAddresses(hash, addresses)
 		}
 		if !lifecycle.Sleep(ctx, placementMembersInterval) {
 			return
--- a/internal/coordinator/replicalimits.go
+++ b/internal/coordinator/replicalimits.go
@@ -55,7 +55,7 @@
 	}
 	service.refresh = service.updateListed
 	service.onDecision = service.noteDecision
-	socket.Handle(datagram.KindLimitWord, service.receiveReports)
+	socket.Handle(datagram.KindLimitReport, service.receiveReports)
 	return service
 }
 
@@ -170,7 +170,7 @@
 // sendReports sends limit reports in batches. The caller must hold l.mutex.
 func (l *limitService) sendReports(to netip.AddrPort, reports []ratelimit.Report) {
 	for _, batch := range ratelimit.Batches(reports) {
-		l.socket.Send(datagram.KindLimitWord, &ratelimit.Message{From: l.settings.Address, Hash: l.table.LimitsHash(), Reports: batch}, to)
+		l.socket.Send(datagram.KindLimitReport, &ratelimit.Message{From: l.settings.Address, Hash: l.table.LimitsHash(), Reports: batch}, to)
 	}
 }
 
@@ -200,7 +200,7 @@
 		return
 	}
 	message := &ratelimit.Message{From: l.settings.Address, Hash: l.table.LimitsHash()}
-	l.socket.Send(datagram.KindLimitWord, message, l.otherCoordinators()...)
+	l.socket.Send(datagram.KindLimitReport, message, l.otherCoordinators()...)
 }
 
 // view returns the hash of the replicas that declare limits and, unless it equals the gateway's known hash,
--- a/internal/coordinator/replicalimits_test.go
+++ b/internal/coordinator/replicalimits_test.go
@@ -48,7 +48,7 @@
 
 // report sends a limit report of a replica to a coordinator.
 func (a *limitClient) report(coordinator string, report ratelimit.Report) {
-	a.socket.Send(datagram.KindLimitWord, &ratelimit.Message{From: a.address, Reports: []ratelimit.Report{report}}, netip.MustParseAddrPort(coordinator))
+	a.socket.Send(datagram.KindLimitReport, &ratelimit.Message{From: a.address, Reports: []ratelimit.Report{report}}, netip.MustParseAddrPort(coordinator))
 }
 
 // requestPermit requests a permit from a coordinator, repeatedly until it answers.
--- a/internal/coordinator/usage.go
+++ b/internal/coordinator/usage.go
@@ -121,7 +121,7 @@
 // to the median of all clocks.
 func (u *usageState) recordClocks(from string, clocks []int64) {
 	for index, each := range clocks {
-		u.regionClocks.Take(fmt.Sprint(from, " ", index), each)
+		u.regionClocks.Record(fmt.Sprint(from, " ", index), each)
 	}
 	if median := regionclock.Median(u.regionClocks.Read()); median > 0 {
 		u.clock.Set(time.Now(), time.Unix(0, median))
--- a/internal/coordinator/view.go
+++ b/internal/coordinator/view.go
@@ -16,7 +16,7 @@
 	c.gateways.recordPoll(c.now(), request.Address)
 	c.builds.recordGateway(request.Address, region.Build{Protocol: request.Protocol, Revision: request.Revision})
 	c.gatewayDemand.put(c.now(), request.Address, request.Demand)
-	c.usage.ownClocks.Take(request.Address, request.WallNanos)
+	c.usage.ownClocks.Record(request.Address, request.WallNanos)
 	c.recordUsage(request.Usage)
 	wait := min(time.Duration(request.WaitMillis)*time.Millisecond, maximumViewWait)
 	timer := time.NewTimer(wait)
--- a/internal/datagram/socket.go
+++ b/internal/datagram/socket.go
@@ -31,13 +31,13 @@
 	KindQuotaReply
 	KindQuotaPeer
 	// KindLimit, KindLimitReply and KindLimitPeer carry the same for the limits that replicas
-	// declare, and KindLimitWord a ratelimit.Message.
+	// declare, and KindLimitReport a ratelimit.Message.
 	KindLimit
 	KindLimitReply
 	KindLimitPeer
-	KindLimitWord
-	// KindResting carries a region.BackoffReport.
-	KindResting
+	KindLimitReport
+	// KindBackoffReport carries a region.BackoffReport.
+	KindBackoffReport
 	kindEnd
 )
 
--- a/internal/peers/backoffs.go
+++ b/internal/peers/backoffs.go
@@ -29,7 +29,7 @@
 	}
 	b.resendAt = now.Add(fullInterval)
 	message := &region.BackoffReport{Gateway: parent.peers.name, Replicas: backoffs}
-	sent := parent.peers.socket.Send(datagram.KindResting, message, near[:min(len(near), Maximum)]...)
+	sent := parent.peers.socket.Send(datagram.KindBackoffReport, message, near[:min(len(near), MaximumWorkPeers)]...)
 	parent.allowance -= float64(sent)
 	parent.peers.count(Counts{OwnRegion: uint64(sent)})
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -19,10 +19,10 @@
 
 // Options configure Peers.
 type Options struct {
-	// Name and Address are the process's own; Life is the start time of its incarnation.
-	Name    string
-	Address string
-	Life    int64
+	// Name and Address are the process's own; Incarnation is the start time of its process.
+	Name        string
+	Address     string
+	Incarnation int64
 	// Zone is the process's own; Topology says which zones belong to its region.
 	Zone     string
 	Topology topology.Map
@@ -39,13 +39,13 @@
 // their reports, so that they don't all choose the same replica. The state is soft: a later
 // datagram makes up for a lost one. It is safe for concurrent use.
 type Peers struct {
-	name      string
-	address   string
-	directory *relay.Directory
-	socket    *datagram.Socket
-	life      int64
-	zone      string
-	topology  topology.Map
+	name        string
+	address     string
+	directory   *relay.Directory
+	socket      *datagram.Socket
+	incarnation int64
+	zone        string
+	topology    topology.Map
 	// multipleRegions says that the topology has more than one region.
 	multipleRegions bool
 	// bytesPerSecond bounds the traffic to all peers of the region, otherRegionsRate that to all
@@ -67,8 +67,8 @@
 
 // receivedState is what is known of the messages received from a peer.
 type receivedState struct {
-	life     int64
-	sequence uint64
+	incarnation int64
+	sequence    uint64
 	// lastPrompt is the sequence of the last prompt that it placed.
 	lastPrompt uint64
 	// transit is the minimum transit time of its messages, including the offset between the clocks.
@@ -93,10 +93,10 @@
 	defaultRate  = 64 << 10
 	maximumRate  = 512 << 10
 	burstTime    = 250 * time.Millisecond
-	// Maximum bounds the peers that receive reports of work, and maximumPromptPeers those that
+	// MaximumWorkPeers bounds the peers that receive reports of work, and maximumPromptPeers those that
 	// receive placed prompts, which are fewer and stay valid for longer. Each process sends to the
 	// peers that follow it in the sorted list of addresses.
-	Maximum            = 12
+	MaximumWorkPeers   = 12
 	maximumPromptPeers = 96
 )
 
@@ -107,7 +107,7 @@
 		address:         options.Address,
 		directory:       options.Directory,
 		socket:          options.Socket,
-		life:            options.Life,
+		incarnation:     options.Incarnation,
 		zone:            options.Zone,
 		topology:        options.Topology,
 		multipleRegions: options.Topology.Spans(),
@@ -121,7 +121,7 @@
 		created.otherRegionsRate = DefaultOtherRegionsRate
 	}
 	options.Socket.Handle(datagram.KindOutstanding, created.receive)
-	options.Socket.Handle(datagram.KindResting, created.receiveBackoffs)
+	options.Socket.Handle(datagram.KindBackoffReport, created.receiveBackoffs)
 	return created
 }
 
@@ -133,9 +133,9 @@
 	return min(linkFraction*linkBitsPerSecond/8, maximumRate)
 }
 
-// Take sets the addresses of all processes, including this one, in ascending order, and the hash of
+// SetAddresses sets the addresses of all processes, including this one, in ascending order, and the hash of
 // the list.
-func (p *Peers) Take(hash uint64, addresses []string) {
+func (p *Peers) SetAddresses(hash uint64, addresses []string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.hash = hash
@@ -151,8 +151,8 @@
 	maps.DeleteFunc(p.zones, func(peer netip.AddrPort, _ string) bool { return !slices.Contains(p.addresses, peer) })
 }
 
-// Known returns the hash of the current list of addresses.
-func (p *Peers) Known() uint64 {
+// AddressesHash returns the hash of the current list of addresses.
+func (p *Peers) AddressesHash() uint64 {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.hash
@@ -184,8 +184,8 @@
 	return p.counts
 }
 
-// Forget removes all peers, so that nothing is sent any more.
-func (p *Peers) Forget() { p.Take(0, nil) }
+// ClearAddresses removes all peers, so that nothing is sent any more.
+func (p *Peers) ClearAddresses() { p.SetAddresses(0, nil) }
 
 // receive handles a message of a peer.
 func (p *Peers) receive(from netip.AddrPort, payload []byte) error {
@@ -214,11 +214,11 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	state := p.received[message.Gateway]
-	if message.Life < state.life || message.Life == state.life && message.Sequence <= state.sequence {
+	if message.Life < state.incarnation || message.Life == state.incarnation && message.Sequence <= state.sequence {
 		return 0, false
 	}
-	if message.Life != state.life {
-		state = receivedState{life: message.Life}
+	if message.Life != state.incarnation {
+		state = receivedState{incarnation: message.Life}
 	}
 	state.sequence = message.Sequence
 	if message.WallNanos != 0 {
@@ -244,9 +244,9 @@
 	return fresh
 }
 
-// Tell sends this process's work to the peers whenever it has changed, within the allowed rate,
+// Run sends this process's work to the peers whenever it has changed, within the allowed rate,
 // until the context ends.
-func (p *Peers) Tell(ctx context.Context) {
+func (p *Peers) Run(ctx context.Context) {
 	state := sender{peers: p, lastStep: time.Now()}
 	for lifecycle.Sleep(ctx, p.pollInterval()) {
 		state.step(time.Now())
@@ -352,7 +352,7 @@
 	message.Replicas = replicas
 	message.Prompts = prompts
 	message.Unreachable = s.unreachable
-	near := min(len(targets), Maximum)
+	near := min(len(targets), MaximumWorkPeers)
 	if !s.sendToRegion(message, targets[:near]) {
 		return
 	}
@@ -375,7 +375,7 @@
 	s.sequence++
 	message := &region.Outstanding{
 		Gateway:  s.peers.name,
-		Life:     s.peers.life,
+		Life:     s.peers.incarnation,
 		Sequence: s.sequence,
 		Costs:    s.peers.directory.Costs(),
 	}
--- a/internal/peers/regions_test.go
+++ b/internal/peers/regions_test.go
@@ -44,7 +44,7 @@
 	}
 	p.directory.Replace([]region.Replica{{ID: "r", Service: "s", Zone: "north-a", Slots: 64, Stage: region.StageDecode}})
 	p.Peers = New(Options{
-		Name: zone, Address: p.address.String(), Life: started.UnixNano(), Zone: zone, Topology: regions,
+		Name: zone, Address: p.address.String(), Incarnation: started.UnixNano(), Zone: zone, Topology: regions,
 		Directory: p.directory, Socket: p.socket,
 	})
 	p.socket.Handle(datagram.KindOutstanding, func(from netip.AddrPort, payload []byte) error {
@@ -78,7 +78,7 @@
 		addresses = append(addresses, each.address.String())
 	}
 	for _, each := range processes {
-		each.Take(1, addresses)
+		each.SetAddresses(1, addresses)
 	}
 }
 
--- a/internal/peers/summaries.go
+++ b/internal/peers/summaries.go
@@ -17,9 +17,9 @@
 	// It suffices for the work at 300 replicas five times a second to one peer and the prefixes of
 	// 200 prompts a second, or for more peers less often.
 	DefaultOtherRegionsRate = 64 << 10
-	// LeastOtherRegionsRate suffices to send each of a few peers a message before the previous one
+	// MinimumOtherRegionsRate suffices to send each of a few peers a message before the previous one
 	// expires.
-	LeastOtherRegionsRate = 1 << 10
+	MinimumOtherRegionsRate = 1 << 10
 	// summaryInterval is the minimum time between two summaries to other regions. They use
 	// summaries to judge whether a region has spare capacity, not to schedule individual prompts.
 	summaryInterval = 200 * time.Millisecond
--- a/internal/regionclock/clock.go
+++ b/internal/regionclock/clock.go
@@ -71,9 +71,9 @@
 // elapsed returns the time since s was created, including suspensions.
 func (s *Samples) elapsed() time.Duration { return time.Since(s.started) + s.suspended() }
 
-// Take records the reading of a machine's clock, in nanoseconds since 1970. A reading of 0 or less is
+// Record records the reading of a machine's clock, in nanoseconds since 1970. A reading of 0 or less is
 // ignored: the machine has reported none.
-func (s *Samples) Take(name string, wallNanos int64) {
+func (s *Samples) Record(name string, wallNanos int64) {
 	if wallNanos <= 0 {
 		return
 	}
--- a/internal/regionclock/clock_test.go
+++ b/internal/regionclock/clock_test.go
@@ -19,7 +19,7 @@
 	samples := regionclock.NewSamples(func() time.Duration { return suspended })
 	at, region := time.Now(), time.Unix(1_000_000, 0)
 	clock.Set(at, region)
-	samples.Take("other", region.UnixNano())
+	samples.Record("other", region.UnixNano())
 	suspended = 3 * time.Second
 	assert.Equal(t, region.Add(3*time.Second), clock.At(at))
 	assert.GreaterOrEqual(t, samples.Read()[0], region.Add(3*time.Second).UnixNano())
@@ -57,13 +57,13 @@
 
 func TestSamplesAreExtrapolatedToThePresent(t *testing.T) {
 	samples := regionclock.NewSamples(neverSuspended)
-	samples.Take("none", 0)
+	samples.Record("none", 0)
 	assert.Empty(t, samples.Read(), "a machine that reports no time")
 	wall := time.Now().UnixNano()
 	for number := range 3 {
-		samples.Take(fmt.Sprint(number), wall)
+		samples.Record(fmt.Sprint(number), wall)
 	}
-	samples.Take("2", wall+1)
+	samples.Record("2", wall+1)
 	read := samples.Read()
 	assert.Len(t, read, 3, "one for each machine")
 	for _, clock := range read {
--- a/internal/relay/daemon/coordinatorchoice.go
+++ b/internal/relay/daemon/coordinatorchoice.go
@@ -197,7 +197,7 @@
 		Address: v.settings.PeerListen,
 		// The maximum versions keep the answer short, as nothing is newer.
 		Version: math.MaxUint64, ListRevision: math.MaxUint64, PoisonRevision: math.MaxUint64,
-		PeersHash: v.placementMode.peers.Known(),
+		PeersHash: v.placementMode.peers.AddressesHash(),
 	}
 	var view region.View
 	if err := v.client.Call(ctx, coordinator, region.PathView, request, &view); err != nil {
--- a/internal/relay/daemon/daemon.go
+++ b/internal/relay/daemon/daemon.go
@@ -86,7 +86,7 @@
 	peers := peers.New(peers.Options{
 		Name:              settings.Name,
 		Address:           settings.PeerListen,
-		Life:              incarnation,
+		Incarnation:       incarnation,
 		Zone:              settings.Zone,
 		Topology:          settings.Topology,
 		LinkBitsPerSecond: settings.LinkBitsPerSecond,
@@ -230,7 +230,7 @@
 	go d.views.probeCoordinators(work)
 	go d.views.pollListWhenStale(work)
 	go d.receiveMessages(work)
-	go d.peers.Tell(work)
+	go d.peers.Run(work)
 	go d.placement.Run(work)
 	go d.warmUp(work)
 	go d.evidence.Run(work)
--- a/internal/relay/daemon/deciders.go
+++ b/internal/relay/daemon/deciders.go
@@ -31,12 +31,12 @@
 		m.remote = false
 	}
 	if m.remote {
-		m.peers.Forget()
+		m.peers.ClearAddresses()
 		m.client.SetCoordinator(coordinator)
 		return
 	}
 	m.client.SetCoordinator("")
-	if view.PeersHash != m.peers.Known() {
-		m.peers.Take(view.PeersHash, view.Peers)
+	if view.PeersHash != m.peers.AddressesHash() {
+		m.peers.SetAddresses(view.PeersHash, view.Peers)
 	}
 }
--- a/internal/relay/daemon/deciders_test.go
+++ b/internal/relay/daemon/deciders_test.go
@@ -30,16 +30,16 @@
 
 	mode.update(time.Second, "10.0.1.1:1", few)
 	assert.False(t, mode.client.HasCoordinator())
-	assert.EqualValues(t, 7, mode.peers.Known())
+	assert.EqualValues(t, 7, mode.peers.AddressesHash())
 
 	mode.update(2*time.Second, "10.0.1.1:1", many)
 	assert.True(t, mode.client.HasCoordinator())
-	assert.Zero(t, mode.peers.Known(), "the gateway reports to no peers any more")
+	assert.Zero(t, mode.peers.AddressesHash(), "the gateway reports to no peers any more")
 
 	mode.update(3*time.Second, "10.0.1.2:1", few)
 	assert.True(t, mode.client.HasCoordinator(), "the coordinator has not counted the gateways yet")
 
 	mode.update(2*time.Second+remotePlacementHoldTime+1, "10.0.1.2:1", few)
 	assert.False(t, mode.client.HasCoordinator(), "the coordinator still reports few gateways after the hold time")
-	assert.EqualValues(t, 7, mode.peers.Known())
+	assert.EqualValues(t, 7, mode.peers.AddressesHash())
 }
--- a/internal/relay/daemon/replicalimits.go
+++ b/internal/relay/daemon/replicalimits.go
@@ -92,7 +92,7 @@
 		return
 	}
 	for _, batch := range ratelimit.Batches(limits) {
-		l.socket.Send(datagram.KindLimitWord, &ratelimit.Message{From: l.settings.PeerListen, Reports: batch}, candidates[0])
+		l.socket.Send(datagram.KindLimitReport, &ratelimit.Message{From: l.settings.PeerListen, Reports: batch}, candidates[0])
 	}
 }
 
--- a/internal/relay/daemon/viewkeeper.go
+++ b/internal/relay/daemon/viewkeeper.go
@@ -170,7 +170,7 @@
 	request := &region.ViewRequest{
 		Gateway:    v.settings.Name,
 		Address:    v.settings.PeerListen,
-		PeersHash:  v.placementMode.peers.Known(),
+		PeersHash:  v.placementMode.peers.AddressesHash(),
 		Demand:     v.directory.Demand(v.settings.Topology),
 		WaitMillis: int(viewPollWait.Milliseconds()),
 		Usage:      v.usage.report(v.settings.PeerListen, coordinator),
