--- a/bench/simulation/backendchoice.go
+++ b/bench/simulation/backendchoice.go
@@ -56,7 +56,7 @@
 // ableBackEnds lists the back ends that take new work, as far as is known.
 func (g *gateway) ableBackEnds() []string {
 	if g.world.plant == PlantDispatchToLeaving {
-		return sortedKeys(g.session.Picture().BackEnds)
+		return sortedKeys(g.session.MergedView().BackEnds)
 	}
 	var able []string
 	for _, view := range g.fleet.Snapshot().BackEndsOf(applicationName) {
--- a/bench/simulation/gateway.go
+++ b/bench/simulation/gateway.go
@@ -18,7 +18,7 @@
 	"github.com/pierhaven/pierhaven/internal/session"
 )
 
-// gateway runs the gateway's session core, its picture of the zone and its
+// gateway runs the gateway's session core, its merged view of the zone and its
 // scheduler; its requests are modelRun and onceRun.
 type gateway struct {
 	process
@@ -131,7 +131,7 @@
 		return nil
 	}
 	usable := []string{}
-	for _, engineID := range sortedKeys(g.session.Picture().Engines) {
+	for _, engineID := range sortedKeys(g.session.MergedView().Engines) {
 		if allowed, _ := g.session.MayDispatch(now, engineID); allowed {
 			usable = append(usable, engineID)
 		}
@@ -164,7 +164,7 @@
 		for _, engineID := range g.withheld.Due(now) {
 			g.moveFrom(engineID)
 		}
-		for _, target := range g.session.Asks(now) {
+		for _, target := range g.session.TargetsToQuery(now) {
 			g.askTarget(target)
 		}
 		g.watchEngines()
@@ -175,7 +175,7 @@
 // lease has to know.
 func (g *gateway) askTarget(target session.Target) {
 	sentAt, asked := g.now(), g.session
-	told := func(serves bool) { asked.Told(sentAt, target, serves) }
+	told := func(serves bool) { asked.RecordConfirmation(sentAt, target, serves) }
 	if target.IsBackEnd {
 		to := g.world.backEndAt(target.Address)
 		g.world.call(&g.process, &to.process, askTimeout, func(e *exchange) { e.reply(to.state()) },
--- a/bench/simulation/gatewaysession.go
+++ b/bench/simulation/gatewaysession.go
@@ -65,15 +65,15 @@
 	}
 }
 
-// feed gives a reply to the session's core and puts its picture in force.
+// feed gives a reply to the session's core and installs its merged view.
 func (g *gateway) feed(input func()) {
 	before := g.session.ID()
-	g.fleet.Exclusively(func() *session.Picture {
+	g.fleet.Exclusively(func() *session.MergedView {
 		input()
-		return g.session.Picture()
+		return g.session.MergedView()
 	})
 	if id := g.session.ID(); id != before {
-		g.world.note(g.name, "session %d, view %d", id, g.session.Picture().Revision)
+		g.world.note(g.name, "session %d, view %d", id, g.session.MergedView().Revision)
 	}
 	g.noteConfig()
 	g.keepSession()
@@ -81,7 +81,7 @@
 
 // noteConfig records the configuration that is in force.
 func (g *gateway) noteConfig() {
-	config := g.session.Picture().Config
+	config := g.session.MergedView().Config
 	if config == nil || config.Revision == g.configInForce {
 		return
 	}
--- a/bench/simulation/settle.go
+++ b/bench/simulation/settle.go
@@ -46,7 +46,7 @@
 		if each.session.ID() == 0 {
 			return each.name + " has no session"
 		}
-		if config := each.session.Picture().Config; config == nil || len(config.Tenants) < len(w.tenants) {
+		if config := each.session.MergedView().Config; config == nil || len(config.Tenants) < len(w.tenants) {
 			return each.name + " has no configuration"
 		}
 	}
@@ -126,7 +126,7 @@
 		if !each.alive {
 			return each.name + " does not run"
 		}
-		if each.session.Picture().ConfigRevision() < accepted {
+		if each.session.MergedView().ConfigRevision() < accepted {
 			return each.name + " does not follow the newest configuration"
 		}
 	}
--- a/internal/gateway/fleet/fleet.go
+++ b/internal/gateway/fleet/fleet.go
@@ -21,8 +21,8 @@
 type Fleet struct {
 	clock Clock
 	gate  Gate
-	// updating is held from the taking of a picture until all listeners have
-	// seen it, so that they see the pictures in order. It is taken before
+	// updating is held from the update of the merged view until all listeners have
+	// seen it, so that they see the merged views in order. It is taken before
 	// dispatching.
 	updating sync.Mutex
 	// dispatching is held for reading from the permission to dispatch until
@@ -41,7 +41,7 @@
 }
 
 // OnChange adds a function that is called with each new snapshot. It must be
-// called before the first picture.
+// called before the first merged view is installed.
 func (f *Fleet) OnChange(listener func(*Snapshot)) {
 	f.listeners = append(f.listeners, listener)
 }
@@ -49,20 +49,20 @@
 // Snapshot returns the newest snapshot.
 func (f *Fleet) Snapshot() *Snapshot { return f.snapshot.Load() }
 
-// Exclusively runs update while no dispatch is being written and puts the
-// picture that it returns in force; nil leaves the one in force. When it
-// returns, no byte of a new attempt goes to a back end that the picture
+// Exclusively runs update while no dispatch is being written and installs the
+// merged view that it returns; nil leaves the current one installed. When it
+// returns, no byte of a new attempt goes to a back end that the view
 // withholds. Listeners must not call it.
-func (f *Fleet) Exclusively(update func() *session.Picture) {
+func (f *Fleet) Exclusively(update func() *session.MergedView) {
 	f.updating.Lock()
 	defer f.updating.Unlock()
 	f.dispatching.Lock()
-	picture := update()
-	if picture == nil {
+	merged := update()
+	if merged == nil {
 		f.dispatching.Unlock()
 		return
 	}
-	following := f.snapshot.Load().next(picture)
+	following := f.snapshot.Load().next(merged)
 	f.snapshot.Store(following)
 	f.dispatching.Unlock()
 	for _, listener := range f.listeners {
--- a/internal/gateway/fleet/order_test.go
+++ b/internal/gateway/fleet/order_test.go
@@ -38,9 +38,9 @@
 		}
 	})
 	var group sync.WaitGroup
-	group.Go(func() { fleet.Exclusively(func() *session.Picture { return &session.Picture{Revision: 1} }) })
+	group.Go(func() { fleet.Exclusively(func() *session.MergedView { return &session.MergedView{Revision: 1} }) })
 	<-listening
-	group.Go(func() { fleet.Exclusively(func() *session.Picture { return &session.Picture{Revision: 2} }) })
+	group.Go(func() { fleet.Exclusively(func() *session.MergedView { return &session.MergedView{Revision: 2} }) })
 	group.Wait()
 	require.Equal(t, []uint64{1, 2}, seen)
 	require.Equal(t, uint64(2), fleet.Snapshot().Revision)
--- a/internal/gateway/fleet/permit_test.go
+++ b/internal/gateway/fleet/permit_test.go
@@ -50,7 +50,7 @@
 	for range 200 {
 		gate.on.Store(true)
 		time.Sleep(50 * time.Microsecond)
-		zone.Exclusively(func() *session.Picture {
+		zone.Exclusively(func() *session.MergedView {
 			gate.on.Store(false)
 			return nil
 		})
--- a/internal/gateway/fleet/snapshot.go
+++ b/internal/gateway/fleet/snapshot.go
@@ -9,7 +9,7 @@
 	"github.com/pierhaven/pierhaven/internal/wire"
 )
 
-// Snapshot is the picture of the zone after one view. It is immutable.
+// Snapshot is the state of the zone after one view. It is immutable.
 type Snapshot struct {
 	Revision      uint64
 	Generation    uint64
@@ -66,22 +66,22 @@
 	return able
 }
 
-// next returns the snapshot of a picture.
-func (s *Snapshot) next(picture *session.Picture) *Snapshot {
+// next returns the snapshot of a merged view.
+func (s *Snapshot) next(merged *session.MergedView) *Snapshot {
 	following := &Snapshot{
-		Revision:      picture.Revision,
-		Generation:    picture.Generation,
+		Revision:      merged.Revision,
+		Generation:    merged.Generation,
 		Configuration: s.Configuration,
-		engines:       make(map[string]*Engine, len(picture.Engines)),
+		engines:       make(map[string]*Engine, len(merged.Engines)),
 		byModel:       map[string][]*Engine{},
-		backEnds:      maps.Clone(picture.BackEnds),
-		GatewayCount:  picture.GatewayCount,
+		backEnds:      maps.Clone(merged.BackEnds),
+		GatewayCount:  merged.GatewayCount,
 	}
-	for id, row := range picture.Engines {
+	for id, row := range merged.Engines {
 		following.engines[id] = &Engine{EngineView: row}
 	}
-	if picture.ConfigRevision() > s.configurationRevision() {
-		following.Configuration = s.Configuration.next(picture.Config)
+	if merged.ConfigRevision() > s.configurationRevision() {
+		following.Configuration = s.Configuration.next(merged.Config)
 	}
 	following.index()
 	return following
--- a/internal/gateway/fleet/withheld.go
+++ b/internal/gateway/fleet/withheld.go
@@ -21,7 +21,7 @@
 	return &Withheld{after: after, since: map[string]time.Duration{}}
 }
 
-// Update takes a new picture of the zone in.
+// Update processes a new snapshot of the zone.
 func (w *Withheld) Update(now time.Duration, snapshot *Snapshot) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
--- a/internal/gateway/scheduler/ranking_test.go
+++ b/internal/gateway/scheduler/ranking_test.go
@@ -37,9 +37,9 @@
 	created := New(options, clock, func(time.Duration) []string { return nil })
 	zone := fleet.New(clock, openGate{})
 	zone.OnChange(created.SetFleet)
-	zone.Exclusively(func() *session.Picture {
+	zone.Exclusively(func() *session.MergedView {
 		engine := wire.EngineView{ID: "e", Address: "127.0.0.1:1", Role: "mixed", Model: "m", Version: "1"}
-		return &session.Picture{
+		return &session.MergedView{
 			Revision: 1,
 			Engines:  map[string]wire.EngineView{"e": engine},
 			Config:   &dynamic.Snapshot{Revision: 1, Policies: policies},
--- a/internal/gateway/scheduler/scheduler.go
+++ b/internal/gateway/scheduler/scheduler.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// SetFleet takes a new picture of the zone.
+// SetFleet sets a new snapshot of the zone.
 func (s *Scheduler) SetFleet(snapshot *fleet.Snapshot) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/gateway/zonegroup/keeper.go
+++ b/internal/gateway/zonegroup/keeper.go
@@ -13,11 +13,11 @@
 	"github.com/pierhaven/pierhaven/internal/wire"
 )
 
-// Fleet takes pictures of the zone.
+// Fleet uses the merged views of the zone.
 type Fleet interface {
-	// Exclusively runs update while no dispatch is being written, and puts the
-	// picture that it returns in force; nil leaves the one in force.
-	Exclusively(update func() *session.Picture)
+	// Exclusively runs update while no dispatch is being written, and installs the
+	// merged view that it returns; nil leaves the current one installed.
+	Exclusively(update func() *session.MergedView)
 }
 
 // Reporter fills in what a heartbeat reports, and takes the shares granted.
@@ -57,7 +57,7 @@
 	return &Keeper{core: core, caller: caller, clock: clock, logger: logger, wake: make(chan struct{}, 1)}
 }
 
-// Attach names who takes the pictures, who makes the reports and who takes the news on requests
+// Attach names who uses the merged views, who makes the reports and who takes the news on requests
 // that end engines.
 func (k *Keeper) Attach(fleet Fleet, reporter Reporter, guard *poison.Guard) {
 	k.fleet = fleet
@@ -165,27 +165,27 @@
 		input()
 		return
 	}
-	k.fleet.Exclusively(func() *session.Picture {
+	k.fleet.Exclusively(func() *session.MergedView {
 		k.mutex.Lock()
 		defer k.mutex.Unlock()
-		before := position(k.core.Picture())
+		before := position(k.core.MergedView())
 		input()
-		if position(k.core.Picture()) == before {
+		if position(k.core.MergedView()) == before {
 			return nil
 		}
-		return k.core.Picture()
+		return k.core.MergedView()
 	})
 }
 
-// picturePosition tells two pictures apart.
-type picturePosition struct {
+// viewPosition identifies a merged view.
+type viewPosition struct {
 	generation     uint64
 	revision       uint64
 	configRevision uint64
 }
 
-func position(picture *session.Picture) picturePosition {
-	return picturePosition{picture.Generation, picture.Revision, picture.ConfigRevision()}
+func position(merged *session.MergedView) viewPosition {
+	return viewPosition{merged.Generation, merged.Revision, merged.ConfigRevision()}
 }
 
 // MayDispatch reports whether an engine may be given new work at a time.
@@ -209,14 +209,14 @@
 func (k *Keeper) Asks(now time.Duration) []session.Target {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	return k.core.Asks(now)
+	return k.core.TargetsToQuery(now)
 }
 
 // Told takes in a target's answer to a question that was sent at sentAt.
 func (k *Keeper) Told(sentAt time.Duration, target session.Target, serves bool) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	k.core.Told(sentAt, target, serves)
+	k.core.RecordConfirmation(sentAt, target, serves)
 }
 
 // LeaseState says how far the session reaches.
@@ -242,7 +242,7 @@
 		return nil
 	}
 	usable := []string{}
-	for engineID := range k.core.Picture().Engines {
+	for engineID := range k.core.MergedView().Engines {
 		if allowed, _ := k.core.MayDispatch(now, engineID); allowed {
 			usable = append(usable, engineID)
 		}
--- a/internal/reconcile/world_gateway_test.go
+++ b/internal/reconcile/world_gateway_test.go
@@ -142,7 +142,7 @@
 	for _, call := range g.session.Tick(g.clock()) {
 		g.call(call)
 	}
-	for _, target := range g.session.Asks(g.clock()) {
+	for _, target := range g.session.TargetsToQuery(g.clock()) {
 		g.queryEngine(target)
 	}
 	g.checkConfig()
@@ -155,7 +155,7 @@
 	env.schedule(env.messageDelay(), func() {
 		engine := env.engine(target.ID)
 		if engine != nil && !engine.down {
-			asked.Told(sentAt, target, engine.phase == engineapi.PhaseServing)
+			asked.RecordConfirmation(sentAt, target, engine.phase == engineapi.PhaseServing)
 		}
 	})
 }
@@ -163,7 +163,7 @@
 // checkConfig checks that the gateway's configuration revision never decreases and
 // is never ahead of the committed one.
 func (g *modelGateway) checkConfig() {
-	revision := g.session.Picture().ConfigRevision()
+	revision := g.session.MergedView().ConfigRevision()
 	if g.session.ID() == 0 {
 		return
 	}
--- a/internal/reconcile/world_test.go
+++ b/internal/reconcile/world_test.go
@@ -260,7 +260,7 @@
 		}
 	}
 	for _, gateway := range env.gateways {
-		if revision := gateway.session.Picture().ConfigRevision(); revision != env.group.publishedConfig {
+		if revision := gateway.session.MergedView().ConfigRevision(); revision != env.group.publishedConfig {
 			env.addViolation("%s has configuration %d, want %d", gateway.id, revision, env.group.publishedConfig)
 		}
 	}
--- a/internal/session/config_test.go
+++ b/internal/session/config_test.go
@@ -9,12 +9,12 @@
 	"github.com/pierhaven/pierhaven/internal/wire"
 )
 
-// pictureWithConfig returns a picture whose configuration has one model
+// mergedViewWithConfig returns a merged view whose configuration has one model
 // version.
-func pictureWithConfig(revision uint64, version string) *Picture {
-	picture := newPicture()
-	picture.Config = configuration(revision, version)
-	return &picture
+func mergedViewWithConfig(revision uint64, version string) *MergedView {
+	merged := newMergedView()
+	merged.Config = configuration(revision, version)
+	return &merged
 }
 
 func configuration(revision uint64, version string) *dynamic.Snapshot {
@@ -29,25 +29,25 @@
 }
 
 func TestADeltaUpdatesTheConfiguration(t *testing.T) {
-	picture := pictureWithConfig(5, "1")
-	picture.apply(deltaView(t, configuration(5, "1"), configuration(6, "2")), 0)
-	require.Equal(t, uint64(6), picture.ConfigRevision())
-	require.Equal(t, "2", picture.Config.Models[0].Version)
-	require.Equal(t, uint64(6), picture.knownConfig())
+	merged := mergedViewWithConfig(5, "1")
+	merged.apply(deltaView(t, configuration(5, "1"), configuration(6, "2")), 0)
+	require.Equal(t, uint64(6), merged.ConfigRevision())
+	require.Equal(t, "2", merged.Config.Models[0].Version)
+	require.Equal(t, uint64(6), merged.knownConfig())
 }
 
 func TestADeltaNeverMovesTheConfigurationBack(t *testing.T) {
-	picture := pictureWithConfig(7, "3")
-	picture.apply(deltaView(t, configuration(7, "3"), configuration(6, "2")), 0)
-	require.Equal(t, uint64(7), picture.ConfigRevision())
-	require.Equal(t, uint64(7), picture.knownConfig())
+	merged := mergedViewWithConfig(7, "3")
+	merged.apply(deltaView(t, configuration(7, "3"), configuration(6, "2")), 0)
+	require.Equal(t, uint64(7), merged.ConfigRevision())
+	require.Equal(t, uint64(7), merged.knownConfig())
 }
 
 func TestADeltaFromAnotherBaseIsDropped(t *testing.T) {
-	picture := pictureWithConfig(5, "1")
-	picture.apply(deltaView(t, configuration(4, "0"), configuration(6, "2")), 0)
-	require.Equal(t, uint64(5), picture.ConfigRevision())
-	require.Equal(t, uint64(5), picture.knownConfig(), "the next delta can start from this revision")
+	merged := mergedViewWithConfig(5, "1")
+	merged.apply(deltaView(t, configuration(4, "0"), configuration(6, "2")), 0)
+	require.Equal(t, uint64(5), merged.ConfigRevision())
+	require.Equal(t, uint64(5), merged.knownConfig(), "the next delta can start from this revision")
 }
 
 // If the same revision has other content here, the configuration in effect
@@ -57,12 +57,12 @@
 	base.Applications = []dynamic.Application{{Name: "unknown here"}}
 	next := configuration(6, "2")
 	next.Applications = base.Applications
-	picture := pictureWithConfig(5, "1")
-	picture.apply(deltaView(t, base, next), 0)
-	require.Equal(t, uint64(5), picture.ConfigRevision())
-	require.Equal(t, "1", picture.Config.Models[0].Version)
-	require.Zero(t, picture.knownConfig())
+	merged := mergedViewWithConfig(5, "1")
+	merged.apply(deltaView(t, base, next), 0)
+	require.Equal(t, uint64(5), merged.ConfigRevision())
+	require.Equal(t, "1", merged.Config.Models[0].Version)
+	require.Zero(t, merged.knownConfig())
 
-	picture.apply(&wire.View{ConfigRevision: 6, Config: next}, 0)
-	require.Equal(t, uint64(6), picture.knownConfig())
+	merged.apply(&wire.View{ConfigRevision: 6, Config: next}, 0)
+	require.Equal(t, uint64(6), merged.knownConfig())
 }
--- a/internal/session/confirmation.go
+++ b/internal/session/confirmation.go
@@ -35,14 +35,14 @@
 	serves          bool
 }
 
-// Asks returns the targets whose state is to be queried now: all that the
+// TargetsToQuery returns the targets whose state is to be queried now: all that the
 // gateway may use when its lease is over or about to be, and before that those
-// that have not answered the leader. Each answer is passed to Told.
+// that have not answered the leader. Each answer is passed to RecordConfirmation.
 //
 // A gateway without a lease has an old view, perhaps one from before a long
 // pause. Targets that have announced their leaving since must get no new work,
 // and only they themselves can report that.
-func (s *Session) Asks(now time.Duration) []Target {
+func (s *Session) TargetsToQuery(now time.Duration) []Target {
 	leaseEnd, isolationEnd := s.lease.Ends()
 	if s.id == 0 || now >= isolationEnd {
 		return nil
@@ -87,7 +87,7 @@
 // isolatedTargets lists what may be used without a lease.
 func (s *Session) isolatedTargets() []Target {
 	return s.targets(func(id string) bool {
-		_, inSet := s.picture.isolationSet[id]
+		_, inSet := s.merged.isolationSet[id]
 		return inSet
 	}, func(string) bool { return true })
 }
@@ -96,24 +96,24 @@
 // their ids.
 func (s *Session) targets(wantsEngine, wantsBackEnd func(id string) bool) []Target {
 	var targets []Target
-	for _, id := range slices.Sorted(maps.Keys(s.picture.Engines)) {
-		row := s.picture.Engines[id]
+	for _, id := range slices.Sorted(maps.Keys(s.merged.Engines)) {
+		row := s.merged.Engines[id]
 		if row.Dispatchable && !row.Leaving && wantsEngine(id) {
 			targets = append(targets, Target{ID: id, Address: row.Address})
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(s.picture.BackEnds)) {
-		if row := s.picture.BackEnds[id]; row.Dispatchable && wantsBackEnd(id) {
+	for _, id := range slices.Sorted(maps.Keys(s.merged.BackEnds)) {
+		if row := s.merged.BackEnds[id]; row.Dispatchable && wantsBackEnd(id) {
 			targets = append(targets, Target{ID: id, Address: row.Address, IsBackEnd: true})
 		}
 	}
 	return targets
 }
 
-// Told records a target's answer on whether it accepts new work, to a query
+// RecordConfirmation records a target's answer on whether it accepts new work, to a query
 // that was sent at sentAt. Answers to older queries than the newest answered
 // one are ignored.
-func (s *Session) Told(sentAt time.Duration, target Target, serves bool) {
+func (s *Session) RecordConfirmation(sentAt time.Duration, target Target, serves bool) {
 	known := s.confirmations[target]
 	if sentAt < known.answeredQueryAt {
 		return
--- a/internal/session/confirmation_test.go
+++ b/internal/session/confirmation_test.go
@@ -13,14 +13,14 @@
 // queries each target that it may use, and no other, once a second.
 func TestAGatewayWithoutALeaseQueriesItsTargets(t *testing.T) {
 	s := newSession()
-	require.Empty(t, s.Asks(time.Second))
+	require.Empty(t, s.TargetsToQuery(time.Second))
 	openSession(t, s, fullView(1, 10))
-	require.Empty(t, s.Asks(time.Second), "the lease is valid")
+	require.Empty(t, s.TargetsToQuery(time.Second), "the lease is valid")
 	wanted := []Target{{ID: "in-set"}, {ID: "printer", IsBackEnd: true}}
-	require.Equal(t, wanted, s.Asks(3*time.Second), "the lease ends soon")
-	require.Empty(t, s.Asks(3500*time.Millisecond))
-	require.Equal(t, wanted, s.Asks(5*time.Second))
-	require.Empty(t, s.Asks(60*time.Second), "the isolation time is over")
+	require.Equal(t, wanted, s.TargetsToQuery(3*time.Second), "the lease ends soon")
+	require.Empty(t, s.TargetsToQuery(3500*time.Millisecond))
+	require.Equal(t, wanted, s.TargetsToQuery(5*time.Second))
+	require.Empty(t, s.TargetsToQuery(60*time.Second), "the isolation time is over")
 }
 
 // TestAnIsolatedGatewaySendsNothingToALeavingTarget guards against new work for
@@ -32,11 +32,11 @@
 	printer := Target{ID: "printer", IsBackEnd: true}
 	_, reason := s.MayDispatchBackEnd(20*time.Second, "printer")
 	require.Equal(t, ReasonUnconfirmed, reason)
-	s.Told(20*time.Second, printer, false)
+	s.RecordConfirmation(20*time.Second, printer, false)
 	_, reason = s.MayDispatchBackEnd(20*time.Second, "printer")
 	require.Equal(t, ReasonUnconfirmed, reason)
-	s.Told(21*time.Second, printer, true)
-	s.Told(20*time.Second, printer, false)
+	s.RecordConfirmation(21*time.Second, printer, true)
+	s.RecordConfirmation(20*time.Second, printer, false)
 	permitted, _ := s.MayDispatchBackEnd(22*time.Second, "printer")
 	require.True(t, permitted, "a late answer to an earlier query is ignored")
 }
@@ -55,8 +55,8 @@
 	_, reason = s.MayDispatch(time.Second, "in-set")
 	require.Equal(t, ReasonNone, reason)
 	wanted := []Target{{ID: "out-of-set"}, {ID: "printer", IsBackEnd: true}}
-	require.Equal(t, wanted, s.Asks(time.Second))
-	s.Told(time.Second, wanted[1], true)
+	require.Equal(t, wanted, s.TargetsToQuery(time.Second))
+	s.RecordConfirmation(time.Second, wanted[1], true)
 	permitted, _ := s.MayDispatchBackEnd(time.Second, "printer")
 	require.True(t, permitted)
 	heartbeat = s.Tick(2 * time.Second)[0]
--- a/internal/session/dispatch.go
+++ b/internal/session/dispatch.go
@@ -37,7 +37,7 @@
 	if reason := reasonOf(state); reason != ReasonNone {
 		return false, reason
 	}
-	row, found := s.picture.Engines[engineID]
+	row, found := s.merged.Engines[engineID]
 	if !found {
 		return false, ReasonUnknown
 	}
@@ -47,7 +47,7 @@
 	if s.isKnownToLeader(state, engineID) {
 		return true, ReasonNone
 	}
-	if _, inSet := s.picture.isolationSet[engineID]; state != membership.LeaseHeld && !inSet {
+	if _, inSet := s.merged.isolationSet[engineID]; state != membership.LeaseHeld && !inSet {
 		return false, ReasonIsolated
 	}
 	return s.confirmed(now, Target{ID: engineID, Address: row.Address})
@@ -77,7 +77,7 @@
 	if reason := reasonOf(state); reason != ReasonNone {
 		return false, reason
 	}
-	row, found := s.picture.BackEnds[backEndID]
+	row, found := s.merged.BackEnds[backEndID]
 	if !found {
 		return false, ReasonUnknown
 	}
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -65,7 +65,7 @@
 	id      uint64
 	ticket  uint64
 	terms   wire.Terms
-	picture Picture
+	merged  MergedView
 	leaving bool
 	// confirmations are the targets' own statements to this gateway on whether
 	// they accept new work.
@@ -102,7 +102,7 @@
 func New(config Config) *Session {
 	return &Session{
 		config:        config.withDefaults(),
-		picture:       newPicture(),
+		merged:        newMergedView(),
 		confirmations: make(map[Target]confirmation),
 		unheard:       make(map[string]struct{}),
 	}
@@ -111,8 +111,8 @@
 // ID returns the open session's id, 0 for none.
 func (s *Session) ID() uint64 { return s.id }
 
-// Picture returns the newest merged view. The caller must not change it.
-func (s *Session) Picture() *Picture { return &s.picture }
+// MergedView returns the newest merged view. The caller must not change it.
+func (s *Session) MergedView() *MergedView { return &s.merged }
 
 // SetLeaving has the next heartbeat announce the gateway's planned stop.
 func (s *Session) SetLeaving() { s.leaving = true }
@@ -174,8 +174,8 @@
 		Heartbeat: &wire.HeartbeatRequest{
 			GatewayID:       s.config.GatewayID,
 			SessionID:       s.id,
-			AppliedRevision: s.picture.Revision,
-			ConfigRevision:  s.picture.ConfigRevision(),
+			AppliedRevision: s.merged.Revision,
+			ConfigRevision:  s.merged.ConfigRevision(),
 			Leaving:         s.leaving,
 		},
 	}
@@ -188,8 +188,8 @@
 		Watch: &wire.WatchRequest{
 			GatewayID:      s.config.GatewayID,
 			SessionID:      s.id,
-			Revision:       s.picture.Revision,
-			ConfigRevision: s.picture.knownConfig(),
+			Revision:       s.merged.Revision,
+			ConfigRevision: s.merged.knownConfig(),
 			WaitMillis:     s.config.WatchWait.Milliseconds(),
 		},
 	}
@@ -207,7 +207,7 @@
 		s.ticket = reply.Ticket
 		return
 	}
-	if !s.picture.apply(&reply.View, reply.SessionID) {
+	if !s.merged.apply(&reply.View, reply.SessionID) {
 		s.ticket = 0
 		s.open.due = now + s.retryDelay()
 		return
@@ -215,7 +215,7 @@
 	s.id = reply.SessionID
 	s.ticket = 0
 	s.terms = reply.Terms
-	s.lease.Begin(sentAt, membership.Terms(reply.Terms), s.picture.Revision)
+	s.lease.Begin(sentAt, membership.Terms(reply.Terms), s.merged.Revision)
 	s.heartbeat = callState{due: sentAt + time.Duration(reply.Terms.HeartbeatMillis)*time.Millisecond}
 	s.watch = callState{due: now}
 }
@@ -249,12 +249,12 @@
 // applyView applies a view and has a newer one acknowledged by an immediate
 // heartbeat.
 func (s *Session) applyView(now time.Duration, view *wire.View) {
-	before := s.picture.Revision
-	if !s.picture.apply(view, s.id) {
+	before := s.merged.Revision
+	if !s.merged.apply(view, s.id) {
 		return
 	}
-	s.lease.Applied(s.picture.Revision)
-	if s.picture.Revision > before {
+	s.lease.Applied(s.merged.Revision)
+	if s.merged.Revision > before {
 		s.heartbeat.due = now
 	}
 }
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -53,7 +53,7 @@
 	require.Equal(t, ReasonNoSession, reason)
 	openSession(t, s, fullView(1, 10))
 	for _, target := range []Target{{ID: "in-set"}, {ID: "out-of-set"}, {ID: "printer", IsBackEnd: true}} {
-		s.Told(3500*time.Millisecond, target, true)
+		s.RecordConfirmation(3500*time.Millisecond, target, true)
 	}
 	cases := []struct {
 		now    time.Duration
@@ -78,7 +78,7 @@
 	require.True(t, permitted)
 	_, reason = s.MayDispatchBackEnd(59*time.Second, "printer")
 	require.Equal(t, ReasonUnconfirmed, reason)
-	s.Told(58*time.Second, Target{ID: "printer", IsBackEnd: true}, true)
+	s.RecordConfirmation(58*time.Second, Target{ID: "printer", IsBackEnd: true}, true)
 	permitted, _ = s.MayDispatchBackEnd(59*time.Second, "printer")
 	require.True(t, permitted)
 	_, reason = s.MayDispatchBackEnd(60*time.Second, "printer")
@@ -131,8 +131,8 @@
 	older.Config = &dynamic.Snapshot{Revision: 4}
 	reopen := s.Tick(time.Second)[0]
 	s.Opened(time.Second, reopen.Number, &wire.OpenSessionReply{SessionID: 9, View: older, Terms: testTerms})
-	require.Equal(t, uint64(3), s.Picture().Revision)
-	require.Equal(t, uint64(5), s.Picture().ConfigRevision())
+	require.Equal(t, uint64(3), s.MergedView().Revision)
+	require.Equal(t, uint64(5), s.MergedView().ConfigRevision())
 }
 
 func TestUnansweredCallsAreRetried(t *testing.T) {
--- a/internal/session/view.go
+++ b/internal/session/view.go
@@ -7,9 +7,9 @@
 	"github.com/pierhaven/pierhaven/internal/wire"
 )
 
-// Picture is the newest state of the zone group, merged from full and partial
+// MergedView is the newest state of the zone group, merged from full and partial
 // views.
-type Picture struct {
+type MergedView struct {
 	Generation uint64
 	Revision   uint64
 	// Config never returns to an older revision, not even when the zone group
@@ -25,8 +25,8 @@
 	isolationSet map[string]struct{}
 }
 
-func newPicture() Picture {
-	return Picture{
+func newMergedView() MergedView {
+	return MergedView{
 		Engines:      make(map[string]wire.EngineView),
 		BackEnds:     make(map[string]wire.BackEndView),
 		isolationSet: make(map[string]struct{}),
@@ -35,32 +35,32 @@
 
 // ConfigRevision returns the revision of the configuration in effect, 0 for
 // none.
-func (p *Picture) ConfigRevision() uint64 {
-	if p.Config == nil {
+func (m *MergedView) ConfigRevision() uint64 {
+	if m.Config == nil {
 		return 0
 	}
-	return p.Config.Revision
+	return m.Config.Revision
 }
 
-// apply merges a view, and reports false if it is older than the picture or
+// apply merges a view, and reports false if it is older than the merged view or
 // can't be merged. A partial view is only applied on top of the same
 // generation.
-func (p *Picture) apply(view *wire.View, sessionID uint64) bool {
-	older := view.Generation < p.Generation ||
-		(view.Generation == p.Generation && view.Revision < p.Revision)
-	if older || (!view.Full && view.Generation != p.Generation) {
+func (m *MergedView) apply(view *wire.View, sessionID uint64) bool {
+	older := view.Generation < m.Generation ||
+		(view.Generation == m.Generation && view.Revision < m.Revision)
+	if older || (!view.Full && view.Generation != m.Generation) {
 		return false
 	}
 	if view.Full {
-		clear(p.Engines)
-		clear(p.BackEnds)
+		clear(m.Engines)
+		clear(m.BackEnds)
 	}
-	p.Generation = view.Generation
-	p.Revision = view.Revision
-	p.applyRows(view)
-	p.GatewayCount = view.GatewayCount
-	p.applyIsolation(view.Isolation, sessionID)
-	p.applyConfig(view)
+	m.Generation = view.Generation
+	m.Revision = view.Revision
+	m.applyRows(view)
+	m.GatewayCount = view.GatewayCount
+	m.applyIsolation(view.Isolation, sessionID)
+	m.applyConfig(view)
 	return true
 }
 
@@ -70,54 +70,54 @@
 // the revision in effect and gets a delta from there. After a delta that starts
 // from this revision but has another result, the full configuration is
 // requested.
-func (p *Picture) applyConfig(view *wire.View) {
-	if view.Config != nil && view.Config.Revision > p.ConfigRevision() {
-		p.Config = view.Config
-		p.needsFullConfig = false
+func (m *MergedView) applyConfig(view *wire.View) {
+	if view.Config != nil && view.Config.Revision > m.ConfigRevision() {
+		m.Config = view.Config
+		m.needsFullConfig = false
 	}
-	if view.ConfigDelta == nil || view.ConfigDelta.Revision <= p.ConfigRevision() {
+	if view.ConfigDelta == nil || view.ConfigDelta.Revision <= m.ConfigRevision() {
 		return
 	}
-	next, err := view.ConfigDelta.Apply(p.Config)
+	next, err := view.ConfigDelta.Apply(m.Config)
 	if err != nil {
-		p.needsFullConfig = !errors.Is(err, dynamic.ErrOtherBase)
+		m.needsFullConfig = !errors.Is(err, dynamic.ErrOtherBase)
 		return
 	}
-	p.Config = next
+	m.Config = next
 }
 
 // knownConfig returns the revision to name in a watch request: 0 requests the
 // full configuration.
-func (p *Picture) knownConfig() uint64 {
-	if p.needsFullConfig {
+func (m *MergedView) knownConfig() uint64 {
+	if m.needsFullConfig {
 		return 0
 	}
-	return p.ConfigRevision()
+	return m.ConfigRevision()
 }
 
-func (p *Picture) applyRows(view *wire.View) {
+func (m *MergedView) applyRows(view *wire.View) {
 	for _, row := range view.Engines {
 		if row.Removed {
-			delete(p.Engines, row.ID)
+			delete(m.Engines, row.ID)
 			continue
 		}
-		p.Engines[row.ID] = row
+		m.Engines[row.ID] = row
 	}
 	for _, row := range view.BackEnds {
 		if row.Removed {
-			delete(p.BackEnds, row.ID)
+			delete(m.BackEnds, row.ID)
 			continue
 		}
-		p.BackEnds[row.ID] = row
+		m.BackEnds[row.ID] = row
 	}
 }
 
-func (p *Picture) applyIsolation(isolation *wire.IsolationView, sessionID uint64) {
+func (m *MergedView) applyIsolation(isolation *wire.IsolationView, sessionID uint64) {
 	if isolation == nil || isolation.SessionID != sessionID {
 		return
 	}
-	clear(p.isolationSet)
+	clear(m.isolationSet)
 	for _, engineID := range isolation.Engines {
-		p.isolationSet[engineID] = struct{}{}
+		m.isolationSet[engineID] = struct{}{}
 	}
 }
