--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -59,7 +59,7 @@
 	config        *replication.Group // nil if this controller is not a config voter
 	configMachine *configMachine
 	term          atomic.Pointer[term]
-	engineEnds    engineEnds
+	engineCrashes engineCrashes
 
 	health   *telemetry.Health
 	metrics  *telemetry.Metrics
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -68,10 +68,10 @@
 	running.Go(c.guard(func() { c.adoptConfiguration(ctx, t) }))
 	running.Go(c.guard(func() { c.watchMachines(ctx, t) }))
 	running.Go(c.guard(func() { c.plan(ctx, t) }))
-	running.Go(c.guard(func() { c.keepPoison(ctx) }))
+	running.Go(c.guard(func() { c.manageHolds(ctx) }))
 	for _, zone := range c.settings.Zones {
 		if zone != c.settings.Zone {
-			running.Go(c.guard(func() { c.tellHolds(ctx, zone) }))
+			running.Go(c.guard(func() { c.sendHolds(ctx, zone) }))
 		}
 	}
 	c.tickUntilDone(ctx, t)
--- a/internal/controller/operators_test.go
+++ b/internal/controller/operators_test.go
@@ -73,7 +73,7 @@
 
 func TestRestartAfterManyChangesLosesAndRepeatsNone(t *testing.T) {
 	const changes = 300
-	c := startCluster(t, layout{zones: []string{"hal-noord"}, controllers: 3, change: func(settings *controllerSettings) {
+	c := startCluster(t, layout{zones: []string{"hal-noord"}, controllers: 3, adjustSettings: func(settings *controllerSettings) {
 		settings.SnapshotEntries = 50
 	}})
 	client := c.operators()
@@ -165,7 +165,7 @@
 		if g.config > 0 {
 			return nil
 		}
-		return g.beat()
+		return g.sendHeartbeat()
 	})
 	remaining := c.members["hal-noord"][0]
 	require.NoError(t, c.members["hal-noord"][1].stop(t))
@@ -195,7 +195,7 @@
 	members, err := client.Members(ctx, "hal-noord")
 	require.NoError(t, err)
 	require.Len(t, members.Group.Members, 3)
-	require.Error(t, g.beat(), "a controller without a majority must not renew a lease")
+	require.Error(t, g.sendHeartbeat(), "a controller without a majority must not renew a lease")
 
 	c.members["hal-noord"][1].start(t)
 	c.eventually("repeated request after the majority is restored", func() error {
--- a/internal/controller/poison.go
+++ b/internal/controller/poison.go
@@ -24,17 +24,17 @@
 	crashReportWindow = time.Second
 )
 
-// engineEnds names the crashes of engines. An engine keeps its id when it crashes, but each crash is
+// engineCrashes names the crashes of engines. An engine keeps its id when it crashes, but each crash is
 // a separate piece of evidence, and all gateways' reports of one crash count as one. It may be used
 // concurrently.
-type engineEnds struct {
+type engineCrashes struct {
 	mutex         sync.Mutex
 	firstReported map[string]time.Time
 }
 
 // crashName returns the name of an engine's crash that was reported at now: the engine's id and the
 // time of the crash's first report.
-func (e *engineEnds) crashName(engine string, now time.Time) string {
+func (e *engineCrashes) crashName(engine string, now time.Time) string {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.firstReported == nil {
@@ -57,7 +57,7 @@
 	now := time.Now()
 	command := &poison.Command{Completions: report.Completions}
 	for _, end := range report.Crashes {
-		command.Crashes = append(command.Crashes, poison.Crash{Replica: c.engineEnds.crashName(end.Replica, now), Requests: end.Requests})
+		command.Crashes = append(command.Crashes, poison.Crash{Replica: c.engineCrashes.crashName(end.Replica, now), Requests: end.Requests})
 	}
 	return &poison.News{}, c.commitPoison(ctx, command)
 }
@@ -78,9 +78,9 @@
 	return known
 }
 
-// keepPoison holds requests that are due to be held by the evidence, and deletes expired evidence,
+// manageHolds holds requests that are due to be held by the evidence, and deletes expired evidence,
 // until the term ends.
-func (c *Controller) keepPoison(ctx context.Context) {
+func (c *Controller) manageHolds(ctx context.Context) {
 	for lifecycle.Sleep(ctx, poisonInterval) {
 		known := c.poisonState()
 		command := known.Next(time.Now().UnixNano(), poison.SettleTime(c.settings.SessionLease), c.settings.RequestHold)
@@ -102,10 +102,10 @@
 	maximumHoldsPerCall = 256
 )
 
-// tellHolds sends the digests of the requests that this zone holds to another zone's leader, each
+// sendHolds sends the digests of the requests that this zone holds to another zone's leader, each
 // until a call with it succeeds, until the term ends. Requests are forwarded from zone to zone, and
 // without this each zone would have to lose engines before it holds them.
-func (c *Controller) tellHolds(ctx context.Context, zone string) {
+func (c *Controller) sendHolds(ctx context.Context, zone string) {
 	sent := map[poison.Digest]bool{}
 	for lifecycle.Sleep(ctx, holdSendInterval) {
 		known := c.poisonState()
--- a/internal/controller/resend_test.go
+++ b/internal/controller/resend_test.go
@@ -18,7 +18,7 @@
 // Each must get its first result and change nothing.
 func TestRepeatedZoneCommandsAreExecutedOnce(t *testing.T) {
 	const zone, engine = "hal-noord", "engine-1"
-	c := startCluster(t, layout{zones: []string{zone}, controllers: 3, change: func(settings *controllerSettings) {
+	c := startCluster(t, layout{zones: []string{zone}, controllers: 3, adjustSettings: func(settings *controllerSettings) {
 		settings.Engines = []controller.BackEndAddress{{ID: engine, Address: "127.0.0.1:1"}}
 	}})
 	client := c.operators()
--- a/internal/controller/sessions_test.go
+++ b/internal/controller/sessions_test.go
@@ -58,7 +58,7 @@
 	c := startCluster(t, layout{zones: []string{"hal-noord"}, controllers: 3})
 	accepted := submit(t, c.operators(), dynamic.KindTenant, "depot", tenant("hal-noord"))
 	g := openGateway(c, "hal-noord", "gateway-1")
-	stopBeating := g.keepBeating()
+	stopHeartbeats := g.startHeartbeats()
 	first, firstAttempt := claimNew(c, g, "print 1")
 	second, secondAttempt := claimNew(c, g, "print 2")
 	require.NoError(t, g.complete(first, firstAttempt, "label 1"))
@@ -87,10 +87,10 @@
 		if other.config >= accepted.Revision {
 			return nil
 		}
-		return other.beat()
+		return other.sendHeartbeat()
 	})
-	stopBeating()
-	require.NoError(t, g.beat(), "the session must survive the stop of the leader")
+	stopHeartbeats()
+	require.NoError(t, g.sendHeartbeat(), "the session must survive the stop of the leader")
 	for index := 1; index < len(g.views); index++ {
 		require.GreaterOrEqual(t, g.views[index].Revision, g.views[index-1].Revision)
 		require.GreaterOrEqual(t, g.views[index].ConfigRevision, g.views[index-1].ConfigRevision)
--- a/internal/controller/zones_test.go
+++ b/internal/controller/zones_test.go
@@ -25,7 +25,7 @@
 	gateways := map[string]*testGateway{}
 	for _, zone := range zones {
 		gateways[zone] = openGateway(c, zone, "gateway-"+zone)
-		defer gateways[zone].keepBeating()()
+		defer gateways[zone].startHeartbeats()()
 	}
 	status, err := client.ChangeStatus(ctx, first.Revision, operatorapi.MaximumWait)
 	require.NoError(t, err)
@@ -77,7 +77,7 @@
 	}
 	accepted := submit(t, c.operators(), dynamic.KindTenant, "depot", tenant("hal-zuid"))
 	g := openGateway(c, "hal-zuid", "gateway-1")
-	c.eventually("configuration at the gateway", func() error { return g.beatUntil(accepted.Revision) })
+	c.eventually("configuration at the gateway", func() error { return g.heartbeatUntilRevision(accepted.Revision) })
 	claimNew(c, g, "print 1")
 	require.NoError(t, c.members["hal-noord"][0].stop(t))
 	require.NoError(t, c.members["hal-oost"][0].stop(t))
