--- a/internal/activeset/planner.go
+++ b/internal/activeset/planner.go
@@ -31,12 +31,12 @@
 
 // Demand is the load that callers put on a group.
 type Demand struct {
-	// Reading is the number of replicas that are kept busy by prompts to prefill.
-	Reading float64
-	// Generating is the number of answers being generated.
-	Generating float64
-	// Running is the number of requests at replicas that are not model engines.
-	Running float64
+	// BusyPrefillReplicas is the number of replicas that are kept busy by prompts to prefill.
+	BusyPrefillReplicas float64
+	// DecodingAnswers is the number of answers being decoded.
+	DecodingAnswers float64
+	// NonModelRequests is the number of requests at replicas that are not model engines.
+	NonModelRequests float64
 }
 
 // Input is the state that Step decides on.
@@ -135,11 +135,11 @@
 	slots := float64(max(members.maximumSlots, 1))
 	switch key.role {
 	case Prefill:
-		return max(p.MinimumActive/2, int(math.Ceil(demand.Reading/prefillUtilisationTarget)))
+		return max(p.MinimumActive/2, int(math.Ceil(demand.BusyPrefillReplicas/prefillUtilisationTarget)))
 	case Decode:
-		return max(p.MinimumActive/2, int(math.Ceil(demand.Generating/(slots*slotOccupancyTarget))))
+		return max(p.MinimumActive/2, int(math.Ceil(demand.DecodingAnswers/(slots*slotOccupancyTarget))))
 	default:
-		return max(p.MinimumActive, int(math.Ceil(demand.Running/(slots*slotOccupancyTarget))))
+		return max(p.MinimumActive, int(math.Ceil(demand.NonModelRequests/(slots*slotOccupancyTarget))))
 	}
 }
 
@@ -152,14 +152,18 @@
 	decay := math.Exp(-(now - p.lastStep).Seconds() / demandDecay.Seconds())
 	p.lastStep = now
 	for group, peak := range p.peaks {
-		p.peaks[group] = Demand{Reading: peak.Reading * decay, Generating: peak.Generating * decay, Running: peak.Running * decay}
+		p.peaks[group] = Demand{
+			BusyPrefillReplicas: peak.BusyPrefillReplicas * decay,
+			DecodingAnswers:     peak.DecodingAnswers * decay,
+			NonModelRequests:    peak.NonModelRequests * decay,
+		}
 	}
 	for group, reported := range demand {
 		peak := p.peaks[group]
 		p.peaks[group] = Demand{
-			Reading:    max(peak.Reading, reported.Reading),
-			Generating: max(peak.Generating, reported.Generating),
-			Running:    max(peak.Running, reported.Running),
+			BusyPrefillReplicas: max(peak.BusyPrefillReplicas, reported.BusyPrefillReplicas),
+			DecodingAnswers:     max(peak.DecodingAnswers, reported.DecodingAnswers),
+			NonModelRequests:    max(peak.NonModelRequests, reported.NonModelRequests),
 		}
 		if _, known := p.firstReportedAt[group]; !known {
 			p.firstReportedAt[group] = now
--- a/internal/activeset/planner_test.go
+++ b/internal/activeset/planner_test.go
@@ -54,7 +54,7 @@
 // for a load that a hundred could handle. The same load must have the same number of active replicas at
 // three fleet sizes.
 func TestActiveReplicasDoNotGrowWithTheFleet(t *testing.T) {
-	demand := map[Group]Demand{model: {Reading: 20, Generating: 60}}
+	demand := map[Group]Demand{model: {BusyPrefillReplicas: 20, DecodingAnswers: 60}}
 	for _, size := range []int{1_000, 3_000, 10_000} {
 		replicas := fleetOf(size, 5)
 		planner := &Planner{MinimumActive: DefaultMinimumActive}
@@ -80,8 +80,8 @@
 func TestBurstIsActivatedInOneStep(t *testing.T) {
 	replicas := fleetOf(10_000, 5)
 	planner := &Planner{MinimumActive: DefaultMinimumActive}
-	apply(replicas, planner.Step(0, Input{Replicas: replicas, Demand: map[Group]Demand{model: {Reading: 20}}}))
-	roles, _ := apply(replicas, planner.Step(time.Second, Input{Replicas: replicas, Demand: map[Group]Demand{model: {Reading: 200}}}))
+	apply(replicas, planner.Step(0, Input{Replicas: replicas, Demand: map[Group]Demand{model: {BusyPrefillReplicas: 20}}}))
+	roles, _ := apply(replicas, planner.Step(time.Second, Input{Replicas: replicas, Demand: map[Group]Demand{model: {BusyPrefillReplicas: 200}}}))
 	assert.Equal(t, map[Role]int{Prefill: 800, Decode: 128}, roles)
 }
 
@@ -114,8 +114,8 @@
 func TestReplicasAreDeactivatedOnlyAfterDemandDecays(t *testing.T) {
 	replicas := fleetOf(10_000, 5)
 	planner := &Planner{MinimumActive: DefaultMinimumActive}
-	apply(replicas, planner.Step(0, Input{Replicas: replicas, Demand: map[Group]Demand{model: {Reading: 200}}}))
-	quiet := map[Group]Demand{model: {Reading: 1}}
+	apply(replicas, planner.Step(0, Input{Replicas: replicas, Demand: map[Group]Demand{model: {BusyPrefillReplicas: 200}}}))
+	quiet := map[Group]Demand{model: {BusyPrefillReplicas: 1}}
 	active := 800
 	for second := 1; second <= 300; second++ {
 		now := time.Duration(second) * time.Second
--- a/internal/coordinator/activity.go
+++ b/internal/coordinator/activity.go
@@ -92,9 +92,9 @@
 	var reports []string
 	for group, demand := range demands {
 		input.Demand[group] = activeset.Demand{
-			Reading:    demand.Reading,
-			Generating: max(demand.Generating, demand.Expected),
-			Running:    demand.Running,
+			BusyPrefillReplicas: demand.Reading,
+			DecodingAnswers:     max(demand.Generating, demand.Expected),
+			NonModelRequests:    demand.Running,
 		}
 		reports = append(reports, demand.Unreachable...)
 	}
--- a/internal/coordinator/activity_test.go
+++ b/internal/coordinator/activity_test.go
@@ -199,7 +199,7 @@
 		{Service: "model"}: {Reading: 100, Generating: 4, Expected: 5, Unreachable: []string{unreachable, unreachable}},
 	}
 	input := activityInput(state, demands, nil, func(string) string { return "" })
-	assert.Equal(t, activeset.Demand{Reading: 100, Generating: 5}, input.Demand[activeset.Group{Service: "model"}])
+	assert.Equal(t, activeset.Demand{BusyPrefillReplicas: 100, DecodingAnswers: 5}, input.Demand[activeset.Group{Service: "model"}])
 	assert.False(t, input.Replicas[0].Eligible)
 	change := (&activeset.Planner{MinimumActive: activeset.DefaultMinimumActive}).Step(0, input)
 	assert.Len(t, change.Activate, 400+128)
