--- a/bench/simulation/modelrun.go
+++ b/bench/simulation/modelrun.go
@@ -186,7 +186,7 @@
 	r.placement = placement
 	r.input(func() []request.Output {
 		if placement == nil {
-			return r.machine.NoBackEnd(r.gateway.now(), 0)
+			return r.machine.NoEngine(r.gateway.now(), 0)
 		}
 		return r.machine.Picked(r.gateway.now(), placement.Serving, placement.Prefill)
 	})
--- a/internal/admission/usage_test.go
+++ b/internal/admission/usage_test.go
@@ -70,7 +70,7 @@
 
 // The sum of the valid leases must not exceed the budget while the gateways renew in
 // turn and the demand moves between them.
-func TestLeasesInForceStayWithinTheBudget(t *testing.T) {
+func TestValidLeasesStayWithinBudget(t *testing.T) {
 	options := DefaultShareOptions()
 	calculator := NewShareCalculator(0, options)
 	gateways := []string{"a", "b", "c"}
--- a/internal/gateway/completion/placement.go
+++ b/internal/gateway/completion/placement.go
@@ -49,7 +49,7 @@
 	r.placement = placement
 	r.then(func() []request.Output {
 		if placement == nil {
-			return r.machine.NoBackEnd(r.runner.clock(), 0)
+			return r.machine.NoEngine(r.runner.clock(), 0)
 		}
 		return r.machine.Picked(r.runner.clock(), placement.Serving, placement.Prefill)
 	})
--- a/internal/request/machine.go
+++ b/internal/request/machine.go
@@ -127,9 +127,9 @@
 	return m.dispatchTo(now, decode, prefill)
 }
 
-// NoBackEnd handles a Pick that found no engine. A request that has lost an engine
+// NoEngine handles a Pick that found no engine. A request that has lost an engine
 // retries the Pick a limited number of times; one that never had any is refused.
-func (m *Machine) NoBackEnd(now, retryAfter time.Duration) []Output {
+func (m *Machine) NoEngine(now, retryAfter time.Duration) []Output {
 	m.resetOutputs()
 	if m.phase != phasePicking {
 		return m.outputs
--- a/internal/request/machine_test.go
+++ b/internal/request/machine_test.go
@@ -122,7 +122,7 @@
 	}{
 		{"no back end at all", func(t *testing.T, m *Machine) []Output {
 			m.Start(0)
-			return m.NoBackEnd(0, time.Second)
+			return m.NoEngine(0, time.Second)
 		}, failure.NoBackEnd, failure.RanNo},
 		{"rejected by admission", func(t *testing.T, m *Machine) []Output {
 			m.Start(0)
@@ -225,7 +225,7 @@
 
 func (h *history) answerPick(Pick) {
 	if rapid.IntRange(0, 5).Draw(h.t, "no engine") == 0 {
-		h.apply(h.machine.NoBackEnd(h.now, 0))
+		h.apply(h.machine.NoEngine(h.now, 0))
 		return
 	}
 	engine := testEngine(rapid.SampledFrom([]string{"e1", "e2", "e3"}).Draw(h.t, "engine"))
