--- a/coordination/membership/lease.go
+++ b/coordination/membership/lease.go
@@ -67,9 +67,9 @@
 // End ends the lease at once.
 func (l *Lease) End() { *l = Lease{} }
 
-// Answered records that the heartbeat sent at sentAt was answered by a leader
+// HeartbeatAnswered records that the heartbeat sent at sentAt was answered by a leader
 // whose view was at position.
-func (l *Lease) Answered(sentAt time.Duration, position uint64) {
+func (l *Lease) HeartbeatAnswered(sentAt time.Duration, position uint64) {
 	l.pending = append(l.pending, pendingRenewal{sentAt, position})
 	if len(l.pending) > maximumPendingRenewals {
 		l.pending = l.pending[1:]
@@ -77,8 +77,8 @@
 	l.renew()
 }
 
-// Applied records that this process has applied the view at position.
-func (l *Lease) Applied(position uint64) {
+// ViewApplied records that this process has applied the view at position.
+func (l *Lease) ViewApplied(position uint64) {
 	l.appliedPosition = max(l.appliedPosition, position)
 	l.renew()
 }
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -100,11 +100,11 @@
 	require.Equal(t, LeaseIsolated, lease.State(5*time.Second))
 	require.Equal(t, LeaseExpired, lease.State(61*time.Second))
 
-	lease.Answered(4*time.Second, 7)
+	lease.HeartbeatAnswered(4*time.Second, 7)
 	require.Equal(t, LeaseIsolated, lease.State(5*time.Second), "the view is older than the leader's")
-	lease.Applied(6)
+	lease.ViewApplied(6)
 	require.Equal(t, LeaseIsolated, lease.State(5*time.Second))
-	lease.Applied(7)
+	lease.ViewApplied(7)
 	require.Equal(t, LeaseHeld, lease.State(5*time.Second))
 	lease.End()
 	require.Equal(t, LeaseNone, lease.State(5*time.Second))
@@ -133,7 +133,7 @@
 			liveness.RecordHeartbeat(now, 1, 1)
 			if rapid.Bool().Draw(t, "answered") {
 				now += duration.Draw(t, "reply delay")
-				lease.Answered(holderClock(sentAt), 1)
+				lease.HeartbeatAnswered(holderClock(sentAt), 1)
 			}
 			now += duration.Draw(t, "pause")
 			state := lease.State(holderClock(now))
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -234,7 +234,7 @@
 		s.applyView(now, reply.View)
 	}
 	s.noteUnheard(reply.Unheard)
-	s.lease.Answered(sentAt, reply.Revision)
+	s.lease.HeartbeatAnswered(sentAt, reply.Revision)
 }
 
 // WatchAnswered handles the reply to a watch.
@@ -253,7 +253,7 @@
 	if !s.merged.apply(view, s.id) {
 		return
 	}
-	s.lease.Applied(s.merged.Revision)
+	s.lease.ViewApplied(s.merged.Revision)
 	if s.merged.Revision > before {
 		s.heartbeat.due = now
 	}
