--- a/bench/manygateways/deciders.go
+++ b/bench/manygateways/deciders.go
@@ -107,7 +107,7 @@
 			}
 			to.directory.TakeOutstanding(from.name, work, true)
 			to.directory.TakePlaced(placed)
-			to.directory.TakeCosts(costs)
+			to.directory.MergeCosts(costs)
 		}
 	}
 }
@@ -125,7 +125,7 @@
 			to.directory.TakePlaced(placed)
 			if offset <= peers.MaximumWorkPeers {
 				to.directory.TakeOutstanding(from.name, work, true)
-				to.directory.TakeCosts(costs)
+				to.directory.MergeCosts(costs)
 			}
 		}
 	}
--- a/bench/manygateways/world.go
+++ b/bench/manygateways/world.go
@@ -198,11 +198,11 @@
 	lease   *relay.Lease
 }
 
-func (c *call) request() relay.ReadRequest {
+func (c *call) request() relay.PrefillRequest {
 	passed := c.world.now - c.arrived
-	return relay.ReadRequest{
+	return relay.PrefillRequest{
 		Prompt: c.prompt, Objective: objective, TargetTokenGap: targetGap,
-		AimLeft: objective - passed, Left: callerWait - passed, Zone: "zone",
+		ObjectiveLeft: objective - passed, Left: callerWait - passed, Zone: "zone",
 	}
 }
 
--- a/internal/peers/backoffs.go
+++ b/internal/peers/backoffs.go
@@ -23,7 +23,7 @@
 		return
 	}
 	b.revision, b.resendAt = revision, time.Time{}
-	backoffs := parent.peers.directory.Resting()
+	backoffs := parent.peers.directory.ReplicasInBackoff()
 	if len(backoffs) == 0 {
 		return
 	}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -198,7 +198,7 @@
 		return nil
 	}
 	p.directory.TakePlaced(p.newPrompts(&message))
-	p.directory.TakeCosts(message.Costs)
+	p.directory.MergeCosts(message.Costs)
 	if p.multipleRegions && p.topology.Between(p.zone, message.Zone) == topology.OtherRegion {
 		p.directory.TakeRegionWork(p.topology.RegionOf(message.Zone), message.Gateway, message.Replicas, message.Whole, age)
 		return nil
--- a/internal/peers/regions_test.go
+++ b/internal/peers/regions_test.go
@@ -170,7 +170,7 @@
 	north, far := newProcess(t, "north-a", twoRegions), newProcess(t, "south-a", twoRegions)
 	introduce(north, far)
 	prompt := &relay.Prompt{Tokens: 1200, Parts: []relay.PromptPart{{ID: "shared", Tokens: 1000}, {ID: "own", Tokens: 200}}}
-	request := relay.ReadRequest{Prompt: prompt, Objective: time.Second, AimLeft: time.Second, Left: patience}
+	request := relay.PrefillRequest{Prompt: prompt, Objective: time.Second, ObjectiveLeft: time.Second, Left: patience}
 	now := time.Now()
 	var received []region.PlacedPrompt
 	for range 4 {
--- a/internal/placement/client.go
+++ b/internal/placement/client.go
@@ -331,7 +331,7 @@
 		c.sendFull()
 	}
 	if len(reply.Costs) > 0 {
-		c.directory.TakeCosts(reply.Costs)
+		c.directory.MergeCosts(reply.Costs)
 	}
 	return nil
 }
--- a/internal/placement/client_test.go
+++ b/internal/placement/client_test.go
@@ -88,10 +88,10 @@
 	return a
 }
 
-func newPrefillRequest(own string) relay.ReadRequest {
-	return relay.ReadRequest{
+func newPrefillRequest(own string) relay.PrefillRequest {
+	return relay.PrefillRequest{
 		Prompt:    &relay.Prompt{Tokens: 9000, Parts: []relay.PromptPart{{ID: own, Tokens: 8000}, {ID: own + "-own", Tokens: 1000}}},
-		Objective: 2 * time.Second, TargetTokenGap: time.Second, AimLeft: 2 * time.Second, Left: 8 * time.Second, Zone: "z",
+		Objective: 2 * time.Second, TargetTokenGap: time.Second, ObjectiveLeft: 2 * time.Second, Left: 8 * time.Second, Zone: "z",
 	}
 }
 
--- a/internal/placement/server.go
+++ b/internal/placement/server.go
@@ -269,7 +269,7 @@
 	switch reported.Kind {
 	case region.LeaseReleased:
 		if reported.Micros > 0 {
-			lease.StreamPaused(time.Duration(reported.Micros) * time.Microsecond)
+			lease.ObserveGap(time.Duration(reported.Micros) * time.Microsecond)
 		}
 		g.release(reported.Lease)
 	case region.LeasePrefilled:
@@ -279,7 +279,7 @@
 	case region.LeaseStarted:
 		lease.StreamBegun("", reported.HandedOver)
 	case region.LeaseGap:
-		lease.StreamPaused(time.Duration(reported.Micros) * time.Microsecond)
+		lease.ObserveGap(time.Duration(reported.Micros) * time.Microsecond)
 	case region.LeaseAnswered:
 		lease.Answered(reported.Failed, reportedLoad(reported))
 	case region.LeaseRejected:
--- a/internal/placement/server_test.go
+++ b/internal/placement/server_test.go
@@ -216,7 +216,7 @@
 		s.now += 500 * time.Millisecond
 		assert.NotEqual(t, first.Replica, s.query(t, "gateway-2", newPrefillQuery(lease+1, "y")).Replica)
 	}
-	inBackoff := s.directory.Resting()
+	inBackoff := s.directory.ReplicasInBackoff()
 	require.Len(t, inBackoff, 1)
 	assert.Equal(t, first.Replica, inBackoff[0].Replica)
 	assert.InDelta(t, 1500, inBackoff[0].LeftMillis, 1)
--- a/internal/relay/border.go
+++ b/internal/relay/border.go
@@ -31,7 +31,7 @@
 
 // replicasByStage returns the replicas that may prefill a request's prompt, and those that may decode its
 // answer. The caller must hold d.mutex.
-func (d *Directory) replicasByStage(service string, request ReadRequest, now time.Duration) stageReplicas {
+func (d *Directory) replicasByStage(service string, request PrefillRequest, now time.Duration) stageReplicas {
 	return stageReplicas{
 		prefill: d.healthyCandidates(service, request.wanted(), ofStage(region.StagePrefill), now),
 		decode:  d.healthyCandidates(service, request.wanted(), ofStage(region.StageDecode), now),
--- a/internal/relay/border_test.go
+++ b/internal/relay/border_test.go
@@ -55,7 +55,7 @@
 }
 
 func (d *regionalDirectory) prefillPromptFor(zone string, read *relay.Prompt) *relay.Lease {
-	request := readRequest(read)
+	request := newPrefillRequest(read)
 	request.Zone = zone
 	lease, err := d.PlacePrefill("s", request)
 	require.NoError(d.t, err)
--- a/internal/relay/costs.go
+++ b/internal/relay/costs.go
@@ -33,7 +33,7 @@
 
 // prefillTime returns how long a replica takes to prefill the missing tokens of a prompt. The caller must
 // hold d.mutex.
-func (d *Directory) prefillTime(replica *Replica, request ReadRequest, missing int) time.Duration {
+func (d *Directory) prefillTime(replica *Replica, request PrefillRequest, missing int) time.Duration {
 	work := costmodel.Work{Tokens: request.Prompt.Tokens, Missing: min(missing, request.Prompt.Tokens)}
 	return d.costModel(replica.Service).ReadTime(work) * prefillSlowdown(replica)
 }
@@ -55,8 +55,8 @@
 	return costs
 }
 
-// TakeCosts merges engine costs that a peer has measured.
-func (d *Directory) TakeCosts(costs []region.EngineCost) {
+// MergeCosts merges engine costs that a peer has measured.
+func (d *Directory) MergeCosts(costs []region.EngineCost) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.disabled[mechanism.LearnedCosts] {
--- a/internal/relay/demand.go
+++ b/internal/relay/demand.go
@@ -78,19 +78,19 @@
 }
 
 // times returns the times of a prompt; whole is its prefill time if the replica had cached nothing of it.
-func (e *prefillEstimate) times(request ReadRequest, whole time.Duration) prefillTimes {
-	aim := time.Duration(inTimeShare * float64(request.AimLeft))
+func (e *prefillEstimate) times(request PrefillRequest, whole time.Duration) prefillTimes {
+	objective := time.Duration(inTimeShare * float64(request.ObjectiveLeft))
 	return prefillTimes{
 		busy:    e.busy / prefillSlowdown(e.replica),
 		whole:   whole / prefillSlowdown(e.replica),
 		slack:   request.Objective - e.busy,
-		delayed: e.total() > aim && e.total()-e.wait <= aim,
+		delayed: e.total() > objective && e.total()-e.wait <= objective,
 	}
 }
 
 // rejectedTimes returns the times of a prompt that was rejected because no replica could begin it soon enough.
-func rejectedTimes(request ReadRequest, busy time.Duration) prefillTimes {
-	return prefillTimes{busy: busy, slack: request.Objective - busy, delayed: busy <= request.AimLeft}
+func rejectedTimes(request PrefillRequest, busy time.Duration) prefillTimes {
+	return prefillTimes{busy: busy, slack: request.Objective - busy, delayed: busy <= request.ObjectiveLeft}
 }
 
 // prefillMeter smooths the demand for prefills.
--- a/internal/relay/demand_test.go
+++ b/internal/relay/demand_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestPromptIsDelayedOnlyByItsWait(t *testing.T) {
-	request := ReadRequest{Objective: time.Second, AimLeft: time.Second}
+	request := PrefillRequest{Objective: time.Second, ObjectiveLeft: time.Second}
 	for name, test := range map[string]struct {
 		wait, busy time.Duration
 		delayed    bool
--- a/internal/relay/directory_test.go
+++ b/internal/relay/directory_test.go
@@ -35,14 +35,14 @@
 	return region.Replica{ID: id, Service: "s", Address: id + ":1", Zone: "z", Slots: 4, Stage: stage}
 }
 
-// readRequest is for a prompt whose caller expects an answer within a second.
-func readRequest(prompt *relay.Prompt) relay.ReadRequest {
-	return relay.ReadRequest{Prompt: prompt, Objective: time.Second, AimLeft: time.Second, Left: 10 * time.Second}
+// newPrefillRequest is for a prompt whose caller expects an answer within a second.
+func newPrefillRequest(prompt *relay.Prompt) relay.PrefillRequest {
+	return relay.PrefillRequest{Prompt: prompt, Objective: time.Second, ObjectiveLeft: time.Second, Left: 10 * time.Second}
 }
 
 // placePrefill leases the replica that is to prefill a prompt. A decode replica must exist.
 func (d *directory) placePrefill(prompt *relay.Prompt) *relay.Lease {
-	lease, err := d.PlacePrefill("s", readRequest(prompt))
+	lease, err := d.PlacePrefill("s", newPrefillRequest(prompt))
 	if err != nil {
 		panic(err)
 	}
--- a/internal/relay/grant.go
+++ b/internal/relay/grant.go
@@ -51,7 +51,7 @@
 
 // takeGrant leases the replica that a coordinator has chosen; it returns nil if this gateway knows a reason not to
 // use that replica.
-func (d *Directory) takeGrant(given *grant, answer *region.PlacementAnswer, request ReadRequest, stages ...string) *Lease {
+func (d *Directory) takeGrant(given *grant, answer *region.PlacementAnswer, request PrefillRequest, stages ...string) *Lease {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	replica, known := d.replicas[answer.Replica]
@@ -71,16 +71,16 @@
 	lease.grant = given
 	replica.granted.requests++
 	if answer.BusyMicros > 0 {
-		lease.noteGrantedRead(answer, request)
+		lease.noteGrantedPrefill(answer, request)
 	}
 	return lease
 }
 
 const percent = 100
 
-// noteGrantedRead records that the replica is to prefill a prompt, with the coordinator's estimate of the times.
+// noteGrantedPrefill records that the replica is to prefill a prompt, with the coordinator's estimate of the times.
 // The caller must hold the Directory's mutex.
-func (l *Lease) noteGrantedRead(answer *region.PlacementAnswer, request ReadRequest) {
+func (l *Lease) noteGrantedPrefill(answer *region.PlacementAnswer, request PrefillRequest) {
 	estimated := prefillEstimate{
 		replica:  l.Replica,
 		wait:     time.Duration(answer.WaitMicros) * time.Microsecond,
--- a/internal/relay/lease.go
+++ b/internal/relay/lease.go
@@ -66,7 +66,7 @@
 
 // startPrefill records that the replica is to prefill a prompt, and chooses the replica to fetch its prefix
 // from. The caller must hold Directory.mutex.
-func (l *Lease) startPrefill(request ReadRequest, estimated prefillEstimate, urgency Urgency) {
+func (l *Lease) startPrefill(request PrefillRequest, estimated prefillEstimate, urgency Urgency) {
 	d, replica, prompt := l.directory, l.Replica, request.Prompt
 	l.recordPrefill(request, estimated, urgency, d.prefillTime(replica, request, prompt.Tokens))
 	l.fetchFrom = estimated.from
@@ -77,7 +77,7 @@
 
 // recordPrefill records that the replica is to prefill a prompt; whole is how long that would take with
 // nothing cached. The caller must hold Directory.mutex.
-func (l *Lease) recordPrefill(request ReadRequest, estimated prefillEstimate, urgency Urgency, whole time.Duration) {
+func (l *Lease) recordPrefill(request PrefillRequest, estimated prefillEstimate, urgency Urgency, whole time.Duration) {
 	d, replica, prompt := l.directory, l.Replica, request.Prompt
 	l.prefill = &placedPrefill{
 		prefillEstimate: estimated,
@@ -194,8 +194,8 @@
 	l.lastEventAt = now
 }
 
-// StreamPaused records an inter-token gap of the stream, as a gateway has reported it.
-func (l *Lease) StreamPaused(gap time.Duration) {
+// ObserveGap records an inter-token gap of the stream, as a gateway has reported it.
+func (l *Lease) ObserveGap(gap time.Duration) {
 	l.directory.mutex.Lock()
 	defer l.directory.mutex.Unlock()
 	l.observeGap(l.directory.clock(), gap)
--- a/internal/relay/limited.go
+++ b/internal/relay/limited.go
@@ -84,7 +84,7 @@
 // permittedDirect leases a decode replica that is to read the prompt itself.
 func (r *callState) permittedDirect(ctx context.Context) (*Lease, error) {
 	return r.permitted(ctx, func() (*Lease, error) {
-		return r.placer.Direct(ctx, r.call.Service.Name, r.prefillRequest()), nil
+		return r.placer.PlaceDirect(ctx, r.call.Service.Name, r.prefillRequest()), nil
 	})
 }
 
--- a/internal/relay/limited_load_test.go
+++ b/internal/relay/limited_load_test.go
@@ -43,7 +43,7 @@
 }
 
 // placeWithinLimits leases a prefill replica that has capacity under its limit.
-func (r *limitedReplay) placeWithinLimits(request relay.ReadRequest) (*relay.Lease, error) {
+func (r *limitedReplay) placeWithinLimits(request relay.PrefillRequest) (*relay.Lease, error) {
 	for {
 		lease, err := r.PlacePrefill("s", request)
 		if err != nil {
--- a/internal/relay/overload.go
+++ b/internal/relay/overload.go
@@ -134,7 +134,7 @@
 // assumed to be distributed as those of the work placed by this process. A prefill of a later rank that was
 // started runs to completion. The wait is stretched for prompts of earlier ranks that have yet to arrive
 // (earlierRankLoad), and for heavy tenants (waitFactor). The caller must hold d.mutex.
-func (d *Directory) waitBefore(replica *Replica, request ReadRequest, now time.Duration) time.Duration {
+func (d *Directory) waitBefore(replica *Replica, request PrefillRequest, now time.Duration) time.Duration {
 	rank := request.Rank
 	all := replica.totalPrefillWork(now)[InTime]
 	var own, ahead time.Duration
@@ -155,8 +155,8 @@
 
 // lateLeft is the remaining time in which a late prompt has to be prefilled: callers abandon a stream without
 // events after a few times its objective, but not before minCallerPatience, and long before their deadline.
-func (r *ReadRequest) lateLeft() time.Duration {
-	passed := r.Objective - r.AimLeft
+func (r *PrefillRequest) lateLeft() time.Duration {
+	passed := r.Objective - r.ObjectiveLeft
 	return min(r.Left, max(lateObjectives*r.Objective, minimumCallerPatience)-passed)
 }
 
--- a/internal/relay/overload_test.go
+++ b/internal/relay/overload_test.go
@@ -72,7 +72,7 @@
 	// seed is the random seed of the arrivals.
 	seed uint64
 	// place leases a prefill replica for a request.
-	place func(request relay.ReadRequest) (*relay.Lease, error)
+	place func(request relay.PrefillRequest) (*relay.Lease, error)
 }
 
 const replayStep = time.Millisecond
@@ -106,9 +106,9 @@
 func (r *replay) arrive(request *replayed) {
 	request.tries++
 	passed := r.now - request.first
-	lease, err := r.place(relay.ReadRequest{
+	lease, err := r.place(relay.PrefillRequest{
 		Prompt:    prompt(relay.PromptPart{ID: fmt.Sprint("replayed-", request.id), Tokens: request.tokens}),
-		Objective: request.objective, AimLeft: request.objective - passed, Left: request.deadline - passed, Rank: request.rank, Tenant: request.tenant,
+		Objective: request.objective, ObjectiveLeft: request.objective - passed, Left: request.deadline - passed, Rank: request.rank, Tenant: request.tenant,
 	})
 	if err != nil {
 		back := r.now + 150*time.Millisecond
@@ -176,7 +176,7 @@
 		waiting:   map[string][]*replayed{}, reading: map[string]*replayed{}, busyUntil: map[string]time.Duration{},
 		retries: map[time.Duration][]*replayed{}, arrivals: map[string]int{}, inTime: map[string]int{}, served: map[string]int{},
 	}
-	r.place = func(request relay.ReadRequest) (*relay.Lease, error) { return r.PlacePrefill("s", request) }
+	r.place = func(request relay.PrefillRequest) (*relay.Lease, error) { return r.PlacePrefill("s", request) }
 	return r
 }
 
@@ -204,13 +204,13 @@
 func TestPromptIsNotLateBecauseOfLaterRanks(t *testing.T) {
 	d := newDirectoryWithKnownCosts(replica("r", region.StagePrefill), replica("g", region.StageDecode))
 	for number := range 8 {
-		heavy := readRequest(prompt(relay.PromptPart{ID: fmt.Sprint("heavy-", number), Tokens: prefillRate / 10}))
+		heavy := newPrefillRequest(prompt(relay.PromptPart{ID: fmt.Sprint("heavy-", number), Tokens: prefillRate / 10}))
 		heavy.Rank = 2
 		_, err := d.PlacePrefill("s", heavy)
 		require.NoError(t, err)
 	}
-	light := readRequest(ownPrompt(500))
-	light.Objective, light.AimLeft = 500*time.Millisecond, 500*time.Millisecond
+	light := newPrefillRequest(ownPrompt(500))
+	light.Objective, light.ObjectiveLeft = 500*time.Millisecond, 500*time.Millisecond
 	lease, err := d.PlacePrefill("s", light)
 	require.NoError(t, err)
 	assert.Zero(t, lease.Rank(&route), "0.8 s of prefill of later ranks, with an objective of 0.5 s")
@@ -221,7 +221,7 @@
 func TestLatePromptIsRejectedUnderSteadyOnTimeWork(t *testing.T) {
 	d := newDirectoryWithKnownCosts(replica("r", region.StagePrefill), replica("g", region.StageDecode))
 	late := func() error {
-		lease, err := d.PlacePrefill("s", readRequest(ownPrompt(3*prefillRate/2)))
+		lease, err := d.PlacePrefill("s", newPrefillRequest(ownPrompt(3*prefillRate/2)))
 		if err == nil {
 			lease.Release()
 		}
@@ -266,7 +266,7 @@
 		}
 	}
 	late := func(id string) error {
-		lease, err := d.PlacePrefill("s", readRequest(prompt(relay.PromptPart{ID: id, Tokens: 2 * prefillRate})))
+		lease, err := d.PlacePrefill("s", newPrefillRequest(prompt(relay.PromptPart{ID: id, Tokens: 2 * prefillRate})))
 		if err == nil {
 			assert.Equal(t, relay.LastRank, lease.Rank(&route))
 		}
--- a/internal/relay/placement.go
+++ b/internal/relay/placement.go
@@ -21,7 +21,7 @@
 // PlacePrefill leases the replica that is to prefill a prompt: a prefill replica, or the decode replica
 // that also generates the answer. A prompt that no replica is expected to prefill within its objective
 // becomes a late one. It returns an error if no replica has capacity.
-func (d *Directory) PlacePrefill(service string, request ReadRequest) (*Lease, error) {
+func (d *Directory) PlacePrefill(service string, request PrefillRequest) (*Lease, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := d.clock()
@@ -69,7 +69,7 @@
 
 // offerPrefill returns the best estimate among replicas that include at least one decode replica. The
 // caller must hold d.mutex.
-func (d *Directory) offerPrefill(among stageReplicas, request ReadRequest, sources []prefixSource, now time.Duration) prefillOffer {
+func (d *Directory) offerPrefill(among stageReplicas, request PrefillRequest, sources []prefixSource, now time.Duration) prefillOffer {
 	best := d.bestEstimate(among.prefill, among.decode, request, InTime, sources, now)
 	service := among.decode[0].Service
 	inTime := prefillOffer{crossing.Offer{Outcome: crossing.InTime, ServiceTime: best.total()}, best}
@@ -92,7 +92,7 @@
 // caller is expected to give up, although on-time prompts arrive meanwhile (or at once, on an idle prefill
 // replica), and less than lateShare of its slots may be taken, so that on-time prompts find capacity. The
 // caller must hold d.mutex.
-func (d *Directory) acceptsLate(e *prefillEstimate, request ReadRequest, now time.Duration) bool {
+func (d *Directory) acceptsLate(e *prefillEstimate, request PrefillRequest, now time.Duration) bool {
 	taken := float64(e.replica.totalInFlight(now))
 	completes := d.lateTotal(e) < request.lateLeft() || (e.total() < request.lateLeft() && d.mayBeginLate(e, now))
 	return completes && taken < lateShare*float64(max(e.replica.Slots, 1))
@@ -100,7 +100,7 @@
 
 // newNoCapacityError returns the refusal of a prompt for which no replica has capacity. The caller should
 // retry when the best replica will have completed the prefills before it.
-func newNoCapacityError(request ReadRequest, best *prefillEstimate) error {
+func newNoCapacityError(request PrefillRequest, best *prefillEstimate) error {
 	return &noCapacityError{
 		until: min(max(best.wait, defaultRetryAfter), request.Left/retryDivisor),
 		busy:  best.busy / prefillSlowdown(best.replica),
@@ -126,7 +126,7 @@
 
 // bestEstimate compares a prefill on a prefill replica with one on the decode replica that generates the
 // answer. The caller must hold d.mutex.
-func (d *Directory) bestEstimate(prefillReplicas, decodeReplicas []*Replica, request ReadRequest, urgency Urgency, sources []prefixSource, now time.Duration) prefillEstimate {
+func (d *Directory) bestEstimate(prefillReplicas, decodeReplicas []*Replica, request PrefillRequest, urgency Urgency, sources []prefixSource, now time.Duration) prefillEstimate {
 	direct, harmless := d.bestDecodeReplica(decodeReplicas, request, urgency, sources, now)
 	if len(prefillReplicas) == 0 || d.disabled[mechanism.ReadingApart] {
 		return direct
@@ -146,7 +146,7 @@
 // bestDecodeReplica returns the decode replica that is expected to complete the prefill of a prompt first,
 // and whether the inter-token gaps of its streams stay within bounds meanwhile. The caller must hold
 // d.mutex.
-func (d *Directory) bestDecodeReplica(decodeReplicas []*Replica, request ReadRequest, urgency Urgency, sources []prefixSource, now time.Duration) (prefillEstimate, bool) {
+func (d *Directory) bestDecodeReplica(decodeReplicas []*Replica, request PrefillRequest, urgency Urgency, sources []prefixSource, now time.Duration) (prefillEstimate, bool) {
 	var best prefillEstimate
 	var bestScore time.Duration
 	for index, replica := range decodeReplicas {
@@ -176,7 +176,7 @@
 )
 
 // leasePrefill leases a replica for the prefill of a prompt. The caller must hold d.mutex.
-func (d *Directory) leasePrefill(estimated prefillEstimate, request ReadRequest, urgency Urgency, candidates int) *Lease {
+func (d *Directory) leasePrefill(estimated prefillEstimate, request PrefillRequest, urgency Urgency, candidates int) *Lease {
 	choice := estimated.replica.choice(d.clock(), candidates)
 	lease := d.lease(estimated.replica)
 	lease.Choice = choice
@@ -185,7 +185,7 @@
 }
 
 // PlaceDirect leases a decode replica that is to prefill a prompt itself, or returns nil.
-func (d *Directory) PlaceDirect(service string, request ReadRequest) *Lease {
+func (d *Directory) PlaceDirect(service string, request PrefillRequest) *Lease {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := d.clock()
@@ -211,7 +211,7 @@
 
 // offerDecode returns the best of the decode replicas for prefilling the prompt itself. The caller must
 // hold d.mutex.
-func (d *Directory) offerDecode(decodeReplicas []*Replica, request ReadRequest, sources []prefixSource, now time.Duration) prefillOffer {
+func (d *Directory) offerDecode(decodeReplicas []*Replica, request PrefillRequest, sources []prefixSource, now time.Duration) prefillOffer {
 	if len(decodeReplicas) == 0 {
 		return prefillOffer{Offer: crossing.Offer{Outcome: crossing.NoReplica}}
 	}
@@ -225,16 +225,16 @@
 
 // inTime reports whether a prompt is expected to be answered within its objective. The caller must hold
 // d.mutex.
-func (d *Directory) inTime(service string, request ReadRequest, estimated *prefillEstimate) bool {
+func (d *Directory) inTime(service string, request PrefillRequest, estimated *prefillEstimate) bool {
 	needed := estimated.total() + d.costModel(service).Overhead() + d.handoverTimes[service].average()
-	return needed <= time.Duration(inTimeShare*float64(request.AimLeft))
+	return needed <= time.Duration(inTimeShare*float64(request.ObjectiveLeft))
 }
 
 // bestPrefillReplica returns the estimate of the replica that is expected to complete the prefill of a
 // prompt first. The preferred replicas of the prompt's shared prefix get a bonus for the part of it that
 // they do not have cached, so that prompts with one prefix from all gateways of a region meet there. The
 // caller must hold d.mutex.
-func (d *Directory) bestPrefillReplica(candidates []*Replica, request ReadRequest, urgency Urgency, sources []prefixSource, now time.Duration) prefillEstimate {
+func (d *Directory) bestPrefillReplica(candidates []*Replica, request PrefillRequest, urgency Urgency, sources []prefixSource, now time.Duration) prefillEstimate {
 	preferred := d.preferredReplicas(candidates[0].Service, region.StagePrefill, request.Prompt, now)
 	var best, unlimited ratedEstimate
 	for _, replica := range candidates {
@@ -268,13 +268,13 @@
 // sparesLimitedReplica reports whether a prompt should leave the capacity of a replica with a rate limit to
 // others. Limits count requests, so that capacity is best used for prompts with the longest prefill. The
 // caller must hold d.mutex.
-func (d *Directory) sparesLimitedReplica(request ReadRequest, limited, unlimited *prefillEstimate) bool {
+func (d *Directory) sparesLimitedReplica(request PrefillRequest, limited, unlimited *prefillEstimate) bool {
 	service := unlimited.replica.Service
 	return limited.busy < d.rankMeterOf(service).typical() && d.inTime(service, request, unlimited)
 }
 
 // prefillScore scores an estimate; the lowest score is the best. The caller must hold d.mutex.
-func (d *Directory) prefillScore(estimated *prefillEstimate, request ReadRequest, isPreferred bool, now time.Duration) time.Duration {
+func (d *Directory) prefillScore(estimated *prefillEstimate, request PrefillRequest, isPreferred bool, now time.Duration) time.Duration {
 	score := estimated.total()
 	if shared := estimated.missing - request.Prompt.unsharedTokens(); isPreferred && shared > 0 {
 		score -= time.Duration(preferredCacheShare * float64(estimated.busy) * float64(shared) / float64(estimated.missing))
--- a/internal/relay/placement_benchmark_test.go
+++ b/internal/relay/placement_benchmark_test.go
@@ -24,7 +24,7 @@
 			}
 			d := newDirectoryWithKnownCosts(replicas...)
 			shared := relay.PromptPart{ID: "shared", Tokens: 6000}
-			request := readRequest(prompt(shared, relay.PromptPart{ID: "own", Tokens: 3000}))
+			request := newPrefillRequest(prompt(shared, relay.PromptPart{ID: "own", Tokens: 3000}))
 			request.Left = time.Minute
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/relay/placer.go
+++ b/internal/relay/placer.go
@@ -34,7 +34,7 @@
 )
 
 // PlacePrefill leases the replica that is to prefill a prompt, as Directory.PlacePrefill does.
-func (p *Placer) PlacePrefill(ctx context.Context, service string, request ReadRequest) (*Lease, error) {
+func (p *Placer) PlacePrefill(ctx context.Context, service string, request PrefillRequest) (*Lease, error) {
 	lease, err := p.ask(ctx, region.PlacePrefill, service, request, "", region.StagePrefill, region.StageDecode)
 	if lease != nil || err != nil {
 		return lease, err
@@ -42,8 +42,8 @@
 	return p.Directory.PlacePrefill(service, request)
 }
 
-// Direct leases a decode replica that is to prefill a prompt itself, or returns nil.
-func (p *Placer) Direct(ctx context.Context, service string, request ReadRequest) *Lease {
+// PlaceDirect leases a decode replica that is to prefill a prompt itself, or returns nil.
+func (p *Placer) PlaceDirect(ctx context.Context, service string, request PrefillRequest) *Lease {
 	if lease, _ := p.ask(ctx, region.PlaceDirect, service, request, "", region.StageDecode); lease != nil {
 		return lease
 	}
@@ -51,7 +51,7 @@
 }
 
 // PlaceDecode leases a decode replica, near the zone where a prompt was prefilled.
-func (p *Placer) PlaceDecode(ctx context.Context, service string, request ReadRequest, zone string) *Lease {
+func (p *Placer) PlaceDecode(ctx context.Context, service string, request PrefillRequest, zone string) *Lease {
 	if lease, _ := p.ask(ctx, region.PlaceDecode, service, request, zone, region.StageDecode); lease != nil {
 		return lease
 	}
@@ -59,7 +59,7 @@
 }
 
 // PlaceWithCapacity leases a replica with capacity for a stream that must move away from another, nil if there is none.
-func (p *Placer) PlaceWithCapacity(ctx context.Context, from *Lease, request ReadRequest) *Lease {
+func (p *Placer) PlaceWithCapacity(ctx context.Context, from *Lease, request PrefillRequest) *Lease {
 	request.Excluded = append(slices.Clone(request.Excluded), from.Replica)
 	service, zone := from.Replica.Service, from.Replica.Zone
 	lease, err := p.ask(ctx, region.PlaceWithCapacity, service, request, zone, region.StageDecode)
@@ -71,7 +71,7 @@
 
 // ask queries a coordinator. It returns neither a lease nor an error if the gateway has to choose by
 // itself, and an error if no replica has capacity.
-func (p *Placer) ask(ctx context.Context, kind region.PlacementKind, service string, request ReadRequest, near string, stages ...string) (*Lease, error) {
+func (p *Placer) ask(ctx context.Context, kind region.PlacementKind, service string, request PrefillRequest, near string, stages ...string) (*Lease, error) {
 	if p.Remote == nil || request.Unlimited {
 		// A coordinator is not told which replicas have a rate limit.
 		return nil, nil
@@ -94,13 +94,13 @@
 }
 
 // coordinatorTimeout returns the longest wait for a coordinator's answer.
-func coordinatorTimeout(request ReadRequest) time.Duration {
+func coordinatorTimeout(request PrefillRequest) time.Duration {
 	return min(time.Duration(coordinatorTimeoutShare*float64(request.Objective)), maximumCoordinatorTimeout)
 }
 
 // query creates the placement query for a request. It excludes the replicas that were tried, those that
 // this gateway can't reach, and those that have asked it to back off.
-func (p *Placer) query(kind region.PlacementKind, service string, request ReadRequest, near string) *region.PlacementQuery {
+func (p *Placer) query(kind region.PlacementKind, service string, request PrefillRequest, near string) *region.PlacementQuery {
 	query := &region.PlacementQuery{
 		Kind:            kind,
 		Service:         service,
@@ -111,7 +111,7 @@
 		Tenant:          request.Tenant,
 		ObjectiveMicros: request.Objective.Microseconds(),
 		GapMicros:       request.TargetTokenGap.Microseconds(),
-		AimLeftMicros:   request.AimLeft.Microseconds(),
+		AimLeftMicros:   request.ObjectiveLeft.Microseconds(),
 		LeftMicros:      request.Left.Microseconds(),
 		Excluded:        append(p.Directory.Unreachable(), p.Directory.inBackoffHere()...),
 	}
--- a/internal/relay/prompt.go
+++ b/internal/relay/prompt.go
@@ -79,13 +79,13 @@
 }
 
 // prefillRequest describes the prompt and the time that is left to prefill it.
-func (r *callState) prefillRequest() ReadRequest {
+func (r *callState) prefillRequest() PrefillRequest {
 	objective := r.call.objective()
-	return ReadRequest{
+	return PrefillRequest{
 		Prompt:         r.call.Prompt,
 		Objective:      objective,
 		TargetTokenGap: r.call.Route.TargetGap,
-		AimLeft:        time.Until(r.call.Arrived.Add(objective)),
+		ObjectiveLeft:  time.Until(r.call.Arrived.Add(objective)),
 		Left:           r.timeLeft(),
 		Rank:           rankOf(r.call.Route.Priority),
 		Tenant:         tenantHash(r.call.Tenant),
--- a/internal/relay/question.go
+++ b/internal/relay/question.go
@@ -36,13 +36,13 @@
 }
 
 // requestOf converts a query to a request, and bounds the values that the gateway has sent.
-func (d *Directory) requestOf(query *region.PlacementQuery) ReadRequest {
+func (d *Directory) requestOf(query *region.PlacementQuery) PrefillRequest {
 	prompt := PromptOf(query)
-	return ReadRequest{
+	return PrefillRequest{
 		Prompt:         prompt,
 		Objective:      boundedMicros(query.ObjectiveMicros),
 		TargetTokenGap: boundedMicros(query.GapMicros),
-		AimLeft:        boundedMicros(query.AimLeftMicros),
+		ObjectiveLeft:  boundedMicros(query.AimLeftMicros),
 		Left:           boundedMicros(query.LeftMicros),
 		Rank:           rankOf(query.Rank),
 		Tenant:         query.Tenant,
--- a/internal/relay/reading.go
+++ b/internal/relay/reading.go
@@ -6,16 +6,16 @@
 	"github.com/pierhaven/pierhaven/internal/mechanism"
 )
 
-// ReadRequest is a prompt to be prefilled, with the limits of its request.
-type ReadRequest struct {
+// PrefillRequest is a prompt to be prefilled, with the limits of its request.
+type PrefillRequest struct {
 	Prompt *Prompt
 	// Objective is the route's objective for the time to the first event.
 	Objective time.Duration
 	// TargetTokenGap is the longest inter-token gap that the route's streams should have.
 	TargetTokenGap time.Duration
-	// AimLeft is the time until the objective is missed, Left the time until the caller's deadline.
-	AimLeft time.Duration
-	Left    time.Duration
+	// ObjectiveLeft is the time until the objective is missed, Left the time until the caller's deadline.
+	ObjectiveLeft time.Duration
+	Left          time.Duration
 	// Rank is the route's; replicas prefill prompts of lower ranks first.
 	Rank int
 	// Tenant identifies the caller's tenant, 0 for none.
@@ -28,7 +28,7 @@
 }
 
 // wanted returns the restrictions on which replicas may get the request.
-func (r *ReadRequest) wanted() Wanted {
+func (r *PrefillRequest) wanted() Wanted {
 	return Wanted{Rank: r.Rank, Excluded: r.Excluded, Unlimited: r.Unlimited}
 }
 
@@ -77,7 +77,7 @@
 
 // estimatePrefill estimates how long a replica takes to prefill a prompt of an urgency. The caller must
 // hold d.mutex.
-func (d *Directory) estimatePrefill(replica *Replica, request ReadRequest, urgency Urgency, sources []prefixSource, now time.Duration) prefillEstimate {
+func (d *Directory) estimatePrefill(replica *Replica, request PrefillRequest, urgency Urgency, sources []prefixSource, now time.Duration) prefillEstimate {
 	missing := d.missing(replica, request.Prompt)
 	estimated := prefillEstimate{
 		replica:     replica,
--- a/internal/relay/reading_test.go
+++ b/internal/relay/reading_test.go
@@ -70,7 +70,7 @@
 }
 
 func TestLatePromptIsRefusedWithoutCapacity(t *testing.T) {
-	request := readRequest(ownPrompt(20_000))
+	request := newPrefillRequest(ownPrompt(20_000))
 	t.Run("the caller will have given up", func(t *testing.T) {
 		d := newDirectoryWithKnownCosts(replica("r", region.StagePrefill), replica("g", region.StageDecode))
 		d.reportPeerWork("r", 12*time.Second)
@@ -94,8 +94,8 @@
 	require.Len(t, costs, 1)
 	d := newDirectory(replica("r", region.StagePrefill), replica("g", region.StageDecode))
 	assert.Empty(t, d.Costs())
-	d.TakeCosts(append(costs, region.EngineCost{Service: "unknown", Samples: 5, Token: 1}))
-	late := readRequest(ownPrompt(2 * prefillRate))
+	d.MergeCosts(append(costs, region.EngineCost{Service: "unknown", Samples: 5, Token: 1}))
+	late := newPrefillRequest(ownPrompt(2 * prefillRate))
 	lease, err := d.PlacePrefill("s", late)
 	require.NoError(t, err)
 	assert.Equal(t, relay.LastRank, lease.Rank(&traffic.Route{}), "2 s of prefill, with an objective of 1 s")
@@ -106,7 +106,7 @@
 	prompts := 0
 	placedOn := func(d *directory, tokens int, gap time.Duration) string {
 		prompts++
-		request := readRequest(prompt(relay.PromptPart{ID: fmt.Sprintf("short-%d", prompts), Tokens: tokens}))
+		request := newPrefillRequest(prompt(relay.PromptPart{ID: fmt.Sprintf("short-%d", prompts), Tokens: tokens}))
 		request.TargetTokenGap = gap
 		lease, err := d.PlacePrefill("s", request)
 		require.NoError(t, err)
@@ -137,7 +137,7 @@
 // take there.
 func TestPromptsAvoidDecodeReplicasSlowerThanEstimated(t *testing.T) {
 	place := func(d *directory) *relay.Lease {
-		request := readRequest(ownPrompt(200))
+		request := newPrefillRequest(ownPrompt(200))
 		request.TargetTokenGap = 150 * time.Millisecond
 		d.reportPeerWork("r", 300*time.Millisecond)
 		lease, err := d.PlacePrefill("s", request)
--- a/internal/relay/refusal.go
+++ b/internal/relay/refusal.go
@@ -123,16 +123,16 @@
 	return delay + time.Duration(d.random()*jitter)
 }
 
-// BackoffRevision returns a number that grows with each backoff added to the list of Resting.
+// BackoffRevision returns a number that grows with each backoff added to ReplicasInBackoff.
 func (d *Directory) BackoffRevision() uint64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.backoffRevision
 }
 
-// Resting lists the replicas that have requested a backoff from this process, or from one that this
+// ReplicasInBackoff lists the replicas that have requested a backoff from this process, or from one that this
 // process places requests for, longest backoff first.
-func (d *Directory) Resting() []region.BackoffReplica {
+func (d *Directory) ReplicasInBackoff() []region.BackoffReplica {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.backoffRevision == 0 {
--- a/internal/relay/replica.go
+++ b/internal/relay/replica.go
@@ -99,7 +99,7 @@
 
 // queueingTime returns the prefill work that a replica does before a prompt of an urgency. The caller must
 // hold d.mutex.
-func (d *Directory) queueingTime(replica *Replica, urgency Urgency, request ReadRequest, now time.Duration) time.Duration {
+func (d *Directory) queueingTime(replica *Replica, urgency Urgency, request PrefillRequest, now time.Duration) time.Duration {
 	work := replica.totalPrefillWork(now)
 	if urgency == Late {
 		return work.before(Late)
--- a/internal/relay/rest_load_test.go
+++ b/internal/relay/rest_load_test.go
@@ -223,11 +223,11 @@
 // reportToPeers makes each gateway report its work to the gateways that follow it, as peers do.
 func (r *shedReplay) reportToPeers() {
 	for from, teller := range r.gateways {
-		work, resting := teller.Outstanding(), teller.Resting()
+		work, inBackoff := teller.Outstanding(), teller.ReplicasInBackoff()
 		for step := range min(reportedPeers, len(r.gateways)-1) {
 			each := r.gateways[(from+step+1)%len(r.gateways)]
 			each.TakeOutstanding(fmt.Sprint(from), work, true)
-			each.ApplyBackoffs(resting)
+			each.ApplyBackoffs(inBackoff)
 		}
 	}
 }
@@ -433,7 +433,7 @@
 	return r
 }
 
-func (r *backoffReplay) placeOrReject(request relay.ReadRequest) (*relay.Lease, error) {
+func (r *backoffReplay) placeOrReject(request relay.PrefillRequest) (*relay.Lease, error) {
 	for range 4 {
 		lease, err := r.PlacePrefill("s", request)
 		if err != nil {
--- a/internal/relay/sizes.go
+++ b/internal/relay/sizes.go
@@ -74,7 +74,7 @@
 }
 
 // recordArrival counts a prompt that is to be prefilled. The caller must hold d.mutex.
-func (d *Directory) recordArrival(service string, request ReadRequest, now time.Duration) {
+func (d *Directory) recordArrival(service string, request PrefillRequest, now time.Duration) {
 	sizes := d.sizesOf(service, request.Rank)
 	sizes.decay(now)
 	sizes.arrivals[sizeClass(request.Prompt.Tokens)]++
@@ -84,6 +84,6 @@
 // large are prefilled far less often than others, and its prefill will complete before its caller is
 // expected to give up. Without this, at 3 times the capacity, the largest tenth was prefilled 0.04 times as
 // often as all. The caller must hold d.mutex.
-func (d *Directory) promotesLate(service string, request ReadRequest, best *prefillEstimate) bool {
+func (d *Directory) promotesLate(service string, request PrefillRequest, best *prefillEstimate) bool {
 	return best.total() < request.lateLeft() && d.sizesOf(service, request.Rank).isUnderserved(request.Prompt.Tokens)
 }
--- a/internal/relay/switches_test.go
+++ b/internal/relay/switches_test.go
@@ -15,10 +15,10 @@
 
 // A mechanism has an effect when it is enabled, and none when it is disabled.
 func TestDisabledMechanismHasNoEffect(t *testing.T) {
-	request := func(own string) relay.ReadRequest {
-		return relay.ReadRequest{
+	request := func(own string) relay.PrefillRequest {
+		return relay.PrefillRequest{
 			Prompt:    &relay.Prompt{Tokens: 9000, Parts: []relay.PromptPart{{ID: "shared", Tokens: 8000}, {ID: own, Tokens: 1000}}},
-			Objective: time.Second, TargetTokenGap: time.Second, AimLeft: time.Second, Left: 4 * time.Second,
+			Objective: time.Second, TargetTokenGap: time.Second, ObjectiveLeft: time.Second, Left: 4 * time.Second,
 		}
 	}
 	stageOf := func(off mechanism.Set) string {
