--- a/internal/relay/demand.go
+++ b/internal/relay/demand.go
@@ -79,12 +79,12 @@
 
 // times returns the times of a prompt; whole is its prefill time if the replica had cached nothing of it.
 func (e *prefillEstimate) times(request PrefillRequest, whole time.Duration) prefillTimes {
-	objective := time.Duration(inTimeShare * float64(request.ObjectiveLeft))
+	limit := time.Duration(inTimeShare * float64(request.ObjectiveLeft))
 	return prefillTimes{
 		busy:    e.busy / prefillSlowdown(e.replica),
 		whole:   whole / prefillSlowdown(e.replica),
 		slack:   request.Objective - e.busy,
-		delayed: e.total() > objective && e.total()-e.wait <= objective,
+		delayed: e.total() > limit && e.total()-e.wait <= limit,
 	}
 }
 
