--- a/internal/relay/prompt.go
+++ b/internal/relay/prompt.go
@@ -187,7 +187,7 @@
 		lease.permitUsed()
 	}
 	if err != nil {
-		if !upstream.Held(err) && (ctx.Err() == nil || context.Cause(ctx) == errSlowPrefill) {
+		if !upstream.HeldBack(err) && (ctx.Err() == nil || context.Cause(ctx) == errSlowPrefill) {
 			lease.Unreachable(upstream.HandedOver(err) && !upstream.Silent(err))
 			if upstream.HandedOver(err) {
 				r.recordConnectionLoss(ctx, lease, err)
--- a/internal/relay/send.go
+++ b/internal/relay/send.go
@@ -51,7 +51,7 @@
 		},
 	}
 	if !r.call.Route.Repeatable() {
-		request.MaximumRest = maximumConnectionIdle
+		request.MaximumIdleTime = maximumConnectionIdle
 	}
 	return request
 }
@@ -165,7 +165,7 @@
 
 // classifyFailure returns the verdict on an exchange that failed without an answer.
 func (r *callState) classifyFailure(ctx context.Context, lease *Lease, err error) (verdict, error) {
-	if upstream.Held(err) {
+	if upstream.HeldBack(err) {
 		r.unsent++
 		return verdictNotRun, err
 	}
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -52,10 +52,10 @@
 	Host   string
 	Header []Field
 	Body   []byte
-	// MaximumRest, if above 0, allows only connections that have rested no
+	// MaximumIdleTime, if above 0, allows only connections that have been idle no
 	// longer: for requests that can't be repeated if the replica has silently
 	// dropped the connection.
-	MaximumRest time.Duration
+	MaximumIdleTime time.Duration
 	// Work says that the request is new work for the replica, and does not only concern work that it has.
 	Work bool
 	// MaximumIdle is how many unused connections may be kept to the replica once this one is one of them;
@@ -91,7 +91,7 @@
 	if err != nil {
 		return nil, &Error{Cause: causeOf(ctx, err)}
 	}
-	// Another answer may have asked for rest while the connection was made.
+	// Another response may have requested a backoff while the connection was made.
 	if err := c.permits(request); err != nil {
 		c.pool.put(request.key(), conn, time.Now(), defaultIdleTime, request.MaximumIdle)
 		return nil, &Error{Cause: err}
@@ -127,7 +127,7 @@
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
-	if kept := c.pool.take(request.key(), time.Now(), request.MaximumRest); kept != nil {
+	if kept := c.pool.take(request.key(), time.Now(), request.MaximumIdleTime); kept != nil {
 		return kept, nil
 	}
 	opened, err := c.dialer.DialContext(ctx, "tcp", request.Address)
--- a/internal/upstream/error.go
+++ b/internal/upstream/error.go
@@ -36,8 +36,8 @@
 // that the system gave the connection up.
 func Silent(err error) bool { return errors.Is(err, syscall.ETIMEDOUT) }
 
-// Held reports whether a request was not sent since its peer has asked for rest, or leaves.
-func Held(err error) bool {
+// HeldBack reports whether a request was not sent because its peer has requested a backoff or is leaving.
+func HeldBack(err error) bool {
 	var held *backpressure.BlockedError
 	return errors.As(err, &held)
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -23,15 +23,15 @@
 func newPool() *pool { return &pool{idle: map[string][]*connection{}} }
 
 // take returns the newest connection that is usable, or nil. With a freshness
-// above 0 only one that has rested no longer is usable.
+// above 0 only one that has been idle no longer is usable.
 func (p *pool) take(key string, now time.Time, freshness time.Duration) *connection {
 	for {
 		newest := p.pop(key)
 		if newest == nil {
 			return nil
 		}
-		rested := now.Sub(newest.idleSince)
-		if now.Before(newest.idleUntil) && (freshness == 0 || rested <= freshness) && newest.quiet() {
+		idle := now.Sub(newest.idleSince)
+		if now.Before(newest.idleUntil) && (freshness == 0 || idle <= freshness) && newest.quiet() {
 			return newest
 		}
 		_ = newest.Close()
@@ -83,7 +83,7 @@
 	p.idle[key] = append(p.idle[key], kept)
 }
 
-// sweep closes the connections that have rested for too long or that their
+// sweep closes the connections that have been idle for too long or that their
 // replica has closed.
 func (p *pool) sweep(now time.Time) {
 	if now.Sub(p.sweptAt) < sweepInterval {
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -270,7 +270,7 @@
 	assert.True(t, upstream.HandedOver(err))
 }
 
-// A peer that has asked for rest gets no call of any kind until it is over, and its connection is kept.
+// A peer that has requested a backoff gets no call of any kind until it is over, and its connection is kept.
 func TestNothingIsSentToAPeerThatRests(t *testing.T) {
 	var now atomic.Int64
 	gate := backpressure.NewGate(backpressure.Options{
@@ -299,7 +299,7 @@
 	require.NoError(t, call(http.MethodPost, "a"))
 	for _, method := range []string{http.MethodGet, http.MethodPost, http.MethodDelete} {
 		err := call(method, "a")
-		require.True(t, upstream.Held(err))
+		require.True(t, upstream.HeldBack(err))
 		require.False(t, upstream.HandedOver(err))
 	}
 	require.NoError(t, call(http.MethodPost, "a-again"), "another incarnation at its address")
