--- a/internal/relay/daemon/daemon_test.go
+++ b/internal/relay/daemon/daemon_test.go
@@ -290,7 +290,7 @@
 	}
 }
 
-func TestAPlannedStopAnswersWhatWasTakenAndRefusesWhatComesLate(t *testing.T) {
+func TestPlannedStopFinishesAcceptedRequestsAndRefusesLateOnes(t *testing.T) {
 	begun, finish := make(chan struct{}), make(chan struct{})
 	replica := startReplica(t, func(writer http.ResponseWriter, request *http.Request) {
 		close(begun)
--- a/internal/relay/daemon/endingrequests_test.go
+++ b/internal/relay/daemon/endingrequests_test.go
@@ -333,7 +333,7 @@
 // between calls and gateways. In the log, the lines "replica lost under a request" have one digest
 // and ended=true, and the replica's port refuses connections 2 to 230 ms after the first broken
 // stream.
-func TestARequestThatEndsReplicasReachesFewOnceThreeHaveEnded(t *testing.T) {
+func TestCrashingRequestReachesFewReplicasAfterThreeCrashes(t *testing.T) {
 	r := newTestRegion(t, 8, 3)
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -361,7 +361,7 @@
 // Guards against evidence that is split by source IP: a request that came a few times per second
 // from several machines in turn, with the same content, still crashed 32 replicas because its
 // digest included the IP.
-func TestARequestFromManyAddressesIsTheSame(t *testing.T) {
+func TestDigestIgnoresSourceIP(t *testing.T) {
 	r := newTestRegion(t, 8, 3)
 	ctx, cancel := context.WithTimeout(context.Background(), 3*contactTime)
 	defer cancel()
@@ -388,7 +388,7 @@
 	}, 30*time.Second, 20*time.Millisecond)
 }
 
-func TestARequestIsHeldOverAllGatewaysTogether(t *testing.T) {
+func TestRequestIsHeldAtAllGateways(t *testing.T) {
 	r := newTestRegion(t, 8, 4)
 	r.sendUntilHeld()
 	_, crashes := r.replicas.lateArrivals(0)
@@ -398,7 +398,7 @@
 	assert.LessOrEqual(t, late, 3)
 }
 
-func TestWhatWasLearnedOutlivesItsProcesses(t *testing.T) {
+func TestHeldRequestsSurviveRestarts(t *testing.T) {
 	r := newTestRegion(t, 6, 2)
 	r.sendUntilHeld()
 	before, _ := r.replicas.lateArrivals(0)
@@ -416,7 +416,7 @@
 
 // A request that comes rarely must be recognized by evidence from before a restart of all
 // processes.
-func TestEvidenceOutlivesItsProcesses(t *testing.T) {
+func TestEvidenceSurvivesRestarts(t *testing.T) {
 	r := newTestRegion(t, 6, 1)
 	status, _ := r.ask(0, "ending-1", crashingBody)
 	assert.Zero(t, status, "the stream breaks off after two replicas have crashed")
@@ -439,7 +439,7 @@
 	assert.LessOrEqual(t, crashes, 3+3)
 }
 
-func TestRequestsThatDifferInOneByteAreOthers(t *testing.T) {
+func TestRequestsThatDifferInOneByteHaveOtherDigests(t *testing.T) {
 	r := newTestRegion(t, 6, 2)
 	r.sendUntilHeld()
 	require.Eventually(t, func() bool {
@@ -453,7 +453,7 @@
 
 // Other requests repeatedly lose the replicas that the crashing one takes down, and must still be
 // served.
-func TestRequestsBesideTheEndingOneAreServed(t *testing.T) {
+func TestOtherRequestsAreServedBesideACrashingOne(t *testing.T) {
 	r := newTestRegion(t, 8, 3)
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -487,7 +487,7 @@
 	assert.Greater(t, served.Load(), int64(100))
 }
 
-func TestAGatewayThatIsCutOffGoesByItsOwnEvidence(t *testing.T) {
+func TestIsolatedGatewayUsesLocalEvidence(t *testing.T) {
 	r := newTestRegion(t, 8, 1)
 	r.stop()
 	r.stop = func() {}
@@ -506,7 +506,7 @@
 		"the coordinators learn that the request is held")
 }
 
-func TestAnOperatorLetsARequestGo(t *testing.T) {
+func TestOperatorReleasesAHeldRequest(t *testing.T) {
 	r := newTestRegion(t, 6, 2)
 	r.sendUntilHeld()
 	held := r.heldRequests()
--- a/internal/relay/daemon/keys_test.go
+++ b/internal/relay/daemon/keys_test.go
@@ -116,7 +116,7 @@
 	}
 }
 
-func TestAKeyThatIsTakenAwayEndsOnKeptConnections(t *testing.T) {
+func TestRevokedKeyIsRefusedOnOpenConnections(t *testing.T) {
 	recorder := &headerRecorder{}
 	replica := startReplica(t, recorder.handler())
 	coordinator := startCoordinator(t, newViewWithTenants(t, 3, replica, map[string][]string{"depot": {"key-1"}}))
--- a/internal/relay/daemon/leaving_test.go
+++ b/internal/relay/daemon/leaving_test.go
@@ -29,7 +29,7 @@
 
 // A replica announces to one gateway that it leaves. No gateway may send it new requests, though
 // the list shows it as ready until its end.
-func TestAReplicaThatLeavesByItsOwnWordGetsNothingNewFromAnyGateway(t *testing.T) {
+func TestLeavingReplicaGetsNoNewRequestsFromAnyGateway(t *testing.T) {
 	r := newTestRegion(t, 5, 4)
 	r.replicas.markLeaving("i-1")
 	r.learnLeaving(0, "i-1")
@@ -44,7 +44,7 @@
 
 // All replicas announce that they leave, and none is added. They are used for leavingGrace and no
 // longer; after that, callers are refused at once.
-func TestReplicasThatAllLeaveAreUsedForAsLongAsTheyBearIt(t *testing.T) {
+func TestLeavingReplicasAreUsedWithinTheLeavingGraceIfNoOtherIsLeft(t *testing.T) {
 	r := newTestRegion(t, 2, 2)
 	r.replicas.markLeaving("i-1")
 	r.replicas.markLeaving("i-2")
@@ -68,7 +68,7 @@
 }
 
 // A gateway that no coordinator answers still acts on what replicas have announced to it.
-func TestAGatewayThatReachesNoCoordinatorKeepsToAReplicasOwnWord(t *testing.T) {
+func TestIsolatedGatewayAvoidsLeavingReplicas(t *testing.T) {
 	r := newTestRegion(t, 3, 1)
 	r.stop()
 	r.stop = func() {}
--- a/internal/relay/daemon/locate_test.go
+++ b/internal/relay/daemon/locate_test.go
@@ -24,7 +24,7 @@
 	return views
 }
 
-func TestCoordinatorsAreAskedFromTheNearestOn(t *testing.T) {
+func TestNextCoordinatorIsTheNearest(t *testing.T) {
 	var now time.Duration
 	views := newLocatedViewClient(&now)
 	assert.Equal(t, "own", views.nextCoordinator(""))
@@ -37,7 +37,7 @@
 // Guards against staying with a distant coordinator: a gateway that began with a coordinator of
 // another region stayed with it for 10 s and then tried others at random, so that most gateways
 // asked across regions for every prompt of their first 30 s.
-func TestAGatewayGoesToANearerCoordinatorOnceItKnowsOne(t *testing.T) {
+func TestGatewaySwitchesToANearerCoordinator(t *testing.T) {
 	var now time.Duration
 	views := newLocatedViewClient(&now)
 	assert.Equal(t, "own", views.preferred("far"))
--- a/internal/relay/daemon/poolclient_test.go
+++ b/internal/relay/daemon/poolclient_test.go
@@ -37,7 +37,7 @@
 // Guards against waiting again for coordinators that have just not answered: at a gateway cut off
 // from all coordinators, each request of a tenant with a limit waited for two of them, 200 ms in
 // total, before it was decided locally.
-func TestRequestsDoNotWaitForCoordinatorsThatAreAllSilent(t *testing.T) {
+func TestRequestsDoNotWaitForUnresponsiveCoordinators(t *testing.T) {
 	var now time.Duration
 	var asked atomic.Int64
 	views := newLocatedViewClient(&now)
--- a/internal/relay/daemon/quotas_test.go
+++ b/internal/relay/daemon/quotas_test.go
@@ -88,7 +88,7 @@
 }
 
 // A request that no replica ran is not charged: otherwise 14 requests would use up the limit.
-func TestWhatNoReplicaRanIsNotCharged(t *testing.T) {
+func TestRequestsThatNoReplicaRanAreNotCharged(t *testing.T) {
 	r := newLimitedRegion(t, 1, 1, limitedTenant(1e-6, 0))
 	r.replicas.close()
 	for number := range 40 {
@@ -98,7 +98,7 @@
 }
 
 // Requests that run are charged: the 15th is refused.
-func TestWhatRunsIsCharged(t *testing.T) {
+func TestRequestsThatRanAreCharged(t *testing.T) {
 	r := newLimitedRegion(t, 1, 1, limitedTenant(1e-6, 0))
 	answered, refused := r.sendMany(20, "charged")
 	assert.Equal(t, 14, answered)
@@ -107,7 +107,7 @@
 
 // While no coordinator answers, a gateway uses its share of the tolerated overrun. If it has
 // none, it refuses requests and says when to retry.
-func TestAGatewayThatReachesNoCoordinatorRefusesBeyondItsPart(t *testing.T) {
+func TestIsolatedGatewayRefusesBeyondItsShare(t *testing.T) {
 	r := newLimitedRegion(t, 1, 1, limitedTenant(1000, 1000))
 	stop := r.stop
 	r.stop = func() {}
--- a/internal/relay/daemon/replicalimits_test.go
+++ b/internal/relay/daemon/replicalimits_test.go
@@ -113,7 +113,7 @@
 // considered only load and cached prompts. The replica received 73 requests in 4 s where 35 are
 // allowed. The gateways' "request sent" lines show 72 of them, 30 from one gateway, and do not
 // differ from earlier lines.
-func TestAReplicaGetsNoMoreThanItNames(t *testing.T) {
+func TestReplicaGetsNoMoreThanItsDeclaredLimit(t *testing.T) {
 	const limit = 2.0
 	r := newTestRegion(t, 5, 3)
 	r.replicas.setLimit("i-1", limit)
@@ -182,7 +182,7 @@
 }
 
 // A limit ends with the first response that declares none, and with the replica.
-func TestALimitThatIsNamedNoMoreIsForgotten(t *testing.T) {
+func TestLimitEndsWhenNoLongerDeclared(t *testing.T) {
 	r := newTestRegion(t, 3, 2)
 	r.replicas.setLimit("i-1", 1)
 	r.replicas.setLimit("i-2", 2)
@@ -200,7 +200,7 @@
 // A gateway that reaches no coordinator sends only a small share of the limit to replicas that
 // declare one, as it does not know what other gateways send. Callers are refused at once with a
 // retry time, and no replica runs their requests.
-func TestAGatewayThatReachesNoCoordinatorSendsASmallPart(t *testing.T) {
+func TestIsolatedGatewaySendsASmallShareOfTheLimit(t *testing.T) {
 	const limit = 4.0
 	r := newTestRegion(t, 1, 1)
 	r.replicas.setLimit("i-1", limit)
--- a/internal/relay/daemon/slowcaller_test.go
+++ b/internal/relay/daemon/slowcaller_test.go
@@ -93,7 +93,7 @@
 // Guards against writes without a deadline: a caller sent a request and read nothing of its answer.
 // The route allowed 1 s, but after 10 s the request still counted as in flight and held its buffers
 // and its connection.
-func TestACallerThatDoesNotReadItsStreamIsGivenUp(t *testing.T) {
+func TestConnectionOfACallerThatDoesNotReadIsClosed(t *testing.T) {
 	g := startGateway(t, startCoordinator(t, newViewWithTimeout(t, traffic.KindStream, startReplica(t, streamLongAnswer))))
 	g.awaitReadiness(http.StatusOK)
 	g.startRequest("/v3/x")
@@ -137,7 +137,7 @@
 
 // The memory held for callers that do not read is bounded however many there are, and a caller that
 // reads is served.
-func TestWhatSlowCallersHoldIsBounded(t *testing.T) {
+func TestMemoryForSlowCallersIsBounded(t *testing.T) {
 	const size, readers = 1 << 20, 4
 	replica := startReplica(t, bodyOfSize(size))
 	for _, slow := range []int{10, 100, 1000} {
--- a/internal/relay/daemon/viewkeeper_test.go
+++ b/internal/relay/daemon/viewkeeper_test.go
@@ -27,7 +27,7 @@
 	return newViewClient(Settings{Codec: fixedCodec{}, Logger: logr.Discard(), Now: uptime.Now}, nil, directory, nil, nil, nil)
 }
 
-func TestARequestThatComesBeforeTheFirstConfigurationIsHeldForIt(t *testing.T) {
+func TestRequestWaitsForTheFirstConfiguration(t *testing.T) {
 	views := newTestViewClient()
 	assert.Nil(t, views.awaitTable(context.Background(), time.Nanosecond), "the wait is limited")
 	canceled, cancel := context.WithCancel(context.Background())
@@ -41,7 +41,7 @@
 	assert.NotNil(t, views.awaitTable(canceled, 0), "a known configuration is returned at once")
 }
 
-func TestTheHoldForTheFirstConfigurationLeavesTheCallerTime(t *testing.T) {
+func TestConfigurationWaitLeavesTheCallerTime(t *testing.T) {
 	assert.Equal(t, maximumConfigurationWait, configurationWait(0))
 	assert.Equal(t, maximumConfigurationWait, configurationWait(time.Minute))
 	assert.Equal(t, 300*time.Millisecond, configurationWait(900*time.Millisecond))
