--- a/bench/manygateways/deciders.go
+++ b/bench/manygateways/deciders.go
@@ -61,8 +61,8 @@
 		return d.server.HandleMessage(message)
 	}
 	return &relay.RemotePlacement{
-		Ask: func(_ context.Context, question *region.PlacementQuestion, _ time.Duration) (*region.PlacementAnswer, string, error) {
-			if question.Kind != region.AskIdle {
+		Ask: func(_ context.Context, question *region.PlacementQuery, _ time.Duration) (*region.PlacementAnswer, string, error) {
+			if question.Kind != region.QueryIdle {
 				d.leases++
 				question.Lease = d.leases
 			}
@@ -107,7 +107,7 @@
 			}
 			to.directory.TakeOutstanding(from.name, work, true)
 			to.directory.TakePlaced(placed)
-			to.directory.TakeCosts(costs)
+			to.directory.MergeCosts(costs)
 		}
 	}
 }
@@ -123,9 +123,9 @@
 		for offset := 1; offset < min(count, promptPeers+1); offset++ {
 			to := w.gateways[(index+offset)%count]
 			to.directory.TakePlaced(placed)
-			if offset <= peers.Maximum {
+			if offset <= peers.MaximumWorkPeers {
 				to.directory.TakeOutstanding(from.name, work, true)
-				to.directory.TakeCosts(costs)
+				to.directory.MergeCosts(costs)
 			}
 		}
 	}
--- a/internal/coordinator/activity.go
+++ b/internal/coordinator/activity.go
@@ -83,7 +83,7 @@
 	return demands
 }
 
-// activityInput describes the replicas and the demand to the planner. limited are the incarnations, by Life.Name,
+// activityInput describes the replicas and the demand to the planner. limited are the incarnations, by Incarnation.Name,
 // that declare a rate limit. They are ineligible: the planner leaves them as they are but does not count them, so
 // that active ones continue to serve up to their limit and replicas on standby are activated at once for the
 // excess. groupOf returns the region of a zone.
@@ -95,9 +95,9 @@
 	var reports []string
 	for group, demand := range demands {
 		input.Demand[group] = activeset.Demand{
-			Reading:    demand.Reading,
-			Generating: max(demand.Generating, demand.Expected),
-			Running:    demand.Running,
+			BusyPrefillReplicas: demand.Reading,
+			DecodingAnswers:     max(demand.Generating, demand.Expected),
+			NonModelRequests:    demand.Running,
 		}
 		reports = append(reports, demand.Unreachable...)
 	}
@@ -105,9 +105,9 @@
 	changing := changingReplicas(state)
 	for _, listed := range state.Replicas {
 		replica := listed.Replica
-		eligible := !replica.Leaves() && !changing[replica.ID]
+		eligible := !replica.IsLeaving() && !changing[replica.ID]
 		if eligible && len(unreachable)+len(limited) > 0 {
-			name := replica.Life().Name()
+			name := replica.Incarnation().Name()
 			eligible = !unreachable[name] && !limited[name]
 		}
 		input.Replicas = append(input.Replicas, activeset.Replica{
--- a/internal/coordinator/activity_test.go
+++ b/internal/coordinator/activity_test.go
@@ -194,12 +194,12 @@
 func TestServiceDemandDeterminesActiveReplicas(t *testing.T) {
 	state := region.State{}
 	applyListChange(&state, 0, listCommandWithStandby(bigList(2000)...))
-	unreachable := state.Replicas[0].Replica.Life().Name()
+	unreachable := state.Replicas[0].Replica.Incarnation().Name()
 	demands := map[activeset.Group]region.ServiceDemand{
 		{Service: "model"}: {Reading: 100, Generating: 4, Expected: 5, Unreachable: []string{unreachable, unreachable}},
 	}
 	input := activityInput(state, demands, nil, func(string) string { return "" })
-	assert.Equal(t, activeset.Demand{Reading: 100, Generating: 5}, input.Demand[activeset.Group{Service: "model"}])
+	assert.Equal(t, activeset.Demand{BusyPrefillReplicas: 100, DecodingAnswers: 5}, input.Demand[activeset.Group{Service: "model"}])
 	assert.False(t, input.Replicas[0].Eligible)
 	change := (&activeset.Planner{MinimumActive: activeset.DefaultMinimumActive}).Step(0, input)
 	assert.Len(t, change.Activate, 400+128)
--- a/internal/coordinator/replicalimits.go
+++ b/internal/coordinator/replicalimits.go
@@ -32,7 +32,7 @@
 	*poolService
 	// The mutex of poolService guards the fields that follow.
 	table *ratelimit.Table
-	// listed are the active replicas, which gateways know, by Life.Name, as of listRevision.
+	// listed are the active replicas, which gateways know, by Incarnation.Name, as of listRevision.
 	listed       map[string]bool
 	listRevision uint64
 	// expireAt is when expired limits are next deleted.
@@ -55,7 +55,7 @@
 	}
 	service.refresh = service.updateListed
 	service.onDecision = service.noteDecision
-	socket.Handle(datagram.KindLimitWord, service.receiveReports)
+	socket.Handle(datagram.KindLimitReport, service.receiveReports)
 	return service
 }
 
@@ -71,7 +71,7 @@
 		l.listed = make(map[string]bool, len(state.Replicas))
 		for index := range state.Replicas {
 			if each := &state.Replicas[index]; !each.Standby {
-				l.listed[each.Replica.Life().Name()] = true
+				l.listed[each.Replica.Incarnation().Name()] = true
 			}
 		}
 	}
@@ -170,7 +170,7 @@
 // sendReports sends limit reports in batches. The caller must hold l.mutex.
 func (l *limitService) sendReports(to netip.AddrPort, reports []ratelimit.Report) {
 	for _, batch := range ratelimit.Batches(reports) {
-		l.socket.Send(datagram.KindLimitWord, &ratelimit.Message{From: l.settings.Address, Hash: l.table.LimitsHash(), Reports: batch}, to)
+		l.socket.Send(datagram.KindLimitReport, &ratelimit.Message{From: l.settings.Address, Hash: l.table.LimitsHash(), Reports: batch}, to)
 	}
 }
 
@@ -200,7 +200,7 @@
 		return
 	}
 	message := &ratelimit.Message{From: l.settings.Address, Hash: l.table.LimitsHash()}
-	l.socket.Send(datagram.KindLimitWord, message, l.otherCoordinators()...)
+	l.socket.Send(datagram.KindLimitReport, message, l.otherCoordinators()...)
 }
 
 // view returns the hash of the replicas that declare limits and, unless it equals the gateway's known hash,
@@ -232,7 +232,7 @@
 
 // ReplicaLimitState is the rate limit of a replica.
 type ReplicaLimitState struct {
-	// Replica is a region.Life.Name.
+	// Replica is a region.Incarnation.Name.
 	Replica string `json:"replica"`
 	// Rate is the limit in requests a second, and DeclaredForS the time in seconds for which the replica has
 	// declared a limit.
@@ -284,7 +284,7 @@
 	return l.table.Dropped
 }
 
-// limitedReplicas returns the incarnations, by Life.Name, that declare limits; nil if there are none.
+// limitedReplicas returns the incarnations, by Incarnation.Name, that declare limits; nil if there are none.
 func (l *limitService) limitedReplicas() map[string]bool {
 	limits := l.declared()
 	if len(limits) == 0 {
--- a/internal/coordinator/replicalimits_test.go
+++ b/internal/coordinator/replicalimits_test.go
@@ -48,7 +48,7 @@
 
 // report sends a limit report of a replica to a coordinator.
 func (c *limitClient) report(coordinator string, report ratelimit.Report) {
-	c.socket.Send(datagram.KindLimitWord, &ratelimit.Message{From: c.address, Reports: []ratelimit.Report{report}}, netip.MustParseAddrPort(coordinator))
+	c.socket.Send(datagram.KindLimitReport, &ratelimit.Message{From: c.address, Reports: []ratelimit.Report{report}}, netip.MustParseAddrPort(coordinator))
 }
 
 // requestPermit requests a permit from a coordinator, repeatedly until it answers.
--- a/internal/coordinator/stages.go
+++ b/internal/coordinator/stages.go
@@ -83,7 +83,7 @@
 )
 
 // stagePlanner plans and orders the stages of replicas at the leader. Its maps of replicas, and those of the
-// planners, are keyed by Life.Name.
+// planners, are keyed by Incarnation.Name.
 type stagePlanner struct {
 	dutyHolder
 	plans           map[string]*stageplan.Regions
@@ -204,7 +204,7 @@
 	for _, listed := range state.Replicas {
 		replica := listed.Replica
 		switch {
-		case replica.Stage == "" || replica.Leaves():
+		case replica.Stage == "" || replica.IsLeaving():
 		case !listed.Standby:
 			services[replica.Service] = append(services[replica.Service], replica)
 		default:
@@ -225,7 +225,7 @@
 func (p *stagePlanner) endStuckChanges(ctx context.Context, now time.Duration, state region.State) {
 	changing := map[string]bool{}
 	for _, change := range state.Changes {
-		name := change.Life().Name()
+		name := change.Incarnation().Name()
 		changing[name] = true
 		begun, known := p.changeStartedAt[name]
 		if !known {
@@ -234,7 +234,7 @@
 		}
 		if now-begun > changeTimeout {
 			p.logger.Info(event.ChangeStuck, "replica", change.Replica, "stage", change.Stage)
-			p.endChange(ctx, change.Life(), unansweredOrderHold)
+			p.endChange(ctx, change.Incarnation(), unansweredOrderHold)
 		}
 	}
 	for replica := range p.changeStartedAt {
@@ -245,7 +245,7 @@
 }
 
 // endChange commits the end of a change, and holds back further orders to the replica for a time.
-func (p *stagePlanner) endChange(ctx context.Context, incarnation region.Life, hold time.Duration) {
+func (p *stagePlanner) endChange(ctx context.Context, incarnation region.Incarnation, hold time.Duration) {
 	p.ordersHeldUntil[incarnation.Name()] = p.now() + hold
 	delete(p.changeStartedAt, incarnation.Name())
 	command := &region.Command{ChangeEnd: &region.ChangeEndCommand{Replica: incarnation.ID}}
@@ -273,7 +273,7 @@
 	case errors.Is(err, ErrOrderRejected):
 		p.ordersHeldUntil[change.ReplicaID] = p.now() + rejectedOrderHold
 		if _, committed := p.changeStartedAt[change.ReplicaID]; committed {
-			p.endChange(ctx, replica.Life(), rejectedOrderHold)
+			p.endChange(ctx, replica.Incarnation(), rejectedOrderHold)
 		}
 	default:
 		p.ordersHeldUntil[change.ReplicaID] = p.now() + unansweredOrderHold
@@ -283,7 +283,7 @@
 // maximumReportQueries bounds the replicas whose load is queried before one of them is changed.
 const maximumReportQueries = 8
 
-// leastBusy returns the candidate, by Life.Name, that reports the fewest requests, since these have to end
+// leastBusy returns the candidate, by Incarnation.Name, that reports the fewest requests, since these have to end
 // before its stage changes. A replica that does not answer counts as the busiest.
 func (p *stagePlanner) leastBusy(ctx context.Context, replicas []region.Replica, candidates []string) string {
 	if len(candidates) == 1 {
@@ -309,7 +309,7 @@
 
 func findReplica(replicas []region.Replica, name string) (region.Replica, bool) {
 	for _, replica := range replicas {
-		if replica.Life().Name() == name {
+		if replica.Incarnation().Name() == name {
 			return replica, true
 		}
 	}
@@ -325,7 +325,7 @@
 	if err != nil {
 		return errors.Join(ErrOrderRejected, err)
 	}
-	incarnation := replica.Life()
+	incarnation := replica.Incarnation()
 	if report.Changing || p.unanswered.wouldEnableOlder(p.now(), incarnation, report.Sequence) {
 		return ErrOrderRejected
 	}
@@ -362,10 +362,10 @@
 var errReplicaRestarted = errors.New("the replica has started again")
 
 // isListed reports whether the list still shows an incarnation.
-func (p *stagePlanner) isListed(incarnation region.Life) bool {
+func (p *stagePlanner) isListed(incarnation region.Incarnation) bool {
 	state, _ := p.machine.read()
 	listed, found := findListed(state.Replicas, incarnation.ID)
-	return found && listed.Life() == incarnation
+	return found && listed.Incarnation() == incarnation
 }
 
 // commit proposes a command and returns its log position.
--- a/internal/peers/backoffs.go
+++ b/internal/peers/backoffs.go
@@ -23,20 +23,20 @@
 		return
 	}
 	b.revision, b.resendAt = revision, time.Time{}
-	backoffs := parent.peers.directory.Resting()
+	backoffs := parent.peers.directory.ReplicasInBackoff()
 	if len(backoffs) == 0 {
 		return
 	}
 	b.resendAt = now.Add(fullInterval)
-	message := &region.Resting{Gateway: parent.peers.name, Replicas: backoffs}
-	sent := parent.peers.socket.Send(datagram.KindResting, message, near[:min(len(near), Maximum)]...)
+	message := &region.BackoffReport{Gateway: parent.peers.name, Replicas: backoffs}
+	sent := parent.peers.socket.Send(datagram.KindBackoffReport, message, near[:min(len(near), MaximumWorkPeers)]...)
 	parent.allowance -= float64(sent)
 	parent.peers.count(Counts{OwnRegion: uint64(sent)})
 }
 
 // receiveBackoffs handles a peer's report of replicas that reject its requests.
 func (p *Peers) receiveBackoffs(_ netip.AddrPort, payload []byte) error {
-	var message region.Resting
+	var message region.BackoffReport
 	if _, err := message.UnmarshalMsg(payload); err != nil {
 		return err
 	}
--- a/internal/placement/server.go
+++ b/internal/placement/server.go
@@ -188,7 +188,7 @@
 func (s *Server) answerQuery(gateway *gatewayLeases, message *region.PlacementMessage) *region.PlacementAnswer {
 	query := message.Question
 	held, known := gateway.leases[query.Lease]
-	if query.Kind == region.AskIdle {
+	if query.Kind == region.QueryIdle {
 		return idleAnswer(query.Lease, held)
 	}
 	if known {
@@ -271,20 +271,20 @@
 	switch reported.Kind {
 	case region.LeaseReleased:
 		if reported.Micros > 0 {
-			lease.StreamPaused(time.Duration(reported.Micros) * time.Microsecond)
+			lease.ObserveGap(time.Duration(reported.Micros) * time.Microsecond)
 		}
 		g.release(reported.Lease)
-	case region.LeaseRead:
+	case region.LeasePrefilled:
 		lease.PrefillDone()
-	case region.LeaseKept:
+	case region.LeaseCached:
 		lease.PromptCached(held.prompt)
-	case region.LeaseBegun:
+	case region.LeaseStarted:
 		lease.StreamBegun("", reported.HandedOver)
-	case region.LeasePaused:
-		lease.StreamPaused(time.Duration(reported.Micros) * time.Microsecond)
+	case region.LeaseGap:
+		lease.ObserveGap(time.Duration(reported.Micros) * time.Microsecond)
 	case region.LeaseAnswered:
 		lease.Answered(reported.Failed, reportedLoad(reported))
-	case region.LeaseFull:
+	case region.LeaseRejected:
 		lease.Refused(time.Duration(max(reported.Micros, 0)) * time.Microsecond)
 	case region.LeaseUnreachable:
 		lease.Unreachable(reported.HandedOver)
--- a/internal/relay/prompt.go
+++ b/internal/relay/prompt.go
@@ -79,13 +79,13 @@
 }
 
 // prefillRequest describes the prompt and the time that is left to prefill it.
-func (r *callState) prefillRequest() ReadRequest {
+func (r *callState) prefillRequest() PrefillRequest {
 	objective := r.call.objective()
-	return ReadRequest{
+	return PrefillRequest{
 		Prompt:         r.call.Prompt,
 		Objective:      objective,
 		TargetTokenGap: r.call.Route.TargetGap,
-		AimLeft:        time.Until(r.call.Arrived.Add(objective)),
+		ObjectiveLeft:  time.Until(r.call.Arrived.Add(objective)),
 		Left:           r.timeLeft(),
 		Rank:           rankOf(r.call.Route.Priority),
 		Tenant:         tenantHash(r.call.Tenant),
@@ -187,7 +187,7 @@
 		lease.permitUsed()
 	}
 	if err != nil {
-		if !upstream.Held(err) && (ctx.Err() == nil || context.Cause(ctx) == errSlowPrefill) {
+		if !upstream.HeldBack(err) && (ctx.Err() == nil || context.Cause(ctx) == errSlowPrefill) {
 			lease.Unreachable(upstream.HandedOver(err) && !upstream.Silent(err))
 			if upstream.HandedOver(err) {
 				r.recordConnectionLoss(ctx, lease, err)
--- a/internal/relay/replica.go
+++ b/internal/relay/replica.go
@@ -99,7 +99,7 @@
 
 // queueingTime returns the prefill work that a replica does before a prompt of an urgency. The caller must
 // hold d.mutex.
-func (d *Directory) queueingTime(replica *Replica, urgency Urgency, request ReadRequest, now time.Duration) time.Duration {
+func (d *Directory) queueingTime(replica *Replica, urgency Urgency, request PrefillRequest, now time.Duration) time.Duration {
 	work := replica.totalPrefillWork(now)
 	if urgency == Late {
 		return work.before(Late)
@@ -192,7 +192,7 @@
 
 // isLeavingForGood reports whether the replica takes no new work until its incarnation ends, according to the list or
 // its own answers. The caller must hold Directory.mutex.
-func (r *Replica) isLeavingForGood() bool { return r.Leaves() || r.declaresLeaving() }
+func (r *Replica) isLeavingForGood() bool { return r.IsLeaving() || r.declaresLeaving() }
 
 // notifyStreams notifies the streams on the replica that it is leaving. The caller must hold Directory.mutex.
 func (r *Replica) notifyStreams() {
