--- a/internal/controller/changestatus.go
+++ b/internal/controller/changestatus.go
@@ -21,14 +21,14 @@
 	}
 }
 
-func changeStatus(revision uint64, answers []zoneAnswer) operatorapi.ChangeStatus {
+func changeStatus(revision uint64, results []zoneResult) operatorapi.ChangeStatus {
 	status := operatorapi.ChangeStatus{
 		Revision: revision,
 		Zones:    []operatorapi.ZoneChange{},
 		Missing:  []operatorapi.Missing{},
 	}
-	for _, answer := range answers {
-		zone, missing := zoneChange(revision, &answer)
+	for _, result := range results {
+		zone, missing := zoneChange(revision, &result)
 		status.Zones = append(status.Zones, zone)
 		status.Missing = append(status.Missing, missing...)
 	}
@@ -36,12 +36,12 @@
 	return status
 }
 
-func zoneChange(revision uint64, answer *zoneAnswer) (operatorapi.ZoneChange, []operatorapi.Missing) {
-	change := operatorapi.ZoneChange{Zone: answer.zone}
-	report := answer.report
+func zoneChange(revision uint64, result *zoneResult) (operatorapi.ZoneChange, []operatorapi.Missing) {
+	change := operatorapi.ZoneChange{Zone: result.zone}
+	report := result.report
 	if report == nil {
-		reason := "the zone can't be reached: " + describeError(answer.problem)
-		return change, []operatorapi.Missing{{Zone: answer.zone, Reason: reason}}
+		reason := "the zone can't be reached: " + describeError(result.problem)
+		return change, []operatorapi.Missing{{Zone: result.zone, Reason: reason}}
 	}
 	change.Reached = true
 	change.Revision = report.ConfigRevision
@@ -49,11 +49,11 @@
 	var missing []operatorapi.Missing
 	if report.ConfigRevision < revision {
 		reason := "the zone has not adopted it"
-		missing = append(missing, operatorapi.Missing{Zone: answer.zone, Revision: report.ConfigRevision, Reason: reason})
+		missing = append(missing, operatorapi.Missing{Zone: result.zone, Revision: report.ConfigRevision, Reason: reason})
 	}
 	if !report.FromLeader {
 		reason := "no leader of the zone group answered"
-		return change, append(missing, operatorapi.Missing{Zone: answer.zone, Revision: report.ConfigRevision, Reason: reason})
+		return change, append(missing, operatorapi.Missing{Zone: result.zone, Revision: report.ConfigRevision, Reason: reason})
 	}
 	for _, gateway := range report.Gateways {
 		if gateway.ConfigRevision >= revision {
@@ -61,7 +61,7 @@
 			continue
 		}
 		missing = append(missing, operatorapi.Missing{
-			Zone: answer.zone, Gateway: gateway.ID, Revision: gateway.ConfigRevision, Reason: "the gateway is " + gateway.State,
+			Zone: result.zone, Gateway: gateway.ID, Revision: gateway.ConfigRevision, Reason: "the gateway is " + gateway.State,
 		})
 	}
 	return change, missing
--- a/internal/controller/claims.go
+++ b/internal/controller/claims.go
@@ -32,7 +32,7 @@
 		return &wire.ClaimReply{Status: wire.ClaimNotReady}, nil
 	}
 	if result.OnceOnly == nil {
-		return nil, refusal(result)
+		return nil, resultError(result)
 	}
 	reply := &wire.ClaimReply{
 		Status:         wire.ClaimStatus(result.OnceOnly.Status),
@@ -89,7 +89,7 @@
 		return "", err
 	}
 	if result.OnceOnly == nil {
-		return "", refusal(result)
+		return "", resultError(result)
 	}
 	if result.OnceOnly.Status == onceonly.StatusInvalid {
 		return "", failure.New(failure.IdempotencyKeyInvalid, "the key does not belong to this zone")
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -50,8 +50,8 @@
 	controllers int
 	// inMemory stores the data in in-memory file systems, which can simulate a
 	// crash.
-	inMemory bool
-	change   func(settings *controller.Settings)
+	inMemory       bool
+	adjustSettings func(settings *controller.Settings)
 }
 
 func startCluster(t *testing.T, plan layout) *cluster {
@@ -121,8 +121,8 @@
 				m.settings.OtherZones = append(m.settings.OtherZones, controller.ZoneControllers{Zone: zone, Controllers: addresses})
 			}
 		}
-		if plan.change != nil {
-			plan.change(&m.settings)
+		if plan.adjustSettings != nil {
+			plan.adjustSettings(&m.settings)
 		}
 	}
 }
--- a/internal/controller/configadoption.go
+++ b/internal/controller/configadoption.go
@@ -39,10 +39,10 @@
 }
 
 func (c *Controller) configSources() []string {
-	sources := unique(c.settings.ConfigVoters)
+	sources := concatUnique(c.settings.ConfigVoters)
 	for _, zone := range c.settings.Zones {
 		if zone != c.settings.Zone {
-			sources = unique(sources, c.directory.controllers(zone))
+			sources = concatUnique(sources, c.directory.controllers(zone))
 		}
 	}
 	others := sources[:0]
--- a/internal/controller/configchanges.go
+++ b/internal/controller/configchanges.go
@@ -39,7 +39,7 @@
 func (c *Controller) configLeaderCall(attempt func(ctx context.Context, address string) error) *leaderCall {
 	addresses := c.settings.ConfigVoters
 	if c.config != nil {
-		addresses = unique([]string{c.config.LeaderAddress()}, c.config.MemberAddresses(), addresses)
+		addresses = concatUnique([]string{c.config.LeaderAddress()}, c.config.MemberAddresses(), addresses)
 	}
 	return &leaderCall{
 		groupName:  operatorapi.GroupConfig,
--- a/internal/controller/configmachine.go
+++ b/internal/controller/configmachine.go
@@ -56,8 +56,9 @@
 	return m.store.Restore(data)
 }
 
-// documents returns the configuration's revision and the current documents. If
-// name is set, it returns only that document, even if it was withdrawn.
+// documents returns the configuration's revision and the current documents,
+// including the founding records of zone groups. If name is set, it returns only
+// that document, even if it was withdrawn.
 func (m *configMachine) documents(kind, name string) (uint64, []versioned.Document) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -96,6 +97,7 @@
 }
 
 // assemble builds a configuration from documents that are sorted by kind and name.
+// It skips the founding records of zone groups.
 func assemble(revision uint64, documents []versioned.Document) (*dynamic.Snapshot, error) {
 	snapshot := &dynamic.Snapshot{Revision: revision}
 	for _, document := range documents {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -59,15 +59,15 @@
 	config        *replication.Group // nil if this controller is not a config voter
 	configMachine *configMachine
 	term          atomic.Pointer[term]
-	engineEnds    engineEnds
+	engineCrashes engineCrashes
 
 	health   *telemetry.Health
 	metrics  *telemetry.Metrics
-	stopping context.Context
+	stopping context.Context // canceled by stop, which ends the waiting long polls
 	stop     context.CancelFunc
 }
 
-// New opens the data folder and prepares everything that Run then runs. All
+// New opens the data folder, the clients and the replicas; Run starts them. All
 // errors in the settings are reported at once.
 func New(settings Settings) (*Controller, error) {
 	settings = settings.withDefaults()
@@ -248,7 +248,8 @@
 }
 
 // transferLeadership transfers the leadership of each group that this controller
-// leads, so that a planned stop causes no election.
+// leads, so that after a planned stop the groups don't wait for an election
+// timeout.
 func (c *Controller) transferLeadership() {
 	ctx, cancel := context.WithTimeout(context.Background(), transferTimeout)
 	defer cancel()
--- a/internal/controller/founding.go
+++ b/internal/controller/founding.go
@@ -8,8 +8,9 @@
 	"github.com/pierhaven/pierhaven/internal/replication"
 )
 
-// foundGroup founds a group from the voters in the settings, if this controller
-// is the one whose address sorts first.
+// foundGroup founds a group from the initial voters in the settings, if this
+// controller is the one whose address sorts first. It retries until this replica
+// is a member.
 func (c *Controller) foundGroup(ctx context.Context, g *replication.Group, voters []string) {
 	founder := &replication.Founder{Group: g, Client: c.client, Self: c.settings.AdvertiseAddress, Logger: c.logger}
 	founder.Found(ctx, voters)
--- a/internal/controller/gateway_test.go
+++ b/internal/controller/gateway_test.go
@@ -73,7 +73,7 @@
 	g.config = max(g.config, view.ConfigRevision)
 }
 
-func (g *testGateway) beat() error {
+func (g *testGateway) sendHeartbeat() error {
 	request := &wire.HeartbeatRequest{GatewayID: g.id, SessionID: g.session.SessionID, AppliedRevision: g.applied, ConfigRevision: g.config}
 	var reply wire.HeartbeatReply
 	if err := g.call(wire.PathHeartbeat, request, &reply); err != nil {
@@ -88,13 +88,13 @@
 	return nil
 }
 
-// beatUntil sends a heartbeat if the gateway's configuration is older than the
-// revision. It returns an error if the configuration is still older afterwards.
-func (g *testGateway) beatUntil(revision uint64) error {
+// updateToRevision sends one heartbeat if the gateway's configuration is older than
+// the revision. It returns an error if the configuration is still older afterwards.
+func (g *testGateway) updateToRevision(revision uint64) error {
 	if g.config >= revision {
 		return nil
 	}
-	if err := g.beat(); err != nil {
+	if err := g.sendHeartbeat(); err != nil {
 		return err
 	}
 	if g.config < revision {
@@ -103,14 +103,14 @@
 	return nil
 }
 
-// keepBeating sends heartbeats until the returned function is called.
-func (g *testGateway) keepBeating() (stop func()) {
+// startHeartbeats sends heartbeats until the returned function is called.
+func (g *testGateway) startHeartbeats() (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		for ctx.Err() == nil {
-			_ = g.beat()
+			_ = g.sendHeartbeat()
 			time.Sleep(50 * time.Millisecond)
 		}
 	}()
--- a/internal/controller/generation.go
+++ b/internal/controller/generation.go
@@ -67,7 +67,8 @@
 	return c.recordFounding(ctx, last.Revision, zoneGroupRecord{Founding: founding, Generation: record.Generation + 1})
 }
 
-// recordFounding replaces the record at the given revision, 0 if there is none.
+// recordFounding stores the record and returns its generation. revision is the
+// revision of the record that it replaces, 0 if there is none.
 func (c *Controller) recordFounding(ctx context.Context, revision uint64, record zoneGroupRecord) (uint64, error) {
 	body, err := json.Marshal(record)
 	if err != nil {
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// runTerm runs one term. It begins with a read barrier, so that the core starts
-// from everything that earlier leaders have committed.
+// runTerm runs one term until its context ends. It begins with a read barrier, so
+// that the core starts from everything that earlier leaders have committed.
 func (c *Controller) runTerm(ctx context.Context, change replica.LeadershipChange) {
 	for c.zone.ReadBarrier(ctx) != nil {
 		if !lifecycle.Sleep(ctx, retryTermInterval) {
@@ -68,10 +68,10 @@
 	running.Go(c.guard(func() { c.adoptConfiguration(ctx, t) }))
 	running.Go(c.guard(func() { c.watchMachines(ctx, t) }))
 	running.Go(c.guard(func() { c.plan(ctx, t) }))
-	running.Go(c.guard(func() { c.keepPoison(ctx) }))
+	running.Go(c.guard(func() { c.manageHolds(ctx) }))
 	for _, zone := range c.settings.Zones {
 		if zone != c.settings.Zone {
-			running.Go(c.guard(func() { c.tellHolds(ctx, zone) }))
+			running.Go(c.guard(func() { c.sendHolds(ctx, zone) }))
 		}
 	}
 	c.tickUntilDone(ctx, t)
--- a/internal/controller/leadercall.go
+++ b/internal/controller/leadercall.go
@@ -35,7 +35,8 @@
 	return max(minimumLeaderSearchTime, leaderSearchElections*c.settings.ElectionTimeout)
 }
 
-// run calls the members until the leader answers. If no leader answers, the error
+// run calls the members in turn until one executes the call or returns an error
+// that the others would return too. If none does within the search time, the error
 // says whether any attempt may have been executed.
 func (l *leaderCall) run(ctx context.Context) error {
 	deadline := time.Now().Add(l.searchTime)
--- a/internal/controller/members_test.go
+++ b/internal/controller/members_test.go
@@ -12,9 +12,9 @@
 	"github.com/pierhaven/pierhaven/internal/config/dynamic"
 )
 
-// groupsOf waits until a controller responds and returns the state of its groups by
+// groupStates waits until a controller responds and returns the state of its groups by
 // name.
-func (c *cluster) groupsOf(m *member) map[string]operatorapi.GroupState {
+func (c *cluster) groupStates(m *member) map[string]operatorapi.GroupState {
 	c.t.Helper()
 	groups := map[string]operatorapi.GroupState{}
 	c.eventually("status of "+m.settings.ID, func() error {
@@ -30,14 +30,14 @@
 func TestMembersWithLostDisksAreReplacedAndAnotherLossIsTolerated(t *testing.T) {
 	c := startCluster(t, layout{zones: []string{"hal-noord"}, controllers: 3})
 	client := c.operators()
-	revision := submit(t, client, dynamic.KindPolicy, "evening", policyOf(1)).Revision
+	revision := submit(t, client, dynamic.KindPolicy, "evening", policyWithPrice(1)).Revision
 	members := c.members["hal-noord"]
 	for round, victim := range []*member{members[0], members[1]} {
-		before := c.groupsOf(victim)
+		before := c.groupStates(victim)
 		require.NoError(t, victim.stop(t))
 		require.NoError(t, os.RemoveAll(victim.settings.DataFolder))
 		victim.start(t)
-		after := c.groupsOf(victim)
+		after := c.groupStates(victim)
 		for _, name := range []string{"hal-noord", operatorapi.GroupConfig} {
 			require.NotEqual(t, before[name].ReplicaID, after[name].ReplicaID, "a replica with an empty data folder must have a new ID")
 			require.Equal(t, "joining", after[name].Role)
@@ -49,7 +49,7 @@
 			})
 			requireVoters(t, list.Group, after[name].ReplicaID)
 		}
-		request := change(t, operatorapi.OperationReplace, fmt.Sprint(round), revision, policyOf(float64(round+2)))
+		request := change(t, operatorapi.OperationReplace, fmt.Sprint(round), revision, policyWithPrice(float64(round+2)))
 		result, err := client.ChangeDocument(context.Background(), dynamic.KindPolicy, "evening", request)
 		require.NoError(t, err)
 		revision = result.Revision
--- a/internal/controller/onceonly_test.go
+++ b/internal/controller/onceonly_test.go
@@ -42,9 +42,10 @@
 	require.Equal(t, wire.ClaimExpired, reply.Status)
 }
 
-// TestAnAnswerTooLargeToStoreEndsItsClaim stores an answer that exceeds the size
-// of a log entry: the claim must still end, and a repeated claim must get the
-// status unknown, which says that the request may have run.
+// TestAnAnswerTooLargeToStoreEndsItsClaim completes a claim with an answer that
+// exceeds the maximum size of a log command (replica.DefaultMaxCommandBytes): the
+// claim must still end, and a repeated claim must get the status unknown, which
+// says that the request may have run.
 func TestAnAnswerTooLargeToStoreEndsItsClaim(t *testing.T) {
 	c := startCluster(t, layout{zones: []string{"north"}, controllers: 1, inMemory: true})
 	submit(t, c.operators(), dynamic.KindTenant, "depot", tenant("north"))
--- a/internal/controller/operatorcommands.go
+++ b/internal/controller/operatorcommands.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := refusal(result); err != nil {
+	if err := resultError(result); err != nil {
 		return nil, err
 	}
 	c.logger.Info("operator action applied", "action", request.Action, "engine", request.EngineID, "gateway", request.GatewayID)
--- a/internal/controller/operatormembers.go
+++ b/internal/controller/operatormembers.go
@@ -53,7 +53,7 @@
 }
 
 // groupLeaderCall returns a call to the leader of the config group or of a zone
-// group.
+// group. The caller sets its attempt.
 func (c *Controller) groupLeaderCall(name string) (*leaderCall, error) {
 	if name == operatorapi.GroupConfig {
 		return c.configLeaderCall(nil), nil
--- a/internal/controller/operators.go
+++ b/internal/controller/operators.go
@@ -54,24 +54,24 @@
 	return warnings
 }
 
-func zoneState(answer *zoneAnswer) operatorapi.ZoneState {
-	state := operatorapi.ZoneState{Zone: answer.zone, Controllers: answer.controllers}
+func zoneState(result *zoneResult) operatorapi.ZoneState {
+	state := operatorapi.ZoneState{Zone: result.zone, Controllers: result.controllers}
 	state.Group.Members = []operatorapi.Member{}
 	state.PolicyFailures = []operatorapi.PolicyFailure{}
 	state.Rollouts = []operatorapi.Rollout{}
-	if answer.report == nil {
-		state.Problem = describeError(answer.problem)
+	if result.report == nil {
+		state.Problem = describeError(result.problem)
 		return state
 	}
 	state.Reached = true
-	state.FromLeader = answer.report.FromLeader
-	state.Revision = answer.report.Revision
-	state.ConfigRevision = answer.report.ConfigRevision
-	state.Engines = len(answer.report.Engines)
-	state.Gateways = len(answer.report.Gateways)
-	state.Group = answer.report.Group
-	state.Rollouts = append(state.Rollouts, answer.report.Rollouts...)
-	state.PolicyFailures = append(state.PolicyFailures, answer.report.PolicyFailures...)
+	state.FromLeader = result.report.FromLeader
+	state.Revision = result.report.Revision
+	state.ConfigRevision = result.report.ConfigRevision
+	state.Engines = len(result.report.Engines)
+	state.Gateways = len(result.report.Gateways)
+	state.Group = result.report.Group
+	state.Rollouts = append(state.Rollouts, result.report.Rollouts...)
+	state.PolicyFailures = append(state.PolicyFailures, result.report.PolicyFailures...)
 	if state.Group.Members == nil {
 		state.Group.Members = []operatorapi.Member{}
 	}
@@ -84,8 +84,8 @@
 // Zones implements operatorapi.Backend.
 func (c *Controller) Zones(ctx context.Context) (operatorapi.ZoneList, error) {
 	list := operatorapi.ZoneList{Zones: []operatorapi.ZoneState{}}
-	for _, answer := range c.collectReports(ctx) {
-		list.Zones = append(list.Zones, zoneState(&answer))
+	for _, result := range c.collectReports(ctx) {
+		list.Zones = append(list.Zones, zoneState(&result))
 	}
 	return list, nil
 }
@@ -97,13 +97,13 @@
 		Engines:  []operatorapi.Engine{},
 		BackEnds: []operatorapi.BackEnd{},
 	}
-	for _, answer := range c.collectReports(ctx) {
-		list.Zones = append(list.Zones, zoneState(&answer))
-		if answer.report == nil {
+	for _, result := range c.collectReports(ctx) {
+		list.Zones = append(list.Zones, zoneState(&result))
+		if result.report == nil {
 			continue
 		}
-		list.Engines = append(list.Engines, answer.report.Engines...)
-		for _, backEnd := range answer.report.BackEnds {
+		list.Engines = append(list.Engines, result.report.Engines...)
+		for _, backEnd := range result.report.BackEnds {
 			backEnd.Applications = append([]string{}, backEnd.Applications...)
 			list.BackEnds = append(list.BackEnds, backEnd)
 		}
@@ -114,10 +114,10 @@
 // Gateways implements operatorapi.Backend.
 func (c *Controller) Gateways(ctx context.Context) (operatorapi.GatewayList, error) {
 	list := operatorapi.GatewayList{Zones: []operatorapi.ZoneState{}, Gateways: []operatorapi.Gateway{}}
-	for _, answer := range c.collectReports(ctx) {
-		list.Zones = append(list.Zones, zoneState(&answer))
-		if answer.report != nil {
-			list.Gateways = append(list.Gateways, answer.report.Gateways...)
+	for _, result := range c.collectReports(ctx) {
+		list.Zones = append(list.Zones, zoneState(&result))
+		if result.report != nil {
+			list.Gateways = append(list.Gateways, result.report.Gateways...)
 		}
 	}
 	return list, nil
--- a/internal/controller/operators_test.go
+++ b/internal/controller/operators_test.go
@@ -16,7 +16,7 @@
 	"github.com/pierhaven/pierhaven/internal/failure"
 )
 
-func policyOf(price float64) dynamic.Policy {
+func policyWithPrice(price float64) dynamic.Policy {
 	return dynamic.Policy{Name: "evening", RoleChange: dynamic.RoleChangeRule{Price: price, MaximumAway: 1}}
 }
 
@@ -30,13 +30,13 @@
 func TestExactlyOneOfConcurrentChangesSucceeds(t *testing.T) {
 	const operators = 12
 	c := startCluster(t, layout{zones: []string{"hal-noord"}, controllers: 3})
-	base := submit(t, c.operators(), dynamic.KindPolicy, "evening", policyOf(0))
+	base := submit(t, c.operators(), dynamic.KindPolicy, "evening", policyWithPrice(0))
 	results := make([]operatorapi.ChangeResult, operators)
 	problems := make([]error, operators)
 	requests := make([]operatorapi.DocumentChange, operators)
 	var running sync.WaitGroup
 	for number := range operators {
-		requests[number] = change(t, operatorapi.OperationReplace, uuid.NewString(), base.Revision, policyOf(float64(number+1)))
+		requests[number] = change(t, operatorapi.OperationReplace, uuid.NewString(), base.Revision, policyWithPrice(float64(number+1)))
 		running.Go(func() {
 			client := c.operatorsAt(c.members["hal-noord"][number%3].settings.OperatorListenAddress)
 			results[number], problems[number] = client.ChangeDocument(context.Background(), dynamic.KindPolicy, "evening", requests[number])
@@ -73,15 +73,15 @@
 
 func TestRestartAfterManyChangesLosesAndRepeatsNone(t *testing.T) {
 	const changes = 300
-	c := startCluster(t, layout{zones: []string{"hal-noord"}, controllers: 3, change: func(settings *controllerSettings) {
+	c := startCluster(t, layout{zones: []string{"hal-noord"}, controllers: 3, adjustSettings: func(settings *controllerSettings) {
 		settings.SnapshotEntries = 50
 	}})
 	client := c.operators()
-	revision := submit(t, client, dynamic.KindPolicy, "evening", policyOf(0)).Revision
+	revision := submit(t, client, dynamic.KindPolicy, "evening", policyWithPrice(0)).Revision
 	var requests []operatorapi.DocumentChange
 	var results []operatorapi.ChangeResult
 	for number := 1; number <= changes; number++ {
-		request := change(t, operatorapi.OperationReplace, fmt.Sprintf("change-%d", number), revision, policyOf(float64(number)))
+		request := change(t, operatorapi.OperationReplace, fmt.Sprintf("change-%d", number), revision, policyWithPrice(float64(number)))
 		result, err := client.ChangeDocument(context.Background(), dynamic.KindPolicy, "evening", request)
 		require.NoError(t, err)
 		require.Greater(t, result.Revision, revision)
@@ -116,15 +116,16 @@
 
 // Guards against losing accepted changes when the leader, or all controllers at
 // once, lose power: the document must keep the revision and content of the last
-// accepted change. A change whose outcome is unknown may be committed or not;
-// repeating its request tells which.
+// accepted change. The test waits for the result of each change before the crash,
+// since one with an unknown outcome may be committed or not, and only repeating its
+// request tells which.
 func TestAcceptedChangesSurviveCrashes(t *testing.T) {
 	c := startCluster(t, layout{zones: []string{"hal-noord"}, controllers: 3, inMemory: true})
 	client := c.operators()
-	revision := submit(t, client, dynamic.KindPolicy, "evening", policyOf(0)).Revision
+	revision := submit(t, client, dynamic.KindPolicy, "evening", policyWithPrice(0)).Revision
 	for round := 1; round <= 3; round++ {
 		for number := range 5 {
-			request := change(t, operatorapi.OperationReplace, fmt.Sprintf("%d-%d", round, number), revision, policyOf(float64(10*round+number)))
+			request := change(t, operatorapi.OperationReplace, fmt.Sprintf("%d-%d", round, number), revision, policyWithPrice(float64(10*round+number)))
 			result, err := client.ChangeDocument(context.Background(), dynamic.KindPolicy, "evening", request)
 			require.NoError(t, err)
 			revision = result.Revision
@@ -159,13 +160,13 @@
 
 func TestWithoutMajorityChangesFailAndListsWork(t *testing.T) {
 	c := startCluster(t, layout{zones: []string{"hal-noord"}, controllers: 3})
-	submit(t, c.operators(), dynamic.KindPolicy, "evening", policyOf(1))
+	submit(t, c.operators(), dynamic.KindPolicy, "evening", policyWithPrice(1))
 	g := openGateway(c, "hal-noord", "gateway-1")
 	c.eventually("configuration at the gateway", func() error {
 		if g.config > 0 {
 			return nil
 		}
-		return g.beat()
+		return g.sendHeartbeat()
 	})
 	remaining := c.members["hal-noord"][0]
 	require.NoError(t, c.members["hal-noord"][1].stop(t))
@@ -195,7 +196,7 @@
 	members, err := client.Members(ctx, "hal-noord")
 	require.NoError(t, err)
 	require.Len(t, members.Group.Members, 3)
-	require.Error(t, g.beat(), "a controller without a majority must not renew a lease")
+	require.Error(t, g.sendHeartbeat(), "a controller without a majority must not renew a lease")
 
 	c.members["hal-noord"][1].start(t)
 	c.eventually("repeated request after the majority is restored", func() error {
@@ -212,7 +213,7 @@
 	client := c.operators()
 	ctx := context.Background()
 	snapshot := dynamic.Snapshot{
-		Policies: []dynamic.Policy{policyOf(2)},
+		Policies: []dynamic.Policy{policyWithPrice(2)},
 		Tenants:  []dynamic.Tenant{tenant("hal-noord")},
 		Models:   []dynamic.Model{{Name: "org/address-reader", Version: "1", FirstTokenMillis: 500, BetweenTokensMillis: 50, MaximumPromptTokens: 100, MaximumOutputTokens: 10}},
 	}
@@ -238,7 +239,7 @@
 	moved.Tenants = []dynamic.Tenant{tenant("elsewhere")}
 	_, err = client.ApplyConfiguration(ctx, operatorapi.ConfigurationChange{RequestID: "d", Snapshot: moved})
 	requireKind(t, failure.InvalidDocument, err)
-	broken := policyOf(1)
+	broken := policyWithPrice(1)
 	broken.Ranking = "request.nonsense + 1"
 	_, err = client.ChangeDocument(ctx, dynamic.KindPolicy, "evening", change(t, operatorapi.OperationReplace, "e", document.Revision, broken))
 	requireKind(t, failure.InvalidDocument, err)
--- a/internal/controller/platform.go
+++ b/internal/controller/platform.go
@@ -67,11 +67,11 @@
 func (d *directory) controllers(zone string) []string {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return unique(d.configured[zone], d.listed[zone])
+	return concatUnique(d.configured[zone], d.listed[zone])
 }
 
-// unique concatenates lists without repeated or empty values.
-func unique(lists ...[]string) []string {
+// concatUnique concatenates lists without repeated or empty values.
+func concatUnique(lists ...[]string) []string {
 	seen := map[string]bool{}
 	joined := []string{}
 	for _, list := range lists {
--- a/internal/controller/poison.go
+++ b/internal/controller/poison.go
@@ -24,17 +24,17 @@
 	crashReportWindow = time.Second
 )
 
-// engineEnds names the crashes of engines. An engine keeps its id when it crashes, but each crash is
+// engineCrashes names the crashes of engines. An engine keeps its id when it crashes, but each crash is
 // a separate piece of evidence, and all gateways' reports of one crash count as one. It may be used
 // concurrently.
-type engineEnds struct {
+type engineCrashes struct {
 	mutex         sync.Mutex
 	firstReported map[string]time.Time
 }
 
 // crashName returns the name of an engine's crash that was reported at now: the engine's id and the
-// time of the crash's first report.
-func (e *engineEnds) crashName(engine string, now time.Time) string {
+// time of the first report of this crash.
+func (e *engineCrashes) crashName(engine string, now time.Time) string {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.firstReported == nil {
@@ -56,8 +56,8 @@
 	}
 	now := time.Now()
 	command := &poison.Command{Completions: report.Completions}
-	for _, end := range report.Crashes {
-		command.Crashes = append(command.Crashes, poison.Crash{Replica: c.engineEnds.crashName(end.Replica, now), Requests: end.Requests})
+	for _, crash := range report.Crashes {
+		command.Crashes = append(command.Crashes, poison.Crash{Replica: c.engineCrashes.crashName(crash.Replica, now), Requests: crash.Requests})
 	}
 	return &poison.News{}, c.commitPoison(ctx, command)
 }
@@ -68,7 +68,7 @@
 	if err != nil {
 		return err
 	}
-	return refusal(result)
+	return resultError(result)
 }
 
 // poisonState returns the zone's state about requests that crash engines.
@@ -78,18 +78,18 @@
 	return known
 }
 
-// keepPoison holds requests that are due to be held by the evidence, and deletes expired evidence,
-// until the term ends.
-func (c *Controller) keepPoison(ctx context.Context) {
+// manageHolds holds the requests that according to the evidence are due to be held, and deletes
+// expired evidence, until the term ends.
+func (c *Controller) manageHolds(ctx context.Context) {
 	for lifecycle.Sleep(ctx, poisonInterval) {
-		known := c.poisonState()
-		command := known.Next(time.Now().UnixNano(), poison.SettleTime(c.settings.SessionLease), c.settings.RequestHold)
+		state := c.poisonState()
+		command := state.Next(time.Now().UnixNano(), poison.SettleTime(c.settings.SessionLease), c.settings.RequestHold)
 		if command == nil {
 			continue
 		}
 		err := c.commitPoison(ctx, command)
 		for _, digest := range command.Hold {
-			record, _ := known.Find(digest)
+			record, _ := state.Find(digest)
 			c.logger.Info(event.RequestHeld, "digest", digest.String(), "engines_ended", record.Total, "error", failure.Text(err))
 		}
 	}
@@ -102,14 +102,14 @@
 	maximumHoldsPerCall = 256
 )
 
-// tellHolds sends the digests of the requests that this zone holds to another zone's leader, each
-// until a call with it succeeds, until the term ends. Requests are forwarded from zone to zone, and
-// without this each zone would have to lose engines before it holds them.
-func (c *Controller) tellHolds(ctx context.Context, zone string) {
+// sendHolds sends the digests of the requests that this zone holds to another zone's leader, until the
+// term ends. It repeats a digest until a call with it succeeds. Requests are forwarded from zone to
+// zone, and without this each zone would have to lose engines before it holds them.
+func (c *Controller) sendHolds(ctx context.Context, zone string) {
 	sent := map[poison.Digest]bool{}
 	for lifecycle.Sleep(ctx, holdSendInterval) {
-		known := c.poisonState()
-		unsent := slices.DeleteFunc(known.HeldDigests(), func(digest poison.Digest) bool { return sent[digest] })
+		state := c.poisonState()
+		unsent := slices.DeleteFunc(state.HeldDigests(), func(digest poison.Digest) bool { return sent[digest] })
 		if len(unsent) == 0 {
 			continue
 		}
@@ -141,10 +141,10 @@
 	if c.currentTerm() == nil {
 		return nil, c.notLeading()
 	}
-	known := c.poisonState()
+	state := c.poisonState()
 	command := &poison.Command{
-		HeldElsewhere: slices.DeleteFunc(slices.Clone(received.HeldElsewhere), known.Holds),
-		Release:       slices.DeleteFunc(slices.Clone(received.Release), func(digest poison.Digest) bool { return !known.Holds(digest) }),
+		HeldElsewhere: slices.DeleteFunc(slices.Clone(received.HeldElsewhere), state.Holds),
+		Release:       slices.DeleteFunc(slices.Clone(received.Release), func(digest poison.Digest) bool { return !state.Holds(digest) }),
 	}
 	if len(command.HeldElsewhere)+len(command.Release) == 0 {
 		return &peer.Empty{}, nil
@@ -155,8 +155,8 @@
 // HeldRequests implements operatorapi.Backend. If this controller does not lead, the newest holds may
 // be missing.
 func (c *Controller) HeldRequests(context.Context) ([]poison.Held, error) {
-	known := c.poisonState()
-	return known.Held(), nil
+	state := c.poisonState()
+	return state.Held(), nil
 }
 
 // ReleaseRequest implements operatorapi.Backend: it releases a held request in all zones. After an
@@ -165,7 +165,7 @@
 	if c.currentTerm() == nil {
 		return c.notLeading()
 	}
-	known := c.poisonState()
+	state := c.poisonState()
 	release := &poison.Command{Release: []poison.Digest{digest}}
 	problems := make([]error, 0, len(c.settings.Zones))
 	for _, zone := range c.settings.Zones {
@@ -173,15 +173,15 @@
 			problems = append(problems, c.sendHoldCommand(ctx, zone, release))
 		}
 	}
-	if known.Holds(digest) {
+	if state.Holds(digest) {
 		problems = append(problems, c.commitPoison(ctx, release))
 	}
 	err := errors.Join(problems...)
-	c.logger.Info(event.RequestReleased, "digest", digest.String(), "known", known.Holds(digest), "error", failure.Text(err))
+	c.logger.Info(event.RequestReleased, "digest", digest.String(), "known", state.Holds(digest), "error", failure.Text(err))
 	switch {
 	case err != nil:
 		return failure.Wrap(err, failure.NoQuorum)
-	case !known.Holds(digest):
+	case !state.Holds(digest):
 		return failure.New(failure.NotFound, "no request with this digest is held")
 	}
 	return nil
--- a/internal/controller/poison_test.go
+++ b/internal/controller/poison_test.go
@@ -18,12 +18,12 @@
 }
 
 // reportCrash reports that an engine has crashed while it had requests.
-func (g *testGateway) reportCrash(engine string, under ...string) error {
-	end := poison.Crash{Replica: engine}
-	for _, name := range under {
-		end.Requests = append(end.Requests, requestDigest(name))
+func (g *testGateway) reportCrash(engine string, requests ...string) error {
+	crash := poison.Crash{Replica: engine}
+	for _, name := range requests {
+		crash.Requests = append(crash.Requests, requestDigest(name))
 	}
-	return g.call(wire.PathPoison, &poison.Report{Gateway: g.id, Crashes: []poison.Crash{end}}, &poison.News{})
+	return g.call(wire.PathPoison, &poison.Report{Gateway: g.id, Crashes: []poison.Crash{crash}}, &poison.News{})
 }
 
 // heldDigests sends a heartbeat and returns the digests that the reply names as held.
--- a/internal/controller/prefetch.go
+++ b/internal/controller/prefetch.go
@@ -40,7 +40,8 @@
 }
 
 // prefetches returns the prefetch requests to send now. Each desired configuration
-// is requested once in a term; engines that drain already go first.
+// is requested once in a term, unless no worker was free; engines that already drain
+// for their change go first.
 func (t *term) prefetches(now time.Duration) []prefetchCall {
 	var calls []prefetchCall
 	t.with(func(core *reconcile.Core, state *zonestate.State) {
@@ -68,16 +69,17 @@
 	return calls
 }
 
-// awaitingWeights returns the reachable engines that will change their model or
-// version and have no order yet, those that drain first. It deletes the records of
-// prefetches of all other engines. The caller must hold t.mutex.
+// awaitingWeights returns the reachable engines, neither drained nor leaving, that
+// will change their model or version and have no order yet. Engines that already
+// drain for their change come first. It deletes the records of prefetches of all
+// other engines. The caller must hold t.mutex.
 func (t *term) awaitingWeights(engines []reconcile.EngineStatus) []*zonestate.Engine {
 	var waiting []*zonestate.Engine
 	known := map[string]bool{}
 	for index := range engines {
 		engine := &engines[index].Engine
-		answers := engines[index].Reported != nil && engines[index].SinceLastResponse < engineUnreachableAfter
-		if !answers || engine.Order != nil || engine.Drained || engine.Leaving || !needsWeights(engine) {
+		reachable := engines[index].Reported != nil && engines[index].SinceLastResponse < engineUnreachableAfter
+		if !reachable || engine.Order != nil || engine.Drained || engine.Leaving || !needsWeights(engine) {
 			continue
 		}
 		known[engine.ID] = true
@@ -103,7 +105,8 @@
 	return engine.Desired.Model != engine.Verified.Model || engine.Desired.Version != engine.Verified.Version
 }
 
-// prefetchRank is the sort key that puts engines first that drain already.
+// prefetchRank is the sort key that puts first the engines that already drain for
+// their change.
 func prefetchRank(engine *zonestate.Engine) int {
 	if engine.Changing {
 		return 0
@@ -111,6 +114,8 @@
 	return 1
 }
 
+// forgetPrefetch deletes the record of a prefetch that was not sent, so that it is
+// requested again.
 func (t *term) forgetPrefetch(engineID string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/controller/resend_test.go
+++ b/internal/controller/resend_test.go
@@ -18,7 +18,7 @@
 // Each must get its first result and change nothing.
 func TestRepeatedZoneCommandsAreExecutedOnce(t *testing.T) {
 	const zone, engine = "hal-noord", "engine-1"
-	c := startCluster(t, layout{zones: []string{zone}, controllers: 3, change: func(settings *controllerSettings) {
+	c := startCluster(t, layout{zones: []string{zone}, controllers: 3, adjustSettings: func(settings *controllerSettings) {
 		settings.Engines = []controller.BackEndAddress{{ID: engine, Address: "127.0.0.1:1"}}
 	}})
 	client := c.operators()
@@ -38,7 +38,7 @@
 	require.NoError(t, err)
 	require.Greater(t, undrained.Revision, drained.Revision)
 
-	resend := func() {
+	repeatCommands := func() {
 		c.eventually("first results", func() error {
 			first, err := command(operatorapi.ActionDrain, "r-drain")
 			if err == nil {
@@ -60,11 +60,11 @@
 		_, err = command(operatorapi.ActionUndrain, "r-drain")
 		requireKind(t, failure.IdempotencyKeyReused, err)
 	}
-	resend()
+	repeatCommands()
 	leader := c.leader(zone)
 	require.NoError(t, leader.stop(t))
 	c.leader(zone)
-	resend()
+	repeatCommands()
 	leader.start(t)
 	for _, m := range c.all() {
 		require.NoError(t, m.stop(t))
@@ -72,5 +72,5 @@
 	for _, m := range c.all() {
 		m.start(t)
 	}
-	resend()
+	repeatCommands()
 }
--- a/internal/controller/rollouts.go
+++ b/internal/controller/rollouts.go
@@ -18,18 +18,19 @@
 
 // versionOutcomes holds the sums of the outcomes that gateways report, by model and
 // version. A gateway reports totals since its start, so only the differences between
-// two reports are added.
+// two reports are added: a gateway's first row for a version is only the baseline,
+// and a row with a smaller total than before, of a restarted count, is a new one.
 type versionOutcomes map[string]map[string]rollout.Outcomes
 
 func (v versionOutcomes) add(before, after []wire.VersionOutcome) {
 	for _, row := range after {
-		at := slices.IndexFunc(before, func(known wire.VersionOutcome) bool {
+		index := slices.IndexFunc(before, func(known wire.VersionOutcome) bool {
 			return known.Model == row.Model && known.Version == row.Version
 		})
-		if at < 0 || before[at].Ended > row.Ended {
+		if index < 0 || before[index].Ended > row.Ended {
 			continue
 		}
-		known := before[at]
+		known := before[index]
 		byVersion, found := v[row.Model]
 		if !found {
 			byVersion = map[string]rollout.Outcomes{}
--- a/internal/controller/sessions.go
+++ b/internal/controller/sessions.go
@@ -33,9 +33,9 @@
 	return result, nil
 }
 
-// refusal returns an error for any outcome but OutcomeDone. All of these outcomes
+// resultError returns an error for any outcome but OutcomeDone. All of these outcomes
 // mean that the command has changed nothing.
-func refusal(result zonestate.Result) error {
+func resultError(result zonestate.Result) error {
 	kinds := map[zonestate.Outcome]failure.Kind{
 		zonestate.OutcomeStale:         failure.RevisionConflict,
 		zonestate.OutcomeNotFound:      failure.NotFound,
@@ -75,7 +75,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := refusal(result); err != nil {
+	if err := resultError(result); err != nil {
 		return nil, err
 	}
 	term := c.currentTerm()
@@ -83,7 +83,7 @@
 		return nil, failure.New(failure.NotReady, "the session can't be handed out now")
 	}
 	reply := &wire.OpenSessionReply{SessionID: result.SessionID}
-	reply.Terms, _ = c.termsOf(result.SessionID, request.GatewayID)
+	reply.Terms, _ = c.sessionTerms(result.SessionID, request.GatewayID)
 	reply.View = c.zoneMachine.ViewFor(&wire.WatchRequest{GatewayID: request.GatewayID, SessionID: result.SessionID})
 	return reply, nil
 }
@@ -104,9 +104,9 @@
 	return reply, nil
 }
 
-// termsOf returns the terms of a gateway's session; known is false if the gateway
+// sessionTerms returns the terms of a gateway's session; known is false if the gateway
 // has no such open session.
-func (c *Controller) termsOf(sessionID uint64, gatewayID string) (terms wire.Terms, known bool) {
+func (c *Controller) sessionTerms(sessionID uint64, gatewayID string) (terms wire.Terms, known bool) {
 	c.zoneMachine.Read(func(state *zonestate.State) {
 		session, open := state.Sessions().Get(sessionID)
 		if !open || session.MemberID != gatewayID {
@@ -153,7 +153,8 @@
 	return rpc.NotLeader(c.zone.LeaderAddress())
 }
 
-// handleCloseSession ends a session whose gateway has no requests in flight.
+// handleCloseSession ends a session whose gateway has no requests in flight. It
+// succeeds if the session has ended before.
 func (c *Controller) handleCloseSession(ctx context.Context, request *wire.CloseSessionRequest) (*wire.CloseSessionReply, error) {
 	result, err := c.proposeZone(ctx, &zonestate.Command{
 		Kind:    zonestate.KindEndSession,
@@ -165,7 +166,7 @@
 	if result.Outcome == zonestate.OutcomeNotFound {
 		return &wire.CloseSessionReply{}, nil
 	}
-	return &wire.CloseSessionReply{}, refusal(result)
+	return &wire.CloseSessionReply{}, resultError(result)
 }
 
 // handleWatch serves a long poll for a newer view than the watcher's. Every
--- a/internal/controller/sessions_test.go
+++ b/internal/controller/sessions_test.go
@@ -41,24 +41,24 @@
 
 // claimNew retries until a claim of a new key is granted: the zone may not have
 // received the tenant's document yet.
-func claimNew(c *cluster, g *testGateway, body string) (key1, attempt string) {
+func claimNew(c *cluster, g *testGateway, body string) (claimKey, attempt string) {
 	c.t.Helper()
-	key1, attempt = key(c.t), uuid.NewString()
+	claimKey, attempt = key(c.t), uuid.NewString()
 	c.eventually("claim", func() error {
-		reply, err := g.claim(key1, attempt, body)
+		reply, err := g.claim(claimKey, attempt, body)
 		if err == nil && reply.Status != wire.ClaimGranted {
 			err = fmt.Errorf("claim is %s", reply.Status)
 		}
 		return err
 	})
-	return key1, attempt
+	return claimKey, attempt
 }
 
 func TestSessionsAndClaimsSurviveLeaderStop(t *testing.T) {
 	c := startCluster(t, layout{zones: []string{"hal-noord"}, controllers: 3})
 	accepted := submit(t, c.operators(), dynamic.KindTenant, "depot", tenant("hal-noord"))
 	g := openGateway(c, "hal-noord", "gateway-1")
-	stopBeating := g.keepBeating()
+	stopHeartbeats := g.startHeartbeats()
 	first, firstAttempt := claimNew(c, g, "print 1")
 	second, secondAttempt := claimNew(c, g, "print 2")
 	require.NoError(t, g.complete(first, firstAttempt, "label 1"))
@@ -87,10 +87,10 @@
 		if other.config >= accepted.Revision {
 			return nil
 		}
-		return other.beat()
+		return other.sendHeartbeat()
 	})
-	stopBeating()
-	require.NoError(t, g.beat(), "the session must survive the stop of the leader")
+	stopHeartbeats()
+	require.NoError(t, g.sendHeartbeat(), "the session must survive the stop of the leader")
 	for index := 1; index < len(g.views); index++ {
 		require.GreaterOrEqual(t, g.views[index].Revision, g.views[index-1].Revision)
 		require.GreaterOrEqual(t, g.views[index].ConfigRevision, g.views[index-1].ConfigRevision)
--- a/internal/controller/settings.go
+++ b/internal/controller/settings.go
@@ -32,7 +32,7 @@
 	// DataFolder holds all data that the controller stores.
 	DataFolder string `validate:"required"`
 
-	// ZoneVoters are the advertised addresses of the zone group's first
+	// ZoneVoters are the advertised addresses of the zone group's initial
 	// voters. The first of them in lexical order founds the group.
 	ZoneVoters []string `validate:"required,unique,dive,hostname_port"`
 	// ConfigVoters are the same for the config group.
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -93,8 +93,9 @@
 	t.requestTick()
 }
 
-// recordHeartbeat stores a heartbeat unless its session is not the gateway's open
-// session or a heartbeat that arrived later is stored. The caller must hold t.mutex.
+// recordHeartbeat stores a heartbeat of the gateway's open session, and what it
+// reports of outcomes and usage. It ignores heartbeats of other sessions, and those
+// that arrived before the stored one. The caller must hold t.mutex.
 func (t *term) recordHeartbeat(at time.Duration, heartbeat *wire.HeartbeatRequest, state *zonestate.State) {
 	session, open := state.Sessions().Get(heartbeat.SessionID)
 	if !open || session.MemberID != heartbeat.GatewayID {
@@ -160,8 +161,8 @@
 	return shares
 }
 
-// sessionOpened records that a request which arrived at at has opened a session. It
-// reports whether the session may be returned to the gateway.
+// sessionOpened records that a request that arrived at the given time has opened a
+// session. It reports whether the session may be returned to the gateway.
 func (t *term) sessionOpened(at time.Duration, sessionID uint64) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -224,7 +225,7 @@
 	t.requestTick()
 }
 
-// tick runs one tick of the core and deletes the state of ended sessions.
+// tick runs one tick of the core and deletes the heartbeats of ended sessions.
 func (t *term) tick(now time.Duration, wallMillis int64) reconcile.Outputs {
 	var outputs reconcile.Outputs
 	t.with(func(core *reconcile.Core, state *zonestate.State) {
@@ -234,6 +235,8 @@
 	return outputs
 }
 
+// forgetEnded deletes the heartbeats of ended sessions, and the budget shares of
+// gateways that have no other open session. The caller must hold t.mutex.
 func (t *term) forgetEnded(sessions *membership.Table) {
 	for sessionID, report := range t.gateways {
 		if _, open := sessions.Get(sessionID); open {
--- a/internal/controller/zonereport.go
+++ b/internal/controller/zonereport.go
@@ -83,8 +83,9 @@
 	return report
 }
 
-// policyFailures returns the policy programs that don't run as written, at this
-// controller and at the gateways of the report. The caller must hold t.mutex.
+// policyFailures returns the policy programs that have failed at run time and, with
+// a count of 0, the policies that don't compile, at this controller and at the
+// gateways of the report. The caller must hold t.mutex.
 func (t *term) policyFailures(report *operatorapi.ZoneReport) []operatorapi.PolicyFailure {
 	var failures []operatorapi.PolicyFailure
 	for _, failed := range t.policies.set.Reports() {
@@ -201,9 +202,9 @@
 	row.HeartbeatAgeMillis = (now - report.at).Milliseconds()
 }
 
-// zoneAnswer is the result of querying one zone: a report, or the problem that
-// prevented one.
-type zoneAnswer struct {
+// zoneResult is the result of querying one zone: a report, or the problem that
+// prevented one. Its controllers are the addresses that were queried.
+type zoneResult struct {
 	zone        string
 	controllers []string
 	report      *operatorapi.ZoneReport
@@ -212,27 +213,27 @@
 
 // collectReports queries all zones concurrently. The results are in the order of
 // the settings.
-func (c *Controller) collectReports(ctx context.Context) []zoneAnswer {
-	answers := make([]zoneAnswer, len(c.settings.Zones))
+func (c *Controller) collectReports(ctx context.Context) []zoneResult {
+	results := make([]zoneResult, len(c.settings.Zones))
 	var running sync.WaitGroup
 	for index, zone := range c.settings.Zones {
-		running.Go(func() { answers[index] = c.queryZone(ctx, zone) })
+		running.Go(func() { results[index] = c.queryZone(ctx, zone) })
 	}
 	running.Wait()
-	return answers
+	return results
 }
 
 // queryZone queries all known controllers of a zone concurrently. It returns the
 // leader's report or, if no leader answers, the newest of the others.
-func (c *Controller) queryZone(ctx context.Context, zone string) zoneAnswer {
-	answer := zoneAnswer{zone: zone, controllers: c.zoneControllers(zone)}
-	if len(answer.controllers) == 0 {
-		answer.problem = failure.New(failure.NotFound, "no controller of the zone is known")
-		return answer
+func (c *Controller) queryZone(ctx context.Context, zone string) zoneResult {
+	result := zoneResult{zone: zone, controllers: c.zoneControllers(zone)}
+	if len(result.controllers) == 0 {
+		result.problem = failure.New(failure.NotFound, "no controller of the zone is known")
+		return result
 	}
-	reports := make(chan *operatorapi.ZoneReport, len(answer.controllers))
-	problems := make(chan error, len(answer.controllers))
-	for _, address := range answer.controllers {
+	reports := make(chan *operatorapi.ZoneReport, len(result.controllers))
+	problems := make(chan error, len(result.controllers))
+	for _, address := range result.controllers {
 		go func() {
 			report, err := c.queryController(ctx, address)
 			if err == nil && report.Zone != zone {
@@ -245,17 +246,17 @@
 			reports <- report
 		}()
 	}
-	for range answer.controllers {
+	for range result.controllers {
 		select {
-		case answer.problem = <-problems:
+		case result.problem = <-problems:
 		case report := <-reports:
-			answer.report = newerReport(answer.report, report)
+			result.report = newerReport(result.report, report)
 			if report.FromLeader {
-				return answer
+				return result
 			}
 		}
 	}
-	return answer
+	return result
 }
 
 func newerReport(left, right *operatorapi.ZoneReport) *operatorapi.ZoneReport {
@@ -277,7 +278,7 @@
 // they include the members of the zone group.
 func (c *Controller) zoneControllers(zone string) []string {
 	if zone == c.settings.Zone {
-		return unique([]string{c.settings.AdvertiseAddress}, c.zone.MemberAddresses(), c.directory.controllers(zone))
+		return concatUnique([]string{c.settings.AdvertiseAddress}, c.zone.MemberAddresses(), c.directory.controllers(zone))
 	}
 	return c.directory.controllers(zone)
 }
--- a/internal/controller/zones_test.go
+++ b/internal/controller/zones_test.go
@@ -21,11 +21,11 @@
 	c := startCluster(t, layout{zones: zones, controllers: 2})
 	client := c.operators("caerdydd-a")
 	ctx := context.Background()
-	first := submit(t, client, dynamic.KindPolicy, "evening", policyOf(1))
+	first := submit(t, client, dynamic.KindPolicy, "evening", policyWithPrice(1))
 	gateways := map[string]*testGateway{}
 	for _, zone := range zones {
 		gateways[zone] = openGateway(c, zone, "gateway-"+zone)
-		defer gateways[zone].keepBeating()()
+		defer gateways[zone].startHeartbeats()()
 	}
 	status, err := client.ChangeStatus(ctx, first.Revision, operatorapi.MaximumWait)
 	require.NoError(t, err)
@@ -36,7 +36,7 @@
 		require.NoError(t, m.stop(t))
 	}
 	began := time.Now()
-	second, err := client.ChangeDocument(ctx, dynamic.KindPolicy, "evening", change(t, operatorapi.OperationReplace, "second", first.Revision, policyOf(2)))
+	second, err := client.ChangeDocument(ctx, dynamic.KindPolicy, "evening", change(t, operatorapi.OperationReplace, "second", first.Revision, policyWithPrice(2)))
 	require.NoError(t, err)
 	c.eventually("the other zones", func() error {
 		status, err = client.ChangeStatus(ctx, second.Revision, time.Second)
@@ -72,12 +72,13 @@
 	zones := []string{"hal-noord", "hal-zuid", "hal-oost"}
 	c := startCluster(t, layout{zones: zones, controllers: 1})
 	for _, zone := range zones {
-		// Waits until the zone's group is founded: its founding is a separate change.
+		// Waits until the zone's group is founded: the founding is recorded by a
+		// separate change in the config group.
 		openGateway(c, zone, "first-of-"+zone)
 	}
 	accepted := submit(t, c.operators(), dynamic.KindTenant, "depot", tenant("hal-zuid"))
 	g := openGateway(c, "hal-zuid", "gateway-1")
-	c.eventually("configuration at the gateway", func() error { return g.beatUntil(accepted.Revision) })
+	c.eventually("configuration at the gateway", func() error { return g.updateToRevision(accepted.Revision) })
 	claimNew(c, g, "print 1")
 	require.NoError(t, c.members["hal-noord"][0].stop(t))
 	require.NoError(t, c.members["hal-oost"][0].stop(t))
@@ -89,6 +90,6 @@
 	require.Equal(t, accepted.Revision, g.config)
 	require.Equal(t, accepted.Revision, restarted.config)
 	_, err := c.operators("hal-zuid").ChangeDocument(context.Background(), dynamic.KindPolicy, "evening",
-		change(t, operatorapi.OperationSubmit, "r", 0, policyOf(1)))
+		change(t, operatorapi.OperationSubmit, "r", 0, policyWithPrice(1)))
 	require.Contains(t, []failure.Kind{failure.NoQuorum, failure.OutcomeUnknown}, failure.KindOf(err), "%v", err)
 }
