--- a/internal/controller/gateway_test.go
+++ b/internal/controller/gateway_test.go
@@ -88,9 +88,9 @@
 	return nil
 }
 
-// heartbeatUntilRevision sends a heartbeat if the gateway's configuration is older than the
-// revision. It returns an error if the configuration is still older afterwards.
-func (g *testGateway) heartbeatUntilRevision(revision uint64) error {
+// updateToRevision sends one heartbeat if the gateway's configuration is older than
+// the revision. It returns an error if the configuration is still older afterwards.
+func (g *testGateway) updateToRevision(revision uint64) error {
 	if g.config >= revision {
 		return nil
 	}
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// runTerm runs one term. It begins with a read barrier, so that the core starts
-// from everything that earlier leaders have committed.
+// runTerm runs one term until its context ends. It begins with a read barrier, so
+// that the core starts from everything that earlier leaders have committed.
 func (c *Controller) runTerm(ctx context.Context, change replica.LeadershipChange) {
 	for c.zone.ReadBarrier(ctx) != nil {
 		if !lifecycle.Sleep(ctx, retryTermInterval) {
--- a/internal/controller/resend_test.go
+++ b/internal/controller/resend_test.go
@@ -38,7 +38,7 @@
 	require.NoError(t, err)
 	require.Greater(t, undrained.Revision, drained.Revision)
 
-	resend := func() {
+	repeatCommands := func() {
 		c.eventually("first results", func() error {
 			first, err := command(operatorapi.ActionDrain, "r-drain")
 			if err == nil {
@@ -60,11 +60,11 @@
 		_, err = command(operatorapi.ActionUndrain, "r-drain")
 		requireKind(t, failure.IdempotencyKeyReused, err)
 	}
-	resend()
+	repeatCommands()
 	leader := c.leader(zone)
 	require.NoError(t, leader.stop(t))
 	c.leader(zone)
-	resend()
+	repeatCommands()
 	leader.start(t)
 	for _, m := range c.all() {
 		require.NoError(t, m.stop(t))
@@ -72,5 +72,5 @@
 	for _, m := range c.all() {
 		m.start(t)
 	}
-	resend()
+	repeatCommands()
 }
--- a/internal/controller/sessions_test.go
+++ b/internal/controller/sessions_test.go
@@ -41,17 +41,17 @@
 
 // claimNew retries until a claim of a new key is granted: the zone may not have
 // received the tenant's document yet.
-func claimNew(c *cluster, g *testGateway, body string) (key1, attempt string) {
+func claimNew(c *cluster, g *testGateway, body string) (claimKey, attempt string) {
 	c.t.Helper()
-	key1, attempt = key(c.t), uuid.NewString()
+	claimKey, attempt = key(c.t), uuid.NewString()
 	c.eventually("claim", func() error {
-		reply, err := g.claim(key1, attempt, body)
+		reply, err := g.claim(claimKey, attempt, body)
 		if err == nil && reply.Status != wire.ClaimGranted {
 			err = fmt.Errorf("claim is %s", reply.Status)
 		}
 		return err
 	})
-	return key1, attempt
+	return claimKey, attempt
 }
 
 func TestSessionsAndClaimsSurviveLeaderStop(t *testing.T) {
--- a/internal/controller/zonereport.go
+++ b/internal/controller/zonereport.go
@@ -83,8 +83,9 @@
 	return report
 }
 
-// policyFailures returns the policy programs that don't run as written, at this
-// controller and at the gateways of the report. The caller must hold t.mutex.
+// policyFailures returns the policy programs that have failed at run time and, with
+// a count of 0, the policies that don't compile, at this controller and at the
+// gateways of the report. The caller must hold t.mutex.
 func (t *term) policyFailures(report *operatorapi.ZoneReport) []operatorapi.PolicyFailure {
 	var failures []operatorapi.PolicyFailure
 	for _, failed := range t.policies.set.Reports() {
@@ -202,7 +203,7 @@
 }
 
 // zoneResult is the result of querying one zone: a report, or the problem that
-// prevented one.
+// prevented one. Its controllers are the addresses that were queried.
 type zoneResult struct {
 	zone        string
 	controllers []string
@@ -277,7 +278,7 @@
 // they include the members of the zone group.
 func (c *Controller) zoneControllers(zone string) []string {
 	if zone == c.settings.Zone {
-		return unique([]string{c.settings.AdvertiseAddress}, c.zone.MemberAddresses(), c.directory.controllers(zone))
+		return concatUnique([]string{c.settings.AdvertiseAddress}, c.zone.MemberAddresses(), c.directory.controllers(zone))
 	}
 	return c.directory.controllers(zone)
 }
