--- a/internal/policy/bounded_test.go
+++ b/internal/policy/bounded_test.go
@@ -12,9 +12,10 @@
 	"github.com/pierhaven/pierhaven/internal/policy"
 )
 
-// doublings builds a program in which each step doubles what the step before
-// has made. Twenty are enough to show growth and small enough to be survived.
-func doublings(first, step, last string) string {
+// doublingProgram builds a program in which each step doubles the result of the
+// previous one. 20 steps show the growth without exhausting memory if the program
+// runs.
+func doublingProgram(first, step, last string) string {
 	const steps = 20
 	var text strings.Builder
 	fmt.Fprintf(&text, "let v0 = %s; ", first)
@@ -24,14 +25,14 @@
 	return text.String() + strings.ReplaceAll(last, "v", fmt.Sprintf("v%d", steps))
 }
 
-// TestGrowthThatTheSizeOfTheTextDoesNotBoundIsRefused has programs of a few
-// hundred bytes whose run would take memory or time exponential in their size.
-func TestGrowthThatTheSizeOfTheTextDoesNotBoundIsRefused(t *testing.T) {
+// TestProgramsWithUnboundedCostAreRejected guards against programs of a few
+// hundred bytes that take memory or time exponential in their size.
+func TestProgramsWithUnboundedCostAreRejected(t *testing.T) {
 	cases := map[string]string{
-		"texts that double":       doublings("request.tenant", "v + v", "len(v)"),
-		"constants that double":   doublings("'x'", "v + v", "len(v)"),
-		"lists that double":       doublings("[1, 1]", "[v, v]", "v == v ? 1 : 2"),
-		"maps that double":        doublings("{a: 1}", "{a: v, b: v}", "v == v ? 1 : 2"),
+		"texts that double":       doublingProgram("request.tenant", "v + v", "len(v)"),
+		"constants that double":   doublingProgram("'x'", "v + v", "len(v)"),
+		"lists that double":       doublingProgram("[1, 1]", "[v, v]", "v == v ? 1 : 2"),
+		"maps that double":        doublingProgram("{a: 1}", "{a: v, b: v}", "v == v ? 1 : 2"),
 		"list kept in a variable": "let list = ['a', 'b']; request.tenant in list ? 1 : 2",
 		"list in a list":          "request.priority in [[1], [2]] ? 1 : 2",
 		"text or number":          "len((request.batch ? request.tenant : request.model) + request.tenant)",
@@ -48,7 +49,7 @@
 	}
 }
 
-func TestListsAndSumsThatAreBoundedCompile(t *testing.T) {
+func TestBoundedListsAndSumsCompile(t *testing.T) {
 	for _, text := range []string{
 		"request.tenant in ['a', 'b'] ? 1 : 2",
 		"not (request.priority in [1, 2 + 3, request.prompt_tokens]) ? 1 : 2",
--- a/internal/policy/expression.go
+++ b/internal/policy/expression.go
@@ -13,36 +13,36 @@
 
 // Bounds of one expression.
 const (
-	// MaximumLength bounds the text, in bytes.
+	// MaximumLength is the maximum length of the text in bytes.
 	MaximumLength = 4096
-	// MaximumNodes bounds the syntax tree. Without loops, each node runs at
-	// most once, so this bounds the time of a run too.
+	// MaximumNodes is the maximum number of nodes in the syntax tree. Without
+	// loops, each node runs at most once, so this also bounds the run time.
 	MaximumNodes = 256
-	// memoryBudget bounds what a run may allocate, in the library's units
+	// memoryBudget limits the allocations of one run, in the library's units
 	// (elements of ranges, arrays and maps).
 	memoryBudget = 1024
 )
 
 // allowedFunctions are the library's functions whose cost is bounded by the size
-// of the expression; all that loop over a collection are left out.
+// of the expression. Functions that loop over a collection are excluded.
 var allowedFunctions = []string{
 	"abs", "ceil", "floor", "round", "int", "float", "min", "max", "len", "lower", "upper",
 }
 
-// expression is a compiled program with its count of run-time failures.
+// expression is a compiled program and the count of its run-time failures.
 type expression struct {
 	field   string
 	program *vm.Program
 	// members are the names of the variables' fields that the program reads.
 	members  memberNames
 	failures atomic.Uint64
-	// lastFailure is the message of the newest run-time failure.
+	// lastFailure is the message of the most recent run-time failure.
 	lastFailure atomic.Pointer[string]
 }
 
-// compile checks and compiles the text of a field. The samples are environments
-// on which the program is run once, so that faults which types don't show, such
-// as a division by zero, are found at submission.
+// compile checks and compiles the text of a field. The program is run once
+// on each sample environment, so that errors which type checking can't detect,
+// such as a division by zero, are found at submission.
 func compile(field, text string, samples []any, result expr.Option) (*expression, *Problem) {
 	if len(text) > MaximumLength {
 		return nil, &Problem{Field: field, Line: 1, Column: MaximumLength, Message: "the expression is longer than 4096 bytes"}
@@ -50,9 +50,9 @@
 	if problem := checkBounded(field, text); problem != nil {
 		return nil, problem
 	}
-	sums := newSumFinder()
+	concatenations := newConcatenationFinder()
 	options := []expr.Option{
-		expr.Env(samples[0]), result, expr.MaxNodes(MaximumNodes), expr.DisableAllBuiltins(), expr.Patch(sums),
+		expr.Env(samples[0]), result, expr.MaxNodes(MaximumNodes), expr.DisableAllBuiltins(), expr.Patch(concatenations),
 	}
 	for _, name := range allowedFunctions {
 		options = append(options, expr.EnableBuiltin(name))
@@ -61,7 +61,7 @@
 	if err != nil {
 		return nil, problemOf(field, text, err)
 	}
-	if problem := sums.problem(field, text); problem != nil {
+	if problem := concatenations.problem(field, text); problem != nil {
 		return nil, problem
 	}
 	compiled := &expression{field: field, program: program, members: memberNames{}}
@@ -75,10 +75,10 @@
 	return compiled, nil
 }
 
-// reads reports whether the program may read a field of that name.
+// reads reports whether the program may read a field with the given name.
 func (e *expression) reads(name string) bool { return e.members[name] || e.members[anyMember] }
 
-// memberNames gathers the names of the fields that a program reads.
+// memberNames collects the names of the fields that a program reads.
 type memberNames map[string]bool
 
 // anyMember stands for a field whose name is computed.
@@ -97,25 +97,25 @@
 	m[anyMember] = true
 }
 
-// run evaluates the expression on an environment.
+// run evaluates the expression in an environment.
 func (e *expression) run(environment any) (any, error) {
 	machine := vm.VM{MemoryBudget: memoryBudget}
 	return machine.Run(e.program, environment)
 }
 
-// failed counts a run-time failure.
-func (e *expression) failed(err error) {
+// recordFailure counts a run-time failure.
+func (e *expression) recordFailure(err error) {
 	e.failures.Add(1)
 	message := err.Error()
 	e.lastFailure.Store(&message)
 }
 
-// problemOf turns an error of the library into a Problem.
+// problemOf converts an error of the expression library into a Problem.
 func problemOf(field, text string, err error) *Problem {
 	problem := &Problem{Field: field, Message: err.Error()}
 	var located *file.Error
 	if !errors.As(err, &located) || located.Line == 0 {
-		// The library gives no place: the expression as a whole is at fault.
+		// The library gives no position: the problem concerns the whole expression.
 		problem.Line, problem.Column = 1, 1
 		return problem
 	}
--- a/internal/policy/fuzz_test.go
+++ b/internal/policy/fuzz_test.go
@@ -9,14 +9,14 @@
 	"github.com/pierhaven/pierhaven/internal/policy"
 )
 
-// FuzzCompile holds any text to one of two ends: problems with their places, or
-// a program that runs.
+// FuzzCompile checks that any text gives either problems with their positions or a
+// program that runs.
 func FuzzCompile(f *testing.F) {
 	seeds := []string{
 		"", "1", "1 +", "request.priority * 2 - request.deadline_in", "10 % zone.engines == 0",
 		`request.tenant matches "a+" ? 1 : 0`, "let x = request.priority; x * x", "any([1, 2], # > 1)",
 		"change.gain > change.price and demand.queued > 3", "engine.id in ['a', 'b']", "-9223372036854775808 % -1",
-		doublings("'x'", "v + v", "len(v)"), doublings("[1]", "[v, v]", "v == v ? 1 : 2"), "(request.batch ? 'a' : 1) + 1",
+		doublingProgram("'x'", "v + v", "len(v)"), doublingProgram("[1]", "[v, v]", "v == v ? 1 : 2"), "(request.batch ? 'a' : 1) + 1",
 	}
 	for _, seed := range seeds {
 		f.Add(seed)
--- a/internal/policy/joining.go
+++ b/internal/policy/joining.go
@@ -7,39 +7,39 @@
 	"github.com/expr-lang/expr/file"
 )
 
-// sumFinder finds sums of texts. A text that is joined to itself and kept in a
-// variable would double with each step. It is walked over the tree when the
-// types of the nodes are known.
-type sumFinder struct {
-	sums []*ast.BinaryNode
-	// variables holds the values that "let" gives to each name.
+// concatenationFinder finds string concatenations. A string that is concatenated
+// with itself and stored in a variable would double in size with each step. The
+// finder visits the tree after type checking, when the types of nodes are known.
+type concatenationFinder struct {
+	additions []*ast.BinaryNode
+	// variables holds the values that "let" assigns to each name.
 	variables map[string][]ast.Node
-	// texts remembers which names may hold a text.
-	texts map[string]bool
+	// stringVariables caches which variables may hold a string.
+	stringVariables map[string]bool
 }
 
-func newSumFinder() *sumFinder {
-	return &sumFinder{variables: map[string][]ast.Node{}, texts: map[string]bool{}}
+func newConcatenationFinder() *concatenationFinder {
+	return &concatenationFinder{variables: map[string][]ast.Node{}, stringVariables: map[string]bool{}}
 }
 
 // Visit implements ast.Visitor.
-func (f *sumFinder) Visit(node *ast.Node) {
+func (f *concatenationFinder) Visit(node *ast.Node) {
 	switch typed := (*node).(type) {
 	case *ast.BinaryNode:
 		if typed.Operator == "+" {
-			f.sums = append(f.sums, typed)
+			f.additions = append(f.additions, typed)
 		}
 	case *ast.VariableDeclaratorNode:
 		f.variables[typed.Name] = append(f.variables[typed.Name], typed.Value)
 	}
 }
 
-// problem returns the first sum in the text that may join texts, nil if there is
-// none.
-func (f *sumFinder) problem(field, text string) *Problem {
+// problem returns a problem for the first addition in the text that may
+// concatenate strings, or nil if there is none.
+func (f *concatenationFinder) problem(field, text string) *Problem {
 	var first *ast.BinaryNode
-	for _, sum := range f.sums {
-		if !f.mayBeText(sum.Left) && !f.mayBeText(sum.Right) {
+	for _, sum := range f.additions {
+		if !f.mayBeString(sum.Left) && !f.mayBeString(sum.Right) {
 			continue
 		}
 		if first == nil || sum.Location().From < first.Location().From {
@@ -53,10 +53,10 @@
 	return problemOf(field, text, located.Bind(file.NewSource(text)))
 }
 
-// mayBeText reports whether a node's value may be a text. Where the types do not
-// tell, because the branches of a condition differ, it looks into the node; what
-// it does not know counts as a text.
-func (f *sumFinder) mayBeText(node ast.Node) bool {
+// mayBeString reports whether a node's value may be a string. Where the type
+// doesn't determine it, because the branches of a conditional differ in type, the
+// operands of the node are examined; unknown kinds of nodes count as strings.
+func (f *concatenationFinder) mayBeString(node ast.Node) bool {
 	switch node.Type().Kind() {
 	case reflect.String:
 		return true
@@ -65,32 +65,34 @@
 	}
 	switch typed := node.(type) {
 	case *ast.ConditionalNode:
-		return f.mayBeText(typed.Exp1) || f.mayBeText(typed.Exp2)
+		return f.mayBeString(typed.Exp1) || f.mayBeString(typed.Exp2)
 	case *ast.VariableDeclaratorNode:
-		return f.mayBeText(typed.Expr)
+		return f.mayBeString(typed.Expr)
 	case *ast.IdentifierNode:
-		return f.variableMayBeText(typed.Value)
+		return f.variableMayBeString(typed.Value)
 	case *ast.BuiltinNode:
 		return typed.Name == "lower" || typed.Name == "upper"
 	case *ast.UnaryNode:
 		return false
 	case *ast.BinaryNode:
-		// A sum of texts is found by itself; no other operator but ?? makes one.
-		return typed.Operator == "??" && (f.mayBeText(typed.Left) || f.mayBeText(typed.Right))
+		// A concatenation is reported on its own; of the other operators only ??
+		// can give a string.
+		return typed.Operator == "??" && (f.mayBeString(typed.Left) || f.mayBeString(typed.Right))
 	}
 	return true
 }
 
-func (f *sumFinder) variableMayBeText(name string) bool {
-	if known, found := f.texts[name]; found {
+func (f *concatenationFinder) variableMayBeString(name string) bool {
+	if known, found := f.stringVariables[name]; found {
 		return known
 	}
-	// A value that refers to its own name counts as a text.
-	f.texts[name] = true
-	isText := len(f.variables[name]) == 0
+	// A variable whose value refers to its own name counts as a string. This also
+	// ends the recursion.
+	f.stringVariables[name] = true
+	isString := len(f.variables[name]) == 0
 	for _, value := range f.variables[name] {
-		isText = isText || f.mayBeText(value)
+		isString = isString || f.mayBeString(value)
 	}
-	f.texts[name] = isText
-	return isText
+	f.stringVariables[name] = isString
+	return isString
 }
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -12,8 +12,9 @@
 	"github.com/pierhaven/pierhaven/internal/policy"
 )
 
-// TestTenWrongPolicies holds ten mistakes to ten errors that point to the place.
-func TestTenWrongPolicies(t *testing.T) {
+// TestInvalidPoliciesReportThePosition checks for ten kinds of mistakes that the
+// one problem reported has the mistake's field, line and column.
+func TestInvalidPoliciesReportThePosition(t *testing.T) {
 	condition := func(text string) dynamic.Policy {
 		return dynamic.Policy{Name: "p", RoleChange: dynamic.RoleChangeRule{Condition: text}}
 	}
@@ -70,7 +71,7 @@
 	}, fields)
 }
 
-func TestTooLargeIsRefused(t *testing.T) {
+func TestOversizedExpressionsAreRejected(t *testing.T) {
 	text := "1"
 	for range policy.MaximumNodes {
 		text += "+request.priority"
@@ -87,8 +88,8 @@
 	assert.InDelta(t, 199.5, rank, 1e-9)
 }
 
-// TestRuntimeFailureFallsBack divides by a value that is zero only in the field,
-// not in the samples.
+// TestRuntimeFailureFallsBack divides by a value that is zero at run time but not
+// in the samples, so that the programs compile.
 func TestRuntimeFailureFallsBack(t *testing.T) {
 	program, problems := policy.Compile(dynamic.Policy{
 		Name:       "p",
@@ -153,9 +154,9 @@
 	assert.Zero(t, reports[0].Count)
 }
 
-// TestUnchangedPoliciesKeepTheirCounts moves on to a configuration in which only
-// another policy has changed.
-func TestUnchangedPoliciesKeepTheirCounts(t *testing.T) {
+// TestUnchangedPoliciesKeepTheirFailureCounts applies a configuration in which only
+// another policy has changed; a recompiled program would lose its failure count.
+func TestUnchangedPoliciesKeepTheirFailureCounts(t *testing.T) {
 	failing := dynamic.Policy{Name: "failing", Models: []string{"m"}, Ranking: "float(1 % (request.priority - 7))"}
 	set := policy.CompileSet([]dynamic.Policy{failing, {Name: "other", Ranking: "1"}})
 	set.For("m").Rank(policy.RankingVariables{Request: policy.Request{Priority: 7}})
@@ -172,7 +173,7 @@
 	assert.Less(t, policy.BuiltinRankAt(0), policy.BuiltinRankAt(1000*time.Hour))
 }
 
-func TestRankingsByCacheAreKnown(t *testing.T) {
+func TestRanksByCacheFindsReadsOfCachedTokens(t *testing.T) {
 	for ranking, reads := range map[string]bool{
 		"":                         false,
 		"-request.deadline_at":     false,
--- a/internal/policy/program.go
+++ b/internal/policy/program.go
@@ -10,7 +10,7 @@
 	"github.com/pierhaven/pierhaven/internal/config/dynamic"
 )
 
-// Program is a compiled policy. It may be used from several goroutines.
+// Program is a compiled policy. It is safe for concurrent use.
 type Program struct {
 	document   dynamic.Policy
 	ranking    *expression
@@ -19,8 +19,8 @@
 	price      *expression
 }
 
-// Compile checks a whole policy and compiles it; it reports every problem, not
-// only the first.
+// Compile checks and compiles a policy. It reports all problems, not only the
+// first.
 func Compile(document dynamic.Policy) (*Program, Problems) {
 	compiler := compiler{}
 	program := &Program{document: document}
@@ -40,7 +40,7 @@
 
 func numberResult() expr.Option { return expr.AsKind(reflect.Float64) }
 
-// compiler gathers problems.
+// compiler compiles expressions and collects their problems.
 type compiler struct {
 	problems Problems
 }
@@ -56,36 +56,36 @@
 	return compiled
 }
 
-// checkFields checks what isn't an expression.
+// checkFields checks the fields that aren't expressions.
 func (c *compiler) checkFields(document dynamic.Policy) {
 	if document.Name == "" {
-		c.add("name", "a policy needs a name")
+		c.addProblem("name", "a policy needs a name")
 	}
 	for index, rule := range document.Placement {
 		field := fmt.Sprintf("placement[%d]", index)
 		if rule.Model == "" {
-			c.add(field+".model", "a placement rule needs a model")
+			c.addProblem(field+".model", "a placement rule needs a model")
 		}
 		if rule.Version == "" {
-			c.add(field+".version", "a placement rule needs a version")
+			c.addProblem(field+".version", "a placement rule needs a version")
 		}
 		if rule.Minimum < 0 {
-			c.add(field+".minimum", "must not be negative")
+			c.addProblem(field+".minimum", "must not be negative")
 		}
 	}
 	c.checkNumber("role_change.price", document.RoleChange.Price)
 	c.checkNumber("role_change.minimum_dwell_seconds", document.RoleChange.MinimumDwellSeconds)
 	if document.RoleChange.MaximumAway < 0 {
-		c.add("role_change.maximum_away", "must not be negative")
+		c.addProblem("role_change.maximum_away", "must not be negative")
 	}
 }
 
 func (c *compiler) checkNumber(field string, value float64) {
 	if math.IsNaN(value) || math.IsInf(value, 0) || value < 0 {
-		c.add(field, "must be a number of at least 0")
+		c.addProblem(field, "must be a number of at least 0")
 	}
 }
 
-func (c *compiler) add(field, message string) {
+func (c *compiler) addProblem(field, message string) {
 	c.problems = append(c.problems, Problem{Field: field, Message: message})
 }
--- a/internal/policy/reference_test.go
+++ b/internal/policy/reference_test.go
@@ -13,8 +13,9 @@
 	"github.com/pierhaven/pierhaven/internal/policy"
 )
 
-// TestReferenceMatchesVariables holds docs/policy-reference.md and the structs
-// of the environments together: names and types, in both directions.
+// TestReferenceMatchesVariables checks that docs/policy-reference.md and the
+// environment structs list the same variables with the same types, in both
+// directions.
 func TestReferenceMatchesVariables(t *testing.T) {
 	page, err := os.ReadFile("../../docs/policy-reference.md")
 	require.NoError(t, err)
--- a/internal/policy/run.go
+++ b/internal/policy/run.go
@@ -9,8 +9,9 @@
 	"github.com/pierhaven/pierhaven/internal/config/dynamic"
 )
 
-// BuiltinRank is the ranking that holds without a policy, and when one fails:
-// the nearer the deadline the higher, and requests without deadline last.
+// BuiltinRank is the ranking that applies without a policy and when a policy
+// fails: the nearer the deadline, the higher the rank. Requests without a deadline
+// rank last.
 func BuiltinRank(variables *RankingVariables) float64 {
 	if !variables.Request.HasDeadline {
 		return -math.MaxFloat32
@@ -18,8 +19,9 @@
 	return -variables.Request.DeadlineIn
 }
 
-// BuiltinRankAt is the built-in ranking for a deadline on a clock, 0 for none:
-// unlike BuiltinRank it compares requests that came at different times.
+// BuiltinRankAt is the built-in ranking for an absolute deadline, 0 for none.
+// Unlike BuiltinRank, its results are comparable between requests that arrived at
+// different times.
 func BuiltinRankAt(deadline time.Duration) float64 {
 	if deadline <= 0 {
 		return -math.MaxFloat32
@@ -30,40 +32,40 @@
 // Document returns the policy that was compiled.
 func (p *Program) Document() dynamic.Policy { return p.document }
 
-// Governs reports whether the policy is about a model.
+// Governs reports whether the policy applies to a model.
 func (p *Program) Governs(model string) bool {
 	return len(p.document.Models) == 0 || slices.Contains(p.document.Models, model)
 }
 
-// Rank returns a request's rank; higher goes first. A nil program, one without
-// ranking and one that fails give the built-in rank.
+// Rank returns a request's rank; higher ranks go first. A nil program, a program
+// without a ranking and one that fails give the built-in rank.
 func (p *Program) Rank(variables RankingVariables) float64 {
 	if p == nil || p.ranking == nil {
 		return BuiltinRank(&variables)
 	}
 	result, err := p.ranking.run(variables)
 	if err != nil {
-		p.ranking.failed(err)
+		p.ranking.recordFailure(err)
 		return BuiltinRank(&variables)
 	}
 	rank, ok := result.(float64)
 	if !ok || math.IsNaN(rank) || math.IsInf(rank, 0) {
-		p.ranking.failed(fmt.Errorf("the rank is %v, which is no finite number", result))
+		p.ranking.recordFailure(fmt.Errorf("the rank is %v, which is no finite number", result))
 		return BuiltinRank(&variables)
 	}
 	return rank
 }
 
-// Ranks reports whether the policy has a ranking program of its own.
+// Ranks reports whether the policy has a ranking program.
 func (p *Program) Ranks() bool { return p != nil && p.ranking != nil }
 
 // RanksByCache reports whether the ranking program reads the length of the cached
-// prefix, which takes a routing decision to find out.
+// prefix, which is known only after a routing decision.
 func (p *Program) RanksByCache() bool { return p.Ranks() && p.ranking.reads("cached_tokens") }
 
-// Places reports whether a placement rule takes an engine. A rule without
-// condition takes every engine; one that fails takes none, so that a fault never
-// moves an engine.
+// Places reports whether a placement rule allows an engine. A rule without a
+// condition allows every engine. A rule whose condition fails allows none, so that
+// a run-time error never moves an engine.
 func (p *Program) Places(rule int, variables PlacementVariables) bool {
 	if rule >= len(p.placement) {
 		return false
@@ -71,21 +73,22 @@
 	if p.placement[rule] == nil {
 		return true
 	}
-	return p.placement[rule].holds(variables, false)
+	return p.placement[rule].evaluateCondition(variables, false)
 }
 
-// PermitsChange reports whether the role-change condition lets a proposed change
-// happen. Without a condition, and when it fails, the planner's own estimate
-// decides.
+// PermitsChange reports whether the role-change condition permits a proposed
+// change. It returns true without a condition and when the condition fails, so
+// that the planner's own estimate decides.
 func (p *Program) PermitsChange(variables RoleChangeVariables) bool {
 	if p == nil || p.roleChange == nil {
 		return true
 	}
-	return p.roleChange.holds(variables, true)
+	return p.roleChange.evaluateCondition(variables, true)
 }
 
-// Price returns the price of one role change, in requests. A program that fails,
-// or whose result is negative or not finite, gives the document's fixed price.
+// Price returns the price of one role change in requests. If the price program
+// fails or its result is negative or not finite, the document's fixed price is
+// used. A nil program gives 0.
 func (p *Program) Price(variables PriceVariables) float64 {
 	if p == nil {
 		return 0
@@ -95,27 +98,28 @@
 	}
 	result, err := p.price.run(variables)
 	if err != nil {
-		p.price.failed(err)
+		p.price.recordFailure(err)
 		return p.document.RoleChange.Price
 	}
 	price, ok := result.(float64)
 	if !ok || math.IsNaN(price) || math.IsInf(price, 0) || price < 0 {
-		p.price.failed(fmt.Errorf("the price is %v, which is no finite number of at least 0", result))
+		p.price.recordFailure(fmt.Errorf("the price is %v, which is no finite number of at least 0", result))
 		return p.document.RoleChange.Price
 	}
 	return price
 }
 
-// holds evaluates a condition, with the answer for a run-time failure.
-func (e *expression) holds(variables any, fallback bool) bool {
+// evaluateCondition evaluates a condition and returns fallback on a run-time
+// failure.
+func (e *expression) evaluateCondition(variables any, fallback bool) bool {
 	result, err := e.run(variables)
 	if err != nil {
-		e.failed(err)
+		e.recordFailure(err)
 		return fallback
 	}
 	holds, ok := result.(bool)
 	if !ok {
-		e.failed(fmt.Errorf("the condition gave %v", result))
+		e.recordFailure(fmt.Errorf("the condition gave %v", result))
 		return fallback
 	}
 	return holds
@@ -126,11 +130,11 @@
 	Policy string `json:"policy"`
 	Field  string `json:"field"`
 	Count  uint64 `json:"count"`
-	// Last is the newest message.
+	// Last is the message of the most recent failure.
 	Last string `json:"last"`
 }
 
-// Failures returns the fields that have failed at run time, for status.
+// Failures returns the fields that have failed at run time, for status reports.
 func (p *Program) Failures() []Failure {
 	if p == nil {
 		return nil
--- a/internal/policy/samples.go
+++ b/internal/policy/samples.go
@@ -1,7 +1,7 @@
 package policy
 
-// rankingSamples are environments on which a ranking program is tried. The first
-// is all zero, as values are that nothing is known of.
+// rankingSamples are the environments on which a ranking program is tried at
+// compilation. The first is all zeros, because unknown values are 0.
 func rankingSamples() []any {
 	typical := RankingVariables{
 		Request: Request{Tenant: "tenant", Model: "model", Priority: 1, PromptTokens: 2000, OutputTokens: 100, HasDeadline: true, DeadlineIn: 2, DeadlineAt: 1002, ArrivedAt: 1000},
--- a/internal/policy/set.go
+++ b/internal/policy/set.go
@@ -9,19 +9,20 @@
 // Set holds the compiled policies of a configuration.
 type Set struct {
 	programs []*Program
-	// leftOut tells of the policies that do not compile.
-	leftOut []Failure
+	// uncompiled holds the problems of the policies that do not compile.
+	uncompiled []Failure
 }
 
-// CompileSet compiles all policies. One that no longer compiles, for example
-// after an upgrade, is left out and reported; the built-in policy stands in.
+// CompileSet compiles all policies. A policy that no longer compiles, for example
+// after an upgrade, is omitted and reported, and the built-in policy applies
+// instead.
 func CompileSet(documents []dynamic.Policy) *Set {
 	var none *Set
 	return none.Next(documents)
 }
 
-// Next compiles the policies of a later configuration. The programs of unchanged
-// documents are taken over, with their counts of run-time failures.
+// Next compiles the policies of a later configuration. It reuses the programs of
+// unchanged documents, so their counts of run-time failures are kept.
 func (s *Set) Next(documents []dynamic.Policy) *Set {
 	set := &Set{}
 	for _, document := range documents {
@@ -31,7 +32,7 @@
 		}
 		program, problems := Compile(document)
 		if len(problems) > 0 {
-			set.leaveOut(document.Name, problems)
+			set.recordUncompiled(document.Name, problems)
 			continue
 		}
 		set.programs = append(set.programs, program)
@@ -39,7 +40,7 @@
 	return set
 }
 
-// programOf returns the program of a document, nil if there is none.
+// programOf returns the program of a document, or nil if there is none.
 func (s *Set) programOf(document dynamic.Policy) *Program {
 	if s == nil {
 		return nil
@@ -52,15 +53,15 @@
 	return nil
 }
 
-func (s *Set) leaveOut(name string, problems Problems) {
+func (s *Set) recordUncompiled(name string, problems Problems) {
 	for _, problem := range problems {
-		s.leftOut = append(s.leftOut, Failure{Policy: name, Field: problem.Field, Last: problem.Error()})
+		s.uncompiled = append(s.uncompiled, Failure{Policy: name, Field: problem.Field, Last: problem.Error()})
 	}
 }
 
-// For returns the policy that governs a model, nil for the built-in one. A
-// policy that names the model goes before one for all models; of several, the
-// first by name.
+// For returns the policy that governs a model, or nil for the built-in policy. A
+// policy that names the model takes precedence over one for all models; among
+// several, the first by name is used.
 func (s *Set) For(model string) *Program {
 	if s == nil {
 		return nil
@@ -88,8 +89,8 @@
 	return s.programs
 }
 
-// Reports returns what doesn't run as written: the programs that have failed at
-// run time, and with a count of 0 the policies that were left out.
+// Reports returns the programs that have failed at run time and, with a count of
+// 0, the policies that do not compile.
 func (s *Set) Reports() []Failure {
 	if s == nil {
 		return nil
@@ -98,10 +99,10 @@
 	for _, program := range s.programs {
 		failures = append(failures, program.Failures()...)
 	}
-	return append(failures, s.leftOut...)
+	return append(failures, s.uncompiled...)
 }
 
-// CountFailures sums up run-time failures.
+// CountFailures returns the total number of run-time failures.
 func CountFailures(failures []Failure) uint64 {
 	total := uint64(0)
 	for _, failure := range failures {
--- a/internal/policy/variables.go
+++ b/internal/policy/variables.go
@@ -6,7 +6,7 @@
 	"github.com/pierhaven/pierhaven/internal/api/engineapi"
 )
 
-// Request describes the request that is ranked.
+// Request describes the request to rank.
 type Request struct {
 	Tenant       string  `expr:"tenant"`
 	Model        string  `expr:"model"`
@@ -23,7 +23,7 @@
 	Spilled      bool    `expr:"spilled"`
 }
 
-// Tenant describes the tenant of the request that is ranked.
+// Tenant describes the tenant of the request to rank.
 type Tenant struct {
 	Weight      float64 `expr:"weight"`
 	BudgetShare float64 `expr:"budget_share"`
@@ -49,7 +49,7 @@
 	Gateways int    `expr:"gateways"`
 }
 
-// AddEngine counts an engine with its role; away says that it is changing or
+// AddEngine counts an engine by role; away means that it is being changed or
 // drained.
 func (z *Zone) AddEngine(role string, away bool) {
 	z.Engines++
@@ -73,13 +73,13 @@
 	Weekday int `expr:"weekday"`
 }
 
-// ClockAt describes a time.
+// ClockAt returns the clock variables of a time, in UTC.
 func ClockAt(at time.Time) Clock {
 	at = at.UTC()
 	return Clock{Hour: at.Hour(), Minute: at.Minute(), Weekday: int(at.Weekday())}
 }
 
-// Engine describes the engine that a placement rule may take.
+// Engine describes an engine that a placement rule may allow.
 type Engine struct {
 	ID         string `expr:"id"`
 	Index      int    `expr:"index"`
@@ -113,7 +113,7 @@
 	SinceLast          float64 `expr:"since_last"`
 }
 
-// RankingVariables are what a ranking program sees.
+// RankingVariables are the variables of a ranking program.
 type RankingVariables struct {
 	Request Request `expr:"request"`
 	Tenant  Tenant  `expr:"tenant"`
@@ -122,14 +122,14 @@
 	Clock   Clock   `expr:"clock"`
 }
 
-// PlacementVariables are what a placement condition sees.
+// PlacementVariables are the variables of a placement condition.
 type PlacementVariables struct {
 	Engine Engine `expr:"engine"`
 	Zone   Zone   `expr:"zone"`
 	Clock  Clock  `expr:"clock"`
 }
 
-// RoleChangeVariables are what a role-change condition sees.
+// RoleChangeVariables are the variables of a role-change condition.
 type RoleChangeVariables struct {
 	Change Change `expr:"change"`
 	Demand Demand `expr:"demand"`
@@ -137,7 +137,7 @@
 	Clock  Clock  `expr:"clock"`
 }
 
-// PriceVariables are what a price program sees.
+// PriceVariables are the variables of a price program.
 type PriceVariables struct {
 	Zone  Zone  `expr:"zone"`
 	Clock Clock `expr:"clock"`
