--- a/internal/policycheck/comparison.go
+++ b/internal/policycheck/comparison.go
@@ -9,40 +9,41 @@
 	"github.com/pierhaven/pierhaven/internal/policy"
 )
 
-// Setting is what a trace is replayed in.
+// Setting is the environment in which a trace is replayed.
 type Setting struct {
 	Zones  []Zone
 	Models []dynamic.Model
-	// Tenants give the weights; one that is missing weighs 1.
+	// Tenants give the weights; a tenant that is missing has weight 1.
 	Tenants []dynamic.Tenant
-	// Present are the policies in force, none for the built-in one.
+	// Present are the policies in effect; the built-in policy applies if empty.
 	Present []dynamic.Policy
-	// Checked are the policies under check; they replace present ones of the
-	// same name and come beside the others.
+	// Checked are the policies to check. They replace present policies with the
+	// same name and are added to the others.
 	Checked []dynamic.Policy
-	// Start is the wall-clock time at which the replay begins, for the clock
+	// Start is the wall-clock time at which the replay starts, for the clock
 	// variables.
 	Start time.Time
 }
 
-// Comparison says what the checked policies would have changed.
+// Comparison reports what the checked policies would have changed.
 type Comparison struct {
 	Trace string `json:"trace"`
 	Calls int    `json:"calls"`
-	// Ranking has one row for each class of calls.
+	// Ranking has one row per class of calls.
 	Ranking []ClassOrder `json:"ranking"`
 	// Placement lists the engines that the policies place differently.
 	Placement []PlacementChange `json:"placement"`
 	Present   RoleChanges       `json:"present"`
 	Checked   RoleChanges       `json:"checked"`
-	// Failures are the programs under check that failed in the replay.
+	// Failures are the failures during the replay with the checked policies, and
+	// the policies that do not compile.
 	Failures []policy.Failure `json:"failures"`
 }
 
 // Compare replays a trace under the present and under the checked policies.
 func Compare(trace Trace, setting Setting) Comparison {
 	present := policy.CompileSet(setting.Present)
-	checked := policy.CompileSet(merged(setting.Present, setting.Checked))
+	checked := policy.CompileSet(mergePolicies(setting.Present, setting.Checked))
 	comparison := Comparison{
 		Trace:     trace.Name,
 		Calls:     len(trace.Calls),
@@ -56,9 +57,9 @@
 	return comparison
 }
 
-// merged puts the checked policies in the place of the present ones with the
-// same names; policies are in force in the order of their names.
-func merged(present, checked []dynamic.Policy) []dynamic.Policy {
+// mergePolicies replaces present policies by the checked ones with the same names.
+// The result is sorted by name, the order in which policies take effect.
+func mergePolicies(present, checked []dynamic.Policy) []dynamic.Policy {
 	joined := slices.Clone(checked)
 	for _, each := range present {
 		replaced := slices.ContainsFunc(checked, func(other dynamic.Policy) bool { return other.Name == each.Name })
--- a/internal/policycheck/comparison_test.go
+++ b/internal/policycheck/comparison_test.go
@@ -18,9 +18,9 @@
 
 const sorteerhulp = "../../deployments/sorteerhulp"
 
-// recorded returns the recorded trace of Sorteerhulp and the setting without
+// readRecordedTrace returns the recorded Sorteerhulp trace and its setting without
 // policies.
-func recorded(t *testing.T) (policycheck.Trace, policycheck.Setting) {
+func readRecordedTrace(t *testing.T) (policycheck.Trace, policycheck.Setting) {
 	t.Helper()
 	path := filepath.Join(sorteerhulp, "traces", "evening-truck.jsonl")
 	file, err := os.Open(path)
@@ -45,7 +45,7 @@
 	}
 }
 
-func present() dynamic.Policy {
+func currentPolicy() dynamic.Policy {
 	return dynamic.Policy{
 		Name:       "evening",
 		Models:     []string{"address-reading"},
@@ -54,8 +54,8 @@
 }
 
 func TestTheSamePolicyChangesNothing(t *testing.T) {
-	trace, setting := recorded(t)
-	setting.Present = []dynamic.Policy{present()}
+	trace, setting := readRecordedTrace(t)
+	setting.Present = []dynamic.Policy{currentPolicy()}
 	setting.Checked = setting.Present
 	comparison := policycheck.Compare(trace, setting)
 	assert.Equal(t, len(trace.Calls), comparison.Calls)
@@ -77,10 +77,10 @@
 	}
 }
 
-func TestChecksShowWhatAPolicyWouldChange(t *testing.T) {
-	trace, setting := recorded(t)
-	setting.Present = []dynamic.Policy{present()}
-	checked := present()
+func TestCompareShowsWhatAPolicyWouldChange(t *testing.T) {
+	trace, setting := readRecordedTrace(t)
+	setting.Present = []dynamic.Policy{currentPolicy()}
+	checked := currentPolicy()
 	checked.Ranking = "-request.prompt_tokens"
 	checked.Placement = []dynamic.PlacementRule{
 		{Model: "address-reading", Version: "2026-12", Adapters: []string{"belt"}, Condition: "engine.index == 0"},
@@ -103,15 +103,15 @@
 }
 
 func TestRoleChangeConditionsAndFailuresCount(t *testing.T) {
-	trace, setting := recorded(t)
-	setting.Present = []dynamic.Policy{present()}
-	refusing, failing := present(), present()
+	trace, setting := readRecordedTrace(t)
+	setting.Present = []dynamic.Policy{currentPolicy()}
+	refusing, failing := currentPolicy(), currentPolicy()
 	refusing.RoleChange.Condition = "change.since_last < 0"
 	setting.Checked = []dynamic.Policy{refusing}
 	assert.Empty(t, policycheck.Compare(trace, setting).Checked.Changes)
 
-	// Sorteerhulp has three engines a zone; the samples of the check have none
-	// and six.
+	// Sorteerhulp has 3 engines per zone, and the compiler's samples have 0 and 6,
+	// so the condition fails only in the replay.
 	failing.RoleChange.Condition = "1 % (zone.engines - 3) == 0"
 	setting.Checked = []dynamic.Policy{failing}
 	comparison := policycheck.Compare(trace, setting)
@@ -145,7 +145,7 @@
 	}, comparison.Ranking)
 }
 
-func TestBadTracesAreRefusedWithTheirLine(t *testing.T) {
+func TestInvalidTracesAreRejectedWithTheLine(t *testing.T) {
 	const header = `{"format":"pierhaven-trace/1","name":"t"}` + "\n"
 	cases := map[string]string{
 		"":                                  "t.jsonl: is empty",
--- a/internal/policycheck/document.go
+++ b/internal/policycheck/document.go
@@ -15,62 +15,62 @@
 	"github.com/pierhaven/pierhaven/internal/policy"
 )
 
-// MaximumFileBytes bounds a policy file.
+// MaximumFileBytes is the maximum size of a policy file.
 const MaximumFileBytes = 1 << 20
 
-// Document is one policy with its file.
+// Document is a policy and the file that it was read from.
 type Document struct {
 	File   string
 	Policy dynamic.Policy
 	source source
 }
 
-// Read reads a file that holds one policy. Unknown and repeated keys are
-// problems.
+// Read parses a file that holds one policy. Unknown and repeated keys are reported
+// as problems.
 func Read(file string, content []byte) (document Document, problems Problems) {
 	document.File = file
-	// The YAML library (v1.19.2) panics on some malformed texts.
+	// The YAML library (v1.19.2) panics on some malformed input.
 	defer func() {
 		if reason := recover(); reason != nil {
-			problems = document.whole(fmt.Sprintf("is not readable as YAML: %v", reason))
+			problems = document.fileProblem(fmt.Sprintf("is not readable as YAML: %v", reason))
 		}
 	}()
 	if len(content) > MaximumFileBytes {
-		return document, document.whole(fmt.Sprintf("is %d bytes long, more than %d", len(content), MaximumFileBytes))
+		return document, document.fileProblem(fmt.Sprintf("is %d bytes long, more than %d", len(content), MaximumFileBytes))
 	}
 	tree, err := parser.ParseBytes(content, 0)
 	if err != nil {
-		return document, document.unreadable(err)
+		return document, document.yamlProblem(err)
 	}
 	document.source = source{tree: tree, lines: strings.Split(string(content), "\n")}
 	decoder := yaml.NewDecoder(bytes.NewReader(content), yaml.Strict())
 	if err := decoder.Decode(&document.Policy); errors.Is(err, io.EOF) {
-		return document, document.whole("holds no document")
+		return document, document.fileProblem("holds no document")
 	} else if err != nil {
-		return document, document.unreadable(err)
+		return document, document.yamlProblem(err)
 	}
 	if err := decoder.Decode(&dynamic.Policy{}); !errors.Is(err, io.EOF) {
-		return document, document.whole(fmt.Sprintf("holds %d documents, one is expected", len(tree.Docs)))
+		return document, document.fileProblem(fmt.Sprintf("holds %d documents, one is expected", len(tree.Docs)))
 	}
 	return document, nil
 }
 
-func (d Document) whole(message string) Problems {
+func (d Document) fileProblem(message string) Problems {
 	return Problems{{File: d.File, Message: message}}
 }
 
-// unreadable words an error of the YAML library.
-func (d Document) unreadable(err error) Problems {
+// yamlProblem converts an error of the YAML library.
+func (d Document) yamlProblem(err error) Problems {
 	var located yaml.Error
 	if !errors.As(err, &located) || located.GetToken() == nil {
-		return d.whole(yaml.FormatError(err, false, false))
+		return d.fileProblem(yaml.FormatError(err, false, false))
 	}
 	position := located.GetToken().Position
 	return Problems{{File: d.File, Line: position.Line, Column: position.Column, Message: located.GetMessage()}}
 }
 
-// Check compiles the policy and holds what it refers to against the references;
-// nil leaves that out. It returns all problems, sorted by place.
+// Check compiles the policy and checks what it refers to against the references,
+// unless they are nil. It returns all problems, sorted by position.
 func (d Document) Check(references *References) Problems {
 	var problems Problems
 	_, wrong := policy.Compile(d.Policy)
@@ -91,9 +91,9 @@
 }
 
 func (d Document) locate(problem policy.Problem) Problem {
-	at := d.source.field(problem.Field)
+	at := d.source.fieldLocation(problem.Field)
 	if problem.Line > 0 {
-		at = d.source.within(problem.Field, problem.Line, problem.Column)
+		at = d.source.locationInField(problem.Field, problem.Line, problem.Column)
 	}
 	return Problem{File: d.File, Line: at.line, Column: at.column, Field: problem.Field, Message: problem.Message}
 }
@@ -102,7 +102,7 @@
 	return d.locate(policy.Problem{Field: field, Message: fmt.Sprintf(format, arguments...)})
 }
 
-// checkModels finds models that stand twice and placement rules without effect.
+// checkModels finds repeated models and placement rules without effect.
 func (d Document) checkModels() Problems {
 	var problems Problems
 	for index, model := range d.Policy.Models {
@@ -125,7 +125,7 @@
 	return problems
 }
 
-// CheckTogether finds policies of several files that have the same name.
+// CheckTogether finds policies in different files that have the same name.
 func CheckTogether(documents []Document) Problems {
 	var problems Problems
 	first := map[string]Document{}
--- a/internal/policycheck/fleet.go
+++ b/internal/policycheck/fleet.go
@@ -12,14 +12,14 @@
 	"github.com/pierhaven/pierhaven/internal/policy"
 )
 
-// Zone is a zone as a trace finds it.
+// Zone is a zone at the start of a replay.
 type Zone struct {
 	Name     string
 	Gateways int
 	Engines  []Engine
 }
 
-// Engine is an engine with what it has loaded.
+// Engine is an engine with its role and what it has loaded.
 type Engine struct {
 	ID       string
 	Role     string
@@ -28,7 +28,7 @@
 	Adapters []string
 }
 
-// deployment is the part of a deployment file that says which engines there are.
+// deployment is the part of a deployment file that lists zones and engines.
 type deployment struct {
 	Zones []struct {
 		Name     string `yaml:"name"`
@@ -42,12 +42,12 @@
 	} `yaml:"zones"`
 }
 
-// maximumEngines bounds a deployment.
+// maximumEngines is the maximum number of engines in a deployment.
 const maximumEngines = 100_000
 
 // ReadZones reads the zones and engines of a deployment file.
 func ReadZones(file string, content []byte) (zones []Zone, err error) {
-	// The YAML library (v1.19.2) panics on some malformed texts.
+	// The YAML library (v1.19.2) panics on some malformed input.
 	defer func() {
 		if reason := recover(); reason != nil {
 			err = Problem{File: file, Message: fmt.Sprintf("is not readable as YAML: %v", reason)}
@@ -55,7 +55,7 @@
 	}()
 	var parsed deployment
 	if err := yaml.Unmarshal(content, &parsed); err != nil {
-		return nil, Document{File: file}.unreadable(err)
+		return nil, Document{File: file}.yamlProblem(err)
 	}
 	total := 0
 	for _, each := range parsed.Zones {
@@ -77,8 +77,9 @@
 	return zones, nil
 }
 
-// statuses are the engines as the planner sees them, all serving and idle.
-func (z *Zone) statuses() []planner.EngineStatus {
+// engineStatuses returns the planner's input for the engines, all serving and
+// idle, sorted by ID.
+func (z *Zone) engineStatuses() []planner.EngineStatus {
 	statuses := make([]planner.EngineStatus, 0, len(z.Engines))
 	for _, engine := range z.Engines {
 		configuration := engineapi.Configuration{
@@ -99,5 +100,5 @@
 }
 
 func (z *Zone) describe() policy.Zone {
-	return policyinput.DescribeZone(z.Name, z.statuses(), z.Gateways)
+	return policyinput.DescribeZone(z.Name, z.engineStatuses(), z.Gateways)
 }
--- a/internal/policycheck/placement.go
+++ b/internal/policycheck/placement.go
@@ -8,7 +8,7 @@
 	"github.com/pierhaven/pierhaven/internal/policy"
 )
 
-// PlacementChange is an engine that the checked policies place differently.
+// PlacementChange is an engine whose placement differs under the checked policies.
 type PlacementChange struct {
 	Zone    string    `json:"zone"`
 	Engine  string    `json:"engine"`
@@ -17,19 +17,19 @@
 	Checked Placement `json:"checked"`
 }
 
-// Placement is what a policy wants an engine to have loaded.
+// Placement is the version and the adapters that a policy assigns to an engine.
 type Placement struct {
 	Version  string   `json:"version"`
 	Adapters []string `json:"adapters,omitempty"`
 }
 
-// comparePlacement finds the engines that the rollouts of the controllers would
-// give something else.
+// comparePlacement finds the engines for which the controllers' rollouts would
+// choose a different version or different adapters.
 func comparePlacement(setting Setting, present, checked *policy.Set) []PlacementChange {
 	changes := []PlacementChange{}
 	for index := range setting.Zones {
 		zone := &setting.Zones[index]
-		engines := zone.statuses()
+		engines := zone.engineStatuses()
 		for _, model := range setting.Models {
 			before := policyinput.NewPlacement(model, present.For(model.Name), engines, zone.describe(), setting.clockAt(0))
 			after := policyinput.NewPlacement(model, checked.For(model.Name), engines, zone.describe(), setting.clockAt(0))
--- a/internal/policycheck/policycheck_test.go
+++ b/internal/policycheck/policycheck_test.go
@@ -34,9 +34,9 @@
 	return document.Check(known)
 }
 
-// TestEachWrongPolicyIsPointedAt holds each file to one error with its place in
-// the file, not in the expression.
-func TestEachWrongPolicyIsPointedAt(t *testing.T) {
+// TestProblemsOfInvalidFilesHaveTheirPosition checks that each file gives one
+// problem with its position in the file, not in the expression.
+func TestProblemsOfInvalidFilesHaveTheirPosition(t *testing.T) {
 	cases := map[string]struct{ place, message string }{
 		"unknown-variable": {"4:13: ranking", "pirority"},
 		"type-mismatch":    {"2:33: ranking", "mismatched types"},
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestWhatEnginesHaveLoadedIsKnown(t *testing.T) {
+func TestLoadedVersionsAndAdaptersAreKnown(t *testing.T) {
 	known := references(t)
 	known.AddLoaded("booking", "2026-11", []string{"cardif"})
 	known.AddLoaded("bookin", "1", nil)
@@ -97,7 +97,7 @@
 	assert.Len(t, check(t, "testdata/wrong/unknown-model.yaml", known), 1)
 }
 
-func TestNamesOfSeveralFilesAreHeldAgainstEachOther(t *testing.T) {
+func TestDuplicateNamesAcrossFilesAreReported(t *testing.T) {
 	first, problems := policycheck.Read("a.yaml", []byte("name: same\n"))
 	require.Empty(t, problems)
 	second, problems := policycheck.Read("b.yaml", []byte("# another\nname: same\n"))
@@ -107,7 +107,7 @@
 	assert.Equal(t, `b.yaml:2:7: name: "same" is the name of the policy in a.yaml too`, problems[0].Error())
 }
 
-func TestPartsWithoutEffectAreWarnedOf(t *testing.T) {
+func TestPartsWithoutEffectGiveWarnings(t *testing.T) {
 	rule := dynamic.RoleChangeRule{Price: 2, MaximumAway: 1}
 	first := dynamic.Policy{Name: "a", Models: []string{"m"}, RoleChange: rule}
 	second := dynamic.Policy{Name: "b", Models: []string{"m", "n"}, RoleChange: dynamic.RoleChangeRule{Price: 9}}
@@ -123,7 +123,8 @@
 	assert.Empty(t, policycheck.Warnings(nil, []dynamic.Policy{second}))
 }
 
-// TestAllProblemsOfAFileAreReported also puts them in the order of the file.
+// TestAllProblemsOfAFileAreReported checks that all problems are reported, in the
+// order of the file.
 func TestAllProblemsOfAFileAreReported(t *testing.T) {
 	content := "role_change: {price: -1, condition: 1 +}\nranking: nothing\nname: w\n"
 	document, problems := policycheck.Read("w.yaml", []byte(content))
--- a/internal/policycheck/problem.go
+++ b/internal/policycheck/problem.go
@@ -5,34 +5,35 @@
 	"strings"
 )
 
-// Problem is one mistake of a policy file, with its place.
+// Problem is one mistake in a policy file, with its position.
 type Problem struct {
 	File string `json:"file"`
-	// Line and Column count from 1; 0 if the file as a whole is at fault.
+	// Line and Column are counted from 1; 0 if the problem concerns the whole file.
 	Line   int `json:"line,omitempty"`
 	Column int `json:"column,omitempty"`
-	// Field is the path in the document, empty for a mistake of the YAML text.
+	// Field is the path in the document, empty for a YAML error.
 	Field   string `json:"field,omitempty"`
 	Message string `json:"message"`
 }
 
-// Error renders the problem on one line: file, line, column, field and message.
+// Error formats the problem on one line: file, line, column, field and message.
 func (p Problem) Error() string {
-	place := p.File
+	location := p.File
 	if p.Line > 0 {
-		place = fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Column)
+		location = fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Column)
 	}
 	message := strings.ReplaceAll(p.Message, "\n", " ")
 	if p.Field == "" {
-		return place + ": " + message
+		return location + ": " + message
 	}
-	return place + ": " + p.Field + ": " + message
+	return location + ": " + p.Field + ": " + message
 }
 
-// Problems are the mistakes of one or more files, in the order of their places.
+// Problems are the mistakes in one or more files. Document.Check sorts those of a
+// file by position.
 type Problems []Problem
 
-// Error renders one problem a line.
+// Error formats the problems, one per line.
 func (p Problems) Error() string {
 	lines := make([]string, 0, len(p))
 	for _, problem := range p {
@@ -41,7 +42,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// OrNil returns the problems as an error, nil if there are none.
+// OrNil returns the problems as an error, or nil if there are none.
 func (p Problems) OrNil() error {
 	if len(p) == 0 {
 		return nil
--- a/internal/policycheck/ranking.go
+++ b/internal/policycheck/ranking.go
@@ -7,27 +7,28 @@
 	"github.com/pierhaven/pierhaven/internal/policy"
 )
 
-// rankingWindow: the calls of so long a time are taken to wait together, as in
+// rankingWindow is the time within which calls are assumed to wait together, as in
 // an overload. Ranking has no effect on calls that do not wait.
 const rankingWindow = 2 * time.Second
 
-// ClassOrder says where the calls of a class stand in the queues of their
-// tenants and priorities, from 0 (first) to 1 (last), as a mean over the calls
-// that wait beside others.
+// ClassOrder describes the positions of a class's calls in the queues of their
+// tenants and priorities. Present and Checked are the mean positions, from 0
+// (first) to 1 (last), over the calls that wait together with others.
 type ClassOrder struct {
 	Class string `json:"class"`
-	// Calls is the number of calls; Compared those that wait beside others of
-	// their zone, model, tenant and priority.
+	// Calls is the number of calls; Compared is the number of those that wait
+	// together with others of their zone, model, tenant and priority.
 	Calls    int     `json:"calls"`
 	Compared int     `json:"compared"`
 	Present  float64 `json:"present"`
 	Checked  float64 `json:"checked"`
-	// Earlier and Later count the calls that the checked policies move.
+	// Earlier and Later count the calls that the checked policies move forward and
+	// back.
 	Earlier int `json:"earlier"`
 	Later   int `json:"later"`
 }
 
-// queueKey names the calls among which a ranking program decides.
+// queueKey identifies the calls whose order a ranking program decides.
 type queueKey struct {
 	window   int64
 	zone     string
@@ -70,7 +71,7 @@
 	return queueKey{int64(call.Arrival / rankingWindow), call.Zone, call.Model, call.Tenant, call.Priority}
 }
 
-// rankOf is what the gateways do, see internal/gateway/scheduler.
+// rankOf computes the rank as the gateways do; see internal/gateway/scheduler.
 func rankOf(policies *policy.Set, call *Call, variables policy.RankingVariables) float64 {
 	program := policies.For(call.Model)
 	if program.Ranks() {
@@ -107,8 +108,8 @@
 	}
 }
 
-// positions returns each call's place in the order of ranks; equal ranks go by
-// arrival.
+// positions returns each call's position in the order of ranks. Calls of equal
+// rank are in the order of arrival.
 func positions(queue []rankedCall, rank func(rankedCall) float64) []int {
 	order := make([]int, len(queue))
 	for index := range order {
--- a/internal/policycheck/rankingvariables.go
+++ b/internal/policycheck/rankingvariables.go
@@ -6,15 +6,15 @@
 	"github.com/pierhaven/pierhaven/internal/policy"
 )
 
-// rankingReplay keeps what the ranking programs see besides the call: the queues
-// of a gateway at which the calls of a window wait together.
+// rankingReplay holds the variables of ranking programs other than the call's own.
+// All calls of a zone and window are assumed to wait in the queues of one gateway.
 type rankingReplay struct {
 	setting Setting
 	zones   map[string]policy.Zone
 	weights map[string]float64
 	window  int64
-	// queued counts the window's calls so far by queueKey, with tenant and
-	// priority left out for the whole queue.
+	// queued counts the window's calls so far by zone and model, and by zone,
+	// model and tenant; the other fields of the key are not set.
 	queued map[queueKey]int
 }
 
@@ -31,8 +31,8 @@
 	return replay
 }
 
-// variables are those of a call when it enters the queue. The share of a budget
-// and the predicted wait are not replayed; they are 0.
+// variables returns the variables of a call when it enters the queue, and counts
+// the call. The budget share and the predicted wait are not replayed; they are 0.
 func (r *rankingReplay) variables(call *Call) policy.RankingVariables {
 	window := int64(call.Arrival / rankingWindow)
 	if r.queued == nil || window != r.window {
--- a/internal/policycheck/references.go
+++ b/internal/policycheck/references.go
@@ -8,7 +8,7 @@
 	"github.com/pierhaven/pierhaven/internal/config/dynamic"
 )
 
-// References is what policies may refer to.
+// References holds the models, versions and adapters that policies may refer to.
 type References struct {
 	models map[string]*modelReference
 }
@@ -18,7 +18,7 @@
 	adapters []string
 }
 
-// NewReferences takes the models of a configuration.
+// NewReferences returns the references to the models of a configuration.
 func NewReferences(configuration dynamic.Snapshot) *References {
 	references := &References{models: map[string]*modelReference{}}
 	for _, model := range configuration.Models {
@@ -30,9 +30,9 @@
 	return references
 }
 
-// AddLoaded adds what an engine has loaded: a policy may keep it where it is
-// although the configuration has moved on. Models that the configuration does
-// not have stay unknown.
+// AddLoaded adds a version and adapters that an engine has loaded: a policy may keep
+// them on the engine after the configuration has changed. Models that aren't in the
+// configuration stay unknown.
 func (r *References) AddLoaded(model, version string, adapters []string) {
 	known, found := r.models[model]
 	if !found {
@@ -55,7 +55,7 @@
 	var problems Problems
 	unknown := func(field, kind, name string, known []string) {
 		known = slices.Compact(slices.Sorted(slices.Values(known)))
-		problems = append(problems, d.problem(field, "there is no %s %q; known: %s", kind, name, listed(known)))
+		problems = append(problems, d.problem(field, "there is no %s %q; known: %s", kind, name, joinNames(known)))
 	}
 	for index, model := range d.Policy.Models {
 		if references.models[model] == nil {
@@ -66,7 +66,7 @@
 		field := fmt.Sprintf("placement[%d]", index)
 		known := references.models[rule.Model]
 		if known == nil {
-			// A model that the policy itself lists is reported there.
+			// If the policy lists the model, the problem is reported for the list.
 			if rule.Model != "" && !slices.Contains(d.Policy.Models, rule.Model) {
 				unknown(field+".model", "model", rule.Model, references.names())
 			}
@@ -84,7 +84,7 @@
 	return problems
 }
 
-func listed(names []string) string {
+func joinNames(names []string) string {
 	if len(names) == 0 {
 		return "none"
 	}
--- a/internal/policycheck/rolechanges.go
+++ b/internal/policycheck/rolechanges.go
@@ -10,28 +10,29 @@
 )
 
 const (
-	// replayStep is the time between the planner's decisions.
+	// replayStep is the interval between planner decisions.
 	replayStep = time.Second
-	// replayAway is how long a role change takes an engine away.
-	replayAway = 8 * time.Second
+	// roleChangeDuration is the time for which an engine doesn't serve during a
+	// role change.
+	roleChangeDuration = 8 * time.Second
 )
 
 // RoleChanges are the changes that the planner would have proposed in a fluid
-// model of the zones: demand flows in as the trace says and out at the goodput
-// that the planner expects of the split. Engines have the planner's assumed
-// speed, so that the figures compare policies and predict nothing.
+// model of the zones: demand flows in as recorded in the trace and out at the
+// goodput that the planner expects of the split. Engines have the speed of the
+// planner's prior, so the figures compare policies but don't predict performance.
 type RoleChanges struct {
 	Changes []RoleChange `json:"changes"`
 	// Served is the number of requests that flow out within their objectives;
-	// Offered those that flow in. Items of batches are in neither: they take
-	// what the others leave.
+	// Offered is the number of requests that flow in. Batch items count in
+	// neither: they use the capacity that the other requests leave.
 	Served  float64 `json:"served"`
 	Offered float64 `json:"offered"`
 }
 
-// RoleChange is one change of the replay.
+// RoleChange is one role change in the replay.
 type RoleChange struct {
-	// AtMillis is the time since the trace's start.
+	// AtMillis is the time since the start of the trace.
 	AtMillis int64  `json:"at_ms"`
 	Zone     string `json:"zone"`
 	Engine   string `json:"engine"`
@@ -73,77 +74,79 @@
 	policies *policy.Set
 	planner  *planner.Planner
 	engines  []planner.EngineStatus
-	// backAt is when a changing engine serves again.
-	backAt map[string]time.Duration
-	// backlog holds the requests that wait, by model; batches those of batches,
-	// for which nobody waits.
-	backlog, batches map[string]float64
-	changes          []RoleChange
-	served, offered  float64
+	// servingAgainAt is the time at which each changing engine serves again.
+	servingAgainAt map[string]time.Duration
+	// backlog is the number of waiting requests by model; batchBacklog is the
+	// number of batch items, for which no caller waits.
+	backlog, batchBacklog map[string]float64
+	changes               []RoleChange
+	served, offered       float64
 }
 
 func newZoneReplay(zone *Zone, setting Setting, policies *policy.Set) *zoneReplay {
 	return &zoneReplay{
-		zone:     zone,
-		setting:  setting,
-		policies: policies,
-		planner:  planner.New(planner.DefaultOptions()),
-		engines:  zone.statuses(),
-		backAt:   map[string]time.Duration{},
-		backlog:  map[string]float64{},
-		batches:  map[string]float64{},
+		zone:           zone,
+		setting:        setting,
+		policies:       policies,
+		planner:        planner.New(planner.DefaultOptions()),
+		engines:        zone.engineStatuses(),
+		servingAgainAt: map[string]time.Duration{},
+		backlog:        map[string]float64{},
+		batchBacklog:   map[string]float64{},
 	}
 }
 
-// step lets the calls that have arrived flow in and out, and the planner decide.
-// It returns the calls that come later.
+// step simulates one interval that ends at now: it processes the calls that have
+// arrived and runs the planner. It returns the calls that arrive later.
 func (r *zoneReplay) step(now time.Duration, calls []Call) []Call {
 	arrived := 0
 	for arrived < len(calls) && calls[arrived].Arrival < now {
 		arrived++
 	}
-	r.bringBack(now)
+	r.completeChanges(now)
 	demand := r.flow(calls[:arrived])
 	r.decide(now, demand)
 	return calls[arrived:]
 }
 
-func (r *zoneReplay) bringBack(now time.Duration) {
+func (r *zoneReplay) completeChanges(now time.Duration) {
 	for index := range r.engines {
 		engine := &r.engines[index]
-		if back, away := r.backAt[engine.ID]; away && now >= back {
+		if back, away := r.servingAgainAt[engine.ID]; away && now >= back {
 			engine.Observed, engine.Phase, engine.Draining = engine.Desired, engineapi.PhaseServing, false
-			delete(r.backAt, engine.ID)
+			delete(r.servingAgainAt, engine.ID)
 		}
 	}
 }
 
-// flow moves one step's requests through the queues of all models.
+// flow moves the requests of one step through the queues of all models and returns
+// the resulting demand.
 func (r *zoneReplay) flow(calls []Call) []planner.Demand {
 	var demand []planner.Demand
 	for _, model := range r.setting.Models {
 		load := workloadOf(calls, model.Name)
-		r.batches[model.Name] += batchItems(calls, model.Name)
+		r.batchBacklog[model.Name] += batchItems(calls, model.Name)
 		objectives := planner.Objectives{FirstToken: model.FirstTokenMillis / 1000, BetweenTokens: model.BetweenTokensMillis / 1000}
 		offered := load.Requests * replayStep.Seconds()
 		waiting := r.backlog[model.Name] + offered
-		load.Requests = (waiting + r.batches[model.Name]) / replayStep.Seconds()
+		load.Requests = (waiting + r.batchBacklog[model.Name]) / replayStep.Seconds()
 		rate := planner.Goodput(planner.DefaultOptions().Prior, r.serving(model.Name), load, objectives)
 		capacity := rate * replayStep.Seconds()
 		served := min(waiting, capacity)
-		batched := min(r.batches[model.Name], capacity-served)
-		r.batches[model.Name] -= batched
+		batched := min(r.batchBacklog[model.Name], capacity-served)
+		r.batchBacklog[model.Name] -= batched
 		r.offered += offered
 		r.served += served
-		// What is not served within its first-token objective is lost.
+		// Requests that can't be served within their first-token objective are
+		// dropped.
 		r.backlog[model.Name] = min(waiting-served, rate*objectives.FirstToken)
 		demand = append(demand, r.demand(model.Name, load, offered+batched, rate))
 	}
 	return demand
 }
 
-// demand is what the gateways would report of a step in which so many requests
-// have come, those of batches when they were begun.
+// demand returns the demand that the gateways would report for a step with the
+// given number of requests. Batch items count in the step in which they start.
 func (r *zoneReplay) demand(model string, load planner.Workload, requests, rate float64) planner.Demand {
 	row := planner.Demand{
 		Model:        model,
@@ -168,8 +171,8 @@
 	return float64(items)
 }
 
-// workloadOf sums the calls of one step for a model. The sizes are means over all
-// calls; the rate leaves batches out.
+// workloadOf summarizes a model's calls in one step. The sizes are means over all
+// requests; the rate excludes batch items.
 func workloadOf(calls []Call, model string) planner.Workload {
 	var load planner.Workload
 	for _, call := range calls {
@@ -189,7 +192,7 @@
 	return load
 }
 
-// serving counts the roles of a model's engines that are not away.
+// serving counts a model's engines by role, without those that are changing.
 func (r *zoneReplay) serving(model string) planner.Split {
 	var split planner.Split
 	for _, engine := range r.engines {
@@ -219,25 +222,25 @@
 	}
 	policyinput.Apply(&input, r.setting.Models, r.policies, zone, clock)
 	for _, change := range r.planner.Step(now, input).Changes {
-		r.change(now, change)
+		r.applyChange(now, change)
 	}
 }
 
-func (r *zoneReplay) change(now time.Duration, change planner.Change) {
+func (r *zoneReplay) applyChange(now time.Duration, change planner.Change) {
 	for index := range r.engines {
 		engine := &r.engines[index]
 		if engine.ID != change.EngineID {
 			continue
 		}
-		r.note(now, engine, change)
+		r.recordChange(now, engine, change)
 		engine.Desired, engine.Phase, engine.Draining = change.Target, engineapi.PhaseChanging, true
-		r.backAt[engine.ID] = now + replayAway
+		r.servingAgainAt[engine.ID] = now + roleChangeDuration
 	}
 }
 
-// note records a change of role or model. Changes of adapters alone are told by
-// comparePlacement.
-func (r *zoneReplay) note(now time.Duration, engine *planner.EngineStatus, change planner.Change) {
+// recordChange records a change of role or model. Changes of adapters alone are
+// reported by comparePlacement.
+func (r *zoneReplay) recordChange(now time.Duration, engine *planner.EngineStatus, change planner.Change) {
 	made := RoleChange{
 		AtMillis: now.Milliseconds(), Zone: r.zone.Name, Engine: engine.ID,
 		From: string(engine.Desired.Role), To: string(change.Target.Role),
--- a/internal/policycheck/source.go
+++ b/internal/policycheck/source.go
@@ -8,26 +8,26 @@
 	"github.com/goccy/go-yaml/token"
 )
 
-// source finds the places of a document's fields in its text.
+// source locates a document's fields in its text.
 type source struct {
 	tree  *ast.File
 	lines []string
 }
 
-// place is a position in a file, counted from 1.
-type place struct{ line, column int }
+// location is a position in a file, counted from 1.
+type location struct{ line, column int }
 
-// field returns where the value of a field stands, or that of the nearest field
-// around it if the field is not set.
-func (s source) field(path string) place {
+// fieldLocation returns the location of a field's value, or of the nearest
+// enclosing field if the field is not set.
+func (s source) fieldLocation(path string) location {
 	for path != "" {
 		if node := s.node(path); node != nil {
 			position := node.GetToken().Position
-			return place{position.Line, position.Column}
+			return location{position.Line, position.Column}
 		}
 		path = parent(path)
 	}
-	return place{1, 1}
+	return location{1, 1}
 }
 
 func (s source) node(path string) ast.Node {
@@ -42,54 +42,55 @@
 	return node
 }
 
-// parent drops the last step of a path: its index or its name.
+// parent removes the last element of a path, an index or a name.
 func parent(path string) string {
 	return path[:max(strings.LastIndexAny(path, ".["), 0)]
 }
 
-// within returns the place of a position in a field's text, which YAML may have
-// quoted, indented or folded.
-func (s source) within(path string, line, column int) place {
+// locationInField returns the location in the file of a position in a field's text,
+// which may be quoted, indented or folded in the YAML.
+func (s source) locationInField(path string, line, column int) location {
 	node := s.node(path)
 	if node == nil {
-		return s.field(path)
+		return s.fieldLocation(path)
 	}
 	start := node.GetToken().Position
 	switch node.GetToken().Type {
 	case token.LiteralType:
-		return s.inLiteral(start.Line, line, column)
+		return s.locationInLiteral(start.Line, line, column)
 	case token.FoldedType:
-		return s.inFolded(start.Line, line, column)
+		return s.locationInFolded(start.Line, line, column)
 	case token.DoubleQuoteType, token.SingleQuoteType:
-		return place{start.Line, start.Column + column}
+		return location{start.Line, start.Column + column}
 	}
-	return place{start.Line, start.Column + column - 1}
+	return location{start.Line, start.Column + column - 1}
 }
 
-// inLiteral handles |, which keeps lines as they are.
-func (s source) inLiteral(header, line, column int) place {
-	return place{header + line, s.indentation(header) + column}
+// locationInLiteral handles literal blocks (|), which keep lines unchanged.
+func (s source) locationInLiteral(header, line, column int) location {
+	return location{header + line, s.indentation(header) + column}
 }
 
-// inFolded handles >, which joins the lines of a paragraph with spaces: the
-// column counts on over the lines.
-func (s source) inFolded(header, line, column int) place {
+// locationInFolded handles folded blocks (>), which join the lines of a paragraph
+// with spaces, so that the column continues across lines.
+func (s source) locationInFolded(header, line, column int) location {
 	indentation := s.indentation(header)
 	if line > 1 {
-		// Blank lines start paragraphs; only the first is followed.
-		return place{header + line, indentation + column}
+		// Blank lines start new paragraphs; only the first paragraph is resolved
+		// exactly.
+		return location{header + line, indentation + column}
 	}
 	for number := header; number < len(s.lines); number++ {
 		length := len(strings.TrimSpace(s.lines[number]))
 		if length == 0 || column <= length+1 {
-			return place{number + 1, indentation + column}
+			return location{number + 1, indentation + column}
 		}
 		column -= length + 1
 	}
-	return place{header, 1}
+	return location{header, 1}
 }
 
-// indentation is that of the first line of a block that has text.
+// indentation returns the indentation of the first line with text in a block.
 func (s source) indentation(header int) int {
 	for number := header; number < len(s.lines); number++ {
 		if trimmed := strings.TrimLeft(s.lines[number], " "); trimmed != "" {
--- a/internal/policycheck/trace.go
+++ b/internal/policycheck/trace.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// traceFormat is the format of the first line of a trace.
+// traceFormat is the format that the first line of a trace must declare.
 const traceFormat = "pierhaven-trace/1"
 
 // Bounds of a trace.
@@ -23,13 +23,13 @@
 	kindBatch = "batch"
 )
 
-// Trace is the model calls of a recorded trace.
+// Trace holds the model calls of a recorded trace.
 type Trace struct {
 	Name     string
 	Duration time.Duration
 	Calls    []Call
-	// Others counts the items that are no model calls; policies say nothing
-	// about them.
+	// Others counts the items that aren't model calls; policies don't apply to
+	// them.
 	Others int
 }
 
@@ -47,12 +47,12 @@
 	PrefixTokens int
 	OutputTokens int
 	Batch        bool
-	// Requests that the item stands for; more than 1 for a batch.
+	// Requests is the number of requests in the item: the items of a batch, else 1.
 	Requests int
 }
 
-// traceHeader and traceItem are the JSON lines of a trace, as far as policies
-// see them.
+// traceHeader and traceItem hold the fields that policies need of the JSON lines of
+// a trace.
 type traceHeader struct {
 	Format         string `json:"format"`
 	Name           string `json:"name"`
@@ -75,7 +75,7 @@
 	BatchItems     int    `json:"batch_items"`
 }
 
-// ReadTrace reads a trace as JSON lines. Problems name the line.
+// ReadTrace reads a trace in JSON Lines format. Problems report the line.
 func ReadTrace(file string, content io.Reader) (Trace, error) {
 	lines := bufio.NewScanner(content)
 	lines.Buffer(make([]byte, maximumTraceLine), maximumTraceLine)
@@ -83,7 +83,7 @@
 	number := 0
 	for lines.Scan() {
 		number++
-		if err := trace.take(number, lines.Bytes()); err != nil {
+		if err := trace.addLine(number, lines.Bytes()); err != nil {
 			return trace, Problem{File: file, Line: number, Column: 1, Message: err.Error()}
 		}
 	}
@@ -96,9 +96,9 @@
 	return trace, nil
 }
 
-func (t *Trace) take(number int, line []byte) error {
+func (t *Trace) addLine(number int, line []byte) error {
 	if number == 1 {
-		return t.takeHeader(line)
+		return t.readHeader(line)
 	}
 	var item traceItem
 	if err := json.Unmarshal(line, &item); err != nil {
@@ -122,7 +122,7 @@
 	return nil
 }
 
-func (t *Trace) takeHeader(line []byte) error {
+func (t *Trace) readHeader(line []byte) error {
 	var header traceHeader
 	if err := json.Unmarshal(line, &header); err != nil {
 		return err
