--- a/internal/policy/expression.go
+++ b/internal/policy/expression.go
@@ -33,9 +33,9 @@
 type expression struct {
 	field   string
 	program *vm.Program
-	// members are the names of the variables' fields that the program reads.
-	members  memberNames
-	failures atomic.Uint64
+	// fieldNames are the names of the variables' fields that the program reads.
+	fieldNames fieldNames
+	failures   atomic.Uint64
 	// lastFailure is the message of the most recent run-time failure.
 	lastFailure atomic.Pointer[string]
 }
@@ -64,9 +64,9 @@
 	if problem := concatenations.problem(field, text); problem != nil {
 		return nil, problem
 	}
-	compiled := &expression{field: field, program: program, members: memberNames{}}
+	compiled := &expression{field: field, program: program, fieldNames: fieldNames{}}
 	node := program.Node()
-	ast.Walk(&node, compiled.members)
+	ast.Walk(&node, compiled.fieldNames)
 	for _, sample := range samples {
 		if _, err := compiled.run(sample); err != nil {
 			return nil, problemOf(field, text, err)
@@ -76,25 +76,27 @@
 }
 
 // reads reports whether the program may read a field with the given name.
-func (e *expression) reads(name string) bool { return e.members[name] || e.members[anyMember] }
+func (e *expression) reads(name string) bool {
+	return e.fieldNames[name] || e.fieldNames[computedFieldName]
+}
 
-// memberNames collects the names of the fields that a program reads.
-type memberNames map[string]bool
+// fieldNames collects the names of the fields that a program reads.
+type fieldNames map[string]bool
 
-// anyMember stands for a field whose name is computed.
-const anyMember = "*"
+// computedFieldName stands for a field whose name is computed.
+const computedFieldName = "*"
 
 // Visit implements ast.Visitor.
-func (m memberNames) Visit(node *ast.Node) {
+func (n fieldNames) Visit(node *ast.Node) {
 	member, isMember := (*node).(*ast.MemberNode)
 	if !isMember {
 		return
 	}
 	if name, isConstant := member.Property.(*ast.StringNode); isConstant {
-		m[name.Value] = true
+		n[name.Value] = true
 		return
 	}
-	m[anyMember] = true
+	n[computedFieldName] = true
 }
 
 // run evaluates the expression in an environment.
--- a/internal/policycheck/comparison.go
+++ b/internal/policycheck/comparison.go
@@ -60,15 +60,15 @@
 // mergePolicies replaces present policies by the checked ones with the same names.
 // The result is sorted by name, the order in which policies take effect.
 func mergePolicies(present, checked []dynamic.Policy) []dynamic.Policy {
-	joined := slices.Clone(checked)
+	result := slices.Clone(checked)
 	for _, each := range present {
 		replaced := slices.ContainsFunc(checked, func(other dynamic.Policy) bool { return other.Name == each.Name })
 		if !replaced {
-			joined = append(joined, each)
+			result = append(result, each)
 		}
 	}
-	slices.SortFunc(joined, func(a, b dynamic.Policy) int { return cmp.Compare(a.Name, b.Name) })
-	return joined
+	slices.SortFunc(result, func(a, b dynamic.Policy) int { return cmp.Compare(a.Name, b.Name) })
+	return result
 }
 
 func (s *Setting) clockAt(since time.Duration) policy.Clock {
--- a/internal/policycheck/document.go
+++ b/internal/policycheck/document.go
@@ -73,8 +73,8 @@
 // unless they are nil. It returns all problems, sorted by position.
 func (d Document) Check(references *References) Problems {
 	var problems Problems
-	_, wrong := policy.Compile(d.Policy)
-	for _, problem := range wrong {
+	_, policyProblems := policy.Compile(d.Policy)
+	for _, problem := range policyProblems {
 		problems = append(problems, d.locate(problem))
 	}
 	problems = append(problems, d.checkModels()...)
@@ -110,17 +110,17 @@
 			problems = append(problems, d.problem(fmt.Sprintf("models[%d]", index), "the model %q stands twice", model))
 		}
 	}
-	taken := map[string]bool{}
+	unconditional := map[string]bool{}
 	for index, rule := range d.Policy.Placement {
 		field := fmt.Sprintf("placement[%d].model", index)
 		switch {
 		case rule.Model == "":
-		case taken[rule.Model]:
+		case unconditional[rule.Model]:
 			problems = append(problems, d.problem(field, "an earlier rule without condition takes every engine for the model %q", rule.Model))
 		case len(d.Policy.Models) > 0 && !slices.Contains(d.Policy.Models, rule.Model):
 			problems = append(problems, d.problem(field, "the model %q is not among the policy's models", rule.Model))
 		}
-		taken[rule.Model] = taken[rule.Model] || rule.Condition == ""
+		unconditional[rule.Model] = unconditional[rule.Model] || rule.Condition == ""
 	}
 	return problems
 }
--- a/internal/policycheck/ranking.go
+++ b/internal/policycheck/ranking.go
@@ -62,7 +62,7 @@
 	}
 	classes := map[string]*ClassOrder{}
 	for _, key := range order {
-		addQueue(classes, queues[key])
+		addQueuePositions(classes, queues[key])
 	}
 	return sortedClasses(classes)
 }
@@ -83,7 +83,7 @@
 	return policy.BuiltinRankAt(call.Arrival + call.Deadline)
 }
 
-func addQueue(classes map[string]*ClassOrder, queue []rankedCall) {
+func addQueuePositions(classes map[string]*ClassOrder, queue []rankedCall) {
 	present := positions(queue, func(ranked rankedCall) float64 { return ranked.present })
 	checked := positions(queue, func(ranked rankedCall) float64 { return ranked.checked })
 	for index, ranked := range queue {
@@ -124,11 +124,11 @@
 		}
 		return 0
 	})
-	places := make([]int, len(queue))
+	result := make([]int, len(queue))
 	for position, index := range order {
-		places[index] = position
+		result[index] = position
 	}
-	return places
+	return result
 }
 
 func sortedClasses(classes map[string]*ClassOrder) []ClassOrder {
--- a/internal/policycheck/references.go
+++ b/internal/policycheck/references.go
@@ -42,7 +42,7 @@
 	known.adapters = append(known.adapters, adapters...)
 }
 
-func (r *References) names() []string {
+func (r *References) modelNames() []string {
 	var names []string
 	for name := range r.models {
 		names = append(names, name)
@@ -59,7 +59,7 @@
 	}
 	for index, model := range d.Policy.Models {
 		if references.models[model] == nil {
-			unknown(fmt.Sprintf("models[%d]", index), "model", model, references.names())
+			unknown(fmt.Sprintf("models[%d]", index), "model", model, references.modelNames())
 		}
 	}
 	for index, rule := range d.Policy.Placement {
@@ -68,7 +68,7 @@
 		if known == nil {
 			// If the policy lists the model, the problem is reported for the list.
 			if rule.Model != "" && !slices.Contains(d.Policy.Models, rule.Model) {
-				unknown(field+".model", "model", rule.Model, references.names())
+				unknown(field+".model", "model", rule.Model, references.modelNames())
 			}
 			continue
 		}
--- a/internal/policycheck/rolechanges.go
+++ b/internal/policycheck/rolechanges.go
@@ -241,14 +241,14 @@
 // recordChange records a change of role or model. Changes of adapters alone are
 // reported by comparePlacement.
 func (r *zoneReplay) recordChange(now time.Duration, engine *planner.EngineStatus, change planner.Change) {
-	made := RoleChange{
+	recorded := RoleChange{
 		AtMillis: now.Milliseconds(), Zone: r.zone.Name, Engine: engine.ID,
 		From: string(engine.Desired.Role), To: string(change.Target.Role),
 	}
 	if engine.Desired.Model != change.Target.Model {
-		made.ToModel = change.Target.Model
+		recorded.ToModel = change.Target.Model
 	}
-	if made.From != made.To || made.ToModel != "" {
-		r.changes = append(r.changes, made)
+	if recorded.From != recorded.To || recorded.ToModel != "" {
+		r.changes = append(r.changes, recorded)
 	}
 }
--- a/internal/policycheck/warnings.go
+++ b/internal/policycheck/warnings.go
@@ -11,17 +11,17 @@
 // no effect together with the present policies.
 func Warnings(present, checked []dynamic.Policy) []string {
 	warnings := []string{}
-	joined := mergePolicies(present, checked)
-	for index, each := range joined {
+	policies := mergePolicies(present, checked)
+	for index, each := range policies {
 		isChecked := slices.ContainsFunc(checked, func(other dynamic.Policy) bool { return other.Name == each.Name })
 		if !isChecked {
 			continue
 		}
-		if other := firstPolicyForAllModels(joined[:index]); other != "" && len(each.Models) == 0 {
+		if other := firstPolicyForAllModels(policies[:index]); other != "" && len(each.Models) == 0 {
 			warnings = append(warnings, fmt.Sprintf("policy %q: governs no model, because %q lists none either and comes first by name", each.Name, other))
 		}
 		for _, model := range each.Models {
-			if other := firstPolicyForModel(joined[:index], model); other != "" {
+			if other := firstPolicyForModel(policies[:index], model); other != "" {
 				warnings = append(warnings, fmt.Sprintf("policy %q: does not govern the model %q, because %q does and comes first by name", each.Name, model, other))
 			}
 		}
