--- a/internal/coordinator/duty.go
+++ b/internal/coordinator/duty.go
@@ -84,8 +84,8 @@
 	return true, true
 }
 
-// startTerm starts a term's work once all earlier calls are applied here, and reports whether they
-// are.
+// startTerm starts a term's work once the commands that precede the calls of all earlier terms are
+// applied here, and reports whether they are. It also sets the time from which calls may be made.
 func (h *dutyHolder) startTerm(ctx context.Context, term uint64) bool {
 	ctx, cancel := context.WithTimeout(ctx, freshnessTimeout)
 	defer cancel()
--- a/internal/coordinator/fleet.go
+++ b/internal/coordinator/fleet.go
@@ -29,7 +29,9 @@
 	scaling map[string]traffic.Scaling
 }
 
-// scaleFleet keeps the ordered number of replicas at the number wanted while this coordinator leads.
+// scaleFleet plans how many replicas each service with scaling bounds needs, and sends the orders for
+// them to the platform, while this coordinator leads and the previous leader's lease has expired. It
+// does nothing without a platform or if fleet orders are disabled.
 func (c *Coordinator) scaleFleet(ctx context.Context) {
 	if c.settings.Platform == nil || !c.settings.EnableFleetOrders {
 		return
--- a/internal/coordinator/membership.go
+++ b/internal/coordinator/membership.go
@@ -17,9 +17,10 @@
 	"github.com/pierhaven/pierhaven/internal/rpc"
 )
 
-// joinGroup makes this coordinator a member of the group, either by founding the group
-// together with the other seeds or by asking the members to be added. It runs until the
-// context ends, and asks again if this coordinator is no longer a member.
+// joinGroup makes this coordinator a member of the group. Until the context ends, it asks the other
+// seeds to be added whenever this coordinator is not a member, unless its replica is quarantined. A
+// seed that may bootstrap the group also tries at the same time to found it together with the other
+// seeds, which only one of them coordinates (replication.Founder).
 func (c *Coordinator) joinGroup(ctx context.Context) {
 	seeds := c.settings.Seeds()
 	if c.settings.Bootstrap && slices.Contains(seeds, c.settings.Address) {
@@ -93,7 +94,8 @@
 	return c.client.Call(ctx, leader, path, request, reply)
 }
 
-// handleJoin adds a replica to the group as a learner. Only the leader does so.
+// handleJoin adds a coordinator's replica of the log to the consensus group as a learner, if it is not
+// a member yet. Only the leader does so; other coordinators return its address.
 func (c *Coordinator) handleJoin(ctx context.Context, request *region.JoinRequest) (*peer.Empty, error) {
 	status := c.group.Runner.Status()
 	if status.Role != consensus.RoleLeader {
--- a/internal/coordinator/poison.go
+++ b/internal/coordinator/poison.go
@@ -38,7 +38,9 @@
 	return c.commitPoison(ctx, &poison.Command{Release: command.Release})
 }
 
-// poisonAtLeader calls the leader, which may have changed by then.
+// poisonAtLeader forwards crash evidence to the leader. Until the context ends, it tries again at
+// whichever coordinator leads then if no leader is known, the one called does not lead any more, or the
+// request was not delivered.
 func (c *Coordinator) poisonAtLeader(ctx context.Context, path string, request message) (*region.PoisonReply, error) {
 	reply := &region.PoisonReply{}
 	err := c.atLeader(ctx, func(ctx context.Context, leader string) error {
--- a/internal/coordinator/stageinput.go
+++ b/internal/coordinator/stageinput.go
@@ -66,7 +66,9 @@
 	return reported
 }
 
-// inputFor returns the planner's input for the replicas of a group and the demand for them.
+// inputFor returns the planner's input for the replicas of a group and the demand for them, without
+// replicas whose orders are held. It also updates the planner's records of when the group's demand was
+// reported and its list of replicas changed.
 func (p *stagePlanner) inputFor(now time.Duration, group stageGroup, demand region.ServiceDemand, replicas []region.Replica, changes []region.StageChange) stageplan.Input {
 	input := stageplan.Input{
 		RunningStreams:  demand.Generating,
--- a/internal/coordinator/unansweredorders.go
+++ b/internal/coordinator/unansweredorders.go
@@ -20,7 +20,8 @@
 	until       time.Duration
 }
 
-// add records an order with the count of orders that it expects.
+// add records that an order to an incarnation got no response, for unansweredOrderHold, and removes
+// expired records. sequence is the count of orders that the order expects the replica to have.
 func (u *unansweredOrders) add(now time.Duration, incarnation region.Life, sequence uint64) {
 	unexpired := slices.DeleteFunc(*u, func(each unansweredOrder) bool { return now >= each.until })
 	*u = append(unexpired, unansweredOrder{incarnation: incarnation, sequence: sequence, until: now + unansweredOrderHold})
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -75,7 +75,7 @@
 	return a.maximumDebt * a.matureFraction / a.fraction
 }
 
-// refill adds what has been refilled until a time.
+// refill adds to both levels what their rates yield from updatedAt to a time, and clamps them.
 func (b *bucket) refill(now time.Duration, a allowance) {
 	if now > b.updatedAt {
 		elapsed := (now - b.updatedAt).Seconds()
@@ -86,9 +86,10 @@
 	b.clamp(a)
 }
 
-// clamp bounds the levels. The first one has a lower bound, so that it does not fall without end
-// while the second one lets requests pass, and a burst is possible after a quiet time. The debt of a
-// pool without a share is not bounded: it is sent to the holder.
+// clamp bounds the levels. In a pool with a share, both have the same lower bound: a request that one
+// bucket lets pass is charged to the other one too, whose level would otherwise fall without end, and a
+// burst has to be possible after a quiet time. The debt of a pool without a share is not bounded: it is
+// sent to the holder.
 func (b *bucket) clamp(a allowance) {
 	b.level = min(b.level, b.cap(a))
 	b.sustained = min(b.sustained, 0)
@@ -137,8 +138,11 @@
 	return maximumDebt * float64(rankSteps-min(max(q.Rank, 0), rankSteps)) / rankSteps
 }
 
-// retryAfter returns the time after which a refused request should fit if those refused before it
-// retry first. Callers that are told the same time would retry together, and be refused together.
+// retryAfter returns the time after which a refused request should fit. Unless limits are strict, it
+// assumes that those refused before it retry first: callers that are told the same time would retry
+// together, and be refused together. The time is at most the window, and equal to it for a request that
+// exceeds the capacity and the maximum debt, or if the pool has no share; under strict limits, it is
+// allowance.retryAfter in a pool without a share.
 func (b *bucket) retryAfter(now time.Duration, q Query, a allowance) time.Duration {
 	rate, sustainedRate := b.rate(a), b.sustainedRate(a)
 	if a.strict && rate <= 0 {
--- a/internal/quota/peer.go
+++ b/internal/quota/peer.go
@@ -20,7 +20,9 @@
 	}
 }
 
-// receiveAsHolder counts the sender's share until a lease ends, and answers its queries.
+// receiveAsHolder counts the sender's share here until its lease ends, if the sender is a member and
+// its message echoes a time of this process that is less than a lease ago. It also books the amounts
+// that were sent, and answers the queries.
 func (p *Pool) receiveAsHolder(now time.Duration, message *PeerMessage) {
 	// The lease begins at a time of this process's own clock that the sender has echoed: a
 	// message that was delayed in the network attaches nobody.
@@ -83,7 +85,8 @@
 	}
 }
 
-// isNewer reports whether a message of the holder is newer than all before.
+// isNewer reports whether a message is from another holder than the one that answered last, or newer
+// than all before from that one.
 func (p *Pool) isNewer(message *PeerMessage) bool {
 	if p.holder != message.From || p.holderIncarnation != message.Incarnation {
 		return p.holder != message.From || p.holderIncarnation < message.Incarnation
@@ -189,8 +192,8 @@
 	clear(p.unacknowledged)
 }
 
-// decideOverdue decides the queries that the holder has not answered in time, and sends those
-// once more that are due for it.
+// decideOverdue decides the queries here that the holder has not answered in time, or all pending ones
+// if the pool is no longer attached, and sends those once more that are due for it.
 func (p *Pool) decideOverdue(now time.Duration) {
 	for id, forwarded := range p.pending {
 		if now < forwarded.until && p.Mode(now) == ModeAttached {
@@ -238,7 +241,8 @@
 	}
 }
 
-// takeAmounts empties an attached pool's buckets, since the holder counts their contents.
+// takeAmounts empties an attached pool's buckets and its unsent amounts, and returns what they
+// contained: the holder counts it. It returns nothing from a pool that is not attached.
 func (p *Pool) takeAmounts(now time.Duration) []Amount {
 	if p.Mode(now) != ModeAttached {
 		return nil
--- a/internal/quota/pool.go
+++ b/internal/quota/pool.go
@@ -129,8 +129,9 @@
 	Holder  string
 }
 
-// NewPool returns the pool of a process that begins now, with empty buckets: what an earlier process
-// had counted is not known, and the share may count elsewhere for the time of a lease.
+// NewPool returns the pool of a process that begins now. Each bucket is created with its limit, and
+// starts at level 0: what an earlier process had counted is not known. The process's own share does not
+// count here for the time of a lease, in which it may still count elsewhere.
 func NewPool(now time.Duration, options Options) *Pool {
 	return &Pool{
 		options:        options,
@@ -251,8 +252,9 @@
 	return Answer{ID: q.ID, Admitted: true}
 }
 
-// decideFromBucket decides with the shares that count here; without any, it uses the part of the
-// tolerance for holder timeouts.
+// decideFromBucket decides a query from the account's bucket here, with the shares that count here.
+// Without any, it may use this pool's part of the tolerance for holder timeouts, less the debts that
+// the holder has not acknowledged.
 func (p *Pool) decideFromBucket(now time.Duration, b *bucket, q Query) Answer {
 	if p.shares.total == 0 {
 		// A debt counts here until it is known to count at the holder: otherwise the pool could use
@@ -291,7 +293,8 @@
 	return time.Duration(holderWaitFraction * float64(p.options.Lease))
 }
 
-// Adjust returns units that were charged, or charges further ones if they are negative.
+// Adjust refunds units that were charged to an account, or charges further ones if they are negative.
+// It does nothing for an account without a limit.
 func (p *Pool) Adjust(now time.Duration, amount Amount) {
 	p.updateShares(now)
 	b := p.buckets[amount.Account]
--- a/internal/relay/backpressure.go
+++ b/internal/relay/backpressure.go
@@ -84,8 +84,9 @@
 // Directory's mutex.
 func (r *Replica) declaresLeaving() bool { return r.peerState != nil && r.peerState.Leaving() }
 
-// acceptsAsLast reports whether a replica that has itself said that it is leaving may still be sent work if no other
-// replica is left, which is until the gate's leaving grace is over. The caller must hold d.mutex.
+// acceptsAsLast reports whether a replica that has told this process or others that it is leaving may still be
+// sent work if no other replica is left, which is until the gate's leaving grace is over, and always without a
+// gate. The caller must hold d.mutex.
 func (d *Directory) acceptsAsLast(replica *Replica) bool {
 	if d.gate == nil {
 		return true
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -82,8 +82,8 @@
 	return c.Arrived.Add(wait)
 }
 
-// objective returns the target time to the first event: the route's, or a part of the caller's wait if
-// the route has none.
+// objective returns the target time to the first event: the route's, or a part of the time from arrival to the
+// deadline if the route has none.
 func (c *Call) objective() time.Duration {
 	if c.Route.TargetLatency > 0 {
 		return c.Route.TargetLatency
--- a/internal/relay/comeback.go
+++ b/internal/relay/comeback.go
@@ -23,9 +23,11 @@
 // minimumLatency bounds the typical latency from below, and stands for it where none is known.
 const minimumLatency = 50 * time.Millisecond
 
-// backoffRetryAfter returns the time after which a caller should retry, if every replica of a service is in
-// backoff or at its learned limit for requests of a rank; 0 if one is not. Refused callers retry one after
-// the other, at this process's share of the rate at which the replicas serve requests when full.
+// backoffRetryAfter returns the time after which a caller should retry, if every replica of a service that is
+// neither leaving nor a prefill replica is in backoff or at its learned limit for requests of a rank. It
+// returns 0 if one is not, if there are none, or if no replica has asked this process for anything. Refused
+// callers retry one after the other, at this process's share of the rate at which the replicas serve requests
+// when full.
 func (d *Directory) backoffRetryAfter(service string, rank int) time.Duration {
 	asking := d.gateNow()
 	if asking == 0 {
--- a/internal/relay/costs.go
+++ b/internal/relay/costs.go
@@ -31,8 +31,8 @@
 	return model
 }
 
-// prefillTime returns how long a replica takes to prefill the missing tokens of a prompt. The caller must
-// hold d.mutex.
+// prefillTime returns how long a replica works on the missing tokens of a prompt, without waiting and
+// transfers. The caller must hold d.mutex.
 func (d *Directory) prefillTime(replica *Replica, request ReadRequest, missing int) time.Duration {
 	work := costmodel.Work{Tokens: request.Prompt.Tokens, Missing: min(missing, request.Prompt.Tokens)}
 	return d.costModel(replica.Service).ReadTime(work) * prefillSlowdown(replica)
--- a/internal/relay/demand.go
+++ b/internal/relay/demand.go
@@ -9,7 +9,8 @@
 
 // Demand returns the demand that this gateway observes for each service, by region. Answers of model replicas
 // count in the region where they are generated; prompts, and expected answers, in the gateway's own region.
-// Unreachable replicas of other regions are not reported: the link may be the cause.
+// Replicas for which rejectsAll is true are reported as unreachable, too. Unreachable and refusing replicas of
+// other regions are not reported: the link may be the cause.
 func (d *Directory) Demand(places topology.Map) []region.ServiceDemand {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/relay/directory.go
+++ b/internal/relay/directory.go
@@ -27,7 +27,7 @@
 	regions        topology.Map
 	pathDelays     pathDelays
 	crossRegionLog crossRegionLog
-	// firstListAt is when the first list was received.
+	// firstListAt is when the first list was received: the last one that replaced an empty list.
 	firstListAt time.Duration
 	// replicas are by Life.Name: a replica that restarts is a new entry without history, and reports about
 	// its previous incarnation do not apply to it.
--- a/internal/relay/fetch.go
+++ b/internal/relay/fetch.go
@@ -6,8 +6,8 @@
 	"github.com/pierhaven/pierhaven/internal/topology"
 )
 
-// canServeFetches reports whether other replicas may fetch prefixes from this one: they may if its answers
-// were lost, but not if it accepts no connections.
+// canServeFetches reports whether other replicas may fetch prefixes from this one: they may if its answers were
+// lost, but not if it accepts no connections or was removed.
 func (r *Replica) canServeFetches(now time.Duration) bool {
 	return !r.removed && !(r.unconnected && now < r.avoidUntil)
 }
--- a/internal/relay/grant.go
+++ b/internal/relay/grant.go
@@ -126,8 +126,8 @@
 	l.grant.tell(event)
 }
 
-// reportGap records an inter-token gap of the stream, and reports it to the coordinator if it is long enough. The
-// caller must hold the Directory's mutex.
+// reportGap records an inter-token gap of the stream, and reports it to the coordinator if it is long enough
+// and none was reported within gapReportInterval. The caller must hold the Directory's mutex.
 func (l *Lease) reportGap(now, gap time.Duration) {
 	if l.grant == nil {
 		return
--- a/internal/relay/lease.go
+++ b/internal/relay/lease.go
@@ -107,7 +107,8 @@
 // cached: by then frequently requested prefixes have passed through it.
 const cacheLearningTime = 10 * time.Second
 
-// knowsCached reports whether it is known what a replica has cached. The caller must hold d.mutex.
+// knowsCached reports whether it is known what a replica has cached. Once cacheLearningTime has passed since
+// the first list, it is taken as known for every replica. The caller must hold d.mutex.
 func (d *Directory) knowsCached(replica *Replica) bool {
 	return replica.cacheKnown || d.clock()-d.firstListAt > cacheLearningTime
 }
--- a/internal/relay/limited.go
+++ b/internal/relay/limited.go
@@ -39,6 +39,7 @@
 }
 
 // permits reports whether a lease's replica may be sent the request under the limit that it declares, if any.
+// It asks for a permit, which it adds to the lease; a denial is noted for later calls.
 func (r *callState) permits(ctx context.Context, lease *Lease) bool {
 	rate := lease.Limit()
 	if r.limits == nil || rate < 0 {
@@ -60,9 +61,9 @@
 	return false
 }
 
-// reserveDecodeReplica leases the decode replica before the prompt is read, if every candidate declares a limit: if
-// none had capacity, the work of the prefill replica would be wasted. The lease is nil if some candidate
-// declares no limit.
+// reserveDecodeReplica leases the decode replica before the prompt is read, if every candidate declares a
+// limit: if none had capacity, the work of the prefill replica would be wasted. The lease is nil without an
+// error if some candidate declares no limit, if there are no candidates, or if limits are not enforced.
 func (r *callState) reserveDecodeReplica(ctx context.Context, prefillLease *Lease) (*Lease, error) {
 	if r.limits == nil || !r.directory.decodeReplicasLimited(r.call.Service.Name) {
 		return nil, nil
--- a/internal/relay/meter.go
+++ b/internal/relay/meter.go
@@ -27,7 +27,7 @@
 	return m.smoothed
 }
 
-// averageTimes holds an averageTime for each service.
+// averageTimes holds averageTimes by service, or by service and stage.
 type averageTimes map[string]*averageTime
 
 func (m averageTimes) observe(service string, duration time.Duration) {
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -45,8 +45,9 @@
 	return m
 }
 
-// stop waits for a move in progress and returns where the stream continues, nil if it was not moved.
-// It is called once the stream has ended at its first replica.
+// stop ends the mover. It waits for a move in progress, and returns where the stream continues, nil if it was
+// not moved. It is called once the stream has ended or broken off at its first replica, or the caller has
+// disconnected.
 func (m *streamMover) stop() *movedStream {
 	m.cancel()
 	<-m.done
--- a/internal/relay/outstanding.go
+++ b/internal/relay/outstanding.go
@@ -114,7 +114,8 @@
 	return requests
 }
 
-// recordPeerWork records the work that a gateway has reported. The caller must hold d.mutex.
+// recordPeerWork records the work that a gateway has reported. Less prefill work than it reported before counts
+// as progress of the replica. The caller must hold d.mutex.
 func (d *Directory) recordPeerWork(gateway string, work []region.OutstandingWork, whole bool, now time.Duration) {
 	if whole {
 		for _, replica := range d.replicas {
@@ -232,7 +233,7 @@
 }
 
 // Cached returns what the selected replicas have cached, as far as it is known; whole reports whether it is
-// known for all of them.
+// known for all of them, and is false while no replicas are listed.
 func (d *Directory) Cached(wanted func(replica region.Replica) bool) (cached []region.KeptParts, whole bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/relay/overload.go
+++ b/internal/relay/overload.go
@@ -154,7 +154,7 @@
 func rankOf(priority int) int { return min(max(priority, 0), LastRank-1) }
 
 // lateLeft is the remaining time in which a late prompt has to be prefilled: callers abandon a stream without
-// events after a few times its objective, but not before minCallerPatience, and long before their deadline.
+// events after a few times its objective, but not before minimumCallerPatience, and long before their deadline.
 func (r *ReadRequest) lateLeft() time.Duration {
 	passed := r.Objective - r.AimLeft
 	return min(r.Left, max(lateObjectives*r.Objective, minimumCallerPatience)-passed)
--- a/internal/relay/picker.go
+++ b/internal/relay/picker.go
@@ -72,8 +72,10 @@
 	return lease
 }
 
-// bestOffer returns the candidate with the lowest score, nil if there is none, and its offer: a replica
-// with a free slot can start at once.
+// bestOffer returns the candidate with the lowest score, and what it offers. If any candidate has a free slot,
+// only those with one are compared, even if a full one has a lower score: they can start at once
+// (crossing.InTime). If all are full, the offer is crossing.AtCapacity; without candidates, the replica is nil
+// and the offer is crossing.NoReplica.
 func bestOffer(candidates []*Replica, rating loadScore, now time.Duration) (*Replica, crossing.Offer) {
 	if len(candidates) == 0 {
 		return nil, crossing.Offer{Outcome: crossing.NoReplica}
@@ -85,8 +87,8 @@
 	return lowest(free, rating, now), crossing.Offer{Outcome: crossing.InTime}
 }
 
-// healthyCandidates returns the candidates that are not avoided, or all if every one is. The caller must
-// hold d.mutex.
+// healthyCandidates returns the candidates that are not avoided, or all if every one is or ejection is
+// disabled. The caller must hold d.mutex.
 func (d *Directory) healthyCandidates(service string, wanted Wanted, passes func(*Replica) bool, now time.Duration) []*Replica {
 	candidates := d.candidates(service, wanted, passes, now)
 	healthy := slices.DeleteFunc(slices.Clone(candidates), func(r *Replica) bool { return r.avoided(now) })
@@ -96,7 +98,8 @@
 	return candidates
 }
 
-// candidates returns the replicas of a service that may get a request. The caller must hold d.mutex.
+// candidates returns the replicas of a service that may get a request, those that are leaving only if there are
+// no others. Replicas at the learned limit are left out. The caller must hold d.mutex.
 func (d *Directory) candidates(service string, wanted Wanted, passes func(*Replica) bool, now time.Duration) []*Replica {
 	var candidates, leaving []*Replica
 	asking := d.gateNow()
@@ -229,8 +232,9 @@
 }
 
 // preferredReplicas returns the replicas of a stage that are preferred for a prompt's shared prefix, one in
-// each region, none if there is no such prefix. They are selected by rendezvous hashing of the longest
-// shared prefix and the replicas' ids, so that all gateways select the same. The caller must hold d.mutex.
+// each region, none if there is no such prefix. They are selected by rendezvous hashing of the longest shared
+// prefix and the replicas' ids, so that all gateways select the same, among the replicas that are neither
+// leaving nor avoided by this process. The caller must hold d.mutex.
 func (d *Directory) preferredReplicas(service, stage string, prompt *Prompt, now time.Duration) []*Replica {
 	key := prompt.sharedPart()
 	if key == "" || d.disabled[mechanism.Homes] {
--- a/internal/relay/placement.go
+++ b/internal/relay/placement.go
@@ -18,9 +18,10 @@
 	crossZoneShare = 0.01
 )
 
-// PlacePrefill leases the replica that is to prefill a prompt: a prefill replica, or the decode replica
-// that also generates the answer. A prompt that no replica is expected to prefill within its objective
-// becomes a late one. It returns an error if no replica has capacity.
+// PlacePrefill leases the replica that is to prefill a prompt: a prefill replica, or the decode replica that
+// also generates the answer. A prompt that no replica is expected to prefill within its objective becomes a
+// late one, unless promotesLate queues it with those in time. It returns errNoReplica if there is no decode
+// replica, and a noCapacityError if no replica has capacity.
 func (d *Directory) PlacePrefill(service string, request ReadRequest) (*Lease, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -67,8 +68,9 @@
 	return Late
 }
 
-// offerPrefill returns the best estimate among replicas that include at least one decode replica. The
-// caller must hold d.mutex.
+// offerPrefill returns the best estimate among replicas that include at least one decode replica: for the
+// prompt as one in time, else as a late one, else with the outcome crossing.AtCapacity. The caller must hold
+// d.mutex.
 func (d *Directory) offerPrefill(among stageReplicas, request ReadRequest, sources []prefixSource, now time.Duration) prefillOffer {
 	best := d.bestEstimate(among.prefill, among.decode, request, InTime, sources, now)
 	service := among.decode[0].Service
@@ -98,8 +100,9 @@
 	return completes && taken < lateShare*float64(max(e.replica.Slots, 1))
 }
 
-// newNoCapacityError returns the refusal of a prompt for which no replica has capacity. The caller should
-// retry when the best replica will have completed the prefills before it.
+// newNoCapacityError returns the refusal of a prompt for which no replica has capacity. The caller should retry
+// when the best replica will have completed the prefills before it, but not before defaultRetryAfter, and
+// within a third of its remaining time.
 func newNoCapacityError(request ReadRequest, best *prefillEstimate) error {
 	return &noCapacityError{
 		until: min(max(best.wait, defaultRetryAfter), request.Left/retryDivisor),
@@ -124,8 +127,10 @@
 	retryDivisor = 3
 )
 
-// bestEstimate compares a prefill on a prefill replica with one on the decode replica that generates the
-// answer. The caller must hold d.mutex.
+// bestEstimate returns the better of a prefill on a prefill replica and one on the decode replica that
+// generates the answer. The latter must be short, keep the inter-token gaps of the replica's streams within
+// bounds, and not be expected to take longer, unless there are no prefill replicas. The caller must hold
+// d.mutex.
 func (d *Directory) bestEstimate(prefillReplicas, decodeReplicas []*Replica, request ReadRequest, urgency Urgency, sources []prefixSource, now time.Duration) prefillEstimate {
 	direct, harmless := d.bestDecodeReplica(decodeReplicas, request, urgency, sources, now)
 	if len(prefillReplicas) == 0 || d.disabled[mechanism.ReadingApart] {
@@ -143,9 +148,9 @@
 	return separate
 }
 
-// bestDecodeReplica returns the decode replica that is expected to complete the prefill of a prompt first,
-// and whether the inter-token gaps of its streams stay within bounds meanwhile. The caller must hold
-// d.mutex.
+// bestDecodeReplica returns the estimate of the decode replica with the lowest prefillScore plus a penalty for
+// its occupancy, and whether the inter-token gaps of its streams stay within bounds during the prefill. The
+// caller must hold d.mutex.
 func (d *Directory) bestDecodeReplica(decodeReplicas []*Replica, request ReadRequest, urgency Urgency, sources []prefixSource, now time.Duration) (prefillEstimate, bool) {
 	var best prefillEstimate
 	var bestScore time.Duration
@@ -230,10 +235,11 @@
 	return needed <= time.Duration(inTimeShare*float64(request.AimLeft))
 }
 
-// bestPrefillReplica returns the estimate of the replica that is expected to complete the prefill of a
-// prompt first. The preferred replicas of the prompt's shared prefix get a bonus for the part of it that
-// they do not have cached, so that prompts with one prefix from all gateways of a region meet there. The
-// caller must hold d.mutex.
+// bestPrefillReplica returns the estimate of the candidate with the lowest prefillScore, except that a replica
+// without a rate limit is returned instead of a better one with a limit if sparesLimitedReplica says so. The
+// preferred replicas of the prompt's shared prefix get a bonus for the part of it that they do not have cached,
+// so that prompts with the same prefix from all gateways of a region tend to be prefilled on the same replica.
+// The caller must hold d.mutex.
 func (d *Directory) bestPrefillReplica(candidates []*Replica, request ReadRequest, urgency Urgency, sources []prefixSource, now time.Duration) prefillEstimate {
 	preferred := d.preferredReplicas(candidates[0].Service, region.StagePrefill, request.Prompt, now)
 	var best, unlimited ratedEstimate
@@ -273,7 +279,9 @@
 	return limited.busy < d.rankMeterOf(service).typical() && d.inTime(service, request, unlimited)
 }
 
-// prefillScore scores an estimate; the lowest score is the best. The caller must hold d.mutex.
+// prefillScore scores an estimate; the lowest score is the best. It is the expected time until the prefill is
+// complete, less the bonus of a preferred replica, plus penalties for another zone, for recent errors and for
+// an expected refusal, and a small random jitter. The caller must hold d.mutex.
 func (d *Directory) prefillScore(estimated *prefillEstimate, request ReadRequest, isPreferred bool, now time.Duration) time.Duration {
 	score := estimated.total()
 	if shared := estimated.missing - request.Prompt.unsharedTokens(); isPreferred && shared > 0 {
--- a/internal/relay/placer.go
+++ b/internal/relay/placer.go
@@ -128,7 +128,8 @@
 	return question
 }
 
-// idleTime returns for how long the replica of a lease has had no known prefill work.
+// idleTime returns how long the replica of a lease has prefilled nothing: according to the coordinator that
+// granted the lease or, if there is none or it does not answer, to what this gateway knows.
 func (p *Placer) idleTime(ctx context.Context, lease *Lease) time.Duration {
 	if lease.grant == nil || p.Remote == nil {
 		return lease.IdleTime()
--- a/internal/relay/prompt.go
+++ b/internal/relay/prompt.go
@@ -26,9 +26,10 @@
 
 func (h *promptHandle) source() string { return h.replica.Address + "/" + h.id }
 
-// placeModelCall leases a decode replica and, if that is better, has another replica prefill the
-// prompt first. A prompt is prefilled separately at most once, and not if a stream is continued.
-// An error means that the request may not be sent to another replica.
+// placeModelCall leases a decode replica and, if that is better, has another replica prefill the prompt first.
+// A prompt is prefilled separately at most once, not counting prefill requests that reached no replica, and not
+// if a stream is continued. The lease is nil if no decode replica was found. An error, for instance that no
+// replica has capacity or that the retry budget is used up, ends the call: no further send is made.
 func (r *callState) placeModelCall(ctx context.Context) (*Lease, *promptHandle, error) {
 	service := r.call.Service.Name
 	if r.prefills > 0 || r.stream != nil {
@@ -107,10 +108,11 @@
 // a limit is considered.
 func (r *callState) onlyUnlimitedReplicas() bool { return len(r.denied) >= maximumDenials }
 
-// runPrefill has the prompt prefilled. It returns a nil handle if that failed, and errPrefillUnsent if
-// the request reached no replica. If a prefill replica received the request and did not prefill the
-// prompt, the next send is a retry, which the retry budget has to allow. A slow prefill replica is
-// therefore abandoned only if the budget allows it.
+// runPrefill has the prompt prefilled, and releases the lease. It returns a nil handle if that failed, and
+// errPrefillUnsent if the request reached no replica. A rejected prompt makes the next send a retry, which is
+// charged to the retry budget; if the budget is used up, runPrefill returns an error. A slow prefill is
+// abandoned only if the budget allows the retry. A lost response is not charged: the request may have arrived,
+// and the decode replica may fetch the prompt there.
 func (r *callState) runPrefill(ctx context.Context, lease *Lease) (*promptHandle, error) {
 	r.prefills++
 	service := r.call.Service.Name
--- a/internal/relay/ratelimit.go
+++ b/internal/relay/ratelimit.go
@@ -217,7 +217,8 @@
 	return replica.limit.declared
 }
 
-// decodeReplicasLimited reports whether the service has decode replicas and each of them declares a limit.
+// decodeReplicasLimited reports whether the service has decode replicas that may get a request now, and each of
+// them declares a limit.
 func (d *Directory) decodeReplicasLimited(service string) bool {
 	if d.limited.Load() == 0 {
 		return false
@@ -235,8 +236,9 @@
 }
 
 // limitRetryAfter is the Retry-After of a caller whose request no replica of a service has capacity for under
-// its limit; zero if none of them declares a limit. The retries of rejected callers are spread: they follow
-// each other at this process's share of the sum of all limits.
+// its limit; zero if none of them declares a limit. Prefill replicas and those that are leaving are left out.
+// The retries of rejected callers are spread: they follow each other at this process's share of the sum of all
+// limits.
 func (d *Directory) limitRetryAfter(service string, rank int) time.Duration {
 	if d.limited.Load() == 0 {
 		return 0
@@ -265,7 +267,8 @@
 	return d.scheduleRetry(service, now+max(earliest, minimumDenialTime), pace, now+maximumRetryAfter) - now
 }
 
-// maximumRetryAfter bounds the Retry-After of a caller that is rejected because of replicas' limits.
+// maximumRetryAfter bounds the Retry-After of a caller that is rejected because of replicas' limits, and, from
+// the end of the first backoff on, of one that is rejected because of backoffs.
 const maximumRetryAfter = ratelimit.Window
 
 // denialLeft is the time until requests of a rank are no longer denied.
--- a/internal/relay/reading.go
+++ b/internal/relay/reading.go
@@ -55,7 +55,7 @@
 	return sum
 }
 
-// prefillEstimate is the expected time until a replica has completed the prefill of a prompt.
+// prefillEstimate is the expected time until a replica has completed the prefill of a prompt, by its parts.
 type prefillEstimate struct {
 	replica *Replica
 	// wait is for the prompts before it, transfer for that of a fetched prefix, and busy for the replica's
@@ -69,14 +69,17 @@
 	missing int
 }
 
-// total returns the time until the prefill is complete and the gateway knows that it is.
+// total returns the time until the prefill is complete, waiting included, plus the delay of crossing to another
+// region.
 func (e *prefillEstimate) total() time.Duration { return e.prefillTime() + e.crossRegion }
 
-// prefillTime returns the time until the replica has completed the prefill.
+// prefillTime returns the time until the replica has completed the prefill, waiting and the transfer of a
+// fetched prefix included, without the delay of crossing to another region.
 func (e *prefillEstimate) prefillTime() time.Duration { return e.wait + e.transfer + e.busy }
 
-// estimatePrefill estimates how long a replica takes to prefill a prompt of an urgency. The caller must
-// hold d.mutex.
+// estimatePrefill estimates how long a replica takes to prefill a prompt of an urgency, waiting included. It
+// includes the fetch of a cached prefix from one of the sources if that is expected to be faster. The caller
+// must hold d.mutex.
 func (d *Directory) estimatePrefill(replica *Replica, request ReadRequest, urgency Urgency, sources []prefixSource, now time.Duration) prefillEstimate {
 	missing := d.missing(replica, request.Prompt)
 	estimated := prefillEstimate{
--- a/internal/relay/refusal.go
+++ b/internal/relay/refusal.go
@@ -20,8 +20,9 @@
 	firstRejectedAt, lastRejectedAt time.Duration
 	// avoidUntil is the time until which the replica is expected to reject requests.
 	avoidUntil time.Duration
-	// backoffUntil is the end of the backoff that the replica has requested from this process, or from one
-	// that this process places requests for.
+	// backoffUntil is the time until which Resting reports the replica as in backoff: it has requested one from
+	// this process, or from one that this process places requests for, or has rejected several requests in a
+	// row.
 	backoffUntil time.Duration
 	slowStart    slowStart
 }
@@ -123,15 +124,18 @@
 	return delay + time.Duration(d.random()*jitter)
 }
 
-// BackoffRevision returns a number that grows with each backoff added to the list of Resting.
+// BackoffRevision returns a number that grows with each backoff that is added to the list of Resting, or
+// extended there.
 func (d *Directory) BackoffRevision() uint64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.backoffRevision
 }
 
-// Resting lists the replicas that have requested a backoff from this process, or from one that this
-// process places requests for, longest backoff first.
+// Resting lists the replicas to report as in backoff, the longest remaining time first, at most
+// maximumReportedBackoffs. These are the replicas that, while they were not full, rejected a request of this
+// process, or of one that this process places requests for, and either requested a backoff or rejected at least
+// twice in a row.
 func (d *Directory) Resting() []region.RestingReplica {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/relay/room.go
+++ b/internal/relay/room.go
@@ -127,8 +127,8 @@
 	return max(replica.totalInFlight(now)-1, (replica.inFlight-1)*d.placerCount())
 }
 
-// isFull reports whether a replica that refused a request of this process has at least as many others as
-// slots. The caller must hold d.mutex.
+// isFull reports whether a replica that refused a request of this process has at least as many other requests
+// as slots, by the estimate of concurrentRequests. The caller must hold d.mutex.
 func (d *Directory) isFull(replica *Replica, now time.Duration) bool {
 	return d.concurrentRequests(replica, now) >= max(replica.Slots, 1)
 }
--- a/internal/relay/runner.go
+++ b/internal/relay/runner.go
@@ -96,7 +96,9 @@
 	// a few milliseconds and none of the retry budget; after the loss of a rack, several replicas
 	// in a row may take no connection.
 	maximumUnsent = 16
-	// defaultRetryAfter is the Retry-After of a request for which no replica was found.
+	// defaultRetryAfter is the Retry-After of a request that was rejected for a reason that implies no other
+	// time. It is also the minimum if no replica has capacity for a prompt, unless the caller has little time
+	// left.
 	defaultRetryAfter = 150 * time.Millisecond
 	// minimumTimeLeft is the least remaining time for which a request is sent.
 	minimumTimeLeft = 5 * time.Millisecond
@@ -153,7 +155,8 @@
 	body   []byte
 }
 
-// countStart counts the request as begun at a given time. Only the first call has an effect.
+// countStart counts the request as begun at a given time. Only the first call has an effect, and none for a
+// request without a tenant.
 func (r *callState) countStart(at time.Time) {
 	if r.startCounted || r.call.Tenant == "" {
 		return
@@ -260,7 +263,8 @@
 	}
 }
 
-// checkSendAllowed returns the reason why no further send may be made, or nil.
+// checkSendAllowed returns the reason why no further send may be made, or nil. If an earlier send may have
+// reached a replica, it takes the retry out of the retry budget, except for a moved stream.
 func (r *callState) checkSendAllowed() error {
 	if r.isHeld() {
 		return failure.New(failure.RequestHeld, "replicas have ended under this request")
@@ -314,8 +318,8 @@
 	return r.placeModelCall(ctx)
 }
 
-// refuse ends a call that no replica has answered. An error response of a replica takes precedence
-// over an error of the gateway.
+// refuse ends a call that no replica has answered. A stream that has begun is broken off. Otherwise, an error
+// response of a replica takes precedence over an error of the gateway.
 func (r *callState) refuse(err error) {
 	if r.stream != nil {
 		r.logger.Info(event.StreamBrokenOff, "request", r.call.ID, "events", r.stream.events, "cause", err.Error())
@@ -347,8 +351,10 @@
 	r.responder.Refuse(err)
 }
 
-// retryAfter returns the time after which the caller should retry: when capacity was expected to be
-// free, by what was known at the time of the refusal.
+// retryAfter returns the time after which the caller should retry. For a lack of capacity, a backoff or a rate
+// limit, it is when capacity was expected to be free, by what was known at the time of the refusal; for a
+// request on probation, it is how long the outcome of another gateway's try may stay unknown; for everything
+// else, it is defaultRetryAfter.
 func (r *callState) retryAfter(err error) time.Duration {
 	var noCapacity *noCapacityError
 	if errors.As(err, &noCapacity) {
--- a/internal/relay/send.go
+++ b/internal/relay/send.go
@@ -64,9 +64,9 @@
 	maximumIdleConnections = 8
 )
 
-// idleConnectionLimit returns how many idle connections each of several processes may keep to a
-// replica that accepts at most maximumConnections, 0 if unknown: an equal share of idleShare, and
-// at least one.
+// idleConnectionLimit returns how many idle connections each of several processes may keep to a replica that
+// accepts at most maximumConnections, 0 if unknown: an equal share of idleShare, at least one and at most
+// maximumIdleConnections, which also applies if the number is unknown.
 func idleConnectionLimit(maximumConnections, placers int) int {
 	if maximumConnections <= 0 {
 		return maximumIdleConnections
--- a/internal/relay/stall.go
+++ b/internal/relay/stall.go
@@ -50,8 +50,8 @@
 	w.timer.Stop()
 }
 
-// IdleTime returns how long the replica has prefilled nothing that any gateway knows of, counted at
-// most from the start of the lease.
+// IdleTime returns how long the replica has prefilled nothing, as far as this process knows from its own
+// requests and its peers' reports, counted at most from the start of the lease.
 func (l *Lease) IdleTime() time.Duration {
 	l.directory.mutex.Lock()
 	defer l.directory.mutex.Unlock()
--- a/internal/relay/tenantlevel.go
+++ b/internal/relay/tenantlevel.go
@@ -36,7 +36,7 @@
 	maximumWaitFactor = 2
 )
 
-// place records work for a tenant; 0 stands for no tenant.
+// place records work for a tenant; it does nothing for 0, which stands for no tenant.
 func (m *tenantMeter) place(tenant uint64, busy, now time.Duration) {
 	if tenant == 0 {
 		return
