--- a/internal/relay/refusal.go
+++ b/internal/relay/refusal.go
@@ -20,7 +20,7 @@
 	firstRejectedAt, lastRejectedAt time.Duration
 	// avoidUntil is the time until which the replica is expected to reject requests.
 	avoidUntil time.Duration
-	// backoffUntil is the time until which Resting reports the replica as in backoff: it has requested one from
+	// backoffUntil is the time until which ReplicasInBackoff reports the replica as in backoff: it has requested one from
 	// this process, or from one that this process places requests for, or has rejected several requests in a
 	// row.
 	backoffUntil time.Duration
