--- a/internal/policy/bounded_test.go
+++ b/internal/policy/bounded_test.go
@@ -60,7 +60,7 @@
 	} {
 		_, problems := policy.Compile(dynamic.Policy{Name: "p", Ranking: text})
 		if strings.Contains(text, "'x'") {
-			require.Len(t, problems, 1, "texts are not joined")
+			require.Len(t, problems, 1, "string concatenation is rejected")
 			continue
 		}
 		require.Empty(t, problems, text)
--- a/internal/policy/doc.go
+++ b/internal/policy/doc.go
@@ -3,5 +3,6 @@
 // Programs are expressions in the language of github.com/expr-lang/expr over typed
 // variables, which docs/policy-reference.md lists. They have no loops, and their
 // size and memory are bounded. When a program fails at run time, the failure is
-// counted and the built-in result is used instead.
+// counted and a default is used instead: the built-in ranking, no placement, the
+// planner's own estimate of a role change, or the policy's fixed price.
 package policy
--- a/internal/policy/expression.go
+++ b/internal/policy/expression.go
@@ -42,7 +42,8 @@
 
 // compile checks and compiles the text of a field. The program is run once
 // on each sample environment, so that errors which type checking can't detect,
-// such as a division by zero, are found at submission.
+// such as a division by zero, are found at submission. The first sample also
+// declares the variables and their types.
 func compile(field, text string, samples []any, result expr.Option) (*expression, *Problem) {
 	if len(text) > MaximumLength {
 		return nil, &Problem{Field: field, Line: 1, Column: MaximumLength, Message: "the expression is longer than 4096 bytes"}
--- a/internal/policy/joining.go
+++ b/internal/policy/joining.go
@@ -38,12 +38,12 @@
 // concatenate strings, or nil if there is none.
 func (f *concatenationFinder) problem(field, text string) *Problem {
 	var first *ast.BinaryNode
-	for _, sum := range f.additions {
-		if !f.mayBeString(sum.Left) && !f.mayBeString(sum.Right) {
+	for _, addition := range f.additions {
+		if !f.mayBeString(addition.Left) && !f.mayBeString(addition.Right) {
 			continue
 		}
-		if first == nil || sum.Location().From < first.Location().From {
-			first = sum
+		if first == nil || addition.Location().From < first.Location().From {
+			first = addition
 		}
 	}
 	if first == nil {
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -136,7 +136,7 @@
 		assert.Equal(t, "role_change.price_program", program.Failures()[0].Field)
 	}
 	_, problems := policy.Compile(dynamic.Policy{Name: "p", RoleChange: dynamic.RoleChangeRule{PriceProgram: "change.gain"}})
-	require.Len(t, problems, 1, "a price is set before a change is proposed")
+	require.Len(t, problems, 1, "the price is computed before a change is proposed, so its variables are not available")
 }
 
 func TestSetPrefersThePolicyThatNamesTheModel(t *testing.T) {
--- a/internal/policy/run.go
+++ b/internal/policy/run.go
@@ -38,7 +38,8 @@
 }
 
 // Rank returns a request's rank; higher ranks go first. A nil program, a program
-// without a ranking and one that fails give the built-in rank.
+// without a ranking and one that fails or whose result is not finite give the
+// built-in rank.
 func (p *Program) Rank(variables RankingVariables) float64 {
 	if p == nil || p.ranking == nil {
 		return BuiltinRank(&variables)
@@ -86,9 +87,9 @@
 	return p.roleChange.evaluateCondition(variables, true)
 }
 
-// Price returns the price of one role change in requests. If the price program
-// fails or its result is negative or not finite, the document's fixed price is
-// used. A nil program gives 0.
+// Price returns the price of one role change in requests. The document's fixed
+// price is used if there is no price program, if it fails, or if its result is
+// negative or not finite. A nil program gives 0.
 func (p *Program) Price(variables PriceVariables) float64 {
 	if p == nil {
 		return 0
@@ -125,12 +126,13 @@
 	return holds
 }
 
-// Failure counts the run-time failures of one field.
+// Failure counts the run-time failures of one field. A count of 0 reports a field
+// that does not compile.
 type Failure struct {
 	Policy string `json:"policy"`
 	Field  string `json:"field"`
 	Count  uint64 `json:"count"`
-	// Last is the message of the most recent failure.
+	// Last is the message of the most recent failure, or of the compile error.
 	Last string `json:"last"`
 }
 
--- a/internal/policycheck/comparison.go
+++ b/internal/policycheck/comparison.go
@@ -58,7 +58,8 @@
 }
 
 // mergePolicies replaces present policies by the checked ones with the same names.
-// The result is sorted by name, the order in which policies take effect.
+// The result is sorted by name, because of several policies for a model the first
+// by name is used.
 func mergePolicies(present, checked []dynamic.Policy) []dynamic.Policy {
 	result := slices.Clone(checked)
 	for _, each := range present {
--- a/internal/policycheck/comparison_test.go
+++ b/internal/policycheck/comparison_test.go
@@ -60,7 +60,7 @@
 	comparison := policycheck.Compare(trace, setting)
 	assert.Equal(t, len(trace.Calls), comparison.Calls)
 	assert.Equal(t, comparison.Present, comparison.Checked)
-	assert.NotEmpty(t, comparison.Present.Changes, "the trace shifts its mix")
+	assert.NotEmpty(t, comparison.Present.Changes, "the request mix changes during the trace")
 	offered := 0
 	for _, call := range trace.Calls {
 		if !call.Batch {
@@ -117,7 +117,7 @@
 	comparison := policycheck.Compare(trace, setting)
 	require.Len(t, comparison.Failures, 1)
 	assert.Equal(t, "role_change.condition", comparison.Failures[0].Field)
-	assert.Equal(t, comparison.Present.Changes, comparison.Checked.Changes, "the built-in answer stands in")
+	assert.Equal(t, comparison.Present.Changes, comparison.Checked.Changes, "a failed condition permits the change")
 }
 
 func TestRankingComparesWithinTenantAndPriority(t *testing.T) {
--- a/internal/policycheck/document.go
+++ b/internal/policycheck/document.go
@@ -15,7 +15,7 @@
 	"github.com/pierhaven/pierhaven/internal/policy"
 )
 
-// MaximumFileBytes is the maximum size of a policy file.
+// MaximumFileBytes is the maximum size of a policy file in bytes.
 const MaximumFileBytes = 1 << 20
 
 // Document is a policy and the file that it was read from.
--- a/internal/policycheck/placement.go
+++ b/internal/policycheck/placement.go
@@ -17,7 +17,8 @@
 	Checked Placement `json:"checked"`
 }
 
-// Placement is the version and the adapters that a policy assigns to an engine.
+// Placement is the version and the adapters that a policy assigns to an engine, or
+// those that the engine has if the policy assigns none.
 type Placement struct {
 	Version  string   `json:"version"`
 	Adapters []string `json:"adapters,omitempty"`
--- a/internal/policycheck/policycheck_test.go
+++ b/internal/policycheck/policycheck_test.go
@@ -37,7 +37,7 @@
 // TestProblemsOfInvalidFilesHaveTheirPosition checks that each file gives one
 // problem with its position in the file, not in the expression.
 func TestProblemsOfInvalidFilesHaveTheirPosition(t *testing.T) {
-	cases := map[string]struct{ place, message string }{
+	cases := map[string]struct{ position, message string }{
 		"unknown-variable": {"4:13: ranking", "pirority"},
 		"type-mismatch":    {"2:33: ranking", "mismatched types"},
 		"wrong-result":     {"2:10: ranking", "expected"},
@@ -58,13 +58,13 @@
 	}
 	files, err := filepath.Glob("testdata/wrong/*.yaml")
 	require.NoError(t, err)
-	require.Len(t, files, len(cases), "each file needs its row")
+	require.Len(t, files, len(cases), "each file needs a test case")
 	for name, expected := range cases {
 		t.Run(name, func(t *testing.T) {
 			path := fmt.Sprintf("testdata/wrong/%s.yaml", name)
 			problems := check(t, path, references(t))
 			require.Len(t, problems, 1, problems.Error())
-			assert.Contains(t, problems[0].Error(), path+":"+expected.place)
+			assert.Contains(t, problems[0].Error(), path+":"+expected.position)
 			assert.Contains(t, problems[0].Message, expected.message)
 			assert.NotContains(t, problems[0].Error(), "\n")
 		})
@@ -118,7 +118,7 @@
 	warnings = policycheck.Warnings([]dynamic.Policy{first}, general)
 	require.Len(t, warnings, 1)
 	assert.Contains(t, warnings[0], `"d": governs no model, because "c" lists none either`)
-	assert.Empty(t, policycheck.Warnings(general, []dynamic.Policy{second}), "a policy that lists models goes before one that lists none")
+	assert.Empty(t, policycheck.Warnings(general, []dynamic.Policy{second}), "a policy that lists models takes precedence over one that lists none")
 	assert.Empty(t, policycheck.Warnings([]dynamic.Policy{second}, []dynamic.Policy{first}))
 	assert.Empty(t, policycheck.Warnings(nil, []dynamic.Policy{second}))
 }
--- a/internal/policycheck/problem.go
+++ b/internal/policycheck/problem.go
@@ -5,13 +5,14 @@
 	"strings"
 )
 
-// Problem is one mistake in a policy file, with its position.
+// Problem is one mistake in a policy, deployment or trace file, with its position.
 type Problem struct {
 	File string `json:"file"`
 	// Line and Column are counted from 1; 0 if the problem concerns the whole file.
 	Line   int `json:"line,omitempty"`
 	Column int `json:"column,omitempty"`
-	// Field is the path in the document, empty for a YAML error.
+	// Field is the path in the policy document, empty if the problem concerns no
+	// field, such as a YAML error.
 	Field   string `json:"field,omitempty"`
 	Message string `json:"message"`
 }
--- a/internal/policycheck/rankingvariables.go
+++ b/internal/policycheck/rankingvariables.go
@@ -33,6 +33,8 @@
 
 // variables returns the variables of a call when it enters the queue, and counts
 // the call. The budget share and the predicted wait are not replayed; they are 0.
+// Spilled is always false. The prefix tokens in the trace count as cached, and the
+// oldest call in the queue is assumed to have waited since the start of the window.
 func (r *rankingReplay) variables(call *Call) policy.RankingVariables {
 	window := int64(call.Arrival / rankingWindow)
 	if r.queued == nil || window != r.window {
--- a/internal/policycheck/rolechanges.go
+++ b/internal/policycheck/rolechanges.go
@@ -12,8 +12,8 @@
 const (
 	// replayStep is the interval between planner decisions.
 	replayStep = time.Second
-	// roleChangeDuration is the time for which an engine doesn't serve during a
-	// role change.
+	// roleChangeDuration is the time for which an engine doesn't serve during any
+	// change that the planner makes to it.
 	roleChangeDuration = 8 * time.Second
 )
 
@@ -30,7 +30,7 @@
 	Offered float64 `json:"offered"`
 }
 
-// RoleChange is one role change in the replay.
+// RoleChange is one change of an engine's role or model in the replay.
 type RoleChange struct {
 	// AtMillis is the time since the start of the trace.
 	AtMillis int64  `json:"at_ms"`
@@ -112,7 +112,7 @@
 func (r *zoneReplay) completeChanges(now time.Duration) {
 	for index := range r.engines {
 		engine := &r.engines[index]
-		if back, away := r.servingAgainAt[engine.ID]; away && now >= back {
+		if end, changing := r.servingAgainAt[engine.ID]; changing && now >= end {
 			engine.Observed, engine.Phase, engine.Draining = engine.Desired, engineapi.PhaseServing, false
 			delete(r.servingAgainAt, engine.ID)
 		}
--- a/internal/policycheck/source.go
+++ b/internal/policycheck/source.go
@@ -18,7 +18,7 @@
 type location struct{ line, column int }
 
 // fieldLocation returns the location of a field's value, or of the nearest
-// enclosing field if the field is not set.
+// enclosing field if the field is not set, or else the start of the file.
 func (s source) fieldLocation(path string) location {
 	for path != "" {
 		if node := s.node(path); node != nil {
--- a/internal/policycheck/trace.go
+++ b/internal/policycheck/trace.go
@@ -11,7 +11,7 @@
 // traceFormat is the format that the first line of a trace must declare.
 const traceFormat = "pierhaven-trace/1"
 
-// Bounds of a trace.
+// Bounds of a trace: the length of a line in bytes and the number of model calls.
 const (
 	maximumTraceLine  = 64 << 10
 	maximumTraceItems = 5_000_000
