--- a/bench/manygateways/deciders.go
+++ b/bench/manygateways/deciders.go
@@ -61,20 +61,20 @@
 		return d.server.HandleMessage(message)
 	}
 	return &relay.RemotePlacement{
-		Ask: func(_ context.Context, question *region.PlacementQuery, _ time.Duration) (*region.PlacementAnswer, string, error) {
-			if question.Kind != region.QueryIdle {
+		Query: func(_ context.Context, query *region.PlacementQuery, _ time.Duration) (*region.PlacementAnswer, string, error) {
+			if query.Kind != region.QueryIdle {
 				d.leases++
-				question.Lease = d.leases
+				query.Lease = d.leases
 			}
-			reply := send(&region.PlacementMessage{Question: question})
+			reply := send(&region.PlacementMessage{Question: query})
 			if reply == nil {
 				return nil, "", errSilent
 			}
 			return reply.Answer, d.name, nil
 		},
-		Tell: func(told region.LeaseEvent) {
+		Report: func(event region.LeaseEvent) {
 			d.world.queue.Add(d.world.now+tellDelay, func() {
-				send(&region.PlacementMessage{Events: []region.LeaseEvent{told}})
+				send(&region.PlacementMessage{Events: []region.LeaseEvent{event}})
 			})
 		},
 	}
--- a/internal/placement/client.go
+++ b/internal/placement/client.go
@@ -96,7 +96,7 @@
 
 // Remote returns the client as used by a relay.Placer.
 func (c *Client) Remote() *relay.RemotePlacement {
-	return &relay.RemotePlacement{Ask: c.Query, Tell: c.Report}
+	return &relay.RemotePlacement{Query: c.Query, Report: c.Report}
 }
 
 // Counts returns the counts of the client's queries.
--- a/internal/relay/grant.go
+++ b/internal/relay/grant.go
@@ -14,8 +14,8 @@
 	// generation is the value of Directory.grantGeneration when the lease was granted.
 	generation uint64
 	// by is the coordinator's address.
-	by   string
-	tell func(region.LeaseEvent)
+	by     string
+	report func(region.LeaseEvent)
 	// An inter-token gap of at least reportableGap is reported while the stream runs, at most once per
 	// gapReportInterval; longestGap is reported when the lease ends.
 	reportableGap   time.Duration
@@ -123,7 +123,7 @@
 		return
 	}
 	event.Lease = l.grant.id
-	l.grant.tell(event)
+	l.grant.report(event)
 }
 
 // reportGap records an inter-token gap of the stream, and reports it to the coordinator if it is long enough
--- a/internal/relay/move_test.go
+++ b/internal/relay/move_test.go
@@ -177,11 +177,11 @@
 	w.addReplica("draining", "", first.serveHTTP)
 	w.listReplica("other", "", "127.0.0.1:1")
 	w.runner.SetRemotePlacement(&relay.RemotePlacement{
-		Ask: func(context.Context, *region.PlacementQuery, time.Duration) (*region.PlacementAnswer, string, error) {
+		Query: func(context.Context, *region.PlacementQuery, time.Duration) (*region.PlacementAnswer, string, error) {
 			t.Error("a placement is requested")
 			return nil, "", errCallerDisconnected
 		},
-		Tell: func(region.LeaseEvent) {},
+		Report: func(region.LeaseEvent) {},
 	})
 	w.replicaList[1].Draining = true
 	w.directory.Replace(w.replicaList)
--- a/internal/relay/placer.go
+++ b/internal/relay/placer.go
@@ -18,11 +18,11 @@
 
 // RemotePlacement holds the functions that communicate with a coordinator.
 type RemotePlacement struct {
-	// Ask sends a query and waits for at most a given time (within). An error means that the gateway has to
+	// Query sends a query and waits for at most a given time (within). An error means that the gateway has to
 	// choose by itself; by names the coordinator that has answered.
-	Ask func(ctx context.Context, query *region.PlacementQuery, within time.Duration) (answer *region.PlacementAnswer, by string, err error)
-	// Tell reports an event on a leased replica. It does not block.
-	Tell func(event region.LeaseEvent)
+	Query func(ctx context.Context, query *region.PlacementQuery, within time.Duration) (answer *region.PlacementAnswer, by string, err error)
+	// Report reports an event on a leased replica. It does not block.
+	Report func(event region.LeaseEvent)
 }
 
 const (
@@ -77,7 +77,7 @@
 		return nil, nil
 	}
 	query := p.query(kind, service, request, near)
-	answer, by, err := p.Remote.Ask(ctx, query, coordinatorTimeout(request))
+	answer, by, err := p.Remote.Query(ctx, query, coordinatorTimeout(request))
 	if err != nil {
 		return nil, nil
 	}
@@ -86,9 +86,9 @@
 		p.Directory.recordRefused(service, rejectedTimes(request, full.busy))
 		return nil, full
 	}
-	lease := p.Directory.takeGrant(&grant{id: query.Lease, by: by, tell: p.Remote.Tell}, answer, request, stages...)
+	lease := p.Directory.takeGrant(&grant{id: query.Lease, by: by, report: p.Remote.Report}, answer, request, stages...)
 	if lease == nil {
-		p.Remote.Tell(region.LeaseEvent{Lease: query.Lease, Kind: region.LeaseReleased})
+		p.Remote.Report(region.LeaseEvent{Lease: query.Lease, Kind: region.LeaseReleased})
 	}
 	return lease, nil
 }
@@ -135,7 +135,7 @@
 		return lease.IdleTime()
 	}
 	query := &region.PlacementQuery{Lease: lease.grant.id, Kind: region.QueryIdle}
-	answer, _, err := p.Remote.Ask(ctx, query, maximumCoordinatorTimeout)
+	answer, _, err := p.Remote.Query(ctx, query, maximumCoordinatorTimeout)
 	if err != nil || answer.Outcome != region.PlacementGranted {
 		return lease.IdleTime()
 	}
--- a/internal/relay/rest_test.go
+++ b/internal/relay/rest_test.go
@@ -135,7 +135,7 @@
 	w.addReplica("generator", region.StageDecode, streamEvents(1, 3, false))
 	asked, excluded, released := 0, 0, 0
 	w.runner.SetRemotePlacement(&relay.RemotePlacement{
-		Ask: func(_ context.Context, query *region.PlacementQuery, _ time.Duration) (*region.PlacementAnswer, string, error) {
+		Query: func(_ context.Context, query *region.PlacementQuery, _ time.Duration) (*region.PlacementAnswer, string, error) {
 			answer := &region.PlacementAnswer{Lease: query.Lease, Outcome: region.PlacementGranted, Replica: "generator"}
 			if query.Kind == region.PlacePrefill {
 				asked++
@@ -146,7 +146,7 @@
 			}
 			return answer, "coordinator", nil
 		},
-		Tell: func(event region.LeaseEvent) {
+		Report: func(event region.LeaseEvent) {
 			if event.Kind == region.LeaseReleased {
 				released++
 			}
