--- a/internal/coordinator/pool.go
+++ b/internal/coordinator/pool.go
@@ -150,7 +150,7 @@
 	for _, each := range ready.Decisions {
 		p.reply(each)
 	}
-	for _, each := range ready.ModeChanges {
+	for _, each := range ready.ShareChanges {
 		p.logger.Info(event.QuotaMode, "limits_of", p.limitsOf, "mode", string(each.Mode), "parts", each.Shares, "members", each.Members, "holder", each.Holder)
 	}
 }
--- a/internal/quota/parts.go
+++ b/internal/quota/parts.go
@@ -85,7 +85,7 @@
 	p.shares = counted
 	p.refillAll(now)
 	if counted.total != previous.total {
-		p.output.ModeChanges = append(p.output.ModeChanges, ModeChange{Mode: p.Mode(now), Shares: counted.total, Members: len(p.members), Holder: p.holder})
+		p.output.ShareChanges = append(p.output.ShareChanges, ShareChange{Mode: p.Mode(now), Shares: counted.total, Members: len(p.members), Holder: p.holder})
 	}
 }
 
--- a/internal/quota/pool.go
+++ b/internal/quota/pool.go
@@ -105,8 +105,8 @@
 	Messages  []PeerMessage
 	// Recipients are the recipients of Messages, one each.
 	Recipients []string
-	// ModeChanges are the changes of the number of shares that count here, oldest first.
-	ModeChanges []ModeChange
+	// ShareChanges are the changes of the number of shares that count here, oldest first.
+	ShareChanges []ShareChange
 }
 
 // Decision is the answer to a gateway's query.
@@ -121,8 +121,8 @@
 	Repeated bool
 }
 
-// ModeChange reports that the number of shares that count here has changed.
-type ModeChange struct {
+// ShareChange reports that the number of shares that count here has changed.
+type ShareChange struct {
 	Mode    Mode
 	Shares  int
 	Members int
