--- a/internal/api/operatorapi/backend_test.go
+++ b/internal/api/operatorapi/backend_test.go
@@ -106,7 +106,7 @@
 func (b cannedBackend) HeldRequests(context.Context) ([]poison.Held, error) {
 	return []poison.Held{{
 		Digest: cannedDigest, Replicas: 3,
-		FirstEnd: "2026-01-01T00:00:00Z", LastEnd: "2026-01-01T00:00:01Z", Since: "2026-01-01T00:00:02Z",
+		FirstCrash: "2026-01-01T00:00:00Z", LastCrash: "2026-01-01T00:00:01Z", Since: "2026-01-01T00:00:02Z",
 	}}, b.err
 }
 
--- a/internal/cli/held.go
+++ b/internal/cli/held.go
@@ -87,7 +87,7 @@
 func heldTable(held []poison.Held) table {
 	content := table{header: []string{"digest", "replicas ended", "first end", "last end", "held since"}}
 	for _, each := range held {
-		content.add(each.Digest, fmt.Sprint(each.Replicas), each.FirstEnd, each.LastEnd, each.Since)
+		content.add(each.Digest, fmt.Sprint(each.Replicas), each.FirstCrash, each.LastCrash, each.Since)
 	}
 	return content
 }
--- a/internal/poison/messages.go
+++ b/internal/poison/messages.go
@@ -130,8 +130,8 @@
 	Digest string `json:"digest"`
 	// Replicas is the number of replicas that have crashed under it.
 	Replicas int `json:"replicas_ended"`
-	// FirstEnd, LastEnd and Since are timestamps (RFC 3339).
-	FirstEnd string `json:"first_end"`
-	LastEnd  string `json:"last_end"`
-	Since    string `json:"held_since"`
+	// FirstCrash, LastCrash and Since are timestamps (RFC 3339).
+	FirstCrash string `json:"first_end"`
+	LastCrash  string `json:"last_end"`
+	Since      string `json:"held_since"`
 }
--- a/internal/poison/state.go
+++ b/internal/poison/state.go
@@ -378,7 +378,7 @@
 	for _, record := range records {
 		held = append(held, Held{
 			Digest: record.Digest.String(), Replicas: int(record.Total),
-			FirstEnd: formatTime(record.FirstAt), LastEnd: formatTime(record.LastAt), Since: formatTime(record.HeldAt),
+			FirstCrash: formatTime(record.FirstAt), LastCrash: formatTime(record.LastAt), Since: formatTime(record.HeldAt),
 		})
 	}
 	return held
