--- a/coordination/replica/stall_test.go
+++ b/coordination/replica/stall_test.go
@@ -9,10 +9,10 @@
 	"github.com/pierhaven/pierhaven/coordination/storage"
 )
 
-// TestALeaderWithAFullDiskStandsStill checks that a full disk does not stop the
+// TestLeaderWithFullDiskStalls checks that a full disk does not stop the
 // process: another replica takes over leadership, and the stalled replica resumes
 // on its own once there is space again.
-func TestALeaderWithAFullDiskStandsStill(t *testing.T) {
+func TestLeaderWithFullDiskStalls(t *testing.T) {
 	for seed := range uint64(20) {
 		c := newCluster(seed, 3, plantedBugs{})
 		c.clients.start()
@@ -46,9 +46,9 @@
 	}
 }
 
-// TestAStalledReplicaRefusesRequests checks that a replica rejects requests while
+// TestStalledReplicaRejectsRequests checks that a replica rejects requests while
 // it cannot write.
-func TestAStalledReplicaRefusesRequests(t *testing.T) {
+func TestStalledReplicaRejectsRequests(t *testing.T) {
 	c := newCluster(1, 1, plantedBugs{})
 	c.runFor(2 * time.Second)
 	m := c.leader()
