--- a/internal/cli/policycheck.go
+++ b/internal/cli/policycheck.go
@@ -86,7 +86,7 @@
 		}
 		report.Problems = append(report.Problems, problems...)
 	}
-	report.Problems = append(report.Problems, policycheck.CheckTogether(documents)...)
+	report.Problems = append(report.Problems, policycheck.CheckDuplicateNames(documents)...)
 	report.Warnings = append(report.Warnings, policycheck.Warnings(present, policiesOf(documents))...)
 	if options.trace != "" && len(report.Problems) == 0 {
 		if report.Comparison, err = a.compareOnTrace(ctx, documents, options); err != nil {
--- a/internal/cli/policytrace.go
+++ b/internal/cli/policytrace.go
@@ -24,49 +24,49 @@
 	if err != nil {
 		return nil, err
 	}
-	setting, err := a.traceSetting(ctx, options)
+	settings, err := a.replaySettings(ctx, options)
 	if err != nil {
 		return nil, err
 	}
-	setting.Checked = policiesOf(documents)
-	comparison := policycheck.Compare(trace, setting)
+	settings.Checked = policiesOf(documents)
+	comparison := policycheck.Compare(trace, settings)
 	return &comparison, nil
 }
 
-// traceSetting takes engines and configuration from files, and what no file
+// replaySettings takes engines and configuration from files, and what no file
 // gives from the controllers.
-func (a *application) traceSetting(ctx context.Context, options policyCheckOptions) (policycheck.Setting, error) {
-	setting := policycheck.Setting{Start: time.Now()}
+func (a *application) replaySettings(ctx context.Context, options policyCheckOptions) (policycheck.ReplaySettings, error) {
+	settings := policycheck.ReplaySettings{Start: time.Now()}
 	if a.namesControllers() {
-		if err := a.addInForce(ctx, &setting); err != nil {
-			return setting, err
+		if err := a.addInForce(ctx, &settings); err != nil {
+			return settings, err
 		}
 	}
 	if len(options.configuration) > 0 {
 		configuration, err := readConfigurations(options.configuration)
 		if err != nil {
-			return setting, err
+			return settings, err
 		}
-		setting.Models, setting.Tenants, setting.Present = configuration.Models, configuration.Tenants, configuration.Policies
+		settings.Models, settings.Tenants, settings.Present = configuration.Models, configuration.Tenants, configuration.Policies
 	}
 	if options.fleet != "" {
 		content, err := os.ReadFile(options.fleet)
 		if err != nil {
-			return setting, policycheck.Problem{File: options.fleet, Message: "can't be read: " + err.Error()}
+			return settings, policycheck.Problem{File: options.fleet, Message: "can't be read: " + err.Error()}
 		}
-		if setting.Zones, err = policycheck.ReadZones(options.fleet, content); err != nil {
-			return setting, err
+		if settings.Zones, err = policycheck.ReadZones(options.fleet, content); err != nil {
+			return settings, err
 		}
 	}
-	if len(setting.Zones) == 0 || len(setting.Models) == 0 {
-		return setting, usagef("policy check: --trace needs engines (--fleet) and models (--configuration), or --controllers for both")
+	if len(settings.Zones) == 0 || len(settings.Models) == 0 {
+		return settings, usagef("policy check: --trace needs engines (--fleet) and models (--configuration), or --controllers for both")
 	}
-	return setting, nil
+	return settings, nil
 }
 
 // addInForce takes the zones, the engines and the configuration from the
 // controllers. Zones that were not reached are left out.
-func (a *application) addInForce(ctx context.Context, setting *policycheck.Setting) error {
+func (a *application) addInForce(ctx context.Context, settings *policycheck.ReplaySettings) error {
 	client, err := a.client()
 	if err != nil {
 		return err
@@ -79,9 +79,9 @@
 	if err != nil {
 		return explainRead(err)
 	}
-	setting.Models = configuration.Snapshot.Models
-	setting.Tenants = configuration.Snapshot.Tenants
-	setting.Present = configuration.Snapshot.Policies
+	settings.Models = configuration.Snapshot.Models
+	settings.Tenants = configuration.Snapshot.Tenants
+	settings.Present = configuration.Snapshot.Policies
 	for _, state := range engines.Zones {
 		zone := policycheck.Zone{Name: state.Zone, Gateways: max(1, state.Gateways)}
 		for _, engine := range engines.Engines {
@@ -90,7 +90,7 @@
 			}
 		}
 		if len(zone.Engines) > 0 {
-			setting.Zones = append(setting.Zones, zone)
+			settings.Zones = append(settings.Zones, zone)
 		}
 	}
 	return nil
--- a/internal/controller/planning.go
+++ b/internal/controller/planning.go
@@ -50,7 +50,7 @@
 // not changed keep their counts of failures.
 func (p *policySet) forConfig(config *dynamic.Snapshot) *policy.Set {
 	if p.set == nil || p.revision != config.Revision {
-		p.set = p.set.Next(config.Policies)
+		p.set = p.set.Recompile(config.Policies)
 		p.revision = config.Revision
 	}
 	return p.set
@@ -120,5 +120,5 @@
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return policy.CountFailures(t.policies.set.Reports())
+	return policy.CountFailures(t.policies.set.Failures())
 }
--- a/internal/controller/rollouts.go
+++ b/internal/controller/rollouts.go
@@ -83,7 +83,7 @@
 		Away:        description.Away,
 	}
 	for _, model := range state.Config().Models {
-		program := policies.For(model.Name)
+		program := policies.ProgramFor(model.Name)
 		row := rollout.Model{
 			Name:             model.Name,
 			Outcomes:         t.outcomes[model.Name],
--- a/internal/controller/zonereport.go
+++ b/internal/controller/zonereport.go
@@ -88,7 +88,7 @@
 // gateways of the report. The caller must hold t.mutex.
 func (t *term) policyFailures(report *operatorapi.ZoneReport) []operatorapi.PolicyFailure {
 	var failures []operatorapi.PolicyFailure
-	for _, failed := range t.policies.set.Reports() {
+	for _, failed := range t.policies.set.Failures() {
 		failures = append(failures, operatorapi.PolicyFailure{
 			Zone: report.Zone, Process: report.Controller, Policy: failed.Policy,
 			Field: failed.Field, Count: failed.Count, Message: failed.Last,
--- a/internal/gateway/fleet/configuration.go
+++ b/internal/gateway/fleet/configuration.go
@@ -35,7 +35,7 @@
 		byName:       map[string]*dynamic.Tenant{},
 		models:       map[string]*dynamic.Model{},
 		applications: map[string]*dynamic.Application{},
-		policies:     policies.Next(snapshot.Policies),
+		policies:     policies.Recompile(snapshot.Policies),
 	}
 	for index := range snapshot.Tenants {
 		configuration.addTenant(&snapshot.Tenants[index])
--- a/internal/gateway/scheduler/ranking.go
+++ b/internal/gateway/scheduler/ranking.go
@@ -44,12 +44,12 @@
 // rank runs the ranking program of the policy that governs the request's model.
 // Without one the nearer deadline goes first, whenever the requests came.
 func (s *Scheduler) rank(now time.Duration, entering *Request) float64 {
-	program := s.ranking.policies.For(entering.Model.Name)
-	if !program.Ranks() {
+	program := s.ranking.policies.ProgramFor(entering.Model.Name)
+	if !program.HasRanking() {
 		return policy.BuiltinRankAt(entering.Deadline)
 	}
 	variables := s.rankingVariables(now, entering)
-	if program.RanksByCache() {
+	if program.RankingReadsCachedTokens() {
 		variables.Request.CachedTokens = s.cachedTokens(now, entering)
 	}
 	return program.Rank(variables)
@@ -139,7 +139,7 @@
 // which do not compile.
 func (s *Scheduler) policyFailures() []wire.PolicyFailure {
 	var reported []wire.PolicyFailure
-	for _, failed := range s.ranking.policies.Reports() {
+	for _, failed := range s.ranking.policies.Failures() {
 		if len(reported) == maximumReportedFailures {
 			break
 		}
@@ -158,5 +158,5 @@
 func (s *Scheduler) PolicyFailures() uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return policy.CountFailures(s.ranking.policies.Reports())
+	return policy.CountFailures(s.ranking.policies.Failures())
 }
--- a/internal/planner/policyinput/policyinput.go
+++ b/internal/planner/policyinput/policyinput.go
@@ -19,7 +19,7 @@
 func Apply(input *planner.Input, models []dynamic.Model, policies *policy.Set, zone policy.Zone, clock policy.Clock) {
 	input.Rules = planner.Rules{MaximumAway: MaximumAway(policies)}
 	for _, model := range models {
-		program := policies.For(model.Name)
+		program := policies.ProgramFor(model.Name)
 		input.Models = append(input.Models, Model(model, program, input, zone, clock))
 	}
 }
@@ -45,7 +45,7 @@
 func Allowed(program *policy.Program, rule int, engines []planner.EngineStatus, zone policy.Zone, clock policy.Clock) func(string) bool {
 	allowed := map[string]bool{}
 	for index, engine := range engines {
-		allowed[engine.ID] = program.Places(rule, policy.PlacementVariables{
+		allowed[engine.ID] = program.AllowsEngine(rule, policy.PlacementVariables{
 			Engine: policy.Engine{
 				ID: engine.ID, Index: index, Role: string(engine.Desired.Role), Model: engine.Desired.Model,
 				Version: engine.Desired.Version, KVCapacity: engine.Load.KVCapacityTokens, InFlight: engine.InFlight,
--- a/internal/policy/fuzz_test.go
+++ b/internal/policy/fuzz_test.go
@@ -36,7 +36,7 @@
 			return
 		}
 		program.Rank(policy.RankingVariables{Request: policy.Request{Priority: 7}})
-		program.Places(0, policy.PlacementVariables{Engine: policy.Engine{Index: 7}})
+		program.AllowsEngine(0, policy.PlacementVariables{Engine: policy.Engine{Index: 7}})
 		program.Price(policy.PriceVariables{Clock: policy.Clock{Hour: 7}})
 		program.PermitsChange(policy.RoleChangeVariables{Zone: policy.Zone{Away: 7}})
 	})
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -100,7 +100,7 @@
 	require.Empty(t, problems)
 	variables := policy.RankingVariables{Request: policy.Request{Priority: 7, HasDeadline: true, DeadlineIn: 3}}
 	assert.InDelta(t, policy.BuiltinRank(&variables), program.Rank(variables), 0)
-	assert.False(t, program.Places(0, policy.PlacementVariables{Engine: policy.Engine{Index: 7}}))
+	assert.False(t, program.AllowsEngine(0, policy.PlacementVariables{Engine: policy.Engine{Index: 7}}))
 	assert.True(t, program.PermitsChange(policy.RoleChangeVariables{Zone: policy.Zone{Away: 7}}))
 	failures := program.Failures()
 	require.Len(t, failures, 3)
@@ -145,13 +145,13 @@
 		{Name: "broken", Models: []string{"booking"}, Ranking: "nothing"},
 		{Name: "mine", Models: []string{"booking"}, Ranking: "2"},
 	})
-	assert.Equal(t, "mine", set.For("booking").Document().Name)
-	assert.Equal(t, "all", set.For("other").Document().Name)
-	reports := set.Reports()
-	require.Len(t, reports, 1)
-	assert.Equal(t, "broken", reports[0].Policy)
-	assert.Equal(t, "ranking", reports[0].Field)
-	assert.Zero(t, reports[0].Count)
+	assert.Equal(t, "mine", set.ProgramFor("booking").Document().Name)
+	assert.Equal(t, "all", set.ProgramFor("other").Document().Name)
+	failures := set.Failures()
+	require.Len(t, failures, 1)
+	assert.Equal(t, "broken", failures[0].Policy)
+	assert.Equal(t, "ranking", failures[0].Field)
+	assert.Zero(t, failures[0].Count)
 }
 
 // TestUnchangedPoliciesKeepTheirFailureCounts applies a configuration in which only
@@ -159,13 +159,13 @@
 func TestUnchangedPoliciesKeepTheirFailureCounts(t *testing.T) {
 	failing := dynamic.Policy{Name: "failing", Models: []string{"m"}, Ranking: "float(1 % (request.priority - 7))"}
 	set := policy.CompileSet([]dynamic.Policy{failing, {Name: "other", Ranking: "1"}})
-	set.For("m").Rank(policy.RankingVariables{Request: policy.Request{Priority: 7}})
-	require.Len(t, set.Reports(), 1)
-	later := set.Next([]dynamic.Policy{failing, {Name: "other", Ranking: "2"}})
-	require.Len(t, later.Reports(), 1)
-	assert.Equal(t, uint64(1), later.Reports()[0].Count)
+	set.ProgramFor("m").Rank(policy.RankingVariables{Request: policy.Request{Priority: 7}})
+	require.Len(t, set.Failures(), 1)
+	later := set.Recompile([]dynamic.Policy{failing, {Name: "other", Ranking: "2"}})
+	require.Len(t, later.Failures(), 1)
+	assert.Equal(t, uint64(1), later.Failures()[0].Count)
 	failing.Ranking = "1"
-	assert.Empty(t, later.Next([]dynamic.Policy{failing}).Reports())
+	assert.Empty(t, later.Recompile([]dynamic.Policy{failing}).Failures())
 }
 
 func TestBuiltinRankAtComparesRequestsOfDifferentTimes(t *testing.T) {
@@ -173,7 +173,7 @@
 	assert.Less(t, policy.BuiltinRankAt(0), policy.BuiltinRankAt(1000*time.Hour))
 }
 
-func TestRanksByCacheFindsReadsOfCachedTokens(t *testing.T) {
+func TestRankingReadsCachedTokens(t *testing.T) {
 	for ranking, reads := range map[string]bool{
 		"":                         false,
 		"-request.deadline_at":     false,
@@ -183,6 +183,6 @@
 	} {
 		program, problems := policy.Compile(dynamic.Policy{Name: "p", Ranking: ranking})
 		require.Empty(t, problems, ranking)
-		require.Equal(t, reads, program.RanksByCache(), ranking)
+		require.Equal(t, reads, program.RankingReadsCachedTokens(), ranking)
 	}
 }
--- a/internal/policy/run.go
+++ b/internal/policy/run.go
@@ -56,17 +56,19 @@
 	return rank
 }
 
-// Ranks reports whether the policy has a ranking program.
-func (p *Program) Ranks() bool { return p != nil && p.ranking != nil }
+// HasRanking reports whether the policy has a ranking program.
+func (p *Program) HasRanking() bool { return p != nil && p.ranking != nil }
 
-// RanksByCache reports whether the ranking program reads the length of the cached
+// RankingReadsCachedTokens reports whether the ranking program reads the length of the cached
 // prefix, which is known only after a routing decision.
-func (p *Program) RanksByCache() bool { return p.Ranks() && p.ranking.reads("cached_tokens") }
+func (p *Program) RankingReadsCachedTokens() bool {
+	return p.HasRanking() && p.ranking.reads("cached_tokens")
+}
 
-// Places reports whether a placement rule allows an engine. A rule without a
+// AllowsEngine reports whether a placement rule allows an engine. A rule without a
 // condition allows every engine. A rule whose condition fails allows none, so that
 // a run-time error never moves an engine.
-func (p *Program) Places(rule int, variables PlacementVariables) bool {
+func (p *Program) AllowsEngine(rule int, variables PlacementVariables) bool {
 	if rule >= len(p.placement) {
 		return false
 	}
--- a/internal/policy/set.go
+++ b/internal/policy/set.go
@@ -18,12 +18,12 @@
 // instead.
 func CompileSet(documents []dynamic.Policy) *Set {
 	var none *Set
-	return none.Next(documents)
+	return none.Recompile(documents)
 }
 
-// Next compiles the policies of a later configuration. It reuses the programs of
+// Recompile compiles the policies of a later configuration. It reuses the programs of
 // unchanged documents, so their counts of run-time failures are kept.
-func (s *Set) Next(documents []dynamic.Policy) *Set {
+func (s *Set) Recompile(documents []dynamic.Policy) *Set {
 	set := &Set{}
 	for _, document := range documents {
 		if unchanged := s.programOf(document); unchanged != nil {
@@ -59,10 +59,10 @@
 	}
 }
 
-// For returns the policy that governs a model, or nil for the built-in policy. A
+// ProgramFor returns the policy that governs a model, or nil for the built-in policy. A
 // policy that names the model takes precedence over one for all models; among
 // several, the first by name is used.
-func (s *Set) For(model string) *Program {
+func (s *Set) ProgramFor(model string) *Program {
 	if s == nil {
 		return nil
 	}
@@ -89,9 +89,9 @@
 	return s.programs
 }
 
-// Reports returns the programs that have failed at run time and, with a count of
+// Failures returns the programs that have failed at run time and, with a count of
 // 0, the policies that do not compile.
-func (s *Set) Reports() []Failure {
+func (s *Set) Failures() []Failure {
 	if s == nil {
 		return nil
 	}
--- a/internal/policycheck/comparison.go
+++ b/internal/policycheck/comparison.go
@@ -9,8 +9,8 @@
 	"github.com/pierhaven/pierhaven/internal/policy"
 )
 
-// Setting is the environment in which a trace is replayed.
-type Setting struct {
+// ReplaySettings are the environment in which a trace is replayed.
+type ReplaySettings struct {
 	Zones  []Zone
 	Models []dynamic.Model
 	// Tenants give the weights; a tenant that is missing has weight 1.
@@ -41,19 +41,19 @@
 }
 
 // Compare replays a trace under the present and under the checked policies.
-func Compare(trace Trace, setting Setting) Comparison {
-	present := policy.CompileSet(setting.Present)
-	checked := policy.CompileSet(mergePolicies(setting.Present, setting.Checked))
+func Compare(trace Trace, settings ReplaySettings) Comparison {
+	present := policy.CompileSet(settings.Present)
+	checked := policy.CompileSet(mergePolicies(settings.Present, settings.Checked))
 	comparison := Comparison{
 		Trace:     trace.Name,
 		Calls:     len(trace.Calls),
-		Ranking:   compareRanking(trace, setting, present, checked),
-		Placement: comparePlacement(setting, present, checked),
-		Present:   replayRoleChanges(trace, setting, present),
-		Checked:   replayRoleChanges(trace, setting, checked),
+		Ranking:   compareRanking(trace, settings, present, checked),
+		Placement: comparePlacement(settings, present, checked),
+		Present:   replayRoleChanges(trace, settings, present),
+		Checked:   replayRoleChanges(trace, settings, checked),
 		Failures:  []policy.Failure{},
 	}
-	comparison.Failures = append(comparison.Failures, checked.Reports()...)
+	comparison.Failures = append(comparison.Failures, checked.Failures()...)
 	return comparison
 }
 
@@ -71,6 +71,6 @@
 	return result
 }
 
-func (s *Setting) clockAt(since time.Duration) policy.Clock {
+func (s *ReplaySettings) clockAt(since time.Duration) policy.Clock {
 	return policy.ClockAt(s.Start.Add(since))
 }
--- a/internal/policycheck/comparison_test.go
+++ b/internal/policycheck/comparison_test.go
@@ -18,9 +18,9 @@
 
 const sorteerhulp = "../../deployments/sorteerhulp"
 
-// readRecordedTrace returns the recorded Sorteerhulp trace and its setting without
+// readRecordedTrace returns the recorded Sorteerhulp trace and its settings without
 // policies.
-func readRecordedTrace(t *testing.T) (policycheck.Trace, policycheck.Setting) {
+func readRecordedTrace(t *testing.T) (policycheck.Trace, policycheck.ReplaySettings) {
 	t.Helper()
 	path := filepath.Join(sorteerhulp, "traces", "evening-truck.jsonl")
 	file, err := os.Open(path)
@@ -39,7 +39,7 @@
 	require.NoError(t, err)
 	var configuration dynamic.Snapshot
 	require.NoError(t, yaml.Unmarshal(content, &configuration))
-	return trace, policycheck.Setting{
+	return trace, policycheck.ReplaySettings{
 		Zones: zones, Models: configuration.Models, Tenants: configuration.Tenants,
 		Start: time.Date(2026, 12, 2, 17, 0, 0, 0, time.UTC),
 	}
@@ -54,10 +54,10 @@
 }
 
 func TestTheSamePolicyChangesNothing(t *testing.T) {
-	trace, setting := readRecordedTrace(t)
-	setting.Present = []dynamic.Policy{currentPolicy()}
-	setting.Checked = setting.Present
-	comparison := policycheck.Compare(trace, setting)
+	trace, settings := readRecordedTrace(t)
+	settings.Present = []dynamic.Policy{currentPolicy()}
+	settings.Checked = settings.Present
+	comparison := policycheck.Compare(trace, settings)
 	assert.Equal(t, len(trace.Calls), comparison.Calls)
 	assert.Equal(t, comparison.Present, comparison.Checked)
 	assert.NotEmpty(t, comparison.Present.Changes, "the trace shifts its mix")
@@ -78,8 +78,8 @@
 }
 
 func TestCompareShowsWhatAPolicyWouldChange(t *testing.T) {
-	trace, setting := readRecordedTrace(t)
-	setting.Present = []dynamic.Policy{currentPolicy()}
+	trace, settings := readRecordedTrace(t)
+	settings.Present = []dynamic.Policy{currentPolicy()}
 	checked := currentPolicy()
 	checked.Ranking = "-request.prompt_tokens"
 	checked.Placement = []dynamic.PlacementRule{
@@ -87,8 +87,8 @@
 		{Model: "address-reading", Version: "2026-11"},
 	}
 	checked.RoleChange.MaximumAway = 0
-	setting.Checked = []dynamic.Policy{checked}
-	comparison := policycheck.Compare(trace, setting)
+	settings.Checked = []dynamic.Policy{checked}
+	comparison := policycheck.Compare(trace, settings)
 
 	assert.NotEmpty(t, comparison.Present.Changes)
 	assert.Empty(t, comparison.Checked.Changes, "maximum_away 0 forbids changes")
@@ -103,18 +103,18 @@
 }
 
 func TestRoleChangeConditionsAndFailuresCount(t *testing.T) {
-	trace, setting := readRecordedTrace(t)
-	setting.Present = []dynamic.Policy{currentPolicy()}
+	trace, settings := readRecordedTrace(t)
+	settings.Present = []dynamic.Policy{currentPolicy()}
 	refusing, failing := currentPolicy(), currentPolicy()
 	refusing.RoleChange.Condition = "change.since_last < 0"
-	setting.Checked = []dynamic.Policy{refusing}
-	assert.Empty(t, policycheck.Compare(trace, setting).Checked.Changes)
+	settings.Checked = []dynamic.Policy{refusing}
+	assert.Empty(t, policycheck.Compare(trace, settings).Checked.Changes)
 
 	// Sorteerhulp has 3 engines per zone, and the compiler's samples have 0 and 6,
 	// so the condition fails only in the replay.
 	failing.RoleChange.Condition = "1 % (zone.engines - 3) == 0"
-	setting.Checked = []dynamic.Policy{failing}
-	comparison := policycheck.Compare(trace, setting)
+	settings.Checked = []dynamic.Policy{failing}
+	comparison := policycheck.Compare(trace, settings)
 	require.Len(t, comparison.Failures, 1)
 	assert.Equal(t, "role_change.condition", comparison.Failures[0].Field)
 	assert.Equal(t, comparison.Present.Changes, comparison.Checked.Changes, "the built-in answer stands in")
@@ -134,7 +134,7 @@
 	trace, err := policycheck.ReadTrace("t.jsonl", strings.NewReader(strings.Join(lines, "\n")))
 	require.NoError(t, err)
 	assert.Equal(t, 1, trace.Others)
-	comparison := policycheck.Compare(trace, policycheck.Setting{
+	comparison := policycheck.Compare(trace, policycheck.ReplaySettings{
 		Checked: []dynamic.Policy{{Name: "p", Ranking: "-request.prompt_tokens"}},
 	})
 	assert.Equal(t, []policycheck.ClassOrder{
--- a/internal/policycheck/document.go
+++ b/internal/policycheck/document.go
@@ -125,8 +125,8 @@
 	return problems
 }
 
-// CheckTogether finds policies in different files that have the same name.
-func CheckTogether(documents []Document) Problems {
+// CheckDuplicateNames finds policies in different files that have the same name.
+func CheckDuplicateNames(documents []Document) Problems {
 	var problems Problems
 	first := map[string]Document{}
 	for _, document := range documents {
--- a/internal/policycheck/placement.go
+++ b/internal/policycheck/placement.go
@@ -25,14 +25,14 @@
 
 // comparePlacement finds the engines for which the controllers' rollouts would
 // choose a different version or different adapters.
-func comparePlacement(setting Setting, present, checked *policy.Set) []PlacementChange {
+func comparePlacement(settings ReplaySettings, present, checked *policy.Set) []PlacementChange {
 	changes := []PlacementChange{}
-	for index := range setting.Zones {
-		zone := &setting.Zones[index]
+	for index := range settings.Zones {
+		zone := &settings.Zones[index]
 		engines := zone.engineStatuses()
-		for _, model := range setting.Models {
-			before := policyinput.NewPlacement(model, present.For(model.Name), engines, zone.describe(), setting.clockAt(0))
-			after := policyinput.NewPlacement(model, checked.For(model.Name), engines, zone.describe(), setting.clockAt(0))
+		for _, model := range settings.Models {
+			before := policyinput.NewPlacement(model, present.ProgramFor(model.Name), engines, zone.describe(), settings.clockAt(0))
+			after := policyinput.NewPlacement(model, checked.ProgramFor(model.Name), engines, zone.describe(), settings.clockAt(0))
 			for _, engine := range engines {
 				left, right := placementOf(&before, engine), placementOf(&after, engine)
 				if engine.Desired.Model != model.Name || left.equal(right) {
--- a/internal/policycheck/policycheck_test.go
+++ b/internal/policycheck/policycheck_test.go
@@ -102,7 +102,7 @@
 	require.Empty(t, problems)
 	second, problems := policycheck.Read("b.yaml", []byte("# another\nname: same\n"))
 	require.Empty(t, problems)
-	problems = policycheck.CheckTogether([]policycheck.Document{first, second})
+	problems = policycheck.CheckDuplicateNames([]policycheck.Document{first, second})
 	require.Len(t, problems, 1)
 	assert.Equal(t, `b.yaml:2:7: name: "same" is the name of the policy in a.yaml too`, problems[0].Error())
 }
--- a/internal/policycheck/ranking.go
+++ b/internal/policycheck/ranking.go
@@ -43,10 +43,10 @@
 	present, checked float64
 }
 
-func compareRanking(trace Trace, setting Setting, present, checked *policy.Set) []ClassOrder {
+func compareRanking(trace Trace, settings ReplaySettings, present, checked *policy.Set) []ClassOrder {
 	queues := map[queueKey][]rankedCall{}
 	var order []queueKey
-	replay := newRankingReplay(setting)
+	replay := newRankingReplay(settings)
 	for index := range trace.Calls {
 		call := &trace.Calls[index]
 		key := keyOf(call)
@@ -73,8 +73,8 @@
 
 // rankOf computes the rank as the gateways do; see internal/gateway/scheduler.
 func rankOf(policies *policy.Set, call *Call, variables policy.RankingVariables) float64 {
-	program := policies.For(call.Model)
-	if program.Ranks() {
+	program := policies.ProgramFor(call.Model)
+	if program.HasRanking() {
 		return program.Rank(variables)
 	}
 	if call.Deadline == 0 {
--- a/internal/policycheck/rankingvariables.go
+++ b/internal/policycheck/rankingvariables.go
@@ -9,21 +9,21 @@
 // rankingReplay holds the variables of ranking programs other than the call's own.
 // All calls of a zone and window are assumed to wait in the queues of one gateway.
 type rankingReplay struct {
-	setting Setting
-	zones   map[string]policy.Zone
-	weights map[string]float64
-	window  int64
+	settings ReplaySettings
+	zones    map[string]policy.Zone
+	weights  map[string]float64
+	window   int64
 	// queued counts the window's calls so far by zone and model, and by zone,
 	// model and tenant; the other fields of the key are not set.
 	queued map[queueKey]int
 }
 
-func newRankingReplay(setting Setting) *rankingReplay {
-	replay := &rankingReplay{setting: setting, zones: map[string]policy.Zone{}, weights: map[string]float64{}}
-	for index := range setting.Zones {
-		replay.zones[setting.Zones[index].Name] = setting.Zones[index].describe()
+func newRankingReplay(settings ReplaySettings) *rankingReplay {
+	replay := &rankingReplay{settings: settings, zones: map[string]policy.Zone{}, weights: map[string]float64{}}
+	for index := range settings.Zones {
+		replay.zones[settings.Zones[index].Name] = settings.Zones[index].describe()
 	}
-	for _, tenant := range setting.Tenants {
+	for _, tenant := range settings.Tenants {
 		if tenant.Weight > 0 {
 			replay.weights[tenant.Name] = tenant.Weight
 		}
@@ -57,7 +57,7 @@
 		Tenant: policy.Tenant{Weight: r.weight(call.Tenant), Queued: r.queued[tenant]},
 		Queue:  policy.Queue{Length: r.queued[queue]},
 		Zone:   r.zones[call.Zone],
-		Clock:  r.setting.clockAt(call.Arrival),
+		Clock:  r.settings.clockAt(call.Arrival),
 	}
 	if call.Deadline > 0 {
 		variables.Request.DeadlineAt = (call.Arrival + call.Deadline).Seconds()
--- a/internal/policycheck/rolechanges.go
+++ b/internal/policycheck/rolechanges.go
@@ -42,10 +42,10 @@
 	ToModel string `json:"to_model,omitempty"`
 }
 
-func replayRoleChanges(trace Trace, setting Setting, policies *policy.Set) RoleChanges {
+func replayRoleChanges(trace Trace, settings ReplaySettings, policies *policy.Set) RoleChanges {
 	result := RoleChanges{Changes: []RoleChange{}}
-	for index := range setting.Zones {
-		replay := newZoneReplay(&setting.Zones[index], setting, policies)
+	for index := range settings.Zones {
+		replay := newZoneReplay(&settings.Zones[index], settings, policies)
 		calls := callsOf(trace, replay.zone.Name)
 		for now := replayStep; now <= trace.Duration+replayStep; now += replayStep {
 			calls = replay.step(now, calls)
@@ -70,7 +70,7 @@
 // zoneReplay is the fluid model of one zone with its planner.
 type zoneReplay struct {
 	zone     *Zone
-	setting  Setting
+	settings ReplaySettings
 	policies *policy.Set
 	planner  *planner.Planner
 	engines  []planner.EngineStatus
@@ -83,10 +83,10 @@
 	served, offered       float64
 }
 
-func newZoneReplay(zone *Zone, setting Setting, policies *policy.Set) *zoneReplay {
+func newZoneReplay(zone *Zone, settings ReplaySettings, policies *policy.Set) *zoneReplay {
 	return &zoneReplay{
 		zone:           zone,
-		setting:        setting,
+		settings:       settings,
 		policies:       policies,
 		planner:        planner.New(planner.DefaultOptions()),
 		engines:        zone.engineStatuses(),
@@ -123,7 +123,7 @@
 // the resulting demand.
 func (r *zoneReplay) flow(calls []Call) []planner.Demand {
 	var demand []planner.Demand
-	for _, model := range r.setting.Models {
+	for _, model := range r.settings.Models {
 		load := workloadOf(calls, model.Name)
 		r.batchBacklog[model.Name] += batchItems(calls, model.Name)
 		objectives := planner.Objectives{FirstToken: model.FirstTokenMillis / 1000, BetweenTokens: model.BetweenTokensMillis / 1000}
@@ -213,14 +213,14 @@
 
 func (r *zoneReplay) decide(now time.Duration, demand []planner.Demand) {
 	zone := policyinput.DescribeZone(r.zone.Name, r.engines, r.zone.Gateways)
-	clock := r.setting.clockAt(now)
+	clock := r.settings.clockAt(now)
 	input := planner.Input{
 		Engines:           r.engines,
 		Demand:            demand,
 		GatewaysExpected:  r.zone.Gateways,
 		GatewaysReporting: r.zone.Gateways,
 	}
-	policyinput.Apply(&input, r.setting.Models, r.policies, zone, clock)
+	policyinput.Apply(&input, r.settings.Models, r.policies, zone, clock)
 	for _, change := range r.planner.Step(now, input).Changes {
 		r.applyChange(now, change)
 	}
