--- a/internal/coordinator/arrivals.go
+++ b/internal/coordinator/arrivals.go
@@ -28,8 +28,9 @@
 	return sum
 }
 
-// listIsSettling reports whether the number of a service's replicas has changed recently, and no demand for the service
-// has been reported yet.
+// listIsSettling reports whether the number of a service's replicas has changed, or was first counted, less than
+// listSettleTime ago, and no demand for the service has been reported yet. It is false from
+// maximumListSettleTime after the first count on, even if the number still changes.
 func (p *stagePlanner) listIsSettling(now time.Duration, service string, replicas int) bool {
 	for group := range p.demandSince {
 		if group.service == service {
--- a/internal/coordinator/builds.go
+++ b/internal/coordinator/builds.go
@@ -202,8 +202,9 @@
 	return addresses
 }
 
-// buildCounts returns the number of different builds and of processes that report none. Both are 0 if
-// this coordinator is not the leader.
+// buildCounts returns the number of different builds, and the number of processes that report none. Such
+// processes carry a zero Build, which counts as a different build too, so the two counts overlap. Both are 0
+// if this coordinator is not the leader.
 func (c *Coordinator) buildCounts() (builds, unreported int) {
 	if !c.group.Leads() {
 		return 0, 0
--- a/internal/coordinator/memberzones.go
+++ b/internal/coordinator/memberzones.go
@@ -42,7 +42,8 @@
 	m.zones[address] = zone
 }
 
-// hasLegacyMember reports whether one of the members ran an earlier version when it last reported.
+// hasLegacyMember reports whether any of the members ran an earlier version when it last reported. A member
+// whose version is not known does not count.
 func (m *memberZones) hasLegacyMember(members []string) bool {
 	return len(m.legacyMembers(members)) > 0
 }
--- a/internal/coordinator/pool.go
+++ b/internal/coordinator/pool.go
@@ -65,7 +65,8 @@
 	return service
 }
 
-// Run runs the pool until the context ends.
+// Run keeps the pool up to date until the context ends. It refreshes the limits and calls step whenever the
+// next step is due, or earlier if there is a wakeup.
 func (p *poolService) Run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -218,7 +219,8 @@
 	return &status, nil
 }
 
-// registerMetrics registers gauges whose names begin with prefix; what says in the help texts what is limited.
+// registerMetrics registers the pool's gauges. Their names begin with prefix. what is used in the help texts
+// for whose limits are counted, such as "a tenant".
 func (p *poolService) registerMetrics(registry *telemetry.Metrics, prefix, what string) {
 	registerGauge := func(name, help string, read func() float64) {
 		registry.GaugeFunc(prefix+name, help, func() float64 {
--- a/internal/coordinator/replicalimits.go
+++ b/internal/coordinator/replicalimits.go
@@ -59,8 +59,9 @@
 	return service
 }
 
-// updateListed updates the active replicas, and deletes the limits of replicas that have been removed, are on
-// standby or no longer declare one, once no report of them has come for the time that unlistedRetention sets.
+// updateListed updates listed, the set of replicas on the list that are not on standby. Once per contact time, it
+// also deletes the limits of replicas that have been removed, are on standby or no longer declare a limit, if
+// their newest reported response is older than unlistedRetention contact times.
 func (l *limitService) updateListed() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/coordinator/stages.go
+++ b/internal/coordinator/stages.go
@@ -283,8 +283,9 @@
 // maximumReportQueries bounds the replicas whose load is queried before one of them is changed.
 const maximumReportQueries = 8
 
-// leastBusy returns the candidate, by Incarnation.Name, that reports the fewest requests, since these have to end
-// before its stage changes. A replica that does not answer counts as the busiest.
+// leastBusy returns the candidate that reports the fewest requests, since a replica's requests have to end
+// before its stage changes. Candidates are given by Incarnation.Name; only the first maximumReportQueries are
+// queried and considered. A replica that does not answer counts as the busiest.
 func (p *stagePlanner) leastBusy(ctx context.Context, replicas []region.Replica, candidates []string) string {
 	if len(candidates) == 1 {
 		return candidates[0]
--- a/internal/coordinator/view.go
+++ b/internal/coordinator/view.go
@@ -43,8 +43,8 @@
 // processes have started at once, all gateways have polled by then.
 const gatewaySettleTime = 500 * time.Millisecond
 
-// reportedGatewayCount returns the number of gateways to report, or 0 while some of them may not have polled
-// yet.
+// reportedGatewayCount returns the number of gateways to report. Until gatewaySettleTime after the start, it
+// returns 0, which stands for unknown, since some gateways may not have polled yet.
 func (c *Coordinator) reportedGatewayCount(known int) int {
 	if c.now() < gatewaySettleTime {
 		return 0
--- a/internal/planner/decide.go
+++ b/internal/planner/decide.go
@@ -172,8 +172,9 @@
 	return proposal
 }
 
-// recordHold records why nothing changes. Once a change has been made or a reason
-// with a proposal recorded, the output stays as it is.
+// recordHold records in the output why nothing changes, with the proposal that was held
+// back, if any. It does nothing once a change has been made or a reason with a proposal
+// has been recorded; a reason without a proposal is replaced by the next one.
 func (p *Planner) recordHold(output *Output, hold Hold, proposal *Proposal) {
 	if output.Hold == HoldNone || output.Best != nil {
 		return
--- a/internal/planner/goodput.go
+++ b/internal/planner/goodput.go
@@ -34,10 +34,11 @@
 	return goodput
 }
 
-// interferenceFactor returns the share of goodput that remains when mixed engines
-// prefill prompts for other engines. Routing can't separate prefill from decode at
-// every moment, least of all if every engine is mixed. Measured against the same
-// engines in pure roles: 0.5 to 0.9 beside decode engines, 0.2 to 0.6 without.
+// interferenceFactor returns the share of goodput that remains when some mixed engines
+// only prefill, and other engines decode; it is 1 if none do so. Routing can't
+// separate prefill from decode at every moment, least of all if every engine is mixed.
+// Measured relative to the same engines in pure roles, the share is 0.5 to 0.9 if there
+// are decode engines, and 0.2 to 0.6 if there are none.
 func interferenceFactor(split Split, mixedPrefillers int) float64 {
 	const besideDecode, allMixed = 0.65, 0.45
 	switch {
--- a/internal/planner/placementmove.go
+++ b/internal/planner/placementmove.go
@@ -118,8 +118,12 @@
 // atAwayBound reports whether the maximum number of the model's engines are away.
 func (m *modelPool) atAwayBound() bool { return m.away >= m.rules.MaximumAway }
 
-// applyBestMove makes the least disruptive move. Without moves it returns hold, the
-// reason why there are none.
+// applyBestMove makes the least disruptive of the moves, or none:
+//   - Without moves, it returns hold, the reason why there are none.
+//   - If p.remaining is used up, it returns HoldAway.
+//   - If the best move would leave the model that the engine comes from unable to
+//     serve, as its keepsServing says, it changes the role of another engine of that
+//     model instead; see convertToMixed, which may return HoldNoEngine.
 func (p *placer) applyBestMove(moves []move, hold Hold, reason string) Hold {
 	if len(moves) == 0 {
 		return hold
@@ -204,9 +208,9 @@
 	}
 }
 
-// version returns the desired version of most engines of a model, or the rule's
-// version if it has no engines. New versions are introduced by rollouts, which
-// monitor them and roll them back, and not by moves.
+// version returns the version for an engine that moves to a model: the most common
+// desired version of the model's usable engines, or ruleVersion if it has none. Moves
+// don't introduce new versions: rollouts do, which monitor them and roll them back.
 func (p *placer) version(to *modelPool, ruleVersion string) string {
 	counts := map[string]int{}
 	for index := range p.input.Engines {
--- a/internal/planner/placementorder.go
+++ b/internal/planner/placementorder.go
@@ -58,7 +58,7 @@
 }
 
 // recentlyAbandoned reports whether the engine's last change was abandoned less than
-// abandonedRetryDelay ago and had the same target, whatever the role.
+// abandonedRetryDelay ago and its target was the same as this one, apart from the role.
 func (p *placer) recentlyAbandoned(engine *EngineStatus, target engineapi.Configuration) bool {
 	if engine.AbandonedTarget == nil {
 		return false
--- a/internal/planner/speed.go
+++ b/internal/planner/speed.go
@@ -131,10 +131,11 @@
 }
 
 // lateShare returns the share of first tokens that miss the deadline, for a number
-// of servers with a service time at a utilisation. It approximates the waiting time
-// in M/D/c by an exponential tail (Tijms, A First Course in Stochastic Models,
-// section 9.5). The exponent is steeper because routing sends each request where
-// it waits least; it is fitted to simulated splits.
+// of servers with a given service time and utilisation. The deadline includes the
+// service time. The waiting time in an M/D/c queue is approximated by an exponential
+// tail (Tijms, A First Course in Stochastic Models, section 9.5). The exponent is
+// steeper than there because routing sends each request where it waits least; it is
+// fitted to simulated splits.
 func lateShare(utilisation, servers, service, deadline float64) float64 {
 	if deadline <= service {
 		return 1
--- a/internal/relay/backpressure.go
+++ b/internal/relay/backpressure.go
@@ -20,8 +20,10 @@
 // that it is leaving. It must be called before first use.
 func (d *Directory) OnLeaving(notify func(incarnation string)) { d.onLeaving = notify }
 
-// updatePeerState attaches the gate's peer state to a replica that has asked for a backoff, or has said that it
-// is leaving.
+// updatePeerState attaches the gate's peer state to the replica that it belongs to. The gate calls it when a
+// peer first asks for a backoff or says that it is leaving, and again when one that has asked for a backoff
+// says that it is leaving. If the replica is leaving, its streams are notified and onLeaving is called. A peer
+// that is not listed at that address is ignored.
 func (d *Directory) updatePeerState(peer backpressure.Peer, state *backpressure.PeerState) {
 	d.mutex.Lock()
 	replica, listed := d.replicas[peer.Instance]
--- a/internal/relay/lease.go
+++ b/internal/relay/lease.go
@@ -283,9 +283,9 @@
 	l.prefill = nil
 }
 
-// Unreachable records that the replica did not answer. handedOver says that there was a connection, over which
-// the request may have reached it. It must be false if the connection was given up because nothing was
-// acknowledged: the replica then counts as not accepting connections.
+// Unreachable records that the replica did not answer. handedOver says that a connection existed, so that the
+// request may have reached the replica. It must be false if the system gave the connection up because the
+// replica's machine acknowledged nothing: the replica then counts as not accepting connections.
 func (l *Lease) Unreachable(handedOver bool) {
 	l.directory.mutex.Lock()
 	defer l.directory.mutex.Unlock()
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -98,8 +98,8 @@
 func (m *streamMover) tryMove(ctx context.Context) bool {
 	r := m.state
 	if r.isHeld() {
-		// A held request must not reach a replica that it has not crashed yet, so its stream stays
-		// where it is.
+		// A held request crashes the replicas that run it. It must not be sent to one that it has not
+		// crashed yet, so its stream is not moved.
 		return true
 	}
 	if m.lease.BackoffLeft() > 0 {
--- a/internal/relay/picker.go
+++ b/internal/relay/picker.go
@@ -303,8 +303,9 @@
 	return d.pick(service, wanted, ofStage(region.StageDecode), loadScore{zone: zone, distance: 0.05, random: d.random})
 }
 
-// PickWithCapacity leases a replica with capacity for a stream that must move away from an excluded one in
-// a zone, nil if there is none.
+// PickWithCapacity leases a decode replica for a stream that must move away from its present replica, which
+// wanted excludes. It prefers replicas in or near zone, the zone of the present replica. It returns nil if no
+// replica has capacity.
 func (d *Directory) PickWithCapacity(service string, wanted Wanted, zone string) *Lease {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/relay/placement.go
+++ b/internal/relay/placement.go
@@ -271,9 +271,10 @@
 	return r
 }
 
-// sparesLimitedReplica reports whether a prompt should leave the capacity of a replica with a rate limit to
-// others. Limits count requests, so that capacity is best used for prompts with the longest prefill. The
-// caller must hold d.mutex.
+// sparesLimitedReplica reports whether a prompt should go to a replica without a rate limit although one with
+// a limit scores better. Rate limits count requests, so they are best spent on prompts with the longest
+// prefill: a prompt is diverted if its prefill is shorter than typical and the replica without a limit is
+// expected to answer it in time. The caller must hold d.mutex.
 func (d *Directory) sparesLimitedReplica(request PrefillRequest, limited, unlimited *prefillEstimate) bool {
 	service := unlimited.replica.Service
 	return limited.busy < d.rankMeterOf(service).typical() && d.inTime(service, request, unlimited)
--- a/internal/relay/ratelimit.go
+++ b/internal/relay/ratelimit.go
@@ -152,7 +152,8 @@
 	known.nextLogAt, known.omitted = now+limitLogInterval, 0
 }
 
-// countLimited updates the number of replicas with a limit, after one has declared or dropped its limit.
+// countLimited updates the number of replicas with a limit. declared is true after a replica has declared a
+// limit, and false after one has dropped its limit or was removed with it.
 func (d *Directory) countLimited(declared bool) {
 	if declared {
 		d.limited.Add(1)
--- a/internal/relay/room.go
+++ b/internal/relay/room.go
@@ -61,9 +61,10 @@
 	return r.taken * math.Exp(-(now-r.takenAt).Seconds()/takenDecay.Seconds())
 }
 
-// mayBeFull reports whether a replica that refused a request in addition to a number of others may be full.
-// One that refuses at a lower level than others of its kind have accepted refuses for another
-// reason.
+// mayBeFull reports whether a replica that refused a request may be full. others is the number of other
+// requests that it had. Unless these take all slots, the refusal has another reason if there are none, or
+// if they are fewer per slot than usableShare of what replicas of the same service and stage have recently
+// accepted.
 func (r *learnedLimit) mayBeFull(now time.Duration, slots, others int) bool {
 	return others >= slots || others > 0 && float64(others)/float64(slots) >= usableShare*r.decayedTaken(now)
 }
@@ -121,8 +122,9 @@
 }
 
 // concurrentRequests estimates the requests of all processes at the replica, excluding one of this process.
-// Only some of the others report their work, with a delay, so each is assumed to have as many as this
-// process. The caller must hold d.mutex.
+// Only some of the other processes report their work, and with a delay. The estimate is therefore the greater
+// of the known total and the total if each process had as many requests there as this one. The caller must
+// hold d.mutex.
 func (d *Directory) concurrentRequests(replica *Replica, now time.Duration) int {
 	return max(replica.totalInFlight(now)-1, (replica.inFlight-1)*d.placerCount())
 }
--- a/internal/relay/runner.go
+++ b/internal/relay/runner.go
@@ -351,10 +351,10 @@
 	r.responder.Refuse(err)
 }
 
-// retryAfter returns the time after which the caller should retry. For a lack of capacity, a backoff or a rate
-// limit, it is when capacity was expected to be free, by what was known at the time of the refusal; for a
-// request on probation, it is how long the outcome of another gateway's try may stay unknown; for everything
-// else, it is defaultRetryAfter.
+// retryAfter returns the time after which the caller should retry. If err is due to a lack of capacity, a
+// backoff or a rate limit, this is when capacity was expected to be free, by what was known at the time of the
+// refusal. If the request is on probation and another gateway is trying it, it is how long the outcome of that
+// try may stay unknown. For all other errors, it is defaultRetryAfter.
 func (r *callState) retryAfter(err error) time.Duration {
 	var noCapacity *noCapacityError
 	if errors.As(err, &noCapacity) {
